--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,5 +1,5 @@
-// What a task costs the decisions alone, as more wait: 4 nodes, 100 volumes, a stated number waiting. Each round
-// takes one task, ends one shot and settles.
+// What a task costs the decisions alone, as more wait: 4 nodes, 100 volumes, a stated number
+// waiting. Each round takes one task, ends one shot and settles.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -32,7 +32,8 @@
     s->set_clock(ms, 0);
     // No task is too late for as long as this runs: what waits stays.
     s->add_workload(WorkloadId{0}, 100000 * sec, 200000 * sec, 1, 0.1);
-    for (std::uint32_t p = 0; p < 2; ++p) s->add_plan(PlanId{p}, 1 + p, 100, 50, 1);
+    for (std::uint32_t p = 0; p < 2; ++p)
+        s->add_plan(PlanId{p}, 1 + p, 100, 50, 1);
     s->set_units(2, 8, 0.35, 0.08);
     s->set_shots(3, false, true);
     s->set_denials(sec);
@@ -41,17 +42,20 @@
     s->ready(0);
     s->list_begins(0, ListKind::whole);
     for (std::uint64_t n = 0; n < 4; ++n)
-        s->node_listed(NodeId{n + 1}, ShardId{static_cast<std::int32_t>(n)}, ZoneId{0}, NodeState::ready, 0);
+        s->node_listed(NodeId{n + 1}, ShardId{static_cast<std::int32_t>(n)}, ZoneId{0},
+                       NodeState::ready, 0);
     s->list_ends();
     Time now = sec;
     std::uint64_t id = 0;
     auto take = [&] {
         ++id;
-        s->task_taken(now, TaskId{id}, WorkloadId{0}, VolumeId{id % 100}, PlanId{static_cast<std::uint32_t>(id % 2)},
-                      ShardId{static_cast<std::int32_t>(id % 4)}, KeyId{id}, 1 + static_cast<double>(id % 4), 1, false,
-                      false, now + 200000 * sec);
+        s->task_taken(now, TaskId{id}, WorkloadId{0}, VolumeId{id % 100},
+                      PlanId{static_cast<std::uint32_t>(id % 2)},
+                      ShardId{static_cast<std::int32_t>(id % 4)}, KeyId{id},
+                      1 + static_cast<double>(id % 4), 1, false, false, now + 200000 * sec);
     };
-    for (std::int64_t i = 0; i < state.range(0); ++i) take();
+    for (std::int64_t i = 0; i < state.range(0); ++i)
+        take();
     s->settle(now);
     for (auto _ : state) {
         now += 100 * us;
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -1,5 +1,6 @@
-// What the edge costs: 4 KiB reads of one node, straight over the node's frames and through an edge over NBD, at one
-// and at 64 in flight, in turn within one run. Prints medians of several rounds and their ratios.
+// What the edge costs: 4 KiB reads of one node, straight over the node's frames and through an edge
+// over NBD, at one and at 64 in flight, in turn within one run. Prints medians of several rounds
+// and their ratios.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -36,21 +37,23 @@
         };
         socket->connect(address, [this, length](bool) {
             ends = loop::now() + length;
-            socket->send(frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0, shard, {}));
+            socket->send(frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                                      shard, {}));
             socket->flush();
         });
     }
     ~Direct() { socket->close(true); }
     void ask() {
         out[++tag] = loop::now();
-        socket->send(frames::make(frames::Kind::read, 0, {}, tag, VolumeId{1}, tag * 7 % 64 * 4096, 4096, 1000, 0, 0, 0,
-                                  shard, {}));
+        socket->send(frames::make(frames::Kind::read, 0, {}, tag, VolumeId{1}, tag * 7 % 64 * 4096,
+                                  4096, 1000, 0, 0, 0, shard, {}));
     }
-    bool frame(frames::Kind kind, std::uint8_t, frames::Status, std::uint64_t t, VolumeId, std::uint64_t,
-               std::uint32_t, std::uint32_t, std::uint64_t, std::uint64_t, Time, ShardId, std::string_view,
-               std::uint32_t) override {
+    bool frame(frames::Kind kind, std::uint8_t, frames::Status, std::uint64_t t, VolumeId,
+               std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t, std::uint64_t, Time,
+               ShardId, std::string_view, std::uint32_t) override {
         if (kind == frames::Kind::welcome) {
-            for (std::size_t i = 0; i < flying; ++i) ask();
+            for (std::size_t i = 0; i < flying; ++i)
+                ask();
             return true;
         }
         took.push_back(loop::now() - out[t]);
@@ -63,7 +66,8 @@
     }
 };
 
-template <class T> void wait_for(fleet::Worker &w, T &x, bool (*over)(T &)) {
+template <class T>
+void wait_for(fleet::Worker &w, T &x, bool (*over)(T &)) {
     for (bool done = false; !done;) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
         w.run([&] { done = over(x); });
@@ -94,7 +98,8 @@
             for (int round = 0; round < rounds; ++round) {
                 std::unique_ptr<Direct> d;
                 worker.run([&] {
-                    d = std::make_unique<Direct>(worker.loop(), fleet.node_address(0), ShardId{0}, flying, length);
+                    d = std::make_unique<Direct>(worker.loop(), fleet.node_address(0), ShardId{0},
+                                                 flying, length);
                 });
                 wait_for<Direct>(worker, *d, [](Direct &x) { return x.over; });
                 worker.run([&] {
@@ -104,22 +109,26 @@
                 });
                 load::Shape shape;
                 shape.address = fleet.edge_address(0), shape.volume = "members";
-                shape.flying = static_cast<std::uint32_t>(flying), shape.length = length, shape.region = nodes * (1 << 20);
+                shape.flying = static_cast<std::uint32_t>(flying), shape.length = length,
+                shape.region = nodes * (1 << 20);
                 std::unique_ptr<load::Stream> s;
                 worker.run([&] { s = std::make_unique<load::Stream>(worker.loop(), shape); });
                 wait_for<load::Stream>(worker, *s, [](load::Stream &x) { return x.over(); });
                 worker.run([&] {
                     std::vector<Time> took;
                     for (auto &x : s->samples())
-                        if (x.error == 0) took.push_back(x.took);
+                        if (x.error == 0)
+                            took.push_back(x.took);
                     edge_us.push_back(static_cast<double>(load::quantile(took, 0.5)) / 1e3);
                     edge_rate.push_back(static_cast<double>(took.size()) / seconds(length));
                     s.reset();
                 });
             }
-            std::printf("%2zu in flight: straight %.1f us, %.0f/s; edge %.1f us, %.0f/s; added %.1f us, rate ratio %.2f\n",
-                        flying, middle(direct_us), middle(direct_rate), middle(edge_us), middle(edge_rate),
-                        middle(edge_us) - middle(direct_us), middle(edge_rate) / middle(direct_rate));
+            std::printf("%2zu in flight: straight %.1f us, %.0f/s; edge %.1f us, %.0f/s; added "
+                        "%.1f us, rate ratio %.2f\n",
+                        flying, middle(direct_us), middle(direct_rate), middle(edge_us),
+                        middle(edge_rate), middle(edge_us) - middle(direct_us),
+                        middle(edge_rate) / middle(direct_rate));
         }
     }
     std::filesystem::remove_all(dir);
--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -1,6 +1,7 @@
-// What a plan's change costs: the longest moment that it holds an edge's loop at so many volumes, and the planner's
-// time and bytes a change at so many edges; and how long a change takes to reach every edge, in virtual time, by the
-// fleet's size. Times are of this machine; bytes and virtual times are the same on all.
+// What a plan's change costs: the longest moment that it holds an edge's loop at so many volumes,
+// and the planner's time and bytes a change at so many edges; and how long a change takes to reach
+// every edge, in virtual time, by the fleet's size. Times are of this machine; bytes and virtual
+// times are the same on all.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -17,14 +18,17 @@
 using namespace knotvane;
 using Clock = std::chrono::steady_clock;
 
-double us_since(Clock::time_point t) { return std::chrono::duration<double, std::micro>(Clock::now() - t).count(); }
+double us_since(Clock::time_point t) {
+    return std::chrono::duration<double, std::micro>(Clock::now() - t).count();
+}
 
 struct Line final : edge::Line {
     void dial() override {}
     void hang_up() override {}
     void send_planner(std::string) override {}
     void keep_plan(std::string bytes, bool anew) override {
-        if (!edge::write_plan(path, bytes, anew)) std::printf("can't write %s\n", path.c_str());
+        if (!edge::write_plan(path, bytes, anew))
+            std::printf("can't write %s\n", path.c_str());
     }
     std::string path = (std::filesystem::temp_directory_path() / "knotvane-plan-bench").string();
     ~Line() override { std::filesystem::remove(path); }
@@ -34,10 +38,12 @@
 };
 
 std::string whole(std::uint64_t volumes, std::uint64_t version) {
-    std::string out = facts::begins(facts::Term{1}, 1, 1, facts::Version{version}, facts::Version{0}, 0) +
-                      facts::put(PlanId{0}, facts::Plan{"p"});
+    std::string out =
+        facts::begins(facts::Term{1}, 1, 1, facts::Version{version}, facts::Version{0}, 0) +
+        facts::put(PlanId{0}, facts::Plan{"p"});
     for (std::uint64_t v = 0; v < volumes; ++v)
-        out += facts::put(VolumeId{v}, facts::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
+        out += facts::put(VolumeId{v},
+                          facts::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
     return out + facts::ends(facts::Version{version}, volumes + 1);
 }
 
@@ -58,22 +64,26 @@
             longest[round] = std::max(longest[round], took), total[round] += took;
         };
         moment([&] { s.bytes(now, news); });
-        for (int i = 0; i < 2000; ++i) moment([&] { s.tick(now); });
+        for (int i = 0; i < 2000; ++i)
+            moment([&] { s.tick(now); });
     }
     double change = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
         auto v = 3 + i;
-        auto news = facts::begins(facts::Term{1}, 1, 1, facts::Version{v}, facts::Version{v - 1}, 0) +
-                    facts::put(VolumeId{i}, facts::Volume{"volume-" + std::to_string(i), 1 << 30, 4096, PlanId{0}}) +
-                    facts::ends(facts::Version{v}, 1);
+        auto news =
+            facts::begins(facts::Term{1}, 1, 1, facts::Version{v}, facts::Version{v - 1}, 0) +
+            facts::put(VolumeId{i},
+                       facts::Volume{"volume-" + std::to_string(i), 1 << 30, 4096, PlanId{0}}) +
+            facts::ends(facts::Version{v}, 1);
         auto t = Clock::now();
         s.bytes(3 * sec, news);
         change = std::max(change, us_since(t));
     }
-    std::printf("edge, %6llu volumes: first whole list, longest moment %7.0f us of %7.0f; over another %7.0f of %7.0f; "
+    std::printf("edge, %6llu volumes: first whole list, longest moment %7.0f us of %7.0f; over "
+                "another %7.0f of %7.0f; "
                 "a change %5.1f us at most%s\n",
-                static_cast<unsigned long long>(volumes), longest[0], total[0], longest[1], total[1], change,
-                s.copy().version() == facts::Version{202} ? "" : "  (NOT TAKEN)");
+                static_cast<unsigned long long>(volumes), longest[0], total[0], longest[1],
+                total[1], change, s.copy().version() == facts::Version{202} ? "" : "  (NOT TAKEN)");
 }
 
 void planner_change(std::uint64_t edges, std::uint64_t nodes) {
@@ -83,10 +93,13 @@
         w.nodes[NodeId{n}] = {ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0}, false, "", 0};
     std::vector<std::pair<int, std::string>> faults;
     p.core.want(0, w, faults);
-    for (std::uint64_t n = 1; n <= nodes; ++n) p.node(0, n);
+    for (std::uint64_t n = 1; n <= nodes; ++n)
+        p.node(0, n);
     p.core.settle(0);
-    for (std::uint64_t e = 1; e <= edges; ++e) p.hello(0, 10000 + e);
-    for (std::uint64_t e = 1; e <= edges; ++e) p.renew(0, 10000 + e);
+    for (std::uint64_t e = 1; e <= edges; ++e)
+        p.hello(0, 10000 + e);
+    for (std::uint64_t e = 1; e <= edges; ++e)
+        p.renew(0, 10000 + e);
     double took = 0;
     std::size_t bytes = 0;
     constexpr int changes = 50;
@@ -97,17 +110,21 @@
         auto t = Clock::now();
         p.core.settle(now);
         took += us_since(t);
-        for (auto &[side, b] : p.did.sent) bytes += b.size();
-        for (std::uint64_t e = 1; e <= edges; ++e) p.read(10000 + e), p.renew(now, 10000 + e);
+        for (auto &[side, b] : p.did.sent)
+            bytes += b.size();
+        for (std::uint64_t e = 1; e <= edges; ++e)
+            p.read(10000 + e), p.renew(now, 10000 + e);
     }
-    std::printf("planner, %3llu edges, %2llu nodes: a change %7.0f us, %6.2f us and %4.0f bytes an edge\n",
-                static_cast<unsigned long long>(edges), static_cast<unsigned long long>(nodes), took / changes,
-                took / changes / static_cast<double>(edges),
-                static_cast<double>(bytes) / changes / static_cast<double>(edges));
+    std::printf(
+        "planner, %3llu edges, %2llu nodes: a change %7.0f us, %6.2f us and %4.0f bytes an edge\n",
+        static_cast<unsigned long long>(edges), static_cast<unsigned long long>(nodes),
+        took / changes, took / changes / static_cast<double>(edges),
+        static_cast<double>(bytes) / changes / static_cast<double>(edges));
 }
 
 Time at(std::vector<Time> v, double q) {
-    if (v.empty()) return 0;
+    if (v.empty())
+        return 0;
     std::sort(v.begin(), v.end());
     return v[static_cast<std::size_t>(q * static_cast<double>(v.size() - 1))];
 }
@@ -119,7 +136,8 @@
     constexpr std::uint64_t days = 3;
     for (std::uint64_t seed = 1; seed <= days; ++seed) {
         sim::PlanDay d;
-        d.seed = seed, d.edges = edges, d.nodes = std::max(3u, edges * 58 / 280), d.volumes = std::max(6u, edges);
+        d.seed = seed, d.edges = edges, d.nodes = std::max(3u, edges * 58 / 280),
+        d.volumes = std::max(6u, edges);
         d.length = 30 * sec, d.trouble_every = sec;
         d.planner_dies = troubled, d.loss = troubled ? 0.02 : 0, d.repeats = troubled ? 0.02 : 0;
         auto r = sim::play(d);
@@ -129,22 +147,29 @@
         in += static_cast<double>(r.planner_bytes_in) / seconds(r.length);
         broken += r.broken.size(), versions += r.versions;
     }
-    std::printf("%5u %5u  %-8s %9llu %10.0f %10.0f %10.0f %10.0f %10.0f %10.0f %8llu\n", edges,
-                std::max(3u, edges * 58 / 280), troubled ? "bad" : "calm", static_cast<unsigned long long>(versions),
-                static_cast<double>(at(middle, 0.5)) / 1e6, static_cast<double>(at(last, 0.5)) / 1e6,
-                static_cast<double>(at(last, 1)) / 1e6, out / days, in / days, (out + in) / days / edges,
-                static_cast<unsigned long long>(broken));
+    std::printf(
+        "%5u %5u  %-8s %9llu %10.0f %10.0f %10.0f %10.0f %10.0f %10.0f %8llu\n", edges,
+        std::max(3u, edges * 58 / 280), troubled ? "bad" : "calm",
+        static_cast<unsigned long long>(versions), static_cast<double>(at(middle, 0.5)) / 1e6,
+        static_cast<double>(at(last, 0.5)) / 1e6, static_cast<double>(at(last, 1)) / 1e6,
+        out / days, in / days, (out + in) / days / edges, static_cast<unsigned long long>(broken));
     std::fflush(stdout);
 }
 
 } // namespace
 
 int main(int argc, char **argv) {
-    for (std::uint64_t v : {100, 1000, 10000, 30000}) edge_moments(v);
-    for (std::uint64_t e : {3, 30, 100, 280}) planner_change(e, std::max<std::uint64_t>(3, e * 58 / 280));
-    if (argc > 1 && std::strcmp(argv[1], "--no-fleets") == 0) return 0;
-    std::printf("\nin virtual time, delay of a message up to 50 ms; ms until a change has reached an edge\n");
-    std::printf("edges nodes  day       versions  middle ms    last ms   worst ms   B/s out    B/s in   B/s edge   broken\n");
+    for (std::uint64_t v : {100, 1000, 10000, 30000})
+        edge_moments(v);
+    for (std::uint64_t e : {3, 30, 100, 280})
+        planner_change(e, std::max<std::uint64_t>(3, e * 58 / 280));
+    if (argc > 1 && std::strcmp(argv[1], "--no-fleets") == 0)
+        return 0;
+    std::printf("\nin virtual time, delay of a message up to 50 ms; ms until a change has reached "
+                "an edge\n");
+    std::printf("edges nodes  day       versions  middle ms    last ms   worst ms   B/s out    B/s "
+                "in   B/s edge   broken\n");
     for (bool troubled : {false, true})
-        for (std::uint32_t e : {3u, 10u, 30u, 100u, 280u}) fleet(e, troubled);
+        for (std::uint32_t e : {3u, 10u, 30u, 100u, 280u})
+            fleet(e, troubled);
 }
--- a/src/cli/edge_main.cpp
+++ b/src/cli/edge_main.cpp
@@ -1,4 +1,5 @@
-// knotvane-edge: speaks NBD to clients, or the platform's protocol, and schedules their requests over the nodes.
+// knotvane-edge: speaks NBD to clients, or the platform's protocol, and schedules their requests
+// over the nodes.
 #include <cstring>
 
 #include "cli/part.hpp"
@@ -9,7 +10,8 @@
 int main(int argc, char **argv) {
     using namespace knotvane;
     for (int i = 1; i < argc; ++i)
-        if (std::strcmp(argv[i], "--platform") == 0) return cli::run_platform(argc, argv);
+        if (std::strcmp(argv[i], "--platform") == 0)
+            return cli::run_platform(argc, argv);
     return cli::run_part(
         argc, argv, "knotvane-edge: NBD in, scheduled shots to storage nodes out",
         [](settings::File &f) { edge::check(f); },
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -9,7 +9,8 @@
 
 int main(int argc, char **argv) {
     using namespace knotvane;
-    CLI::App app{"knotvane: a storage gateway that schedules a host's reads and writes over storage nodes"};
+    CLI::App app{
+        "knotvane: a storage gateway that schedules a host's reads and writes over storage nodes"};
     app.require_subcommand(1);
     app.get_formatter()->column_width(34);
     std::string level = "info";
--- a/src/cli/planner.cpp
+++ b/src/cli/planner.cpp
@@ -22,30 +22,34 @@
 
 void table(const nlohmann::json &s) {
     auto u = [](const nlohmann::json &v) { return v.is_null() ? std::string("-") : v.dump(); };
-    std::printf("planner: term %s, version %s, settings %s, up %s, %s volumes\n", u(s["term"]).c_str(),
-                u(s["version"]).c_str(), u(s["settings"]).c_str(), ago(s["up_ms"].get<std::int64_t>()).c_str(),
-                u(s["volumes"]).c_str());
-    std::printf("\n%6s %6s %5s %-12s %-18s %-22s %10s %10s\n", "node", "shard", "zone", "state", "word", "address",
-                "age", "heard");
+    std::printf("planner: term %s, version %s, settings %s, up %s, %s volumes\n",
+                u(s["term"]).c_str(), u(s["version"]).c_str(), u(s["settings"]).c_str(),
+                ago(s["up_ms"].get<std::int64_t>()).c_str(), u(s["volumes"]).c_str());
+    std::printf("\n%6s %6s %5s %-12s %-18s %-22s %10s %10s\n", "node", "shard", "zone", "state",
+                "word", "address", "age", "heard");
     for (auto &n : s["nodes"])
-        std::printf("%6s %6s %5s %-12s %-18s %-22s %10s %10s%s\n", u(n["id"]).c_str(), u(n["shard"]).c_str(),
-                    u(n["zone"]).c_str(), n["state"].get<std::string>().c_str(), n["word"].get<std::string>().c_str(),
-                    n["address"].get<std::string>().c_str(), ago(n["age_ms"].get<std::int64_t>()).c_str(),
+        std::printf("%6s %6s %5s %-12s %-18s %-22s %10s %10s%s\n", u(n["id"]).c_str(),
+                    u(n["shard"]).c_str(), u(n["zone"]).c_str(),
+                    n["state"].get<std::string>().c_str(), n["word"].get<std::string>().c_str(),
+                    n["address"].get<std::string>().c_str(),
+                    ago(n["age_ms"].get<std::int64_t>()).c_str(),
                     ago(n["silent_ms"].get<std::int64_t>()).c_str(),
                     n["out_of_reach_for"].get<std::int64_t>() > 0
                         ? ("  out of reach for " + u(n["out_of_reach_for"]) + " edges").c_str()
                         : "");
-    std::printf("\n%6s %-22s %8s %6s %7s %8s %8s %10s\n", "edge", "listens", "version", "term", "behind", "lease",
-                "serving", "heard");
+    std::printf("\n%6s %-22s %8s %6s %7s %8s %8s %10s\n", "edge", "listens", "version", "term",
+                "behind", "lease", "serving", "heard");
     for (auto &e : s["edges"])
         if (e["connected"].get<bool>())
             std::printf("%6s %-22s %8s %6s %7s %8s %8s %10s\n", u(e["id"]).c_str(),
-                        e["listen"].get<std::string>().c_str(), u(e["version"]).c_str(), u(e["term"]).c_str(),
-                        u(e["behind"]).c_str(), e["lease"].get<std::string>().c_str(), u(e["serving"]).c_str(),
+                        e["listen"].get<std::string>().c_str(), u(e["version"]).c_str(),
+                        u(e["term"]).c_str(), u(e["behind"]).c_str(),
+                        e["lease"].get<std::string>().c_str(), u(e["serving"]).c_str(),
                         ago(e["silent_ms"].get<std::int64_t>()).c_str());
         else
-            std::printf("%6s %-22s %8s %6s %7s %8s %8s %10s\n", u(e["id"]).c_str(), "(not connected)", "-", "-", "-",
-                        e["lease"].get<std::string>().c_str(), u(e["serving"]).c_str(), "-");
+            std::printf("%6s %-22s %8s %6s %7s %8s %8s %10s\n", u(e["id"]).c_str(),
+                        "(not connected)", "-", "-", "-", e["lease"].get<std::string>().c_str(),
+                        u(e["serving"]).c_str(), "-");
 }
 
 int drain(const std::string &planner, std::uint64_t node, bool on, bool yes, bool force) {
@@ -54,7 +58,8 @@
     auto text = planner::ask_drain(planner, id, on, 0, allowed, done, patience);
     std::printf("%s\n", text.c_str());
     if (!allowed && !force) {
-        std::fprintf(stderr, "not done%s\n", on ? "; --force does it where only the shard's service is at stake" : "");
+        std::fprintf(stderr, "not done%s\n",
+                     on ? "; --force does it where only the shard's service is at stake" : "");
         return 1;
     }
     if (!yes) {
@@ -66,7 +71,8 @@
         std::fflush(stdout);
         std::string answer;
         std::getline(std::cin, answer);
-        if (answer != "y" && answer != "yes") return 1;
+        if (answer != "y" && answer != "yes")
+            return 1;
     }
     planner::ask_drain(planner, id, on, force ? 2 : 1, allowed, done, patience);
     std::printf(done ? "done\n" : "not done: it can't be, or the fleet changed meanwhile\n");
@@ -82,7 +88,8 @@
         bool json = false, yes = false, force = false;
     };
     auto o = std::make_shared<Options>();
-    auto *status = app.add_subcommand("status", "what the planner and each edge hold, and how old it is");
+    auto *status =
+        app.add_subcommand("status", "what the planner and each edge hold, and how old it is");
     status->add_option("--planner", o->planner, "its address");
     status->add_flag("--json", o->json, "as JSON");
     status->footer("Example: knotvane status --planner 127.0.0.1:10810");
@@ -97,15 +104,17 @@
         });
     });
     for (bool on : {true, false}) {
-        auto *cmd = app.add_subcommand(on ? "drain" : "undrain",
-                                       on ? "no new work to a node, by every edge; its effect is told first"
-                                          : "end a drain that an operator began; its effect is told first");
+        auto *cmd =
+            app.add_subcommand(on ? "drain" : "undrain",
+                               on ? "no new work to a node, by every edge; its effect is told first"
+                                  : "end a drain that an operator began; its effect is told first");
         cmd->add_option("NODE", o->node, "its id")->required();
         cmd->add_option("--planner", o->planner, "its address");
         cmd->add_flag("--yes", o->yes, "do it without asking");
-        if (on) cmd->add_flag("--force", o->force, "even where no other node serves its shard");
-        cmd->footer(std::string("Exit code 0 only if it was done.\nExample: knotvane ") + (on ? "drain" : "undrain") +
-                    " 3 --yes");
+        if (on)
+            cmd->add_flag("--force", o->force, "even where no other node serves its shard");
+        cmd->footer(std::string("Exit code 0 only if it was done.\nExample: knotvane ") +
+                    (on ? "drain" : "undrain") + " 3 --yes");
         cmd->callback([o, &code, on] {
             code = visit([&] { return drain(o->planner, o->node, on, o->yes, o->force); });
         });
--- a/src/cli/planner_main.cpp
+++ b/src/cli/planner_main.cpp
@@ -1,4 +1,5 @@
-// knotvane-planner: says who is in the fleet, what drains, and which part of each limit an edge has.
+// knotvane-planner: says who is in the fleet, what drains, and which part of each limit an edge
+// has.
 #include "cli/part.hpp"
 #include "planner/files.hpp"
 #include "planner/server.hpp"
@@ -30,19 +31,23 @@
             };
             return;
         } catch (const std::exception &e) {
-            if (!standby || std::string(e.what()).find("in use") == std::string::npos) throw;
+            if (!standby || std::string(e.what()).find("in use") == std::string::npos)
+                throw;
         }
-        if (!std::exchange(waits, true)) log::line(log::info, "standby: waits for the store", {});
+        if (!std::exchange(waits, true))
+            log::line(log::info, "standby: waits for the store", {});
         loop.at_end([this, due = loop::now() + look_every] {
-            // Called from the loop later: a server sets an end of its own, which must not replace this one while
-            // it runs.
-            if (loop::now() < due) return due;
+            // Called from the loop later: a server sets an end of its own, which must not replace
+            // this one while it runs.
+            if (loop::now() < due)
+                return due;
             loop.post([this] { again(); });
             return due + look_every;
         });
     }
     void again() {
-        if (server) return;
+        if (server)
+            return;
         try {
             begin();
         } catch (const std::exception &e) {
@@ -61,9 +66,11 @@
     int ran = cli::run_part(
         argc, argv,
         "knotvane-planner: members, drains and parts of limits for the edges.\n"
-        "Exit codes: 0 stopped, 1 it could not run, 2 usage or settings, 3 another planner is followed",
+        "Exit codes: 0 stopped, 1 it could not run, 2 usage or settings, 3 another planner is "
+        "followed",
         [](settings::File &f) {
-            planner::read_own(f, [](auto...) {}, [](auto...) {});
+            planner::read_own(
+                f, [](auto...) {}, [](auto...) {});
         },
         [&](loop::Loop &loop, settings::File &f) -> std::shared_ptr<void> {
             using From = planner::Server::From;
@@ -77,12 +84,15 @@
             return part;
         },
         [&](CLI::App &app) {
-            auto *fresh = app.add_flag("--new", first, "make the store: no planner ever ran for this fleet");
+            auto *fresh =
+                app.add_flag("--new", first, "make the store: no planner ever ran for this fleet");
             app.add_flag("--rebuild", rebuild,
-                         "put the store aside and make a new one from settings and edges; limits are held back until "
+                         "put the store aside and make a new one from settings and edges; limits "
+                         "are held back until "
                          "what the old one gave out has run out")
                 ->excludes(fresh);
-            app.add_flag("--standby", standby, "wait while another planner has the store, then take over");
+            app.add_flag("--standby", standby,
+                         "wait while another planner has the store, then take over");
         });
     return ran != 0 ? ran : code;
 }
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -15,15 +15,18 @@
 namespace knotvane::cli {
 
 int run_platform(int argc, char **argv) {
-    CLI::App app{"knotvane-edge --platform: HTTP in, scheduled attempts to the platform's disk servers out"};
+    CLI::App app{
+        "knotvane-edge --platform: HTTP in, scheduled attempts to the platform's disk servers out"};
     bool platform = false, json = false, trace = false;
     const char *from = std::getenv("LB_CONFIG");
     std::string config = from ? from : "", level = "info";
     app.add_flag("--platform", platform, "serve on the platform's protocol");
     app.add_option("--config", config, "configuration (JSON); else what LB_CONFIG names");
-    app.add_option("--log", level, "least level of the log")->check(CLI::IsMember({"debug", "info", "warn", "error"}));
+    app.add_option("--log", level, "least level of the log")
+        ->check(CLI::IsMember({"debug", "info", "warn", "error"}));
     app.add_flag("--log-json", json, "log as JSON lines");
-    app.add_flag("--trace", trace, "log each attempt's times and what is counted out; `knotvane trace` reads it");
+    app.add_flag("--trace", trace,
+                 "log each attempt's times and what is counted out; `knotvane trace` reads it");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &e) {
@@ -45,15 +48,21 @@
         platform::Config first(text);
         loop::Loop loop;
         auto server = std::make_unique<platform::Server>(
-            loop, config, first, [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, trace);
+            loop, config, first,
+            [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, trace);
         uv_signal_t signals[3];
         for (int i = 0; i < 3; ++i) {
             uv_signal_init(loop.raw(), &signals[i]);
             signals[i].data = server.get();
-            uv_signal_start(&signals[i], [](uv_signal_t *s, int number) {
-                auto &to = *static_cast<platform::Server *>(s->data);
-                number == SIGHUP ? to.reload() : to.stop();
-            }, i == 0 ? SIGTERM : i == 1 ? SIGINT : SIGHUP);
+            uv_signal_start(
+                &signals[i],
+                [](uv_signal_t *s, int number) {
+                    auto &to = *static_cast<platform::Server *>(s->data);
+                    number == SIGHUP ? to.reload() : to.stop();
+                },
+                i == 0   ? SIGTERM
+                : i == 1 ? SIGINT
+                         : SIGHUP);
         }
         log::line(log::info, "serves", {{"address", server->address()}, {"name", first.name()}});
         loop.run();
--- a/src/cli/snapshots.cpp
+++ b/src/cli/snapshots.cpp
@@ -15,11 +15,12 @@
 namespace knotvane::cli {
 namespace {
 
-// A cut waits for changes that began before it, at most; then it is tried again or the reason is told.
+// A cut waits for changes that began before it, at most; then it is tried again or the reason is
+// told.
 constexpr Time patience = 90 * sec;
 
-int ask(const std::string &planner, std::uint8_t what, const std::string &name, const std::string &as,
-        const std::string &plan) {
+int ask(const std::string &planner, std::uint8_t what, const std::string &name,
+        const std::string &as, const std::string &plan) {
     bool allowed = false, done = false;
     auto text = planner::ask_cut(planner, what, name, as, plan, allowed, done, patience);
     std::fprintf(done ? stdout : stderr, "%s\n", text.c_str());
@@ -28,8 +29,8 @@
 
 void table(const nlohmann::json &s) {
     if (!s["cuts"].empty())
-        std::printf("%-40s %-9s %-24s %14s %8s %-11s %s\n", "name", "kind", "of", "bytes", "age", "pays",
-                    "used by edges");
+        std::printf("%-40s %-9s %-24s %14s %8s %-11s %s\n", "name", "kind", "of", "bytes", "age",
+                    "pays", "used by edges");
     for (auto &c : s["cuts"])
         std::printf("%-40s %-9s %-24s %14s %8s %-11s %s\n", c["name"].get<std::string>().c_str(),
                     c["kind"].get<std::string>().c_str(), c["of"].get<std::string>().c_str(),
@@ -54,27 +55,31 @@
         bool json = false;
     };
     auto o = std::make_shared<Options>();
-    auto *snapshot = app.add_subcommand("snapshot", "take, list, drop and compare snapshots of volumes");
+    auto *snapshot =
+        app.add_subcommand("snapshot", "take, list, drop and compare snapshots of volumes");
     snapshot->require_subcommand(1);
     auto command = [&](CLI::App *to, const char *name, const char *about, std::uint8_t what) {
         auto *cmd = to->add_subcommand(name, about);
         cmd->add_option("--planner", o->planner, "its address");
-        cmd->callback(
-            [o, &code, what] { code = visit([&] { return ask(o->planner, what, o->a, o->b, o->plan); }); });
+        cmd->callback([o, &code, what] {
+            code = visit([&] { return ask(o->planner, what, o->a, o->b, o->plan); });
+        });
         return cmd;
     };
-    auto *take = command(snapshot, "take",
-                         "every write answered before, none begun after; found over NBD as VOLUME@NAME", 0);
+    auto *take =
+        command(snapshot, "take",
+                "every write answered before, none begun after; found over NBD as VOLUME@NAME", 0);
     take->add_option("VOLUME", o->a, "its name")->required();
     take->add_option("NAME", o->b, "of the snapshot")->required();
-    take->footer("Exit code 0 only if it is whole; else nothing is left of it.\nExample: knotvane snapshot "
-                 "take members before-rules");
-    auto *drop =
-        command(snapshot, "drop", "drop a snapshot or a clone; refused while a client has it open", 1);
+    take->footer(
+        "Exit code 0 only if it is whole; else nothing is left of it.\nExample: knotvane snapshot "
+        "take members before-rules");
+    auto *drop = command(snapshot, "drop",
+                         "drop a snapshot or a clone; refused while a client has it open", 1);
     drop->add_option("NAME", o->a, "VOLUME@NAME, or a clone's name")->required();
     drop->footer("Example: knotvane snapshot drop members@before-rules");
-    auto *diff =
-        command(snapshot, "diff", "the ranges in which two differ, as offset and length in bytes", 3);
+    auto *diff = command(snapshot, "diff",
+                         "the ranges in which two differ, as offset and length in bytes", 3);
     diff->add_option("A", o->a, "VOLUME@NAME, or a volume or clone as it is now")->required();
     diff->add_option("B", o->b, "another of the same origin")->required();
     diff->footer("Example: knotvane snapshot diff members@before-rules members");
@@ -96,11 +101,13 @@
             return 0;
         });
     });
-    auto *clone = command(&app, "clone", "a writable copy of a snapshot, sharing what is unchanged", 2);
+    auto *clone =
+        command(&app, "clone", "a writable copy of a snapshot, sharing what is unchanged", 2);
     clone->add_option("SNAPSHOT", o->a, "VOLUME@NAME")->required();
     clone->add_option("NAME", o->b, "of the clone, found over NBD by it")->required();
-    clone->add_option("--plan", o->plan,
-                      "a plan of its own, without a reserve; without it pays from its source's part");
+    clone->add_option(
+        "--plan", o->plan,
+        "a plan of its own, without a reserve; without it pays from its source's part");
     clone->footer("Example: knotvane clone members@before-rules members-test");
 }
 
--- a/src/cli/store.cpp
+++ b/src/cli/store.cpp
@@ -25,7 +25,8 @@
         auto over = store::untouched(*file);
         store::Store s(*over);
         auto found = s.check();
-        for (auto &f : found) std::printf("%s\n", f.c_str());
+        for (auto &f : found)
+            std::printf("%s\n", f.c_str());
         std::printf("%s: %s; %llu blocks in use, nothing was changed\n", path.c_str(),
                     found.empty() ? "good" : (std::to_string(found.size()) + " findings").c_str(),
                     static_cast<unsigned long long>(s.blocks_used()));
@@ -42,9 +43,11 @@
     auto path = std::make_shared<std::string>();
     auto *store = app.add_subcommand("store", "look at a node's store");
     store->require_subcommand(1);
-    auto *cmd = store->add_subcommand("check", "walk every tree, read every block, count everything; repair nothing");
+    auto *cmd = store->add_subcommand(
+        "check", "walk every tree, read every block, count everything; repair nothing");
     cmd->add_option("FILE", *path, "the store; its node must not run")->required();
-    cmd->footer("Exit codes: 0 good, 1 findings, one line each, 2 usage.\nExample: knotvane store check /srv/shard-0.store");
+    cmd->footer("Exit codes: 0 good, 1 findings, one line each, 2 usage.\nExample: knotvane store "
+                "check /srv/shard-0.store");
     cmd->callback([path, &code] { code = check(*path); });
 }
 
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -15,9 +15,13 @@
 
 void add_trace(CLI::App &app, int &code) {
     auto paths = std::make_shared<std::vector<std::string>>();
-    auto *cmd = app.add_subcommand("trace", "what was believed against what crossed the sockets, from --trace logs");
-    cmd->add_option("FILES", *paths, "logs of knotvane-edge --platform --trace; - for standard input")->required();
-    cmd->footer("Exit codes: 0 good, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
+    auto *cmd = app.add_subcommand(
+        "trace", "what was believed against what crossed the sockets, from --trace logs");
+    cmd->add_option("FILES", *paths,
+                    "logs of knotvane-edge --platform --trace; - for standard input")
+        ->required();
+    cmd->footer(
+        "Exit codes: 0 good, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
     cmd->callback([paths, &code] {
         platform::Trace trace;
         for (auto &path : *paths) {
@@ -27,7 +31,8 @@
                 code = 2;
                 return;
             }
-            for (std::string line; std::getline(file, line);) trace.line(line);
+            for (std::string line; std::getline(file, line);)
+                trace.line(line);
         }
         std::fputs(trace.report().c_str(), stdout);
     });
--- a/src/core/ids.hpp
+++ b/src/core/ids.hpp
@@ -6,7 +6,8 @@
 
 namespace knotvane {
 
-template <class Kind, class Rep> struct Id {
+template <class Kind, class Rep>
+struct Id {
     Rep value{};
     constexpr Id() = default;
     constexpr explicit Id(Rep v) : value(v) {}
--- a/src/core/redial.hpp
+++ b/src/core/redial.hpp
@@ -1,5 +1,5 @@
-// When to try a connection again: later after each failure, by chance, so that many that lose one peer together do
-// not come back together.
+// When to try a connection again: later after each failure, by chance, so that many that lose one
+// peer together do not come back together.
 #pragma once
 
 #include <algorithm>
@@ -12,10 +12,11 @@
 namespace knotvane {
 
 class Redial {
-  public:
+public:
     // The first try after a loss comes within `first`; each failure doubles that, up to `longest`.
     Redial(Time first, Time longest, std::uint64_t seed)
-        : first_(first), longest_(longest), chance_(static_cast<std::ranlux24_base::result_type>(seed)) {}
+        : first_(first), longest_(longest),
+          chance_(static_cast<std::ranlux24_base::result_type>(seed)) {}
     // Tried from `now` on: up, or taken for failed after `give_up`.
     void trying(Time now, Time give_up) { due_ = now + give_up, trying_ = true; }
     void up() { trying_ = false, failures_ = 0, due_ = never; }
@@ -32,7 +33,7 @@
     Time due() const { return due_; }
     bool trying() const { return trying_; }
 
-  private:
+private:
     static constexpr Time never = std::numeric_limits<Time>::max();
     Time first_, longest_, due_ = never;
     std::uint32_t failures_ = 0;
--- a/src/core/task.hpp
+++ b/src/core/task.hpp
@@ -8,8 +8,8 @@
 
 namespace knotvane {
 
-// What a repeat of a task does: it may run again; repeats are dropped by a group of nodes; it must never run
-// twice.
+// What a repeat of a task does: it may run again; repeats are dropped by a group of nodes; it must
+// never run twice.
 enum class Repeat { reissuable, numbered, at_most_once };
 // The nodes that drop repeats of a numbered task.
 enum class Group { all, zone, shard };
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -11,6 +11,8 @@
 inline constexpr Time ms = 1'000 * us;
 inline constexpr Time sec = 1'000 * ms;
 
-inline constexpr double seconds(Time t) { return static_cast<double>(t) / static_cast<double>(sec); }
+inline constexpr double seconds(Time t) {
+    return static_cast<double>(t) / static_cast<double>(sec);
+}
 
 } // namespace knotvane
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -20,27 +20,35 @@
 namespace knotvane::day {
 namespace {
 
-constexpr const char *node_faults[] = {"mute", "hang", "slow", "reset", "refuse", "full",
-                                       "fail", "cut",  "garble", "late", "rot"};
-constexpr const char *others[] = {"restart", "drain", "hold", "split", "swallow", "sever", "late_list",
-                                  "planner_kill", "planner_pause", "undrain", "snapshot"};
+constexpr const char *node_faults[] = {"mute", "hang", "slow",   "reset", "refuse", "full",
+                                       "fail", "cut",  "garble", "late",  "rot"};
+constexpr const char *others[] = {"restart",       "drain",   "hold",      "split",
+                                  "swallow",       "sever",   "late_list", "planner_kill",
+                                  "planner_pause", "undrain", "snapshot"};
 
 } // namespace
 
-Script read_script(const std::string &name, const std::string &text, std::vector<std::string> &faults) {
+Script read_script(const std::string &name, const std::string &text,
+                   std::vector<std::string> &faults) {
     Script s;
-    s.scheduling = fleet::sections(text, {"plan", "volume", "workload", "shots", "units", "nodes", "door"});
+    s.scheduling =
+        fleet::sections(text, {"plan", "volume", "workload", "shots", "units", "nodes", "door"});
     s.service = fleet::sections(text, {"speed", "cold", "pauses"});
-    if (s.scheduling.empty()) s.scheduling = fleet::default_scheduling();
-    if (s.service.empty()) s.service = fleet::default_service();
+    if (s.scheduling.empty())
+        s.scheduling = fleet::default_scheduling();
+    if (s.service.empty())
+        s.service = fleet::default_service();
     settings::File file(name, fleet::sections(text, {"day", "load", "trouble"}));
     // Settings of the parts are checked as the parts will read them.
-    settings::File edge(name + " (edge's part)", fleet::edge_settings(0, 1, "127.0.0.1:0", "x", 1, s.scheduling));
-    settings::File node(name + " (nodes' part)", fleet::node_settings(1, 0, "127.0.0.1:0", "x", s.service));
+    settings::File edge(name + " (edge's part)",
+                        fleet::edge_settings(0, 1, "127.0.0.1:0", "x", 1, s.scheduling));
+    settings::File node(name + " (nodes' part)",
+                        fleet::node_settings(1, 0, "127.0.0.1:0", "x", s.service));
     edge::check(edge);
     node::check(node);
     for (auto *f : {&edge, &node})
-        for (auto &what : f->faults()) faults.push_back(what);
+        for (auto &what : f->faults())
+            faults.push_back(what);
     auto &day = file.one("day", true);
     s.length = day.time("length"), s.seed = day.count("seed", 0, ~0u, 1);
     s.planner = day.flag("planner", false);
@@ -58,11 +66,13 @@
         x.shape.most = static_cast<std::uint32_t>(l->bytes("most", x.shape.least));
         x.shape.from = l->bytes("from", 0), x.shape.region = l->bytes("region", 16 << 20);
         x.shape.begin = l->time("at", 0), x.shape.length = l->time("length", s.length);
-        x.shape.leave_every = l->time("leave_every", 0), x.shape.again_at_once = l->number("again_at_once", 0, 1, 0);
+        x.shape.leave_every = l->time("leave_every", 0),
+        x.shape.again_at_once = l->number("again_at_once", 0, 1, 0);
         x.shape.structured = l->flag("structured", true);
         x.shape.seed = s.seed * 1000 + ++n;
         x.due = l->time("due", 300 * ms), x.write_due = l->time("write_due", 500 * ms);
-        x.value = l->number("value", 0, 1e9, 2), x.write_value = l->number("write_value", 0, 1e9, 3);
+        x.value = l->number("value", 0, 1e9, 2),
+        x.write_value = l->number("write_value", 0, 1e9, 3);
         if (x.shape.least < 512 || x.shape.most < x.shape.least || x.shape.region < x.shape.most)
             l->fault("least", "expected 512 or more, at most 'most', which is at most 'region'");
         s.loads.push_back(std::move(x));
@@ -75,21 +85,28 @@
         x.edge = t->has("edge") ? t->count("edge", 0, s.edges - 1) : ~std::size_t{0};
         x.count = t->count("count", 0, 1000000, 0), x.size = t->number("size", 0, 1e6, 0);
         x.lose = t->flag("lose", false);
-        bool known = std::find(std::begin(node_faults), std::end(node_faults), x.kind) != std::end(node_faults) ||
+        bool known = std::find(std::begin(node_faults), std::end(node_faults), x.kind) !=
+                         std::end(node_faults) ||
                      std::find(std::begin(others), std::end(others), x.kind) != std::end(others);
         if (!known) {
             std::string all;
-            for (auto *k : node_faults) all += std::string(k) + ", ";
-            for (auto *k : others) all += std::string(k) + (k == std::end(others)[-1] ? "" : ", ");
+            for (auto *k : node_faults)
+                all += std::string(k) + ", ";
+            for (auto *k : others)
+                all += std::string(k) + (k == std::end(others)[-1] ? "" : ", ");
             t->fault("kind", "expected one of " + all);
         }
-        if (x.kind == "snapshot") x.volume = t->text("volume");
-        if (!s.planner && (x.kind.starts_with("planner") || x.kind == "undrain" || x.kind == "snapshot"))
+        if (x.kind == "snapshot")
+            x.volume = t->text("volume");
+        if (!s.planner &&
+            (x.kind.starts_with("planner") || x.kind == "undrain" || x.kind == "snapshot"))
             t->fault("kind", "goes with planner = yes in [day]");
         s.troubles.push_back(std::move(x));
     }
-    std::stable_sort(s.troubles.begin(), s.troubles.end(), [](auto &a, auto &b) { return a.at < b.at; });
-    for (auto &f : file.faults()) faults.push_back(f);
+    std::stable_sort(s.troubles.begin(), s.troubles.end(),
+                     [](auto &a, auto &b) { return a.at < b.at; });
+    for (auto &f : file.faults())
+        faults.push_back(f);
     return s;
 }
 
@@ -103,8 +120,10 @@
     fleet::Fleet fleet;
     std::vector<std::pair<Time, std::function<void()>>> later;
 
-    Stage(const Script &s, const std::string &dir, const std::string &recording, const fleet::MakeScheduler &make)
-        : script(s), writer(recording), fleet(dir, s.nodes, s.edges, 0, s.scheduling, s.service, make, s.planner) {
+    Stage(const Script &s, const std::string &dir, const std::string &recording,
+          const fleet::MakeScheduler &make)
+        : script(s), writer(recording),
+          fleet(dir, s.nodes, s.edges, 0, s.scheduling, s.service, make, s.planner) {
         on_relay([&] {
             relay = std::make_unique<relay::Relay>(relay_worker.loop(), writer);
             // The layout of fleet::edge_settings.
@@ -119,16 +138,19 @@
             // On the relay's thread: edges that hear from a planner ask at the same time.
             on_relay([&] {
                 auto &known = fronts_[{edge, node}];
-                if (known.empty()) known = relay->front_of_node(edge, node, address);
+                if (known.empty())
+                    known = relay->front_of_node(edge, node, address);
                 front = known;
             });
             return front;
         };
     }
     ~Stage() {
-        for (auto &t : operators) t.join();
+        for (auto &t : operators)
+            t.join();
         // Edges tell the relay what they hear until they end.
-        for (std::size_t e = 0; e < fleet.edges(); ++e) fleet.stop_edge(e);
+        for (std::size_t e = 0; e < fleet.edges(); ++e)
+            fleet.stop_edge(e);
         on_relay([&] {
             relay.reset();
             writer.put(loop::now(), record::Kind::end, 0, 0, 0, {});
@@ -136,22 +158,26 @@
         });
     }
     void told(std::size_t edge, const std::vector<edge::ListedNode> &nodes) {
-        for (auto &n : nodes) relay->put(record::Kind::told, edge, n.id.value, static_cast<std::uint64_t>(n.state));
+        for (auto &n : nodes)
+            relay->put(record::Kind::told, edge, n.id.value, static_cast<std::uint64_t>(n.state));
     }
     // The operator asks until the planner does it: it may be down.
     void drain(NodeId node, bool on) {
-        if (!fleet.drain(node, on)) at(loop::now() + 50 * ms, [this, node, on] { drain(node, on); });
+        if (!fleet.drain(node, on))
+            at(loop::now() + 50 * ms, [this, node, on] { drain(node, on); });
     }
     // Taken, kept for a while and dropped by an operator with patience; the planner may be down.
     void snapshot(const std::string &volume, Time length) {
         auto name = std::to_string(operators.size());
         operators.emplace_back([this, volume, name, length] {
             constexpr Time patience = 20 * sec;
-            auto ask = [&](std::uint8_t what, const std::string &a, const std::string &b, Time wait) {
+            auto ask = [&](std::uint8_t what, const std::string &a, const std::string &b,
+                           Time wait) {
                 bool allowed = false, done = false;
                 std::string text;
                 try {
-                    text = planner::ask_cut(fleet.planner_address(), what, a, b, "", allowed, done, wait);
+                    text = planner::ask_cut(fleet.planner_address(), what, a, b, "", allowed, done,
+                                            wait);
                 } catch (const std::exception &e) {
                     text = e.what();
                 }
@@ -164,9 +190,11 @@
             {
                 std::lock_guard lock(tally_lock);
                 ++tally.asked, ++(taken ? tally.good : tally.denied);
-                if (taken) tally.took.push_back(took);
+                if (taken)
+                    tally.took.push_back(took);
             }
-            if (!taken) return;
+            if (!taken)
+                return;
             std::this_thread::sleep_for(std::chrono::nanoseconds(length));
             for (int tries = 0; tries < 10 && !ask(1, volume + "@" + name, "", 2 * sec); ++tries)
                 std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -183,7 +211,8 @@
     // Writes the lists, to one edge or all, and records from then on what each edge was told.
     void tell(std::size_t edge) {
         if (edge == ~std::size_t{0}) {
-            for (std::size_t e = 0; e < fleet.edges(); ++e) tell(e);
+            for (std::size_t e = 0; e < fleet.edges(); ++e)
+                tell(e);
             return;
         }
         if (late_until_[edge] > loop::now()) {
@@ -193,7 +222,8 @@
             }
             return;
         }
-        if (script.planner) return; // tells its edges itself
+        if (script.planner)
+            return; // tells its edges itself
         fleet.tell(edge);
         on_relay([&] { told(edge, fleet.list().nodes); });
     }
@@ -212,10 +242,12 @@
     auto fault = std::find(std::begin(node_faults), std::end(node_faults), t.kind);
     if (fault != std::end(node_faults)) {
         fleet.with_node(t.node, [&](node::Server &n) {
-            n.disk().fault(static_cast<node::Fault>(fault - std::begin(node_faults)), now, until, t.count, t.size);
+            n.disk().fault(static_cast<node::Fault>(fault - std::begin(node_faults)), now, until,
+                           t.count, t.size);
         });
     } else if (t.kind == "restart") {
-        // Its connections end first: no answer of the life before can come after the loss was noted.
+        // Its connections end first: no answer of the life before can come after the loss was
+        // noted.
         on_relay([&] { relay->block(id); });
         fleet.with_node(t.node, [&](node::Server &n) {
             n.listen(false);
@@ -223,7 +255,8 @@
             n.listen(false);
         });
         on_relay([&] {
-            if (t.lose) relay->put(record::Kind::lost, id.value, 0, 0);
+            if (t.lose)
+                relay->put(record::Kind::lost, id.value, 0, 0);
         });
         at(until, [this, node = t.node, id] {
             Time started = 0;
@@ -251,7 +284,8 @@
         drain(id, false);
     } else if (t.kind == "drain" && script.planner) {
         drain(id, true);
-        if (t.count == 0) return; // it comes back by an undrain
+        if (t.count == 0)
+            return; // it comes back by an undrain
         at(until, [this, node = t.node, id] {
             on_relay([&] { relay->block(id); });
             fleet.replace(node);
@@ -272,30 +306,37 @@
         });
     } else if (t.kind == "late_list") {
         for (std::size_t e = 0; e < fleet.edges(); ++e) {
-            if (t.edge != ~std::size_t{0} && t.edge != e) continue;
+            if (t.edge != ~std::size_t{0} && t.edge != e)
+                continue;
             late_until_[e] = until;
-            if (!script.planner) continue;
+            if (!script.planner)
+                continue;
             fleet.with_edge(e, [](edge::Server &s) { s.deafen(true); });
             at(until, [this, e] { fleet.with_edge(e, [](edge::Server &s) { s.deafen(false); }); });
         }
     } else {
         on_relay([&] {
             std::uint64_t edge = t.edge;
-            if (t.kind == "hold") relay->hold(edge, id, until);
-            if (t.kind == "split") relay->split(edge, id, until);
-            if (t.kind == "swallow") relay->swallow(edge, id, until);
-            if (t.kind == "sever") relay->cut(edge, id);
+            if (t.kind == "hold")
+                relay->hold(edge, id, until);
+            if (t.kind == "split")
+                relay->split(edge, id, until);
+            if (t.kind == "swallow")
+                relay->swallow(edge, id, until);
+            if (t.kind == "sever")
+                relay->cut(edge, id);
         });
     }
 }
 
 } // namespace
 
-std::map<std::string, Tally> play(const Script &script, const std::string &dir, const std::string &recording,
-                                  const fleet::MakeScheduler &make) {
+std::map<std::string, Tally> play(const Script &script, const std::string &dir,
+                                  const std::string &recording, const fleet::MakeScheduler &make) {
     Stage stage(script, dir, recording, make);
     stage.fleet.start();
-    if (!script.planner) stage.tell(~std::size_t{0});
+    if (!script.planner)
+        stage.tell(~std::size_t{0});
     fleet::Worker driver;
     std::vector<std::unique_ptr<load::Stream>> streams;
     std::vector<std::string> fronts(script.edges);
@@ -311,13 +352,16 @@
         }
     });
     Time began = loop::now();
-    for (auto &t : script.troubles) stage.at(began + t.at, [&stage, t] { stage.begin(t); });
+    for (auto &t : script.troubles)
+        stage.at(began + t.at, [&stage, t] { stage.begin(t); });
     for (;;) {
         bool over = loop::now() >= began + script.length && stage.later.empty();
         driver.run([&] {
-            for (auto &s : streams) over = over && s->over();
+            for (auto &s : streams)
+                over = over && s->over();
         });
-        if (over) break;
+        if (over)
+            break;
         while (!stage.later.empty() && stage.later.front().first <= loop::now()) {
             auto call = std::move(stage.later.front().second);
             stage.later.erase(stage.later.begin());
@@ -326,8 +370,10 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
     std::map<std::string, Tally> out;
-    for (auto &t : std::exchange(stage.operators, {})) t.join();
-    if (stage.tally.asked > 0) out[snapshots] = stage.tally;
+    for (auto &t : std::exchange(stage.operators, {}))
+        t.join();
+    if (stage.tally.asked > 0)
+        out[snapshots] = stage.tally;
     driver.run([&] {
         for (std::size_t i = 0; i < streams.size(); ++i) {
             auto &l = script.loads[i];
@@ -337,9 +383,12 @@
                 bool write = s.command == nbd::cmd_write;
                 double value = write ? l.write_value : l.value;
                 ++t.asked, t.value_due += value;
-                auto second = static_cast<std::size_t>(std::max<Time>(0, l.shape.begin + s.at) / sec);
-                t.samples.emplace_back(l.shape.begin + s.at, s.error == 0 && s.took <= (write ? l.write_due : l.due));
-                if (t.course.size() <= second) t.course.resize(second + 1);
+                auto second =
+                    static_cast<std::size_t>(std::max<Time>(0, l.shape.begin + s.at) / sec);
+                t.samples.emplace_back(l.shape.begin + s.at,
+                                       s.error == 0 && s.took <= (write ? l.write_due : l.due));
+                if (t.course.size() <= second)
+                    t.course.resize(second + 1);
                 t.course[second].second += value;
                 if (s.error == ~0u)
                     ++t.lost;
@@ -349,7 +398,8 @@
                     ++t.errored;
                 else if (++t.good; s.took <= (write ? l.write_due : l.due))
                     ++t.in_time, t.value += value, t.course[second].first += value;
-                if (s.error == 0) t.took.push_back(s.took);
+                if (s.error == 0)
+                    t.took.push_back(s.took);
             }
             t.value_due += static_cast<double>(t.missed) * l.value;
         }
--- a/src/day/day.hpp
+++ b/src/day/day.hpp
@@ -1,5 +1,5 @@
-// A scripted day: load and troubles at stated times against a whole gateway on loopback, recorded by a relay and
-// judged from the recording.
+// A scripted day: load and troubles at stated times against a whole gateway on loopback, recorded
+// by a relay and judged from the recording.
 #pragma once
 
 #include <map>
@@ -40,21 +40,25 @@
 };
 
 // Reads a day's file; with any fault the script is not to be played.
-Script read_script(const std::string &name, const std::string &text, std::vector<std::string> &faults);
+Script read_script(const std::string &name, const std::string &text,
+                   std::vector<std::string> &faults);
 
 // What came of a stream, by command.
 struct Tally {
     std::uint64_t asked = 0, good = 0, in_time = 0, denied = 0, errored = 0, lost = 0, missed = 0;
     double value = 0, value_due = 0;
     std::vector<Time> took;
-    std::vector<std::pair<Time, bool>> samples; // when asked for, from the day's start, and whether well and in time
-    std::vector<std::pair<double, double>> course; // value delivered in time and asked for, by second
+    std::vector<std::pair<Time, bool>>
+        samples; // when asked for, from the day's start, and whether well and in time
+    std::vector<std::pair<double, double>>
+        course; // value delivered in time and asked for, by second
 };
 
 inline constexpr const char *snapshots = "@snapshots"; // no load has such a name
-// Snapshots are in a tally of their own, under this name: how long each took, and those that were not taken as denied.
-// Plays a script in a folder, records to a file there, and tells of each stream. Throws std::runtime_error.
-std::map<std::string, Tally> play(const Script &script, const std::string &dir, const std::string &recording,
-                                  const fleet::MakeScheduler &make);
+// Snapshots are in a tally of their own, under this name: how long each took, and those that were
+// not taken as denied. Plays a script in a folder, records to a file there, and tells of each
+// stream. Throws std::runtime_error.
+std::map<std::string, Tally> play(const Script &script, const std::string &dir,
+                                  const std::string &recording, const fleet::MakeScheduler &make);
 
 } // namespace knotvane::day
--- a/src/day/outage.cpp
+++ b/src/day/outage.cpp
@@ -17,34 +17,45 @@
 
 Outages make_outages(std::uint32_t times, std::uint64_t seed) {
     std::ranlux24_base chance(static_cast<std::ranlux24_base::result_type>(seed));
-    auto under = [&](Time most) { return static_cast<Time>(chance() % static_cast<std::uint64_t>(most / ms)) * ms; };
+    auto under = [&](Time most) {
+        return static_cast<Time>(chance() % static_cast<std::uint64_t>(most / ms)) * ms;
+    };
     std::vector<ShardId> shards;
-    for (std::uint64_t i = 0; i < nodes; ++i) shards.emplace_back(static_cast<std::int32_t>(i));
+    for (std::uint64_t i = 0; i < nodes; ++i)
+        shards.emplace_back(static_cast<std::int32_t>(i));
     edge::Layout layout(extent, span, shards);
     // The first extents of the volume on the drained node's shard, and on others.
     std::uint64_t held = 0, other = 0;
-    while (layout.shard_of(VolumeId{1}, held) != ShardId{0}) held += extent;
-    while (layout.shard_of(VolumeId{1}, other) == ShardId{0}) other += extent;
+    while (layout.shard_of(VolumeId{1}, held) != ShardId{0})
+        held += extent;
+    while (layout.shard_of(VolumeId{1}, other) == ShardId{0})
+        other += extent;
     Outages out;
     std::ostringstream s;
     auto msec = [](Time t) { return std::to_string(t / ms) + "ms"; };
     s << "[day]\nplanner = yes\nnodes = " << nodes << "\nedges = 2\nseed = " << seed
-      << "\nlength = " << msec(quiet + times * turn) << "\n\n[speed]\nunit_time = 1ms\ncores = 2\nslots = 4\nroom = 64\n"
-      << "\n[plan p]\nweight = 1\nusual = 200\nlimit = 600\nburst = 300\n\n[volume v]\nid = 1\nsize = 64MiB\nplan = p\n\n"
+      << "\nlength = " << msec(quiet + times * turn)
+      << "\n\n[speed]\nunit_time = 1ms\ncores = 2\nslots = 4\nroom = 64\n"
+      << "\n[plan p]\nweight = 1\nusual = 200\nlimit = 600\nburst = 300\n\n[volume v]\nid = "
+         "1\nsize = 64MiB\nplan = p\n\n"
       << fleet::sections(fleet::default_scheduling(), {"workload", "shots"});
     int n = 0;
     for (int edge : {0, 1})
         for (bool drained : {false, true})
-            s << "\n[load " << (drained ? "drained-" : "steady-") << edge << "]\nvolume = v\nedge = " << edge
-              << "\nconnections = 2\nflying = 8\nrate = " << (drained ? 30 : 80) << "\nreads = 0.7\nleast = 512\nmost = 8KiB\nfrom = "
-              << (drained ? held : other) + static_cast<std::uint64_t>(edge) * 128 * 1024 << "\nregion = 128KiB\n";
+            s << "\n[load " << (drained ? "drained-" : "steady-") << edge
+              << "]\nvolume = v\nedge = " << edge
+              << "\nconnections = 2\nflying = 8\nrate = " << (drained ? 30 : 80)
+              << "\nreads = 0.7\nleast = 512\nmost = 8KiB\nfrom = "
+              << (drained ? held : other) + static_cast<std::uint64_t>(edge) * 128 * 1024
+              << "\nregion = 128KiB\n";
     auto trouble = [&](Time at, const char *kind, Time length) {
-        s << "\n[trouble t" << ++n << "]\nat = " << msec(at) << "\nkind = " << kind << "\nlength = " << msec(length)
-          << "\nnode = 0\n";
+        s << "\n[trouble t" << ++n << "]\nat = " << msec(at) << "\nkind = " << kind
+          << "\nlength = " << msec(length) << "\nnode = 0\n";
     };
     for (std::uint32_t i = 0; i < times; ++i) {
         Time begins = quiet + i * turn;
-        Time drain = begins + 100 * ms, dies = begins + under(500 * ms), dead = 300 * ms + under(700 * ms);
+        Time drain = begins + 100 * ms, dies = begins + under(500 * ms),
+             dead = 300 * ms + under(700 * ms);
         trouble(drain, "drain", 0);
         trouble(dies, "planner_kill", dead);
         trouble(begins + 1600 * ms, "undrain", 0);
@@ -59,10 +70,12 @@
                                                 const std::vector<std::pair<Time, Time>> &spans) {
     std::uint64_t good = 0, all = 0;
     for (auto &[name, t] : tallies) {
-        if (!name.starts_with("steady")) continue;
+        if (!name.starts_with("steady"))
+            continue;
         for (auto &[at, well] : t.samples)
             for (auto &[from, to] : spans)
-                if (at >= from && at < to) ++all, good += well;
+                if (at >= from && at < to)
+                    ++all, good += well;
     }
     return {good, all};
 }
--- a/src/day/passthrough.hpp
+++ b/src/day/passthrough.hpp
@@ -1,5 +1,5 @@
-// A scheduler that schedules nothing: each task goes at once to the node that holds its data, once. Kept as the
-// baseline that the decisions are measured against, and for nothing else.
+// A scheduler that schedules nothing: each task goes at once to the node that holds its data, once.
+// Kept as the baseline that the decisions are measured against, and for nothing else.
 #pragma once
 
 #include <memory>
--- a/src/day/unhearing.hpp
+++ b/src/day/unhearing.hpp
@@ -1,4 +1,5 @@
-// A scheduler that makes nothing of what it is told: what stands in for the decisions overrides what it needs.
+// A scheduler that makes nothing of what it is told: what stands in for the decisions overrides
+// what it needs.
 #pragma once
 
 #include "policy.hpp"
@@ -6,7 +7,7 @@
 namespace knotvane::day {
 
 class Unhearing : public Scheduler {
-  public:
+public:
     void set_place(PeerId, std::uint32_t, ZoneId) override {}
     void set_clock(Time, Time) override {}
     void add_workload(WorkloadId, Time, Time, double, double) override {}
@@ -26,8 +27,8 @@
     void node_listed(NodeId, ShardId, ZoneId, NodeState, Time) override {}
     void list_ends() override {}
     void list_failed(Time) override {}
-    void task_taken(Time, TaskId, WorkloadId, VolumeId, PlanId, ShardId, KeyId, double, double, bool, bool,
-                    Time) override {}
+    void task_taken(Time, TaskId, WorkloadId, VolumeId, PlanId, ShardId, KeyId, double, double,
+                    bool, bool, Time) override {}
     void shot_ended(Time, TaskId, ShotId, NodeId, Outcome, Time, bool, double, double,
                     std::span<const float>) override {}
     void task_withdrawn(Time, TaskId, bool) override {}
--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -17,7 +17,7 @@
 
 // Decisions go out as records, gathered until the frame is done.
 class Out final : public Actions {
-  public:
+public:
     std::string bytes;
 
     void shoot(TaskId task, NodeId node, Time time_out) override {
@@ -30,7 +30,9 @@
         Record(bytes, 268).put(task.value).time(come_back_after);
     }
     void error(TaskId task) override { Record(bytes, 263).put(task.value); }
-    void set_alarm(AlarmId alarm, Time wait) override { Record(bytes, 260).put(alarm.value).time(wait); }
+    void set_alarm(AlarmId alarm, Time wait) override {
+        Record(bytes, 260).put(alarm.value).time(wait);
+    }
     void follow_list() override { Record(bytes, 265).put(std::uint8_t{1}); }
     void ask_list() override { Record(bytes, 262); }
     void probe(NodeId node) override { Record(bytes, 258).address(node.value); }
@@ -75,7 +77,8 @@
         throw Malformed("event before any instance is named");
     auto it = instances_.find(*target_);
     if (it == instances_.end())
-        throw Malformed("event for instance " + std::to_string(*target_) + ", which was never booted");
+        throw Malformed("event for instance " + std::to_string(*target_) +
+                        ", which was never booted");
     return *it->second;
 }
 
@@ -179,7 +182,8 @@
         auto used = in.get<std::uint16_t>("use");
         auto elsewhere = in.get<std::uint16_t>("others");
         auto report = report_of(in);
-        to.shot_ended(now_, task, shot, node, how, took, ended, (used - 1) / 100.0, elsewhere, report);
+        to.shot_ended(now_, task, shot, node, how, took, ended, (used - 1) / 100.0, elsewhere,
+                      report);
         break;
     }
     case 261:
--- a/src/drill/host.hpp
+++ b/src/drill/host.hpp
@@ -1,5 +1,5 @@
-// Hosts any number of schedulers behind the drill's wire. It decides nothing: a decoded field goes straight
-// into a call, and a call goes straight out as a record.
+// Hosts any number of schedulers behind the drill's wire. It decides nothing: a decoded field goes
+// straight into a call, and a call goes straight out as a record.
 #pragma once
 
 #include <array>
@@ -16,13 +16,14 @@
 namespace knotvane::drill {
 
 class Host {
-  public:
+public:
     Host();
     ~Host();
-    // One frame in, header included; its reply out. Throws wire::Malformed on what the wire does not allow.
+    // One frame in, header included; its reply out. Throws wire::Malformed on what the wire does
+    // not allow.
     std::string reply_to(std::string_view frame);
 
-  private:
+private:
     struct Instance;
     struct Entry {
         NodeId node;
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Reads up to n more bytes onto `to`; tells how many came. Grows by what came, not by what a length claims.
+// Reads up to n more bytes onto `to`; tells how many came. Grows by what came, not by what a length
+// claims.
 std::size_t read_onto(std::string &to, std::size_t n) {
     constexpr std::size_t chunk = 1 << 20;
     std::size_t got = 0;
@@ -45,8 +46,8 @@
                 throw knotvane::wire::Malformed("frame length " + std::to_string(length) +
                                                 " is under its header's 12");
             if (read_onto(frame, length - 4) < length - 4)
-                throw knotvane::wire::Malformed("stream ends inside a frame of " + std::to_string(length) +
-                                                " bytes");
+                throw knotvane::wire::Malformed("stream ends inside a frame of " +
+                                                std::to_string(length) + " bytes");
             std::string reply = host.reply_to(frame);
             if (std::fwrite(reply.data(), 1, reply.size(), stdout) < reply.size() ||
                 std::fflush(stdout) != 0) {
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-// The decisions' actions, kept until the call in which they came is over: an answer may free a client's next
-// request, which must not reach the decisions in the middle of a decision.
+// The decisions' actions, kept until the call in which they came is over: an answer may free a
+// client's next request, which must not reach the decisions in the middle of a decision.
 struct Core::Deeds final : Actions {
     enum class Kind { shoot, call_off, deny, error };
     struct Deed {
@@ -29,22 +29,28 @@
 
     explicit Deeds(Core &c) : core(c) {}
     void shoot(TaskId id, NodeId n, Time time_out) override {
-        // Counted from here on: should the task end before the shot goes, its outcome is still owed.
+        // Counted from here on: should the task end before the shot goes, its outcome is still
+        // owed.
         auto &t = core.tasks_.at(id);
         ShotId shot{static_cast<std::uint32_t>(t.shots.size())};
         t.shots.push_back(n), t.sent.push_back(core.now_), ++t.out;
         waiting.push_back({Kind::shoot, id, shot, n, time_out});
     }
     void call_off(TaskId t, ShotId s) override { waiting.push_back({Kind::call_off, t, s, {}, 0}); }
-    void deny(TaskId t, Time come_back) override { waiting.push_back({Kind::deny, t, {}, {}, come_back}); }
+    void deny(TaskId t, Time come_back) override {
+        waiting.push_back({Kind::deny, t, {}, {}, come_back});
+    }
     void error(TaskId t) override { waiting.push_back({Kind::error, t, {}, {}, 0}); }
     void set_alarm(AlarmId a, Time wait) override { core.alarms_[a] = core.now_ + wait; }
-    // The list is pushed to the edge; there is nobody to ask. Told as settings, so that none of these comes.
+    // The list is pushed to the edge; there is nobody to ask. Told as settings, so that none of
+    // these comes.
     void follow_list() override {}
     void ask_list() override {}
     void probe(NodeId) override {}
     void tell_all(std::string_view) override {}
-    void note(std::string_view text) override { core.shell_.say("decisions: " + std::string(text)); }
+    void note(std::string_view text) override {
+        core.shell_.say("decisions: " + std::string(text));
+    }
 };
 
 struct Core::Client final : nbd::Asked {
@@ -61,7 +67,8 @@
 
     std::vector<std::string> exports() override {
         std::vector<std::string> out_names;
-        for (auto &[name, _] : core.table_->names) out_names.push_back(name);
+        for (auto &[name, _] : core.table_->names)
+            out_names.push_back(name);
         return out_names;
     }
     std::optional<VolumeId> find(std::string_view name) const {
@@ -71,21 +78,27 @@
         if (name.empty())
             it = std::find_if(names.begin(), names.end(),
                               [&](auto &n) { return !core.table_->volumes.at(n.second).is_cut(); });
-        if (it == names.end()) return std::nullopt;
+        if (it == names.end())
+            return std::nullopt;
         return it->second;
     }
-    bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags, std::uint32_t &least,
-                  std::uint32_t &preferred, std::uint32_t &most) override {
+    bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
+                  std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) override {
         auto found = find(name);
-        if (!found) return false;
+        if (!found)
+            return false;
         auto &v = core.table_->volumes.at(*found);
         size = v.size, least = v.least, preferred = 4096, most = core.request_;
-        flags = nbd::send_flush | nbd::send_fua | nbd::send_trim | nbd::send_write_zeroes | nbd::send_df |
-                nbd::send_cache;
-        // A flush here reaches what this edge wrote, on any connection; what another edge wrote it can't know.
+        flags = nbd::send_flush | nbd::send_fua | nbd::send_trim | nbd::send_write_zeroes |
+                nbd::send_df | nbd::send_cache;
+        // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
+        // can't know.
         auto part = core.table_->parts.find(*found);
-        if (part != core.table_->parts.end() && part->second.hosts == 1) flags |= nbd::can_multi_conn;
-        if (v.frozen) flags = nbd::read_only | nbd::send_flush | nbd::send_df | nbd::send_cache | nbd::can_multi_conn;
+        if (part != core.table_->parts.end() && part->second.hosts == 1)
+            flags |= nbd::can_multi_conn;
+        if (v.frozen)
+            flags = nbd::read_only | nbd::send_flush | nbd::send_df | nbd::send_cache |
+                    nbd::can_multi_conn;
         return true;
     }
     void opened(std::string_view name) override {
@@ -110,37 +123,43 @@
         core.change(*this, r, offset, length, {}, true, fua);
     }
     void flush(nbd::RequestId r) override { core.flush(*this, r); }
-    void cache(nbd::RequestId r, std::uint64_t, std::uint32_t) override { session.done(r); } // only advice
+    void cache(nbd::RequestId r, std::uint64_t, std::uint32_t) override {
+        session.done(r);
+    } // only advice
     void status(nbd::RequestId r, std::uint64_t offset, std::uint32_t length, bool) override {
         core.status(*this, r, offset, length);
     }
     void left(std::string_view fault) override {
-        if (!fault.empty()) core.shell_.say("client " + std::to_string(id.value) + ": " + std::string(fault));
+        if (!fault.empty())
+            core.shell_.say("client " + std::to_string(id.value) + ": " + std::string(fault));
         gone = true;
     }
 };
 
-Core::Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t life, std::uint64_t extent,
-           std::uint64_t span, std::uint64_t unit, std::vector<ShardId> shards)
+Core::Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t life,
+           std::uint64_t extent, std::uint64_t span, std::uint64_t unit,
+           std::vector<ShardId> shards)
     : shell_(shell), deeds_(std::make_unique<Deeds>(*this)), scheduler_(make(*deeds_)),
       layout_(extent, span, std::move(shards)), id_(id),
-      // Marks are told apart by this: with the start alone, two edges started at once would share their marks,
-      // and a node would drop one's writes as repeats of the other's.
-      life_(mix(id, life)), unit_(unit),
-      cuts_([this](VolumeId as, facts::CutStep step) { shell_.cut_told(as, step, facts::EdgeLife{life_}); }) {
+      // Marks are told apart by this: with the start alone, two edges started at once would share
+      // their marks, and a node would drop one's writes as repeats of the other's.
+      life_(mix(id, life)), unit_(unit), cuts_([this](VolumeId as, facts::CutStep step) {
+          shell_.cut_told(as, step, facts::EdgeLife{life_});
+      }) {
     set_links(1, sec, sec, 60 * sec, 1 << 20);
 }
 Core::~Core() = default;
 
 void Core::set_links(std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out) {
-    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, life_, each, connect, stall, idle,
-                                     most_out);
+    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, life_, each, connect,
+                                     stall, idle, most_out);
 }
-void Core::set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks, std::size_t bytes) {
+void Core::set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks,
+                    std::size_t bytes) {
     flying_ = flying, request_ = request, most_tasks_ = tasks, most_bytes_ = bytes;
 }
-void Core::add_volume(VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least, PlanId plan,
-                      std::uint32_t hosts) {
+void Core::add_volume(VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
+                      PlanId plan, std::uint32_t hosts) {
     facts::Volume v;
     v.name = name, v.size = size, v.least = least, v.plan = plan;
     own_.put(id, std::move(v));
@@ -152,39 +171,46 @@
     follow_facts(v);
     if (++v.clients == 1) {
         use(id, true);
-        if (v.charge != id) use(v.charge, true);
+        if (v.charge != id)
+            use(v.charge, true);
     }
     return v;
 }
 // What is charged to a volume needs its part of the limit, too.
 void Core::use(VolumeId id, bool on) {
     auto &n = used_[id];
-    if (on ? n++ == 0 : --n == 0) shell_.volume_used(id, on);
-    if (n == 0) used_.erase(id);
+    if (on ? n++ == 0 : --n == 0)
+        shell_.volume_used(id, on);
+    if (n == 0)
+        used_.erase(id);
 }
 void Core::follow_facts(Volume &v) {
-    // One that is gone from the table stays as it was for the clients that have it, but for a snapshot or a clone,
-    // whose bytes are gone, too.
-    if (v.charge == VolumeId{}) v.charge = v.place = v.id;
+    // One that is gone from the table stays as it was for the clients that have it, but for a
+    // snapshot or a clone, whose bytes are gone, too.
+    if (v.charge == VolumeId{})
+        v.charge = v.place = v.id;
     if (auto it = table_->volumes.find(v.id); it != table_->volumes.end()) {
         auto &f = it->second;
         v.plan = f.plan, v.place = f.lies_as(v.id), v.charge = f.charged_to(v.id);
         v.is_cut = f.is_cut(), v.frozen = f.frozen, v.gone = false;
         // One whose source pays goes by the source's plan as it is now: one volume is of one plan.
-        if (auto pays = table_->volumes.find(v.charge); pays != table_->volumes.end()) v.plan = pays->second.plan;
+        if (auto pays = table_->volumes.find(v.charge); pays != table_->volumes.end())
+            v.plan = pays->second.plan;
         cuts_.learn(v.id, f.epoch);
     } else {
         v.gone = v.is_cut;
     }
-    if (auto it = table_->parts.find(v.charge); it != table_->parts.end()) v.hosts = std::max(1u, it->second.hosts);
+    if (auto it = table_->parts.find(v.charge); it != table_->parts.end())
+        v.hosts = std::max(1u, it->second.hosts);
 }
 void Core::facts_changed(Time now) {
     now_ = now;
-    for (auto &[id, v] : opened_) follow_facts(v);
+    for (auto &[id, v] : opened_)
+        follow_facts(v);
     stirred_ = true;
 }
-void Core::plan_told(PlanId id, double weight, double usual, double reserve, double price, double rate,
-                     double burst) {
+void Core::plan_told(PlanId id, double weight, double usual, double reserve, double price,
+                     double rate, double burst) {
     scheduler_->add_plan(id, weight, usual, reserve, price);
     scheduler_->set_limit(id, rate, burst);
     stirred_ = true;
@@ -194,8 +220,8 @@
     scheduler_->part_told(now, volume, hosts);
     stirred_ = true;
 }
-void Core::add_workload(WorkloadId id, Command command, std::uint32_t up_to, const std::string &volume,
-                        Time client_timeout, Time window) {
+void Core::add_workload(WorkloadId id, Command command, std::uint32_t up_to,
+                        const std::string &volume, Time client_timeout, Time window) {
     workloads_.push_back({id, command, up_to, volume, client_timeout, window});
 }
 void Core::ready(Time now) {
@@ -206,15 +232,17 @@
 
 // ---- The list of nodes.
 bool Core::list_begins(Time now, std::uint64_t version) {
-    if (version <= version_) return false;
+    if (version <= version_)
+        return false;
     now_ = now, version_ = version;
     addresses_.clear();
     scheduler_->list_begins(now, ListKind::whole);
     return true;
 }
-void Core::node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone, NodeState state,
-                       Time started) {
-    if (state != NodeState::gone) addresses_[node] = address;
+void Core::node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+                       NodeState state, Time started) {
+    if (state != NodeState::gone)
+        addresses_[node] = address;
     scheduler_->node_listed(node, shard, zone, state, started);
 }
 void Core::list_ends() {
@@ -228,21 +256,25 @@
     now_ = now;
     clients_[id] = std::make_unique<Client>(*this, id);
     touched_.insert(id);
-    if (held_) clients_[id]->session.hold(true), clients_[id]->held = true, shell_.hold_client(id, true);
+    if (held_)
+        clients_[id]->session.hold(true), clients_[id]->held = true, shell_.hold_client(id, true);
 }
 void Core::client_bytes(Time now, ClientId id, std::string_view in) {
     now_ = now;
     auto it = clients_.find(id);
-    if (it == clients_.end()) return;
+    if (it == clients_.end())
+        return;
     it->second->session.bytes(in);
     touched_.insert(id);
-    if (it->second->gone) drop_client(id);
+    if (it->second->gone)
+        drop_client(id);
     door();
 }
 void Core::client_written(Time now, ClientId id, std::size_t bytes) {
     now_ = now;
     auto it = clients_.find(id);
-    if (it == clients_.end()) return;
+    if (it == clients_.end())
+        return;
     it->second->out -= std::min(bytes, it->second->out);
     bytes_ -= std::min(bytes, bytes_);
     touched_.insert(id);
@@ -251,7 +283,8 @@
 void Core::client_gone(Time now, ClientId id) {
     now_ = now;
     auto it = clients_.find(id);
-    if (it == clients_.end()) return;
+    if (it == clients_.end())
+        return;
     it->second->gone = true;
     drop_client(id);
     door();
@@ -259,8 +292,9 @@
 // Its requests are withdrawn; what it was still to be sent is sent where it said good-bye itself.
 void Core::drop_client(ClientId id) {
     auto it = clients_.find(id);
-    // One client leaves once, however much it had at work: what it asked first tells how long it waited. Told of
-    // each of its tasks, the decisions would take one program that ends for a crowd that runs out of patience.
+    // One client leaves once, however much it had at work: what it asked first tells how long it
+    // waited. Told of each of its tasks, the decisions would take one program that ends for a crowd
+    // that runs out of patience.
     bool told = false;
     for (auto no : std::set<RequestNo>(it->second->requests)) {
         for (auto task : std::set<TaskId>(requests_.at(no).tasks)) {
@@ -271,7 +305,8 @@
         }
         close_request(no);
     }
-    if (auto rest = it->second->session.take_out(); !rest.empty()) shell_.send_client(id, std::move(rest));
+    if (auto rest = it->second->session.take_out(); !rest.empty())
+        shell_.send_client(id, std::move(rest));
     bytes_ -= std::min(it->second->out, bytes_);
     auto *volume = it->second->volume;
     touched_.erase(id);
@@ -279,17 +314,20 @@
     shell_.close_client(id);
     if (volume && --volume->clients == 0) {
         use(volume->id, false);
-        if (volume->charge != volume->id) use(volume->charge, false);
+        if (volume->charge != volume->id)
+            use(volume->charge, false);
     }
 }
 
-// Past the bounds no client is read from, until enough has gone that reading does not stop and start all the time.
+// Past the bounds no client is read from, until enough has gone that reading does not stop and
+// start all the time.
 void Core::door() {
     bool over = tasks_.size() >= most_tasks_ || bytes_ >= most_bytes_;
     bool under = tasks_.size() <= most_tasks_ / 4 * 3 && bytes_ <= most_bytes_ / 4 * 3;
     if (held_ ? under : over) {
         held_ = !held_;
-        for (auto &[id, c] : clients_) c->session.hold(held_), touched_.insert(id);
+        for (auto &[id, c] : clients_)
+            c->session.hold(held_), touched_.insert(id);
     }
 }
 
@@ -302,7 +340,8 @@
     return no;
 }
 
-void Core::take(RequestNo no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key, Time came) {
+void Core::take(RequestNo no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
+                Time came) {
     auto is_for = [&](const std::string &volume) {
         auto it = table_->names.find(volume);
         return volume.empty() || (it != table_->names.end() && it->second == c.volume->id);
@@ -324,25 +363,35 @@
     auto shard = work->shard;
     auto units = work->units;
     tasks_[id] = {no, false, std::move(work), until, w->window, {}, {}, 0};
-    scheduler_->task_taken(now_, id, w->id, c.volume->charge, c.volume->plan, shard, key, units, c.volume->hosts, writes,
-                           false, until);
+    scheduler_->task_taken(now_, id, w->id, c.volume->charge, c.volume->plan, shard, key, units,
+                           c.volume->hosts, writes, false, until);
     stirred_ = true;
 }
 
 bool Core::is_gone(Client &c, nbd::RequestId id) {
-    if (c.volume->gone) c.session.fail(id, nbd::e_shutdown, "denied: the snapshot or clone was dropped");
+    if (c.volume->gone)
+        c.session.fail(id, nbd::e_shutdown, "denied: the snapshot or clone was dropped");
     return c.volume->gone;
 }
 
 void Core::read(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length) {
-    if (is_gone(c, id)) return;
+    if (is_gone(c, id))
+        return;
     auto no = open(c, id, Command::read, length);
     while (length > 0 && requests_.contains(no)) {
         auto n = layout_.cut(offset, length, false);
         take(no, c, Command::read,
-             std::make_shared<Work>(Work{frames::Kind::read, c.volume->id,
-                                         layout_.shard_of(c.volume->place, offset), offset, n,
-                                         1 + static_cast<double>(n) / static_cast<double>(unit_), false, 0, false, 0, {}}),
+             std::make_shared<Work>(Work{frames::Kind::read,
+                                         c.volume->id,
+                                         layout_.shard_of(c.volume->place, offset),
+                                         offset,
+                                         n,
+                                         1 + static_cast<double>(n) / static_cast<double>(unit_),
+                                         false,
+                                         0,
+                                         false,
+                                         0,
+                                         {}}),
              layout_.key_of(c.volume->id, offset), now_);
         offset += n, length -= n;
     }
@@ -350,15 +399,16 @@
 
 void Core::change(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length,
                   std::string_view data, bool zeroes, bool fua) {
-    if (is_gone(c, id)) return;
+    if (is_gone(c, id))
+        return;
     auto no = open(c, id, zeroes ? Command::zero : Command::write, data.size());
     if (cuts_.holding(c.volume->id))
         kept_[c.volume->id].push_back({no, offset, length, std::string(data), zeroes, fua, now_});
     else
         begin_change(no, c, offset, length, data, zeroes, fua, now_);
 }
-void Core::begin_change(RequestNo no, Client &c, std::uint64_t offset, std::uint32_t length, std::string_view data,
-                        bool zeroes, bool fua, Time came) {
+void Core::begin_change(RequestNo no, Client &c, std::uint64_t offset, std::uint32_t length,
+                        std::string_view data, bool zeroes, bool fua, Time came) {
     auto command = zeroes ? Command::zero : Command::write;
     auto &v = *c.volume;
     auto epoch = cuts_.begins(v.id);
@@ -366,48 +416,66 @@
         auto &r = requests_.at(no);
         r.begun = true, r.epoch = epoch, r.volume = v.id;
     }
-    if (v.own_epoch != epoch) v.own.clear(), v.own_epoch = epoch;
+    if (v.own_epoch != epoch)
+        v.own.clear(), v.own_epoch = epoch;
     while (length > 0 && requests_.contains(no)) {
         auto n = layout_.cut(offset, length, true);
         // Zeroes cost a node little, whatever their length.
         double units = zeroes ? 1 : 1 + static_cast<double>(n) / static_cast<double>(unit_);
         if (copy_ > 0 && (epoch > 0 || v.is_cut)) {
             auto span = layout_.span_of(offset);
-            if (v.own.size() <= span) v.own.resize(span + 1);
-            if (!v.own[span]) v.own[span] = true, units += copy_;
+            if (v.own.size() <= span)
+                v.own.resize(span + 1);
+            if (!v.own[span])
+                v.own[span] = true, units += copy_;
         }
-        auto work = std::make_shared<Work>(Work{zeroes ? frames::Kind::zero : frames::Kind::write, v.id,
-                                                layout_.shard_of(v.place, offset), offset, n, units, fua, 0, false, 0,
-                                                std::string(data.substr(0, zeroes ? 0 : n))});
+        auto work =
+            std::make_shared<Work>(Work{zeroes ? frames::Kind::zero : frames::Kind::write, v.id,
+                                        layout_.shard_of(v.place, offset), offset, n, units, fua, 0,
+                                        false, 0, std::string(data.substr(0, zeroes ? 0 : n))});
         work->epoch = epoch;
         take(no, c, command, std::move(work), layout_.key_of(v.id, offset), came);
-        if (!zeroes) data.remove_prefix(n);
+        if (!zeroes)
+            data.remove_prefix(n);
         offset += n, length -= n;
     }
 }
 
 void Core::flush(Client &c, nbd::RequestId id) {
-    if (is_gone(c, id)) return;
+    if (is_gone(c, id))
+        return;
     auto no = open(c, id, Command::flush, 0);
     auto &r = requests_.at(no);
     r.mark = c.volume->unflushed.mark();
     auto shards = c.volume->unflushed.to_reach();
-    if (shards.empty()) return finish_flush(no, r);
+    if (shards.empty())
+        return finish_flush(no, r);
     for (auto shard : shards)
         if (requests_.contains(no))
             take(no, c, Command::flush,
-                 std::make_shared<Work>(Work{frames::Kind::flush, c.volume->id, shard, 0, 0, 1, false, 0, false, 0, {}}),
+                 std::make_shared<Work>(Work{
+                     frames::Kind::flush, c.volume->id, shard, 0, 0, 1, false, 0, false, 0, {}}),
                  no_key, now_);
 }
 
 void Core::status(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length) {
-    if (is_gone(c, id)) return;
+    if (is_gone(c, id))
+        return;
     // An answer may be shorter than what was asked: the first extent's part is told.
     auto n = layout_.cut(offset, length, false);
     auto no = open(c, id, Command::status, 0);
     take(no, c, Command::status,
-         std::make_shared<Work>(Work{frames::Kind::status, c.volume->id, layout_.shard_of(c.volume->place, offset),
-                                     offset, n, 1, false, 0, false, 0, {}}),
+         std::make_shared<Work>(Work{frames::Kind::status,
+                                     c.volume->id,
+                                     layout_.shard_of(c.volume->place, offset),
+                                     offset,
+                                     n,
+                                     1,
+                                     false,
+                                     0,
+                                     false,
+                                     0,
+                                     {}}),
          no_key, now_);
 }
 
@@ -435,45 +503,58 @@
 // Changes that were kept back begin, in the order in which they came.
 void Core::let_go() {
     for (auto volume : cuts_.take_released()) {
-        if (cuts_.holding(volume)) continue;
+        if (cuts_.holding(volume))
+            continue;
         auto it = kept_.find(volume);
-        if (it == kept_.end()) continue;
+        if (it == kept_.end())
+            continue;
         auto kept = std::move(it->second);
         kept_.erase(it);
         for (auto &k : kept) {
             auto r = requests_.find(k.no);
-            if (r == requests_.end()) continue; // its client left
-            begin_change(k.no, *clients_.at(r->second.client), k.offset, k.length, k.data, k.zeroes, k.fua, k.came);
+            if (r == requests_.end())
+                continue; // its client left
+            begin_change(k.no, *clients_.at(r->second.client), k.offset, k.length, k.data, k.zeroes,
+                         k.fua, k.came);
         }
     }
 }
-// A store has cut without a change that began here before. True where the change goes on, in the epoch in force: a
-// change of one part is in or out as a whole whatever becomes of it, and so is one of which no other part was sent.
+// A store has cut without a change that began here before. True where the change goes on, in the
+// epoch in force: a change of one part is in or out as a whole whatever becomes of it, and so is
+// one of which no other part was sent.
 bool Core::outdated(Task &t, const ShotOver &over) {
     auto volume = t.work->volume;
     cuts_.learn(volume, over.epoch);
     let_go();
     auto it = requests_.find(t.request);
-    if (it == requests_.end()) return false;
+    if (it == requests_.end())
+        return false;
     Request &r = it->second;
     for (auto other : r.tasks)
-        if (other != over.task && !tasks_.at(other).shots.empty()) return false;
-    if (r.some_done) return false;
+        if (other != over.task && !tasks_.at(other).shots.empty())
+            return false;
+    if (r.some_done)
+        return false;
     auto epoch = cuts_.epoch(volume);
-    if (epoch <= r.epoch) return true; // said twice
+    if (epoch <= r.epoch)
+        return true; // said twice
     auto old = std::exchange(r.epoch, epoch);
     cuts_.begins(volume);
     cuts_.over(volume, old);
-    for (auto task : r.tasks) tasks_.at(task).work->epoch = epoch;
+    for (auto task : r.tasks)
+        tasks_.at(task).work->epoch = epoch;
     return true;
 }
 
 // ---- Outcomes and ends.
-void Core::shot_over(Time, TaskId task, ShotId shot, NodeId node, Outcome how, frames::Status status,
-                     std::uint64_t life, std::string_view payload, std::uint32_t epoch) {
+void Core::shot_over(Time, TaskId task, ShotId shot, NodeId node, Outcome how,
+                     frames::Status status, std::uint64_t life, std::string_view payload,
+                     std::uint32_t epoch) {
     overs_.push_back({task, shot, node, how, status, life, std::string(payload), epoch});
 }
-void Core::say(std::string text) { shell_.say(std::move(text)); }
+void Core::say(std::string text) {
+    shell_.say(std::move(text));
+}
 
 void Core::do_shot(TaskId id, ShotId shot, Time time_out) {
     auto &t = tasks_.at(id);
@@ -484,26 +565,30 @@
     }
     Time until = time_out > 0 ? std::min(now_ + time_out, t.client_timeout) : t.client_timeout;
     if (shot == ShotId{0} && frames::changes(t.work->kind))
-        // One moment for all its shots: past it no copy is done, and until it the node remembers the mark. So
-        // there is no time at which a late copy meets neither.
+        // One moment for all its shots: past it no copy is done, and until it the node remembers
+        // the mark. So there is no time at which a late copy meets neither.
         t.work->not_after = t.window > 0 ? now_ + t.window : t.client_timeout;
     links_->shoot(now_, id, shot, node, t.work, until);
 }
 
 void Core::end_task(TaskId id, Task &t) {
-    if (t.ended) return;
+    if (t.ended)
+        return;
     t.ended = true;
-    if (auto r = requests_.find(t.request); r != requests_.end()) r->second.tasks.erase(id);
+    if (auto r = requests_.find(t.request); r != requests_.end())
+        r->second.tasks.erase(id);
     forget_if_done(id);
 }
 void Core::forget_if_done(TaskId id) {
     auto it = tasks_.find(id);
-    if (it != tasks_.end() && it->second.ended && it->second.out == 0) tasks_.erase(it);
+    if (it != tasks_.end() && it->second.ended && it->second.out == 0)
+        tasks_.erase(it);
 }
 void Core::close_request(RequestNo no) {
     auto it = requests_.find(no);
     bytes_ -= std::min(it->second.bytes, bytes_);
-    if (it->second.begun) cuts_.over(it->second.volume, it->second.epoch);
+    if (it->second.begun)
+        cuts_.over(it->second.volume, it->second.epoch);
     if (auto c = clients_.find(it->second.client); c != clients_.end()) {
         c->second->requests.erase(no);
         touched_.insert(c->first);
@@ -515,9 +600,11 @@
 void Core::fail_request(RequestNo no, std::uint32_t error, const std::string &why,
                         std::optional<std::uint64_t> where) {
     auto it = requests_.find(no);
-    if (it == requests_.end()) return;
+    if (it == requests_.end())
+        return;
     for (auto task : std::set<TaskId>(it->second.tasks)) {
-        // Not by its client: taken for impatience, a few large requests that fail would make all tasks look late.
+        // Not by its client: taken for impatience, a few large requests that fail would make all
+        // tasks look late.
         scheduler_->task_withdrawn(now_, task, false);
         stirred_ = true;
         end_task(task, tasks_.at(task));
@@ -525,7 +612,8 @@
     auto client = it->second.client;
     auto id = it->second.id;
     close_request(no);
-    if (auto c = clients_.find(client); c != clients_.end()) c->second->session.fail(id, error, why, where);
+    if (auto c = clients_.find(client); c != clients_.end())
+        c->second->session.fail(id, error, why, where);
 }
 
 void Core::finish_flush(RequestNo no, Request &r) {
@@ -533,34 +621,45 @@
     auto id = r.id;
     close_request(no);
     auto losses = c.volume->unflushed.losses();
-    if (c.seen_losses == losses) return c.session.done(id);
+    if (c.seen_losses == losses)
+        return c.session.done(id);
     c.seen_losses = losses;
     c.session.fail(id, nbd::e_io, "errored: a node lost writes that were answered and not flushed");
 }
 
 void Core::delivered(Task &t, const ShotOver &over) {
     auto it = requests_.find(t.request);
-    if (it == requests_.end()) return;
+    if (it == requests_.end())
+        return;
     Request &r = it->second;
     Client &c = *clients_.at(r.client);
     r.some_done = true;
     const Work &w = *t.work;
     switch (r.command) {
-    case Command::read: c.session.data(r.id, w.offset, over.payload); break;
+    case Command::read:
+        c.session.data(r.id, w.offset, over.payload);
+        break;
     case Command::write:
-    case Command::zero: c.volume->unflushed.written(w.shard, over.life); break;
-    case Command::flush: c.volume->unflushed.flushed(w.shard, over.life, r.mark); break;
+    case Command::zero:
+        c.volume->unflushed.written(w.shard, over.life);
+        break;
+    case Command::flush:
+        c.volume->unflushed.flushed(w.shard, over.life, r.mark);
+        break;
     case Command::status: {
         std::vector<std::pair<std::uint32_t, std::uint32_t>> runs;
         auto u32 = [&](std::size_t at) {
             std::uint32_t v = 0;
-            for (std::size_t i = 4; i-- > 0;) v = v << 8 | static_cast<unsigned char>(over.payload[at + i]);
+            for (std::size_t i = 4; i-- > 0;)
+                v = v << 8 | static_cast<unsigned char>(over.payload[at + i]);
             return v;
         };
-        for (std::size_t at = 0; at + 8 <= over.payload.size(); at += 8) runs.emplace_back(u32(at), u32(at + 4));
+        for (std::size_t at = 0; at + 8 <= over.payload.size(); at += 8)
+            runs.emplace_back(u32(at), u32(at + 4));
         auto id = r.id;
         close_request(t.request);
-        if (runs.empty()) return c.session.fail(id, nbd::e_io, "errored: the node told nothing of the range");
+        if (runs.empty())
+            return c.session.fail(id, nbd::e_io, "errored: the node told nothing of the range");
         return c.session.extents(id, runs);
     }
     }
@@ -575,17 +674,22 @@
             deeds.pop_front();
             auto it = tasks_.find(d.task);
             switch (d.kind) {
-            case Deeds::Kind::shoot: do_shot(d.task, d.shot, d.time); break;
-            case Deeds::Kind::call_off: links_->call_off(now_, d.task, d.shot); break;
+            case Deeds::Kind::shoot:
+                do_shot(d.task, d.shot, d.time);
+                break;
+            case Deeds::Kind::call_off:
+                links_->call_off(now_, d.task, d.shot);
+                break;
             case Deeds::Kind::deny:
             case Deeds::Kind::error: {
-                if (it == tasks_.end() || it->second.ended) break; // withdrawn in the same moment
+                if (it == tasks_.end() || it->second.ended)
+                    break; // withdrawn in the same moment
                 Task &t = it->second;
                 auto no = t.request;
                 Request &r = requests_.at(no);
                 bool changes = r.command == Command::write || r.command == Command::zero;
-                // A denial says that trying again is harmless, of the whole request: not where another part of
-                // it was done or may have been.
+                // A denial says that trying again is harmless, of the whole request: not where
+                // another part of it was done or may have been.
                 bool deny = d.kind == Deeds::Kind::deny && !(changes && r.some_done);
                 for (auto other : r.tasks)
                     deny = deny && (!changes || other == d.task || tasks_.at(other).shots.empty());
@@ -594,33 +698,38 @@
                 end_task(d.task, t);
                 auto ms_after = (d.time + ms - 1) / ms;
                 fail_request(no, deny ? nbd::e_nomem : nbd::e_io,
-                             deny ? "denied: nothing was done; try again after " + std::to_string(ms_after) +
-                                        " ms"
+                             deny ? "denied: nothing was done; try again after " +
+                                        std::to_string(ms_after) + " ms"
                                   : "errored: it may have been done or not",
                              where);
                 break;
             }
             }
         }
-        if (overs_.empty()) break;
+        if (overs_.empty())
+            break;
         auto over = std::move(overs_.front());
         overs_.pop_front();
         auto it = tasks_.find(over.task);
-        if (it == tasks_.end()) continue;
+        if (it == tasks_.end())
+            continue;
         Task &t = it->second;
         --t.out;
         bool well = over.how == Outcome::answered;
         Time took = now_ - t.sent[over.shot.value];
         shell_.shot_ended(over.task, over.node, over.how, took);
         bool was_ended = t.ended;
-        // Final words of a node on a change that was not done, and of which another shot would hear the same.
+        // Final words of a node on a change that was not done, and of which another shot would hear
+        // the same.
         const char *refused = nullptr;
         std::uint32_t error = nbd::e_io;
         if (!was_ended && over.status == frames::Status::stale && !outdated(t, over))
-            refused = "errored: a snapshot was taken in the middle of it; a part may have been done";
+            refused =
+                "errored: a snapshot was taken in the middle of it; a part may have been done";
         if (!was_ended && over.status == frames::Status::no_space)
             refused = "errored: no space is left at its storage node", error = nbd::e_nospc;
-        // The decisions hear of the outcome before the answer leaves: what leaves may bring the next request.
+        // The decisions hear of the outcome before the answer leaves: what leaves may bring the
+        // next request.
         scheduler_->shot_ended(now_, over.task, over.shot, over.node, over.how, took,
                                was_ended || well || refused, -1, 0, {});
         stirred_ = true;
@@ -655,8 +764,10 @@
 
 Time Core::next_due() const {
     Time due = std::min(links_->next_due(), cuts_.next_due());
-    for (auto &[id, at] : alarms_) due = std::min(due, at);
-    if (stirred_ || !overs_.empty() || !deeds_->waiting.empty()) due = std::min(due, now_);
+    for (auto &[id, at] : alarms_)
+        due = std::min(due, at);
+    if (stirred_ || !overs_.empty() || !deeds_->waiting.empty())
+        due = std::min(due, now_);
     return due;
 }
 
@@ -675,8 +786,9 @@
             ++it;
         }
     work_off();
-    // An answer may free a request that was kept back, and that is told to the decisions in the same moment. A
-    // few rounds catch nearly all; what is left is due at once, after other events had their turn.
+    // An answer may free a request that was kept back, and that is told to the decisions in the
+    // same moment. A few rounds catch nearly all; what is left is due at once, after other events
+    // had their turn.
     for (int rounds = 0; stirred_ && rounds < 4; ++rounds) {
         stirred_ = false;
         scheduler_->settle(now);
@@ -685,7 +797,8 @@
     door();
     for (auto id : std::exchange(touched_, {})) {
         auto it = clients_.find(id);
-        if (it == clients_.end()) continue;
+        if (it == clients_.end())
+            continue;
         Client &c = *it->second;
         if (c.gone) {
             drop_client(id);
@@ -699,7 +812,8 @@
         // A client that does not take its answers is not read from.
         constexpr std::size_t most_out = 1 << 20; // a megabyte keeps any socket busy
         bool hold = c.session.choked() || c.out > most_out;
-        if (hold != c.held) c.held = hold, shell_.hold_client(id, hold);
+        if (hold != c.held)
+            c.held = hold, shell_.hold_client(id, hold);
     }
 }
 
--- a/src/edge/core.hpp
+++ b/src/edge/core.hpp
@@ -1,8 +1,9 @@
-// The edge without I/O: clients' and nodes' bytes and time in, bytes out. Requests are cut into tasks, the
-// decisions say what becomes of each task, links carry the shots. It decides nothing on tasks itself.
+// The edge without I/O: clients' and nodes' bytes and time in, bytes out. Requests are cut into
+// tasks, the decisions say what becomes of each task, links carry the shots. It decides nothing on
+// tasks itself.
 //
-// Call order: make it; set-up calls on scheduler(), add_volume, add_workload; ready; then events as they happen,
-// and settle at the end of each moment.
+// Call order: make it; set-up calls on scheduler(), add_volume, add_workload; ready; then events as
+// they happen, and settle at the end of each moment.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +30,7 @@
 
 // What the edge asks of its shell; closing is final, nothing more is told of what was closed.
 class Shell : public Wires {
-  public:
+public:
     virtual void send_client(ClientId client, std::string bytes) = 0;
     virtual void close_client(ClientId client) = 0;
     // Whether to read from a client's socket.
@@ -48,37 +49,40 @@
 enum class Command { read, write, zero, flush, status };
 
 class Core final : Told {
-  public:
+public:
     using MakeScheduler = std::function<std::unique_ptr<Scheduler>(Actions &)>;
-    // `id`, `life`: of this edge, the life another one each time it starts. `extent`, `span`: layout, bytes.
-    // `unit`: bytes that count as one unit, beyond the one that each task counts.
-    Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t life, std::uint64_t extent,
-         std::uint64_t span, std::uint64_t unit, std::vector<ShardId> shards);
+    // `id`, `life`: of this edge, the life another one each time it starts. `extent`, `span`:
+    // layout, bytes. `unit`: bytes that count as one unit, beyond the one that each task counts.
+    Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t life,
+         std::uint64_t extent, std::uint64_t span, std::uint64_t unit, std::vector<ShardId> shards);
     ~Core() override;
 
     Scheduler &scheduler() { return *scheduler_; }
     // Connections to nodes: see Links. Call before ready.
     void set_links(std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out);
-    // `flying`: requests at work a client; `request`: bytes of one; `tasks`, `bytes`: of all clients together,
-    // past which no client is read from.
-    void set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks, std::size_t bytes);
+    // `flying`: requests at work a client; `request`: bytes of one; `tasks`, `bytes`: of all
+    // clients together, past which no client is read from.
+    void set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks,
+                  std::size_t bytes);
     // Units more for the first write to a span after a snapshot, which the node does to a copy.
     void set_copy(double units) { copy_ = units; }
     // `least`: bytes that requests are aligned to. `hosts`: edges that serve it.
-    void add_volume(VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least, PlanId plan,
-                    std::uint32_t hosts);
-    // Tasks of this command of at most `up_to` bytes, on the volume of this name (empty: on all), are of the
-    // workload; the first that fits counts. `window`: how long nodes drop a repeat, 0 if not numbered.
-    void add_workload(WorkloadId id, Command command, std::uint32_t up_to, const std::string &volume,
-                      Time client_timeout, Time window);
+    void add_volume(VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
+                    PlanId plan, std::uint32_t hosts);
+    // Tasks of this command of at most `up_to` bytes, on the volume of this name (empty: on all),
+    // are of the workload; the first that fits counts. `window`: how long nodes drop a repeat, 0 if
+    // not numbered.
+    void add_workload(WorkloadId id, Command command, std::uint32_t up_to,
+                      const std::string &volume, Time client_timeout, Time window);
     void ready(Time now);
 
-    // Volumes come from this table from now on, which the caller changes as it likes and says so after it:
-    // then what is open here follows. Time by the volumes open, not by those there are.
+    // Volumes come from this table from now on, which the caller changes as it likes and says so
+    // after it: then what is open here follows. Time by the volumes open, not by those there are.
     void follow(const facts::Table &table) { table_ = &table; }
     void facts_changed(Time now);
     // A plan as it is from now on; a rate of 0 is no limit.
-    void plan_told(PlanId id, double weight, double usual, double reserve, double price, double rate, double burst);
+    void plan_told(PlanId id, double weight, double usual, double reserve, double price,
+                   double rate, double burst);
     // This edge's part of a volume's limit is one over `hosts`; endless for none.
     void part_told(Time now, VolumeId volume, double hosts);
 
@@ -88,11 +92,11 @@
     void cut_release(Time now, VolumeId of, VolumeId as);
     void planner_lost(Time now);
 
-    // The list of nodes, as a whole: begin, a call for each node, end. A version that is not above the last
-    // one is not taken (false).
+    // The list of nodes, as a whole: begin, a call for each node, end. A version that is not above
+    // the last one is not taken (false).
     bool list_begins(Time now, std::uint64_t version);
-    void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone, NodeState state,
-                     Time started);
+    void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+                     NodeState state, Time started);
     void list_ends();
 
     void client_came(Time now, ClientId client);
@@ -105,7 +109,9 @@
     void link_failed(Time now, LinkId link) { links_->failed(now, link); }
     void link_bytes(Time now, LinkId link, std::string_view in) { links_->bytes(now, link, in); }
     void link_gone(Time now, LinkId link) { links_->gone(now, link); }
-    void link_written(Time now, LinkId link, std::size_t bytes) { links_->written(now, link, bytes); }
+    void link_written(Time now, LinkId link, std::size_t bytes) {
+        links_->written(now, link, bytes);
+    }
 
     // When something is due next.
     Time next_due() const;
@@ -121,7 +127,7 @@
     std::uint64_t version() const { return version_; }
     std::uint64_t life() const { return life_; } // as nodes know it
 
-  private:
+private:
     struct Client;
     struct Deeds;
     // One that has or had a client.
@@ -188,21 +194,23 @@
 
     // From sessions.
     void read(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length);
-    void change(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length, std::string_view data,
-                bool zeroes, bool fua);
-    void begin_change(RequestNo no, Client &c, std::uint64_t offset, std::uint32_t length, std::string_view data,
-                      bool zeroes, bool fua, Time came);
+    void change(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length,
+                std::string_view data, bool zeroes, bool fua);
+    void begin_change(RequestNo no, Client &c, std::uint64_t offset, std::uint32_t length,
+                      std::string_view data, bool zeroes, bool fua, Time came);
     void let_go();
     bool is_gone(Client &c, nbd::RequestId id);
     void flush(Client &c, nbd::RequestId id);
     void status(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length);
     RequestNo open(Client &c, nbd::RequestId id, Command command, std::size_t bytes);
-    void take(RequestNo no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key, Time came);
+    void take(RequestNo no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
+              Time came);
     bool outdated(Task &t, const ShotOver &over);
     void use(VolumeId id, bool on);
     // From links.
-    void shot_over(Time now, TaskId task, ShotId shot, NodeId node, Outcome how, frames::Status status,
-                   std::uint64_t life, std::string_view payload, std::uint32_t epoch) override;
+    void shot_over(Time now, TaskId task, ShotId shot, NodeId node, Outcome how,
+                   frames::Status status, std::uint64_t life, std::string_view payload,
+                   std::uint32_t epoch) override;
     void say(std::string text) override;
 
     void do_shot(TaskId task, ShotId shot, Time time_out);
@@ -234,7 +242,8 @@
     facts::Table own_; // of settings; unused where a planner tells
     const facts::Table *table_ = &own_;
     std::map<VolumeId, Volume> opened_;
-    std::map<VolumeId, std::size_t> used_; // by clients, of the volume itself or of what its share pays for
+    std::map<VolumeId, std::size_t>
+        used_; // by clients, of the volume itself or of what its share pays for
     Cuts cuts_;
     std::map<VolumeId, std::deque<Kept>> kept_;
     double copy_ = 0;
@@ -246,7 +255,7 @@
     std::map<NodeId, std::string> addresses_; // of the list being told
     std::deque<ShotOver> overs_;
     std::set<ClientId> touched_; // with something to send
-    bool stirred_ = false; // the decisions were told something since they last settled
+    bool stirred_ = false;       // the decisions were told something since they last settled
 };
 
 } // namespace knotvane::edge
--- a/src/edge/cuts.hpp
+++ b/src/edge/cuts.hpp
@@ -1,7 +1,8 @@
-// An edge's side of a cut over many nodes, without I/O: which epoch a volume's changes begin in, when none
-// may begin, and what is told of it. docs/design/snapshots.md says why it is safe.
+// An edge's side of a cut over many nodes, without I/O: which epoch a volume's changes begin in,
+// when none may begin, and what is told of it. docs/design/snapshots.md says why it is safe.
 //
-// A change belongs to the epoch in which it began, as a whole, however many shots and nodes it takes.
+// A change belongs to the epoch in which it began, as a whole, however many shots and nodes it
+// takes.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 namespace knotvane::edge {
 
 class Cuts {
-  public:
+public:
     using Tell = std::function<void(VolumeId as, facts::CutStep)>;
     explicit Cuts(Tell tell) : tell_(std::move(tell)) {}
 
@@ -27,14 +28,16 @@
     // No change of the volume begins for so long, or until go or release.
     void hold(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
         auto &v = volumes_[of];
-        if (v.lapsed == as) return tell_(as, facts::CutStep::lapsed);
-        if (epoch <= v.epoch) return tell_(as, facts::CutStep::moved); // said again
+        if (v.lapsed == as)
+            return tell_(as, facts::CutStep::lapsed);
+        if (epoch <= v.epoch)
+            return tell_(as, facts::CutStep::moved); // said again
         v.hold = Hold{as, epoch, now + longest};
         held_.insert(of);
         tell_(as, facts::CutStep::ready);
     }
-    // Changes begin again, in the new epoch; where the hold has run out, or never was, the cut can't be
-    // whole.
+    // Changes begin again, in the new epoch; where the hold has run out, or never was, the cut
+    // can't be whole.
     void go(Time now, VolumeId of, VolumeId as, std::uint32_t epoch) {
         auto &v = volumes_[of];
         bool held = v.hold && v.hold->as == as && now < v.hold->until;
@@ -48,17 +51,20 @@
             tell_(as, facts::CutStep::moved);
         } else {
             tell_(as, facts::CutStep::moved);
-            if (v.draining != as) return tell_(as, facts::CutStep::drained);
+            if (v.draining != as)
+                return tell_(as, facts::CutStep::drained);
         }
         look(v);
     }
     void release(VolumeId of, VolumeId as) {
-        if (auto it = volumes_.find(of); it != volumes_.end()) lapse(of, it->second, as);
+        if (auto it = volumes_.find(of); it != volumes_.end())
+            lapse(of, it->second, as);
     }
-    // The word with the planner is lost: nobody will say go, and it takes this edge for one that has not
-    // stopped.
+    // The word with the planner is lost: nobody will say go, and it takes this edge for one that
+    // has not stopped.
     void alone() {
-        for (auto of : std::set<VolumeId>(held_)) lapse(of, volumes_.at(of), volumes_.at(of).hold->as);
+        for (auto of : std::set<VolumeId>(held_))
+            lapse(of, volumes_.at(of), volumes_.at(of).hold->as);
     }
 
     // ---- Of changes.
@@ -73,31 +79,37 @@
         ++v.at_work[v.epoch];
         return v.epoch;
     }
-    // One is over: its client has its answer or is gone. What is still under way of it is of one that failed.
+    // One is over: its client has its answer or is gone. What is still under way of it is of one
+    // that failed.
     void over(VolumeId volume, std::uint32_t epoch) {
         auto &v = volumes_.at(volume);
         auto it = v.at_work.find(epoch);
-        if (--it->second == 0) v.at_work.erase(it);
+        if (--it->second == 0)
+            v.at_work.erase(it);
         look(v);
     }
     // A later epoch is in force: facts say so, or a store that has sealed its cut.
     void learn(VolumeId volume, std::uint32_t epoch) {
         auto &v = volumes_[volume];
-        if (epoch <= v.epoch) return;
+        if (epoch <= v.epoch)
+            return;
         v.epoch = epoch;
-        if (v.hold && v.hold->epoch <= epoch) end_hold(volume, v);
+        if (v.hold && v.hold->epoch <= epoch)
+            end_hold(volume, v);
     }
 
     // ---- Time.
     Time next_due() const {
         Time due = std::numeric_limits<Time>::max();
-        for (auto of : held_) due = std::min(due, volumes_.at(of).hold->until);
+        for (auto of : held_)
+            due = std::min(due, volumes_.at(of).hold->until);
         return due;
     }
     void tick(Time now) {
         for (auto of : std::set<VolumeId>(held_)) {
             auto &v = volumes_.at(of);
-            if (now < v.hold->until) continue;
+            if (now < v.hold->until)
+                continue;
             auto as = v.hold->as;
             lapse(of, v, as);
             tell_(as, facts::CutStep::lapsed);
@@ -106,7 +118,7 @@
     // Volumes whose hold has ended since this was last asked.
     std::set<VolumeId> take_released() { return std::exchange(released_, {}); }
 
-  private:
+private:
     struct Hold {
         VolumeId as;
         std::uint32_t epoch;
@@ -125,10 +137,12 @@
     }
     void lapse(VolumeId of, Volume &v, VolumeId as) {
         v.lapsed = as;
-        if (v.hold && v.hold->as == as) end_hold(of, v);
+        if (v.hold && v.hold->as == as)
+            end_hold(of, v);
     }
     void look(Volume &v) {
-        if (v.draining == VolumeId{} || (!v.at_work.empty() && v.at_work.begin()->first < v.epoch)) return;
+        if (v.draining == VolumeId{} || (!v.at_work.empty() && v.at_work.begin()->first < v.epoch))
+            return;
         tell_(std::exchange(v.draining, VolumeId{}), facts::CutStep::drained);
     }
 
--- a/src/edge/layout.cpp
+++ b/src/edge/layout.cpp
@@ -18,13 +18,16 @@
 ShardId Layout::shard_of(VolumeId volume, std::uint64_t offset) {
     auto extent = offset / extent_;
     auto &known = known_[volume];
-    if (extent >= known.size()) known.resize(extent + 1, no_shard);
+    if (extent >= known.size())
+        known.resize(extent + 1, no_shard);
     if (known[extent] == no_shard) {
         std::uint64_t best = 0;
         for (auto shard : shards_) {
-            std::array<std::uint64_t, 3> seed{volume.value, extent, static_cast<std::uint64_t>(shard.value)};
+            std::array<std::uint64_t, 3> seed{volume.value, extent,
+                                              static_cast<std::uint64_t>(shard.value)};
             auto h = XXH3_64bits(seed.data(), sizeof seed);
-            if (known[extent] == no_shard || h > best) best = h, known[extent] = shard;
+            if (known[extent] == no_shard || h > best)
+                best = h, known[extent] = shard;
         }
     }
     return known[extent];
--- a/src/edge/links.cpp
+++ b/src/edge/links.cpp
@@ -32,13 +32,13 @@
                Time clock, ShardId, std::string_view payload, std::uint32_t epoch) override {
         if (kind == frames::Kind::welcome && stage == Stage::greeting) {
             if (NodeId{tag} != node) {
-                fault = "node " + std::to_string(tag) + " answers where node " + std::to_string(node.value) +
-                        " is listed";
+                fault = "node " + std::to_string(tag) + " answers where node " +
+                        std::to_string(node.value) + " is listed";
                 return false;
             }
             stage = Stage::up;
-            // It took some time to come here: its clock is at least this far ahead. A not-after time by this
-            // is never later for the node than for us.
+            // It took some time to come here: its clock is at least this far ahead. A not-after
+            // time by this is never later for the node than for us.
             clock_ahead = clock - now;
             return true;
         }
@@ -46,10 +46,11 @@
             fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(kind));
             return false;
         }
-        if (!tags.contains(tag)) return true; // its shot timed out or was called off
-        Outcome how = status == frames::Status::ok             ? Outcome::answered
-                      : status == frames::Status::full         ? Outcome::full
-                      : status == frames::Status::called_off   ? Outcome::called_off
+        if (!tags.contains(tag))
+            return true; // its shot timed out or was called off
+        Outcome how = status == frames::Status::ok           ? Outcome::answered
+                      : status == frames::Status::full       ? Outcome::full
+                      : status == frames::Status::called_off ? Outcome::called_off
                       : status == frames::Status::too_late || status == frames::Status::stale ||
                               status == frames::Status::misdirected
                           ? Outcome::unsent // the node proves that it did not run and never will
@@ -59,8 +60,8 @@
     }
 };
 
-Links::Links(Wires &wires, Told &told, std::uint64_t edge, std::uint64_t life, std::size_t each, Time connect,
-             Time stall, Time idle, std::size_t most_out)
+Links::Links(Wires &wires, Told &told, std::uint64_t edge, std::uint64_t life, std::size_t each,
+             Time connect, Time stall, Time idle, std::size_t most_out)
     : wires_(wires), told_(told), edge_(edge), life_(life), each_(std::max<std::size_t>(1, each)),
       connect_(connect), stall_(stall), idle_(idle), most_out_(most_out) {}
 
@@ -75,10 +76,13 @@
                 links_.at(l)->watched = 0;
             }
     }
-    std::erase_if(peers_, [&](auto &p) { return p.second.links.empty() && !addresses.contains(p.first); });
-    for (auto &[id, address] : addresses) peers_[id].address = address;
+    std::erase_if(peers_,
+                  [&](auto &p) { return p.second.links.empty() && !addresses.contains(p.first); });
+    for (auto &[id, address] : addresses)
+        peers_[id].address = address;
     for (auto &[id, peer] : peers_)
-        if (!addresses.contains(id)) peer.address.clear();
+        if (!addresses.contains(id))
+            peer.address.clear();
 }
 
 Links::~Links() = default;
@@ -86,18 +90,23 @@
 // The link with the least out; a further one while all have some and there may be more.
 Links::Link *Links::choose(Time now, NodeId node) {
     auto it = peers_.find(node);
-    if (it == peers_.end() || it->second.address.empty()) return nullptr;
+    if (it == peers_.end() || it->second.address.empty())
+        return nullptr;
     Link *best = nullptr;
     std::size_t usable = 0;
     for (auto id : it->second.links) {
         Link &l = *links_.at(id);
-        if (l.leaving || l.broken) continue;
+        if (l.leaving || l.broken)
+            continue;
         ++usable;
-        if (!best || l.shots < best->shots) best = &l;
+        if (!best || l.shots < best->shots)
+            best = &l;
     }
-    // What one connection carries before a second is worth its handshake: a stall of one then holds few.
+    // What one connection carries before a second is worth its handshake: a stall of one then holds
+    // few.
     constexpr std::size_t enough = 8;
-    if (best && (usable >= each_ || best->shots < enough)) return best;
+    if (best && (usable >= each_ || best->shots < enough))
+        return best;
     LinkId id{++next_link_};
     auto &link = links_[id] = std::make_unique<Link>(*this, id, node, now);
     it->second.links.push_back(id);
@@ -130,11 +139,12 @@
         link.pending.pop_front();
         Shot &s = shots_.at(tag);
         const Work &w = *s.work;
-        auto flags = (w.durable ? frames::flag_durable : 0) | (w.numbered ? frames::flag_numbered : 0) |
-                     (w.cut ? frames::flag_cut : 0);
-        auto bytes = frames::make(w.kind, static_cast<std::uint8_t>(flags), {}, tag, w.volume,
-                                  w.offset, w.length, static_cast<std::uint32_t>(w.units * 1000), life_, w.number,
-                                  w.not_after > 0 ? w.not_after + link.clock_ahead : 0, w.shard, w.payload, w.epoch);
+        auto flags = (w.durable ? frames::flag_durable : 0) |
+                     (w.numbered ? frames::flag_numbered : 0) | (w.cut ? frames::flag_cut : 0);
+        auto bytes = frames::make(
+            w.kind, static_cast<std::uint8_t>(flags), {}, tag, w.volume, w.offset, w.length,
+            static_cast<std::uint32_t>(w.units * 1000), life_, w.number,
+            w.not_after > 0 ? w.not_after + link.clock_ahead : 0, w.shard, w.payload, w.epoch);
         link.out_bytes += bytes.size();
         s.out = true, s.sent = now;
         wires_.send(link.id, std::move(bytes));
@@ -144,7 +154,8 @@
 void Links::end(Time now, std::uint64_t tag, Outcome how, frames::Status status, std::uint64_t life,
                 std::string_view payload, std::uint32_t epoch) {
     auto it = shots_.find(tag);
-    if (it == shots_.end()) return;
+    if (it == shots_.end())
+        return;
     Shot s = std::move(it->second);
     shots_.erase(it);
     tags_.erase({s.task, s.shot});
@@ -152,7 +163,8 @@
     if (auto l = links_.find(s.link); l != links_.end()) {
         --l->second->shots;
         l->second->tags.erase(tag);
-        if (!s.out) std::erase(l->second->pending, tag);
+        if (!s.out)
+            std::erase(l->second->pending, tag);
         if (l->second->leaving && l->second->shots == 0) {
             l->second->watched = 0;
             watch_.insert({0, s.link});
@@ -163,26 +175,32 @@
 
 void Links::close(Time now, LinkId id, Outcome sent, Outcome unsent, bool tell_wires) {
     auto it = links_.find(id);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     auto link = std::move(it->second);
     links_.erase(it);
     if (auto p = peers_.find(link->node); p != peers_.end()) {
         std::erase(p->second.links, id);
-        if (p->second.links.empty() && p->second.address.empty()) peers_.erase(p);
+        if (p->second.links.empty() && p->second.address.empty())
+            peers_.erase(p);
     }
-    if (tell_wires) wires_.close(id);
-    for (auto tag : link->tags) end(now, tag, shots_.at(tag).out ? sent : unsent, {}, 0, {});
+    if (tell_wires)
+        wires_.close(id);
+    for (auto tag : link->tags)
+        end(now, tag, shots_.at(tag).out ? sent : unsent, {}, 0, {});
 }
 
 void Links::call_off(Time now, TaskId task, ShotId shot) {
     auto it = tags_.find({task, shot});
-    if (it == tags_.end()) return;
+    if (it == tags_.end())
+        return;
     auto tag = it->second;
     Shot &s = shots_.at(tag);
-    if (!s.out) return end(now, tag, Outcome::unsent, {}, 0, {}); // nothing went out: that is proof
+    if (!s.out)
+        return end(now, tag, Outcome::unsent, {}, 0, {}); // nothing went out: that is proof
     if (auto l = links_.find(s.link); l != links_.end()) {
-        auto bytes = frames::make(frames::Kind::call_off, 0, {}, tag, s.work->volume, 0, 0, 0, 0, 0, 0,
-                                  s.work->shard, {});
+        auto bytes = frames::make(frames::Kind::call_off, 0, {}, tag, s.work->volume, 0, 0, 0, 0, 0,
+                                  0, s.work->shard, {});
         l->second->out_bytes += bytes.size();
         wires_.send(s.link, std::move(bytes));
     }
@@ -191,25 +209,32 @@
 
 void Links::up(Time now, LinkId id) {
     auto it = links_.find(id);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     it->second->stage = Stage::greeting;
     it->second->heard = now;
-    auto hello = frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0, life_, 0, 0, no_shard, {});
+    auto hello = frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0, life_, 0, 0,
+                              no_shard, {});
     it->second->out_bytes += hello.size();
     wires_.send(id, std::move(hello));
 }
 
-void Links::failed(Time now, LinkId id) { close(now, id, Outcome::unreachable, Outcome::unreachable, false); }
+void Links::failed(Time now, LinkId id) {
+    close(now, id, Outcome::unreachable, Outcome::unreachable, false);
+}
 
 void Links::bytes(Time now, LinkId id, std::string_view in) {
     auto it = links_.find(id);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     Link &link = *it->second;
     link.now = link.heard = now;
     std::string fault = link.reader.feed(in, link);
-    if (fault.empty()) fault = link.fault;
+    if (fault.empty())
+        fault = link.fault;
     if (!fault.empty()) {
-        told_.say("node " + std::to_string(link.node.value) + ": " + fault + "; the connection is closed");
+        told_.say("node " + std::to_string(link.node.value) + ": " + fault +
+                  "; the connection is closed");
         return close(now, id, Outcome::reset, Outcome::unsent, true);
     }
     // In the middle of a frame it is looked at sooner.
@@ -221,31 +246,37 @@
 }
 
 void Links::gone(Time now, LinkId id) {
-    // Before the node's welcome nothing of a shot has gone out: `reset` would claim that it may have run.
+    // Before the node's welcome nothing of a shot has gone out: `reset` would claim that it may
+    // have run.
     close(now, id, Outcome::reset, Outcome::unsent, false);
 }
 
 void Links::written(Time now, LinkId id, std::size_t bytes) {
     auto it = links_.find(id);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     it->second->out_bytes -= std::min(bytes, it->second->out_bytes);
     pump(now, *it->second);
 }
 
 Time Links::next_due() const {
     Time due = nowhere_.empty() ? never : 0;
-    if (!until_.empty()) due = std::min(due, until_.begin()->first);
-    if (!watch_.empty()) due = std::min(due, watch_.begin()->first);
+    if (!until_.empty())
+        due = std::min(due, until_.begin()->first);
+    if (!watch_.empty())
+        due = std::min(due, watch_.begin()->first);
     return due;
 }
 
 void Links::tick(Time now) {
-    for (auto tag : std::exchange(nowhere_, {})) end(now, tag, Outcome::unreachable, {}, 0, {});
+    for (auto tag : std::exchange(nowhere_, {}))
+        end(now, tag, Outcome::unreachable, {}, 0, {});
     while (!until_.empty() && until_.begin()->first <= now) {
         auto tag = until_.begin()->second;
         Shot &s = shots_.at(tag);
         // Nothing was heard on its connection since it went: no further shot goes there.
-        if (auto l = links_.find(s.link); s.out && l != links_.end() && l->second->heard <= s.sent) {
+        if (auto l = links_.find(s.link);
+            s.out && l != links_.end() && l->second->heard <= s.sent) {
             l->second->leaving = true;
             l->second->watched = 0;
             watch_.insert({0, s.link});
@@ -256,26 +287,29 @@
         auto [at, id] = *watch_.begin();
         watch_.erase(watch_.begin());
         auto it = links_.find(id);
-        if (it == links_.end() || it->second->watched != at) continue;
+        if (it == links_.end() || it->second->watched != at)
+            continue;
         Link &link = *it->second;
         if (link.stage != Stage::up && now >= link.since + connect_) {
             // Not one byte of a shot has gone out.
             auto how = link.stage == Stage::connecting ? Outcome::unreachable : Outcome::unsent;
             close(now, id, how, how, true);
         } else if (link.reader.held() > 0 && now >= link.heard + stall_) {
-            // Guards against a node that falls silent in the middle of an answer: all behind it on this
-            // connection would wait for what never comes, and the node would look silent though it is not.
+            // Guards against a node that falls silent in the middle of an answer: all behind it on
+            // this connection would wait for what never comes, and the node would look silent
+            // though it is not.
             told_.say("node " + std::to_string(link.node.value) +
                       ": silent in the middle of a frame; the connection is closed");
             close(now, id, Outcome::reset, Outcome::unsent, true);
         } else if (link.shots == 0 && (link.leaving || now >= link.heard + idle_)) {
             close(now, id, Outcome::reset, Outcome::unsent, true);
         } else {
-            link.watched = link.stage != Stage::up       ? link.since + connect_
-                           : link.reader.held() > 0      ? link.heard + stall_
-                           : link.leaving                ? never
-                                                         : std::max(link.heard, now) + idle_;
-            if (link.watched < never) watch_.insert({std::max(link.watched, now + 1), id});
+            link.watched = link.stage != Stage::up  ? link.since + connect_
+                           : link.reader.held() > 0 ? link.heard + stall_
+                           : link.leaving           ? never
+                                                    : std::max(link.heard, now) + idle_;
+            if (link.watched < never)
+                watch_.insert({std::max(link.watched, now + 1), id});
             link.watched = std::max(link.watched, now + 1);
         }
     }
--- a/src/edge/links.hpp
+++ b/src/edge/links.hpp
@@ -1,5 +1,5 @@
-// Connections to nodes, without I/O: which shot goes on which, and what became of it. Every outcome that the
-// decisions know comes from the event it names.
+// Connections to nodes, without I/O: which shot goes on which, and what became of it. Every outcome
+// that the decisions know comes from the event it names.
 #pragma once
 
 #include <cstdint>
@@ -38,7 +38,7 @@
 
 // What links ask of the shell.
 class Wires {
-  public:
+public:
     virtual ~Wires() = default;
     virtual void connect(LinkId link, const std::string &address) = 0;
     virtual void send(LinkId link, std::string bytes) = 0;
@@ -47,26 +47,29 @@
 
 // What links tell. `life`: of the store that answered, 0 if none did; `epoch`: with a stale answer.
 class Told {
-  public:
+public:
     virtual ~Told() = default;
-    virtual void shot_over(Time now, TaskId task, ShotId shot, NodeId node, Outcome how, frames::Status status,
-                           std::uint64_t life, std::string_view payload, std::uint32_t epoch) = 0;
+    virtual void shot_over(Time now, TaskId task, ShotId shot, NodeId node, Outcome how,
+                           frames::Status status, std::uint64_t life, std::string_view payload,
+                           std::uint32_t epoch) = 0;
     virtual void say(std::string text) = 0;
 };
 
 class Links {
-  public:
-    // `each`: connections a node at most. A connection that takes longer than `connect` failed; one that stops
-    // for `stall` in the middle of a frame is given up; one that is idle for `idle` is closed. Past `most_out`
-    // bytes handed over and not yet written, shots wait here.
-    Links(Wires &wires, Told &told, std::uint64_t edge, std::uint64_t life, std::size_t each, Time connect,
-          Time stall, Time idle, std::size_t most_out);
+public:
+    // `each`: connections a node at most. A connection that takes longer than `connect` failed; one
+    // that stops for `stall` in the middle of a frame is given up; one that is idle for `idle` is
+    // closed. Past `most_out` bytes handed over and not yet written, shots wait here.
+    Links(Wires &wires, Told &told, std::uint64_t edge, std::uint64_t life, std::size_t each,
+          Time connect, Time stall, Time idle, std::size_t most_out);
     ~Links();
 
-    // The nodes that may be sent to, as a whole; links to others close once their last shot is over.
+    // The nodes that may be sent to, as a whole; links to others close once their last shot is
+    // over.
     void nodes(std::map<NodeId, std::string> addresses);
     // Until `until` the outcome may come; then it is timed_out, or unsent where nothing went out.
-    void shoot(Time now, TaskId task, ShotId shot, NodeId node, std::shared_ptr<const Work> work, Time until);
+    void shoot(Time now, TaskId task, ShotId shot, NodeId node, std::shared_ptr<const Work> work,
+               Time until);
     void call_off(Time now, TaskId task, ShotId shot);
 
     // What happened to a connection.
@@ -81,7 +84,7 @@
     std::size_t shots_out() const { return shots_.size(); }
     std::size_t open_links() const { return links_.size(); }
 
-  private:
+private:
     struct Shot {
         TaskId task;
         ShotId shot;
--- a/src/edge/nodelist.cpp
+++ b/src/edge/nodelist.cpp
@@ -8,13 +8,15 @@
 
 namespace knotvane::edge {
 
-NodeList read_nodes(const std::string &name, const std::string &text, std::vector<std::string> &faults) {
+NodeList read_nodes(const std::string &name, const std::string &text,
+                    std::vector<std::string> &faults) {
     settings::File file(name, text);
     NodeList list;
     auto &head = file.one("list", true);
     list.version = head.count("version", 1, std::numeric_limits<std::int64_t>::max());
     auto count = head.count("nodes", 0, 100000);
-    // Written last: guards against a file that is cut at the end of a line, where all before it looks whole.
+    // Written last: guards against a file that is cut at the end of a line, where all before it
+    // looks whole.
     auto &tail = file.one("end", true);
     if (tail.count("version", 1, std::numeric_limits<std::int64_t>::max()) != list.version)
         tail.fault("version", "expected that of [list]: " + std::to_string(list.version));
@@ -29,16 +31,20 @@
         n.shard = ShardId{static_cast<std::int32_t>(s->count("shard", 0, 65535))};
         n.zone = ZoneId{static_cast<std::uint32_t>(s->count("zone", 0, 255, 0))};
         n.state = static_cast<NodeState>(s->choice("state", {"draining", "gone", "ready"}, 2));
-        n.started = static_cast<Time>(s->count("started", 0, std::numeric_limits<std::int64_t>::max(), 0));
+        n.started =
+            static_cast<Time>(s->count("started", 0, std::numeric_limits<std::int64_t>::max(), 0));
         if (n.state != NodeState::gone)
             if (auto [it, is_new] = addresses.try_emplace(n.address, s->line()); !is_new)
-                s->fault("address", "the node in line " + std::to_string(it->second) + " has it, too");
+                s->fault("address",
+                         "the node in line " + std::to_string(it->second) + " has it, too");
         list.nodes.push_back(std::move(n));
     }
     if (list.nodes.size() != count)
         head.fault("nodes", "the file lists " + std::to_string(list.nodes.size()) + " nodes");
-    for (auto &f : file.faults()) faults.push_back(f);
-    if (!faults.empty()) return {};
+    for (auto &f : file.faults())
+        faults.push_back(f);
+    if (!faults.empty())
+        return {};
     return list;
 }
 
@@ -47,9 +53,10 @@
     out << "[list]\nversion = " << list.version << "\nnodes = " << list.nodes.size() << "\n";
     static constexpr const char *states[] = {"draining", "gone", "ready"};
     for (auto &n : list.nodes)
-        out << "\n[node " << n.id.value << "]\naddress = " << n.address << "\nshard = " << n.shard.value
-            << "\nzone = " << n.zone.value << "\nstate = " << states[static_cast<int>(n.state)]
-            << "\nstarted = " << n.started << "\n";
+        out << "\n[node " << n.id.value << "]\naddress = " << n.address
+            << "\nshard = " << n.shard.value << "\nzone = " << n.zone.value
+            << "\nstate = " << states[static_cast<int>(n.state)] << "\nstarted = " << n.started
+            << "\n";
     out << "\n[end]\nversion = " << list.version << "\n";
     return out.str();
 }
--- a/src/edge/nodelist.hpp
+++ b/src/edge/nodelist.hpp
@@ -24,9 +24,10 @@
     std::vector<ListedNode> nodes;
 };
 
-// Reads a list from text; `name` is what faults call it. With any fault the list is empty: a file that is cut
-// short, counts wrong or contradicts itself is none.
-NodeList read_nodes(const std::string &name, const std::string &text, std::vector<std::string> &faults);
+// Reads a list from text; `name` is what faults call it. With any fault the list is empty: a file
+// that is cut short, counts wrong or contradicts itself is none.
+NodeList read_nodes(const std::string &name, const std::string &text,
+                    std::vector<std::string> &faults);
 // The text that read_nodes reads.
 std::string write_nodes(const NodeList &list);
 
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -17,15 +17,17 @@
 namespace knotvane::edge {
 
 class Server final : public Shell, public Line {
-  public:
-    // Sets up from settings that were checked; `scheduler` makes the decisions. Throws std::runtime_error where
-    // the address can't be listened on.
-    Server(loop::Loop &loop, settings::File &file, const std::function<std::unique_ptr<Scheduler>(
-                                                       Actions &, std::uint64_t seed)> &scheduler);
+public:
+    // Sets up from settings that were checked; `scheduler` makes the decisions. Throws
+    // std::runtime_error where the address can't be listened on.
+    Server(
+        loop::Loop &loop, settings::File &file,
+        const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t seed)> &scheduler);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
     Core &core() { return *core_; }
-    // The list of nodes as it stands in the file; a list with faults or an old version changes nothing.
+    // The list of nodes as it stands in the file; a list with faults or an old version changes
+    // nothing.
     void read_list();
     // Told after each list that was taken.
     std::function<void(const NodeList &)> on_list;
@@ -57,7 +59,7 @@
     void cut_release(VolumeId of, VolumeId as) override;
     void planner_lost() override;
 
-  private:
+private:
     void take_list(const NodeList &list);
     void follow_planner(settings::File &file, std::uint64_t seed);
     Time end_of_moment();
--- a/src/edge/subscription.cpp
+++ b/src/edge/subscription.cpp
@@ -6,18 +6,19 @@
 namespace knotvane::edge {
 namespace {
 
-// The first try after a loss comes within this; each failure doubles it, up to the longest. 280 edges that lose a
-// planner together come back over a quarter of a second, and load a dead one's host with under a hundred tries a
-// second.
+// The first try after a loss comes within this; each failure doubles it, up to the longest. 280
+// edges that lose a planner together come back over a quarter of a second, and load a dead one's
+// host with under a hundred tries a second.
 constexpr Time first_wait = 250 * ms, longest_wait = 4 * sec;
 // A try that has come to nothing by then is given up.
 constexpr Time dial_time = 2 * sec;
 // How many failures a planner that was left for what it said counts as.
 constexpr std::uint32_t left = 4;
-// A planner that answers nothing for so many renewals is taken for hung, and the connection for lost.
+// A planner that answers nothing for so many renewals is taken for hung, and the connection for
+// lost.
 constexpr Time silent_renewals = 5;
-// A node is called out of reach after so many shots in a row came to nothing, over at least this time; answered
-// even once, it is in reach.
+// A node is called out of reach after so many shots in a row came to nothing, over at least this
+// time; answered even once, it is in reach.
 constexpr std::uint32_t failures_enough = 3;
 constexpr Time failing_for = 500 * ms;
 // Past so much on disk the whole is asked for again, which starts the file anew.
@@ -31,17 +32,20 @@
 
 } // namespace
 
-Subscription::Subscription(Line &line, facts::EdgeId edge, std::string listen, std::uint64_t seed, Time renew_every,
-                           Time trust)
+Subscription::Subscription(Line &line, facts::EdgeId edge, std::string listen, std::uint64_t seed,
+                           Time renew_every, Time trust)
     : line_(line), edge_(edge), listen_(std::move(listen)),
-      redial_(first_wait, longest_wait, seed * 7919 + edge.value + 1), renew_every_(renew_every), trust_(trust) {}
+      redial_(first_wait, longest_wait, seed * 7919 + edge.value + 1), renew_every_(renew_every),
+      trust_(trust) {}
 
 void Subscription::start(Time now, std::string_view disk) {
     now_ = now;
     redial_.at_once(now);
-    if (disk.empty()) return;
+    if (disk.empty())
+        return;
     from_disk_ = true;
-    // News that the file holds only in part is dropped by the copy, as if its end were lost on the way.
+    // News that the file holds only in part is dropped by the copy, as if its end were lost on the
+    // way.
     auto fault = reader_.bytes(disk, *this);
     reader_ = {};
     fault_.clear();
@@ -49,21 +53,28 @@
     if (copy_.term() == facts::Term{0}) {
         line_.say("the plan on disk is not used: it holds nothing whole");
     } else if (age > trust_ || age < -clock_slack) {
-        line_.say("the plan on disk is not used: it is " + std::to_string(age / sec) + "s old, at most " +
-                  std::to_string(trust_ / sec) + "s are trusted");
+        line_.say("the plan on disk is not used: it is " + std::to_string(age / sec) +
+                  "s old, at most " + std::to_string(trust_ / sec) + "s are trusted");
         copy_ = {};
     } else {
-        line_.say("started from the plan on disk, stale: term " + std::to_string(copy_.term().value) + ", version " +
-                  std::to_string(copy_.version().value) + ", " + std::to_string(age / sec) + "s old");
+        line_.say("started from the plan on disk, stale: term " +
+                  std::to_string(copy_.term().value) + ", version " +
+                  std::to_string(copy_.version().value) + ", " + std::to_string(age / sec) +
+                  "s old");
         // Written anew: what is added after a piece that was cut short would never be read.
         auto &t = copy_.table();
-        std::string all = facts::begins(copy_.term(), copy_.instance(), copy_.lineage(), copy_.version(),
-                                        facts::Version{0}, planner_now_);
-        for (auto &[id, p] : t.plans) all += facts::put(id, p);
-        for (auto &[id, v] : t.volumes) all += facts::put(id, v);
-        for (auto &[id, n] : t.nodes) all += facts::put(id, n);
-        for (auto &[id, p] : t.parts) all += facts::put(id, p);
-        all += facts::ends(copy_.version(), t.plans.size() + t.volumes.size() + t.nodes.size() + t.parts.size());
+        std::string all = facts::begins(copy_.term(), copy_.instance(), copy_.lineage(),
+                                        copy_.version(), facts::Version{0}, planner_now_);
+        for (auto &[id, p] : t.plans)
+            all += facts::put(id, p);
+        for (auto &[id, v] : t.volumes)
+            all += facts::put(id, v);
+        for (auto &[id, n] : t.nodes)
+            all += facts::put(id, n);
+        for (auto &[id, p] : t.parts)
+            all += facts::put(id, p);
+        all += facts::ends(copy_.version(),
+                           t.plans.size() + t.volumes.size() + t.nodes.size() + t.parts.size());
         on_disk_ = all.size();
         line_.keep_plan(std::move(all), true);
         taken(true, true);
@@ -80,11 +91,13 @@
     fault_.clear();
     std::vector<NodeId> draining;
     for (auto &[id, n] : copy_.table().nodes)
-        if (n.state == NodeState::draining) draining.push_back(id);
-    send(facts::edge_hello(edge_, listen_, copy_.term(), copy_.instance(), copy_.lineage(), copy_.version(), draining,
-                           {used_.begin(), used_.end()}));
+        if (n.state == NodeState::draining)
+            draining.push_back(id);
+    send(facts::edge_hello(edge_, listen_, copy_.term(), copy_.instance(), copy_.lineage(),
+                           copy_.version(), draining, {used_.begin(), used_.end()}));
     for (auto &[id, r] : reach_)
-        if (r.unreached) send(facts::witness(id, false));
+        if (r.unreached)
+            send(facts::witness(id, false));
     send_renewal();
 }
 void Subscription::down(Time now) {
@@ -101,15 +114,18 @@
     line_.planner_lost();
 }
 void Subscription::send(std::string bytes) {
-    if (up_) line_.send_planner(std::move(bytes));
+    if (up_)
+        line_.send_planner(std::move(bytes));
 }
 void Subscription::send_renewal() {
     // What the planner seems not to have heard is said again, both ways.
     auto &parts = copy_.table().parts;
     for (auto v : used_)
-        if (!parts.contains(v)) send(facts::serve(v, true));
+        if (!parts.contains(v))
+            send(facts::serve(v, true));
     for (auto &[v, p] : parts)
-        if (!used_.contains(v)) send(facts::serve(v, false));
+        if (!used_.contains(v))
+            send(facts::serve(v, false));
     send(facts::renew(now_, copy_.term(), copy_.version()));
     renew_at_ = now_ + renew_every_;
 }
@@ -122,20 +138,25 @@
 void Subscription::read_some() {
     // Guards against a whole list that comes at once: clients would wait for all of it to be read.
     auto some = std::string_view(unread_).substr(read_, slice);
-    if (some.empty()) return;
+    if (some.empty())
+        return;
     read_ += some.size();
     auto fault = reader_.bytes(some, *this);
-    if (read_ == unread_.size()) unread_.clear(), read_ = 0;
-    if (fault.empty()) fault = fault_;
-    if (!fault.empty() && up_) leave(fault);
+    if (read_ == unread_.size())
+        unread_.clear(), read_ = 0;
+    if (fault.empty())
+        fault = fault_;
+    if (!fault.empty() && up_)
+        leave(fault);
 }
 void Subscription::unexpected(const char *what) {
-    if (fault_.empty()) fault_ = std::string(what) + " is not expected from a planner";
+    if (fault_.empty())
+        fault_ = std::string(what) + " is not expected from a planner";
 }
 
 // ---- News.
-void Subscription::begins(facts::Term term, std::uint64_t instance, std::uint64_t lineage, facts::Version version,
-                          facts::Version from, Time planner_now) {
+void Subscription::begins(facts::Term term, std::uint64_t instance, std::uint64_t lineage,
+                          facts::Version version, facts::Version from, Time planner_now) {
     raw_ = facts::begins(term, instance, lineage, version, from, planner_now);
     planner_now_ = planner_now;
     copy_.begins(term, instance, lineage, version, from);
@@ -144,17 +165,21 @@
     raw_ += facts::ends(version, count);
     auto how = copy_.ends(version, count);
     auto raw = std::exchange(raw_, {});
-    if (from_disk_) return;
+    if (from_disk_)
+        return;
     switch (how) {
-    case facts::Taken::old: break;
+    case facts::Taken::old:
+        break;
     case facts::Taken::alien:
         send(facts::superseded(copy_.term()));
         if (fault_.empty())
-            fault_ = "it plans with an older term, or twice under one; term " + std::to_string(copy_.term().value) +
-                     " is followed";
+            fault_ = "it plans with an older term, or twice under one; term " +
+                     std::to_string(copy_.term().value) + " is followed";
         return;
     case facts::Taken::gap:
-    case facts::Taken::broken: send(facts::ask()); return;
+    case facts::Taken::broken:
+        send(facts::ask());
+        return;
     case facts::Taken::whole:
         on_disk_ = raw.size();
         line_.keep_plan(std::move(raw), true);
@@ -163,7 +188,8 @@
     case facts::Taken::changes:
         on_disk_ += raw.size();
         line_.keep_plan(std::move(raw), false);
-        if (on_disk_ >= most_on_disk) send(facts::ask()), on_disk_ = 0;
+        if (on_disk_ >= most_on_disk)
+            send(facts::ask()), on_disk_ = 0;
         taken(copy_.nodes_changed(), copy_.plans_changed());
         break;
     }
@@ -172,10 +198,12 @@
 void Subscription::taken(bool nodes, bool plans) {
     std::map<NodeId, Time> started;
     for (auto &[id, n] : copy_.table().nodes) {
-        // One life of a node keeps the start that was first worked out here: told again it would differ by what
-        // the message took. Late news makes a node younger, and so colder, never warmer.
+        // One life of a node keeps the start that was first worked out here: told again it would
+        // differ by what the message took. Late news makes a node younger, and so colder, never
+        // warmer.
         auto [it, is_new] = started_.try_emplace(id, n.life, 0);
-        if (is_new || it->second.first != n.life) it->second = {n.life, now_ - (planner_now_ - n.started)};
+        if (is_new || it->second.first != n.life)
+            it->second = {n.life, now_ - (planner_now_ - n.started)};
         started[id] = it->second.second;
     }
     std::erase_if(started_, [&](auto &s) { return !copy_.table().nodes.contains(s.first); });
@@ -187,11 +215,14 @@
 
 // ---- Rights.
 void Subscription::renewed(Time at, facts::Term term, Time lease, Time fade, facts::Version least) {
-    // Of a version that this edge does not go by yet, it would prolong parts that have been lowered since.
-    if (from_disk_ || term != copy_.term() || copy_.version() < least) return;
+    // Of a version that this edge does not go by yet, it would prolong parts that have been lowered
+    // since.
+    if (from_disk_ || term != copy_.term() || copy_.version() < least)
+        return;
     // From when it was asked for, by this clock: the planner counts from later on.
     lease_until_ = std::max(lease_until_, at + lease), fade_ = fade;
-    if (std::exchange(stage_, stage()) != stage()) tell_parts();
+    if (std::exchange(stage_, stage()) != stage())
+        tell_parts();
 }
 void Subscription::tell_parts() {
     for (auto v : used_) {
@@ -199,7 +230,8 @@
         auto millionths = it == copy_.table().parts.end() ? 0 : it->second.millionths;
         auto now_usable = facts::usable(millionths, past_lease(now_), fade_);
         auto [told, is_new] = told_.try_emplace(v, now_usable);
-        if (!is_new && std::exchange(told->second, now_usable) == now_usable) continue;
+        if (!is_new && std::exchange(told->second, now_usable) == now_usable)
+            continue;
         line_.part_told(v, now_usable == 0 ? std::numeric_limits<double>::infinity()
                                            : static_cast<double>(facts::whole_limit) / now_usable);
     }
@@ -210,7 +242,8 @@
         used_.insert(volume);
         tell_parts();
     } else {
-        // Nothing may come in meanwhile: the part may be another's when the next client of the volume comes.
+        // Nothing may come in meanwhile: the part may be another's when the next client of the
+        // volume comes.
         used_.erase(volume), told_.erase(volume);
         line_.part_told(volume, std::numeric_limits<double>::infinity());
     }
@@ -225,17 +258,21 @@
     bool lost = how == Outcome::unreachable || how == Outcome::reset || how == Outcome::timed_out;
     if (met) {
         r.failures = 0, r.met = now;
-        if (std::exchange(r.unreached, false)) send(facts::witness(node, true));
+        if (std::exchange(r.unreached, false))
+            send(facts::witness(node, true));
     } else if (lost) {
-        if (r.failures++ == 0) r.first = now;
-        if (r.failures >= failures_enough && now - r.first >= failing_for && !std::exchange(r.unreached, true))
+        if (r.failures++ == 0)
+            r.first = now;
+        if (r.failures >= failures_enough && now - r.first >= failing_for &&
+            !std::exchange(r.unreached, true))
             send(facts::witness(node, false));
     }
 }
 
 void Subscription::witness_asked(NodeId node) {
     auto it = reach_.find(node);
-    if (it == reach_.end()) return;
+    if (it == reach_.end())
+        return;
     if (it->second.unreached)
         send(facts::witness(node, false));
     else if (now_ - it->second.met <= vouch_for)
@@ -246,23 +283,34 @@
 Time Subscription::next_due() const {
     Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_) : redial_.due();
     // The right runs out at a moment of its own, told before anything is done in it.
-    if (stage_ < 2) due = std::min(due, lease_until_ + (stage_ == 0 ? 0 : fade_) + 1);
-    if (clearing_ || read_ < unread_.size()) due = std::min(due, now_);
+    if (stage_ < 2)
+        due = std::min(due, lease_until_ + (stage_ == 0 ? 0 : fade_) + 1);
+    if (clearing_ || read_ < unread_.size())
+        due = std::min(due, now_);
     return due;
 }
 void Subscription::tick(Time now) {
     now_ = now;
-    if (up_) read_some();
+    if (up_)
+        read_some();
     if (auto is = stage(); std::exchange(stage_, is) != is) {
-        line_.say(is == 1 ? "planner: no word for a lease; parts of limits fall to a piece, all else as last told"
-                          : "planner: no word for long; no part of any limit is used, all else as last told");
+        line_.say(
+            is == 1
+                ? "planner: no word for a lease; parts of limits fall to a piece, all else as last "
+                  "told"
+                : "planner: no word for long; no part of any limit is used, all else as last told");
         tell_parts();
     }
-    if (clearing_) clearing_ = copy_.clear_away();
-    if (up_ && now - heard_ >= silent_renewals * renew_every_) return leave("it has answered nothing for long");
-    if (up_ && now >= renew_at_) send_renewal();
-    if (up_ || now < redial_.due()) return;
-    if (redial_.trying()) line_.hang_up();
+    if (clearing_)
+        clearing_ = copy_.clear_away();
+    if (up_ && now - heard_ >= silent_renewals * renew_every_)
+        return leave("it has answered nothing for long");
+    if (up_ && now >= renew_at_)
+        send_renewal();
+    if (up_ || now < redial_.due())
+        return;
+    if (redial_.trying())
+        line_.hang_up();
     redial_.trying(now, dial_time);
     line_.dial();
 }
--- a/src/edge/subscription.hpp
+++ b/src/edge/subscription.hpp
@@ -1,11 +1,13 @@
-// The edge's word with the planner, without I/O: news taken whole or not at all, rights to parts of limits that
-// run out, what is told to whom by how old the news is. The edge never waits for any of it.
+// The edge's word with the planner, without I/O: news taken whole or not at all, rights to parts of
+// limits that run out, what is told to whom by how old the news is. The edge never waits for any of
+// it.
 //
 // What an edge does by how old its word from the planner is:
 //   within the lease      all that the plan says
-//   past it               volumes, weights and nodes as last told, drains among them; a quarter of each limit's part
-//   past lease and fade   the same, and no part of any limit: its tasks wait and are denied
-//   started from the disk the same; a plan older than `trust`, or from the future, is not used at all
+//   past it               volumes, weights and nodes as last told, drains among them; a quarter of
+//   each limit's part past lease and fade   the same, and no part of any limit: its tasks wait and
+//   are denied started from the disk the same; a plan older than `trust`, or from the future, is
+//   not used at all
 // It never ends a drain, takes up a node or gives itself a part that it was not told of.
 #pragma once
 
@@ -25,7 +27,7 @@
 
 // What the subscription asks of its shell.
 class Line {
-  public:
+public:
     virtual ~Line() = default;
     virtual void dial() = 0;
     virtual void hang_up() = 0;
@@ -45,11 +47,14 @@
 };
 
 class Subscription final : facts::Heard {
-  public:
-    // `renew_every`: a third of the planner's lease or less. `trust`: how old a plan from the disk may be.
-    Subscription(Line &line, facts::EdgeId edge, std::string listen, std::uint64_t seed, Time renew_every, Time trust);
+public:
+    // `renew_every`: a third of the planner's lease or less. `trust`: how old a plan from the disk
+    // may be.
+    Subscription(Line &line, facts::EdgeId edge, std::string listen, std::uint64_t seed,
+                 Time renew_every, Time trust);
 
-    // `disk`: what keep_plan kept, or nothing. Calls plan_taken where it holds a plan that may be used.
+    // `disk`: what keep_plan kept, or nothing. Calls plan_taken where it holds a plan that may be
+    // used.
     void start(Time now, std::string_view disk);
     void up(Time now);
     // The connection failed or went.
@@ -58,10 +63,13 @@
     void volume_used(Time now, VolumeId volume, bool on);
     void shot_ended(Time now, NodeId node, Outcome how);
     // A step of a cut, told on.
-    void cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife life) { send(facts::tell_cut(as, step, 0, life)); }
+    void cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife life) {
+        send(facts::tell_cut(as, step, 0, life));
+    }
 
     Time next_due() const;
-    // Call before the decisions go on: a right that ran out while the edge stood still must not be used.
+    // Call before the decisions go on: a right that ran out while the edge stood still must not be
+    // used.
     void tick(Time now);
 
     const facts::Copy &copy() const { return copy_; }
@@ -69,7 +77,7 @@
     // How long the right to parts has run out, at most 0 while it holds.
     Time past_lease(Time now) const { return now - lease_until_; }
 
-  private:
+private:
     static constexpr Time never = std::numeric_limits<Time>::max();
     struct Reach {
         std::uint32_t failures = 0;
@@ -77,11 +85,17 @@
         bool unreached = false;
     };
 
-    void begins(facts::Term term, std::uint64_t instance, std::uint64_t lineage, facts::Version version,
-                facts::Version from, Time now) override;
-    void node(NodeId id, facts::Node n) override { note(facts::put(id, n)), copy_.put(id, std::move(n)); }
-    void plan(PlanId id, facts::Plan p) override { note(facts::put(id, p)), copy_.put(id, std::move(p)); }
-    void volume(VolumeId id, facts::Volume v) override { note(facts::put(id, v)), copy_.put(id, std::move(v)); }
+    void begins(facts::Term term, std::uint64_t instance, std::uint64_t lineage,
+                facts::Version version, facts::Version from, Time now) override;
+    void node(NodeId id, facts::Node n) override {
+        note(facts::put(id, n)), copy_.put(id, std::move(n));
+    }
+    void plan(PlanId id, facts::Plan p) override {
+        note(facts::put(id, p)), copy_.put(id, std::move(p));
+    }
+    void volume(VolumeId id, facts::Volume v) override {
+        note(facts::put(id, v)), copy_.put(id, std::move(v));
+    }
     void part(VolumeId id, facts::Part p) override { note(facts::put(id, p)), copy_.put(id, p); }
     void no_node(NodeId id) override { note(facts::drop(id)), copy_.drop(id); }
     void no_plan(PlanId id) override { note(facts::drop(id)), copy_.drop(id); }
@@ -91,13 +105,16 @@
     void renewed(Time at, facts::Term term, Time lease, Time fade, facts::Version least) override;
     void witness_asked(NodeId node) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override {
-        if (!from_disk_) line_.cut_hold(of, as, epoch, longest);
+        if (!from_disk_)
+            line_.cut_hold(of, as, epoch, longest);
     }
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override {
-        if (!from_disk_) line_.cut_go(of, as, epoch);
+        if (!from_disk_)
+            line_.cut_go(of, as, epoch);
     }
     void cut_release(VolumeId of, VolumeId as) override {
-        if (!from_disk_) line_.cut_release(of, as);
+        if (!from_disk_)
+            line_.cut_release(of, as);
     }
     void unexpected(const char *what) override;
 
@@ -128,7 +145,8 @@
     std::set<VolumeId> used_;
     std::map<VolumeId, std::uint32_t> told_; // millionths that the decisions were told
     std::map<NodeId, Reach> reach_;
-    std::map<NodeId, std::pair<std::uint64_t, Time>> started_; // a node's life, and when by our clock it began
+    std::map<NodeId, std::pair<std::uint64_t, Time>>
+        started_; // a node's life, and when by our clock it began
 };
 
 } // namespace knotvane::edge
--- a/src/facts/table.cpp
+++ b/src/facts/table.cpp
@@ -5,14 +5,16 @@
 namespace knotvane::facts {
 namespace {
 
-// A quarter: enough that a volume whose edge lost its planner is served on, little enough that those which
-// follow can take up nearly all of the rest.
+// A quarter: enough that a volume whose edge lost its planner is served on, little enough that
+// those which follow can take up nearly all of the rest.
 constexpr std::uint32_t faded_part = 4;
 // Entries taken down at once: a tenth of a millisecond's work.
 constexpr std::size_t piece = 512;
 
-template <class Map> bool clear_piece(Map &map) {
-    for (std::size_t i = 0; i < piece && !map.empty(); ++i) map.erase(map.begin());
+template <class Map>
+bool clear_piece(Map &map) {
+    for (std::size_t i = 0; i < piece && !map.empty(); ++i)
+        map.erase(map.begin());
     return !map.empty();
 }
 
@@ -25,21 +27,26 @@
 void Table::put(VolumeId id, Volume v) {
     auto &to = volumes[id];
     if (to.name != v.name) {
-        if (auto it = names.find(to.name); it != names.end() && it->second == id) names.erase(it);
+        if (auto it = names.find(to.name); it != names.end() && it->second == id)
+            names.erase(it);
         names[v.name] = id;
     }
     to = std::move(v);
 }
 void Table::drop_volume(VolumeId id) {
     auto it = volumes.find(id);
-    if (it == volumes.end()) return;
-    if (auto n = names.find(it->second.name); n != names.end() && n->second == id) names.erase(n);
+    if (it == volumes.end())
+        return;
+    if (auto n = names.find(it->second.name); n != names.end() && n->second == id)
+        names.erase(n);
     volumes.erase(it);
 }
 
-void Copy::begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version, Version from) {
+void Copy::begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
+                  Version from) {
     // What was begun and not ended is dropped: its end was lost, or never sent.
-    if (!fresh_.volumes.empty() || !fresh_.nodes.empty()) past_.push_back(std::exchange(fresh_, {}));
+    if (!fresh_.volumes.empty() || !fresh_.nodes.empty())
+        past_.push_back(std::exchange(fresh_, {}));
     changes_.clear();
     next_term_ = term, next_instance_ = instance, next_lineage_ = lineage;
     next_version_ = version, from_ = from, told_ = 0;
@@ -47,14 +54,20 @@
 }
 
 Taken Copy::ends(Version version, std::uint64_t count) {
-    if (!std::exchange(open_, false)) return Taken::broken;
-    if (version != next_version_ || count != told_) return Taken::broken;
-    if (next_term_ < term_ || (next_term_ == term_ && next_instance_ != instance_)) return Taken::alien;
+    if (!std::exchange(open_, false))
+        return Taken::broken;
+    if (version != next_version_ || count != told_)
+        return Taken::broken;
+    if (next_term_ < term_ || (next_term_ == term_ && next_instance_ != instance_))
+        return Taken::alien;
     bool known = term_ != Term{0} && next_lineage_ == lineage_;
     // Versions go on counting from one term to the next; only another store's begin anew.
-    if (known && next_version_ < version_) return Taken::old;
-    if (known && next_term_ == term_ && next_version_ == version_) return Taken::old;
-    if (!whole_ && (!known || from_ != version_)) return Taken::gap;
+    if (known && next_version_ < version_)
+        return Taken::old;
+    if (known && next_term_ == term_ && next_version_ == version_)
+        return Taken::old;
+    if (!whole_ && (!known || from_ != version_))
+        return Taken::gap;
     if (whole_) {
         nodes_changed_ = fresh_.nodes != now_.nodes;
         plans_changed_ = fresh_.plans != now_.plans;
@@ -62,18 +75,22 @@
     } else {
         auto nodes = now_.nodes;
         auto plans = now_.plans;
-        for (auto &c : changes_) c(now_);
+        for (auto &c : changes_)
+            c(now_);
         nodes_changed_ = nodes != now_.nodes, plans_changed_ = plans != now_.plans;
         changes_.clear();
     }
-    term_ = next_term_, instance_ = next_instance_, lineage_ = next_lineage_, version_ = next_version_;
+    term_ = next_term_, instance_ = next_instance_, lineage_ = next_lineage_,
+    version_ = next_version_;
     return whole_ ? Taken::whole : Taken::changes;
 }
 
 bool Copy::clear_away() {
-    if (past_.empty()) return false;
+    if (past_.empty())
+        return false;
     auto &t = past_.back();
-    if (!clear_piece(t.volumes) && !clear_piece(t.names) && !clear_piece(t.parts)) past_.pop_back();
+    if (!clear_piece(t.volumes) && !clear_piece(t.names) && !clear_piece(t.parts))
+        past_.pop_back();
     return !past_.empty();
 }
 
--- a/src/facts/table.hpp
+++ b/src/facts/table.hpp
@@ -1,5 +1,5 @@
-// What is known of the fleet: one value with a version, and an edge's copy of it, which takes news whole or not at
-// all. No I/O.
+// What is known of the fleet: one value with a version, and an edge's copy of it, which takes news
+// whole or not at all. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,8 @@
 using Term = Id<struct TermKind, std::uint64_t>;
 using Version = Id<struct VersionKind, std::uint64_t>;
 
-// Limits are parted in millionths, whole numbers, so that what is handed out adds up without rounding.
+// Limits are parted in millionths, whole numbers, so that what is handed out adds up without
+// rounding.
 inline constexpr std::uint32_t whole_limit = 1'000'000;
 
 struct Node {
@@ -29,7 +30,7 @@
     ShardId shard;
     ZoneId zone;
     NodeState state = NodeState::gone;
-    Time started = 0; // by the planner's clock
+    Time started = 0;       // by the planner's clock
     std::uint64_t life = 0; // of its process
     bool operator==(const Node &) const = default;
 };
@@ -43,8 +44,8 @@
     std::uint64_t size = 0;
     std::uint32_t least = 512; // bytes that requests are aligned to
     PlanId plan;
-    // Of a snapshot or a clone: where its bytes lie, whose share its tasks are of, what it was taken from; 0: itself,
-    // nothing. `epoch`: goes up with every snapshot of it.
+    // Of a snapshot or a clone: where its bytes lie, whose share its tasks are of, what it was
+    // taken from; 0: itself, nothing. `epoch`: goes up with every snapshot of it.
     VolumeId place{}, charge{}, of{};
     std::uint32_t epoch = 0;
     bool frozen = false;
@@ -55,9 +56,18 @@
     VolumeId charged_to(VolumeId self) const { return charge.value ? charge : self; }
     bool is_cut() const { return of.value != 0; }
 };
-// How far a cut has come: at an edge, which holds back new changes, goes by the new epoch, has ended all of the old
-// one, or stopped waiting; and at a node.
-enum class CutStep : std::uint8_t { ready, moved, drained, lapsed, opened, sealed, dropped, cloned };
+// How far a cut has come: at an edge, which holds back new changes, goes by the new epoch, has
+// ended all of the old one, or stopped waiting; and at a node.
+enum class CutStep : std::uint8_t {
+    ready,
+    moved,
+    drained,
+    lapsed,
+    opened,
+    sealed,
+    dropped,
+    cloned
+};
 // One edge's part of a volume's limit, and how many edges serve the volume.
 struct Part {
     std::uint32_t millionths = 0, hosts = 0;
@@ -82,30 +92,42 @@
     void drop_part(VolumeId id) { parts.erase(id); }
 };
 
-// How news was taken: `old` and `alien` change nothing; after a `gap` or `broken` the whole has to be asked for.
-// Alien is news of a planner that is not the one followed: an older life, or a second one under the same term.
+// How news was taken: `old` and `alien` change nothing; after a `gap` or `broken` the whole has to
+// be asked for. Alien is news of a planner that is not the one followed: an older life, or a second
+// one under the same term.
 enum class Taken { whole, changes, old, alien, gap, broken };
 
 class Copy {
-  public:
-    // News of a planner's life: `instance` tells two by mistake under one term apart. `from`: the version that
-    // these are changes to; 0 where they are the whole. `lineage`: of the planner's store; versions of another
-    // can't be compared.
-    void begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version, Version from);
-    template <class IdOf, class Fact> void put(IdOf id, Fact fact) {
-        if (!open_) return;
+public:
+    // News of a planner's life: `instance` tells two by mistake under one term apart. `from`: the
+    // version that these are changes to; 0 where they are the whole. `lineage`: of the planner's
+    // store; versions of another can't be compared.
+    void begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
+                Version from);
+    template <class IdOf, class Fact>
+    void put(IdOf id, Fact fact) {
+        if (!open_)
+            return;
         ++told_;
         if (whole_)
             fresh_.put(id, std::move(fact));
         else
             changes_.push_back([id, f = std::move(fact)](Table &t) { t.put(id, f); });
     }
-    void drop(NodeId id) { change([id](Table &t) { t.drop(id); }); }
-    void drop(PlanId id) { change([id](Table &t) { t.drop(id); }); }
-    void drop_volume(VolumeId id) { change([id](Table &t) { t.drop_volume(id); }); }
-    void drop_part(VolumeId id) { change([id](Table &t) { t.drop_part(id); }); }
-    // The news is complete: `count` entries were told. A whole list is taken in the time of a few changes,
-    // however long it is.
+    void drop(NodeId id) {
+        change([id](Table &t) { t.drop(id); });
+    }
+    void drop(PlanId id) {
+        change([id](Table &t) { t.drop(id); });
+    }
+    void drop_volume(VolumeId id) {
+        change([id](Table &t) { t.drop_volume(id); });
+    }
+    void drop_part(VolumeId id) {
+        change([id](Table &t) { t.drop_part(id); });
+    }
+    // The news is complete: `count` entries were told. A whole list is taken in the time of a few
+    // changes, however long it is.
     Taken ends(Version version, std::uint64_t count);
 
     const Table &table() const { return now_; }
@@ -119,10 +141,11 @@
     // Takes down a piece of what was replaced; false once nothing is left.
     bool clear_away();
 
-  private:
+private:
     using Change = std::function<void(Table &)>;
     void change(Change c) {
-        if (!open_) return;
+        if (!open_)
+            return;
         ++told_;
         changes_.push_back(std::move(c));
     }
@@ -135,8 +158,9 @@
     bool open_ = false, whole_ = false, nodes_changed_ = false, plans_changed_ = false;
 };
 
-// The millionths of a part that may be used by how long ago the right to it ran out: all before that, a quarter
-// for `fade`, then none. The same at the edge, which uses it, and at the planner, which parts out the rest.
+// The millionths of a part that may be used by how long ago the right to it ran out: all before
+// that, a quarter for `fade`, then none. The same at the edge, which uses it, and at the planner,
+// which parts out the rest.
 std::uint32_t usable(std::uint32_t millionths, Time past_lease, Time fade);
 
 } // namespace knotvane::facts
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -45,7 +45,8 @@
 
 Process::Process(const std::string &program, const std::vector<std::string> &arguments) {
     std::vector<char *> argv{const_cast<char *>(program.c_str())};
-    for (auto &a : arguments) argv.push_back(const_cast<char *>(a.c_str()));
+    for (auto &a : arguments)
+        argv.push_back(const_cast<char *>(a.c_str()));
     argv.push_back(nullptr);
     // What is blocked here for a thread that waits for signals must reach the program.
     posix_spawnattr_t attributes;
@@ -56,15 +57,19 @@
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
     int failed = posix_spawn(&pid_, program.c_str(), nullptr, &attributes, argv.data(), environ);
     posix_spawnattr_destroy(&attributes);
-    if (failed != 0) throw std::runtime_error(program + ": can't be started: " + std::strerror(failed));
+    if (failed != 0)
+        throw std::runtime_error(program + ": can't be started: " + std::strerror(failed));
 }
 Process::~Process() {
-    if (ended() >= 0) return;
+    if (ended() >= 0)
+        return;
     ::kill(pid_, SIGKILL);
     int status = 0;
     ::waitpid(pid_, &status, 0);
 }
-void Process::signal(int number) const { ::kill(pid_, number); }
+void Process::signal(int number) const {
+    ::kill(pid_, number);
+}
 int Process::ended() {
     int status = 0;
     if (code_ < 0 && ::waitpid(pid_, &status, WNOHANG) == pid_)
@@ -81,15 +86,19 @@
             auto kind = line.substr(1, line.find_first_of(" ]") - 1);
             take = std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
         }
-        if (take) out += line + "\n";
+        if (take)
+            out += line + "\n";
     }
     return out;
 }
 
-std::string edge_settings(std::uint64_t id, std::uint64_t edges, const std::string &listen, const std::string &list,
-                          std::uint64_t shards, const std::string &scheduling, const std::string &planner) {
-    return "[edge]\nid = " + std::to_string(id) + "\nedges = " + std::to_string(edges) + "\nlisten = " + listen +
-           (planner.empty() ? "\nnodes = " + list : "\nplanner = " + planner + "\nplan_file = " + list) +
+std::string edge_settings(std::uint64_t id, std::uint64_t edges, const std::string &listen,
+                          const std::string &list, std::uint64_t shards,
+                          const std::string &scheduling, const std::string &planner) {
+    return "[edge]\nid = " + std::to_string(id) + "\nedges = " + std::to_string(edges) +
+           "\nlisten = " + listen +
+           (planner.empty() ? "\nnodes = " + list
+                            : "\nplanner = " + planner + "\nplan_file = " + list) +
            "\n\n[layout]\nextent = 256KiB\nspan = 64KiB\nunit = 64KiB\nshards = " +
            std::to_string(shards) + "\n\n" + scheduling;
 }
@@ -156,29 +165,37 @@
 longest_wait = 2s
 )";
 }
-std::string default_service() { return "[speed]\nunit_time = 0ms\n"; }
+std::string default_service() {
+    return "[speed]\nunit_time = 0ms\n";
+}
 
-std::string node_settings(std::uint64_t id, std::uint64_t shard, const std::string &listen, const std::string &store,
-                          const std::string &service, Time age, const std::string &planner, bool sync) {
-    return "[node]\nid = " + std::to_string(id) + "\nshard = " + std::to_string(shard) + "\nlisten = " + listen +
-           "\nstore = " + store + (sync ? "\nsync = yes" : "\nsync = no") + "\nage = " +
-           std::to_string(age / ms) + "ms\n" + (planner.empty() ? "" : "planner = " + planner + "\n") + "\n" + service;
+std::string node_settings(std::uint64_t id, std::uint64_t shard, const std::string &listen,
+                          const std::string &store, const std::string &service, Time age,
+                          const std::string &planner, bool sync) {
+    return "[node]\nid = " + std::to_string(id) + "\nshard = " + std::to_string(shard) +
+           "\nlisten = " + listen + "\nstore = " + store + (sync ? "\nsync = yes" : "\nsync = no") +
+           "\nage = " + std::to_string(age / ms) + "ms\n" +
+           (planner.empty() ? "" : "planner = " + planner + "\n") + "\n" + service;
 }
 
 namespace {
 void must_be_good(settings::File &file) {
     std::string all;
-    for (auto &f : file.faults()) all += (all.empty() ? "" : "\n") + f;
-    if (!all.empty()) throw std::runtime_error(all);
+    for (auto &f : file.faults())
+        all += (all.empty() ? "" : "\n") + f;
+    if (!all.empty())
+        throw std::runtime_error(all);
 }
 } // namespace
 
-Fleet::Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t ports, std::string scheduling,
-             std::string service, MakeScheduler make, bool planner, bool sync)
-    : dir_(std::move(dir)), scheduling_(std::move(scheduling)), service_(std::move(service)), ports_(ports), sync_(sync),
-      make_(std::move(make)) {
+Fleet::Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t ports,
+             std::string scheduling, std::string service, MakeScheduler make, bool planner,
+             bool sync)
+    : dir_(std::move(dir)), scheduling_(std::move(scheduling)), service_(std::move(service)),
+      ports_(ports), sync_(sync), make_(std::move(make)) {
     address_for = [](std::size_t, NodeId, const std::string &address) { return address; };
-    if (planner) plan(nodes);
+    if (planner)
+        plan(nodes);
     for (std::uint64_t i = 0; i < nodes; ++i) {
         auto host = std::make_unique<NodeHost>();
         host->shard = ShardId{static_cast<std::int32_t>(i)};
@@ -187,18 +204,22 @@
         start_node(*host, NodeId{++next_node_}, 3600 * sec);
         nodes_.push_back(std::move(host));
     }
-    for (std::uint64_t i = 0; i < edges; ++i) edges_.push_back(std::make_unique<EdgeHost>());
+    for (std::uint64_t i = 0; i < edges; ++i)
+        edges_.push_back(std::make_unique<EdgeHost>());
 }
 Fleet::~Fleet() {
-    for (std::size_t i = 0; i < edges_.size(); ++i) stop_edge(i);
-    for (auto &n : nodes_) n->worker->run([&] { n->server.reset(); });
+    for (std::size_t i = 0; i < edges_.size(); ++i)
+        stop_edge(i);
+    for (auto &n : nodes_)
+        n->worker->run([&] { n->server.reset(); });
 }
 
 void Fleet::start_node(NodeHost &host, NodeId id, Time age) {
     host.worker->run([&] {
         host.server.reset();
-        auto text = node_settings(id.value, static_cast<std::uint64_t>(host.shard.value), "127.0.0.1:0", host.store,
-                                  service_, age, planner_address_, sync_);
+        auto text =
+            node_settings(id.value, static_cast<std::uint64_t>(host.shard.value), "127.0.0.1:0",
+                          host.store, service_, age, planner_address_, sync_);
         settings::File first("embedded node settings", text), again("embedded node settings", text);
         node::check(first);
         must_be_good(first);
@@ -206,46 +227,58 @@
         host.address = host.server->address();
     });
     host.id = id;
-    list_.nodes.push_back({id, host.address, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age});
+    list_.nodes.push_back(
+        {id, host.address, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age});
 }
 
-std::string Fleet::list_path(std::size_t edge) const { return dir_ + "/nodes-" + std::to_string(edge) + ".ini"; }
+std::string Fleet::list_path(std::size_t edge) const {
+    return dir_ + "/nodes-" + std::to_string(edge) + ".ini";
+}
 
 // ---- The planner.
 void Fleet::plan(std::uint64_t nodes) {
     // What it tells, and what the edges' own settings keep.
     settings::File file("embedded settings", scheduling_);
     std::map<std::string, PlanId> plans;
-    settings::read_plans(file, [&](const std::string &name, double weight, double usual, double reserve, double price,
-                                   double rate, double burst) {
+    settings::read_plans(file, [&](const std::string &name, double weight, double usual,
+                                   double reserve, double price, double rate, double burst) {
         wanted_.plans[name] = {name, weight, usual, reserve, price, rate, burst};
         plans[name] = {};
     });
     settings::read_volumes(file, plans,
-                           [&](VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
-                               const std::string &plan, int line) {
+                           [&](VolumeId id, const std::string &name, std::uint64_t size,
+                               std::uint32_t least, const std::string &plan, int line) {
                                wanted_.volumes[id] = {{name, size, least, {}}, plan, line};
                            });
     scheduling_ = sections(scheduling_, {"workload", "shots", "units", "nodes", "door"});
     for (std::uint64_t i = 0; i < nodes; ++i)
-        wanted_.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "", 0};
+        wanted_.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
+                                        0};
     // A port that is free now, the same for all the planner's lives.
     Worker worker;
-    worker.run([&] { planner_address_ = loop::Listener(worker.loop(), "127.0.0.1:0", [](auto) {}).address(); });
-    std::ofstream(dir_ + "/planner.ini") << "[planner]\nlisten = " << planner_address_ << "\nstore = " << dir_
-                                         << "/planner.store\nfleet = " << dir_
-                                         << "/fleet.ini\n\n[times]\ndrain_time = 300ms\n";
+    worker.run([&] {
+        planner_address_ = loop::Listener(worker.loop(), "127.0.0.1:0", [](auto) {}).address();
+    });
+    std::ofstream(dir_ + "/planner.ini")
+        << "[planner]\nlisten = " << planner_address_ << "\nstore = " << dir_
+        << "/planner.store\nfleet = " << dir_ << "/fleet.ini\n\n[times]\ndrain_time = 300ms\n";
     change_settings([](planner::Wanted &) {});
     start_planner(true);
 }
 void Fleet::start_planner(bool first) {
-    auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / "knotvane-planner";
+    auto beside =
+        std::filesystem::read_symlink("/proc/self/exe").parent_path() / "knotvane-planner";
     std::vector<std::string> arguments{"--config", dir_ + "/planner.ini", "--log", "error"};
-    if (first) arguments.push_back("--new");
+    if (first)
+        arguments.push_back("--new");
     planner_ = std::make_unique<Process>(beside.string(), arguments);
 }
-void Fleet::kill_planner() { planner_.reset(); }
-void Fleet::pause_planner(bool on) const { planner_->signal(on ? SIGSTOP : SIGCONT); }
+void Fleet::kill_planner() {
+    planner_.reset();
+}
+void Fleet::pause_planner(bool on) const {
+    planner_->signal(on ? SIGSTOP : SIGCONT);
+}
 bool Fleet::drain(NodeId node, bool on) const {
     bool allowed = false, done = false;
     try {
@@ -260,18 +293,21 @@
     call(wanted_);
     auto path = dir_ + "/fleet.ini", beside = path + ".new";
     std::ofstream(beside) << planner::write_fleet(wanted_);
-    if (std::rename(beside.c_str(), path.c_str()) != 0) throw std::runtime_error(path + ": can't be written");
+    if (std::rename(beside.c_str(), path.c_str()) != 0)
+        throw std::runtime_error(path + ": can't be written");
 }
 
 void Fleet::start() {
-    if (planner_address_.empty()) tell_all();
+    if (planner_address_.empty())
+        tell_all();
     for (std::size_t i = 0; i < edges_.size(); ++i) {
         auto &host = *edges_[i];
         auto listen = "127.0.0.1:" + std::to_string(ports_ == 0 ? 0 : ports_ + i);
-        auto text =
-            edge_settings(i, edges_.size(), listen, list_path(i), nodes_.size(), scheduling_, planner_address_);
+        auto text = edge_settings(i, edges_.size(), listen, list_path(i), nodes_.size(),
+                                  scheduling_, planner_address_);
         host.worker->run([&] {
-            settings::File first("embedded edge settings", text), again("embedded edge settings", text);
+            settings::File first("embedded edge settings", text),
+                again("embedded edge settings", text);
             edge::check(first);
             must_be_good(first);
             host.server = std::make_unique<edge::Server>(host.worker->loop(), again, make_);
@@ -281,11 +317,13 @@
             };
             if (!planner_address_.empty())
                 host.server->on_list = [this, i](const edge::NodeList &list) {
-                    if (on_told) on_told(i, list);
+                    if (on_told)
+                        on_told(i, list);
                 };
         });
     }
-    if (planner_address_.empty()) return;
+    if (planner_address_.empty())
+        return;
     // All that the planner will say is said once every edge knows every node.
     for (Time until = loop::now() + 20 * sec; loop::now() < until;) {
         std::size_t know = 0;
@@ -294,47 +332,58 @@
                 auto &copy = s.subscription()->copy();
                 know += copy.table().nodes.size() == nodes_.size();
             });
-        if (know == edges_.size()) return;
-        if (planner_->ended() >= 0) break;
+        if (know == edges_.size())
+            return;
+        if (planner_->ended() >= 0)
+            break;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    throw std::runtime_error("the planner tells the edges of no nodes" +
-                             (planner_->ended() >= 0 ? ": it ended with " + std::to_string(planner_->ended()) : ""));
+    throw std::runtime_error(
+        "the planner tells the edges of no nodes" +
+        (planner_->ended() >= 0 ? ": it ended with " + std::to_string(planner_->ended()) : ""));
 }
 
 void Fleet::list_as(NodeId node, NodeState state, Time started) {
     for (auto &n : list_.nodes)
-        if (n.id == node) n.state = state, n.started = started;
+        if (n.id == node)
+            n.state = state, n.started = started;
 }
 void Fleet::tell(std::size_t edge) {
     ++list_.version;
     auto told = list_;
-    for (auto &n : told.nodes) n.address = address_for(edge, n.id, n.address);
+    for (auto &n : told.nodes)
+        n.address = address_for(edge, n.id, n.address);
     // Written beside and renamed: a reader finds the old list or the new one.
     auto path = list_path(edge), beside = path + ".new";
     std::ofstream(beside) << write_nodes(told);
-    if (std::rename(beside.c_str(), path.c_str()) != 0) throw std::runtime_error(path + ": can't be written");
+    if (std::rename(beside.c_str(), path.c_str()) != 0)
+        throw std::runtime_error(path + ": can't be written");
 }
 void Fleet::tell_all() {
-    for (std::size_t i = 0; i < edges_.size(); ++i) tell(i);
+    for (std::size_t i = 0; i < edges_.size(); ++i)
+        tell(i);
 }
 
 void Fleet::with_node(std::size_t node, const std::function<void(node::Server &)> &call) {
     nodes_[node]->worker->run([&] {
-        if (!nodes_[node]->server) return;
+        if (!nodes_[node]->server)
+            return;
         call(*nodes_[node]->server);
         nodes_[node]->server->stirred();
     });
 }
 void Fleet::with_edge(std::size_t edge, const std::function<void(edge::Server &)> &call) {
     edges_[edge]->worker->run([&] {
-        if (edges_[edge]->server) call(*edges_[edge]->server);
+        if (edges_[edge]->server)
+            call(*edges_[edge]->server);
     });
 }
 void Fleet::replace(std::size_t node) {
     NodeId id{++next_node_};
     if (!planner_address_.empty())
-        change_settings([&](planner::Wanted &w) { w.nodes[id] = {nodes_[node]->shard, ZoneId{0}, false, "", 0}; });
+        change_settings([&](planner::Wanted &w) {
+            w.nodes[id] = {nodes_[node]->shard, ZoneId{0}, false, "", 0};
+        });
     start_node(*nodes_[node], id, 0);
 }
 void Fleet::stop_edge(std::size_t edge) {
