--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,5 +1,5 @@
-// A whole gateway in one process, on loopback: nodes and edges, each with a loop and a thread of its own, and the
-// node lists that the edges read. What `knotvane local` and `knotvane day` run.
+// A whole gateway in one process, on loopback: nodes and edges, each with a loop and a thread of
+// its own, and the node lists that the edges read. What `knotvane local` and `knotvane day` run.
 #pragma once
 
 #include <functional>
@@ -22,21 +22,21 @@
 
 // A loop on a thread of its own; what is made on it is destroyed on it.
 class Worker {
-  public:
+public:
     Worker();
     ~Worker();
     loop::Loop &loop() { return loop_; }
     // Runs a call on the loop's thread and waits for it. Throws what the call throws.
     void run(const std::function<void()> &call);
 
-  private:
+private:
     loop::Loop loop_;
     std::thread thread_;
 };
 
 // A program of its own beside this one, so that it can be killed.
 class Process {
-  public:
+public:
     // Starts it; its errors go where ours go. Throws std::runtime_error.
     Process(const std::string &program, const std::vector<std::string> &arguments);
     // Kills it and waits for its end.
@@ -46,20 +46,23 @@
     // Its exit code, once it has ended; -1 before.
     int ended();
 
-  private:
+private:
     int pid_ = -1, code_ = -1;
 };
 
 // The sections of some kinds out of a settings text, headers included.
 std::string sections(const std::string &text, std::initializer_list<std::string_view> kinds);
 
-// Embedded defaults. The edge's text needs its id, how many there are, the address to listen on, the list's path
-// (with a planner, where the last plan is kept) and the number of shards.
-std::string edge_settings(std::uint64_t id, std::uint64_t edges, const std::string &listen, const std::string &list,
-                          std::uint64_t shards, const std::string &scheduling, const std::string &planner = "");
-std::string node_settings(std::uint64_t id, std::uint64_t shard, const std::string &listen, const std::string &store,
-                          const std::string &service, Time age = 0, const std::string &planner = "", bool sync = false);
-// Volumes, plans, workloads and rules for an edge; how a node serves. Both can be replaced by a day's own.
+// Embedded defaults. The edge's text needs its id, how many there are, the address to listen on,
+// the list's path (with a planner, where the last plan is kept) and the number of shards.
+std::string edge_settings(std::uint64_t id, std::uint64_t edges, const std::string &listen,
+                          const std::string &list, std::uint64_t shards,
+                          const std::string &scheduling, const std::string &planner = "");
+std::string node_settings(std::uint64_t id, std::uint64_t shard, const std::string &listen,
+                          const std::string &store, const std::string &service, Time age = 0,
+                          const std::string &planner = "", bool sync = false);
+// Volumes, plans, workloads and rules for an edge; how a node serves. Both can be replaced by a
+// day's own.
 std::string default_scheduling();
 std::string default_service();
 
@@ -79,13 +82,14 @@
         std::string address;
     };
 
-  public:
-    // `dir` holds stores and lists. `ports`: the first edge listens there, the next ones above; 0: free ones.
-    // Throws std::runtime_error, settings' faults among them.
-    // `planner`: nodes, plans and volumes come from a planner, a process of its own. `sync`: nodes make flushes durable
-    // on the disk, not only against the end of their process.
-    Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t ports, std::string scheduling,
-          std::string service, MakeScheduler make, bool planner = false, bool sync = false);
+public:
+    // `dir` holds stores and lists. `ports`: the first edge listens there, the next ones above; 0:
+    // free ones. Throws std::runtime_error, settings' faults among them. `planner`: nodes, plans
+    // and volumes come from a planner, a process of its own. `sync`: nodes make flushes durable on
+    // the disk, not only against the end of their process.
+    Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t ports,
+          std::string scheduling, std::string service, MakeScheduler make, bool planner = false,
+          bool sync = false);
     ~Fleet();
 
     // Where edge and node can be reached; an edge's list may name other addresses (a relay's).
@@ -96,8 +100,10 @@
     NodeId node_id(std::size_t node) const { return nodes_[node]->id; }
     ShardId node_shard(std::size_t node) const { return nodes_[node]->shard; }
     // Gives the address that an edge is told of a node. Set before start.
-    std::function<std::string(std::size_t edge, NodeId node, const std::string &address)> address_for;
-    // Writes the lists and starts the edges; with a planner waits until they have heard of every node.
+    std::function<std::string(std::size_t edge, NodeId node, const std::string &address)>
+        address_for;
+    // Writes the lists and starts the edges; with a planner waits until they have heard of every
+    // node.
     void start();
 
     // ---- With a planner. Empty without one.
@@ -123,11 +129,12 @@
     // On the node's own thread.
     void with_node(std::size_t node, const std::function<void(node::Server &)> &call);
     void with_edge(std::size_t edge, const std::function<void(edge::Server &)> &call);
-    // The node's process ends and another, under a new id, serves its store. The lists are not told of it here.
+    // The node's process ends and another, under a new id, serves its store. The lists are not told
+    // of it here.
     void replace(std::size_t node);
     void stop_edge(std::size_t edge);
 
-  private:
+private:
     void start_node(NodeHost &host, NodeId id, Time age);
     void plan(std::uint64_t nodes);
     std::string list_path(std::size_t edge) const;
--- a/src/frames/frames.hpp
+++ b/src/frames/frames.hpp
@@ -1,5 +1,5 @@
-// The frames between an edge and a node (docs/node-protocol.md): a fixed header, little-endian, then a payload.
-// Reading them does no I/O: bytes in, a call for each whole frame out.
+// The frames between an edge and a node (docs/node-protocol.md): a fixed header, little-endian,
+// then a payload. Reading them does no I/O: bytes in, a call for each whole frame out.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,9 @@
 namespace knotvane::frames {
 
 enum class Kind : std::uint8_t {
-    hello = 1,    // from the edge: volume holds its id, life its life
-    welcome = 2,  // from the node: tag its id, life its store's life, offset its start, not_after its clock
+    hello = 1,   // from the edge: volume holds its id, life its life
+    welcome = 2, // from the node: tag its id, life its store's life, offset its start, not_after
+                 // its clock
     read = 3,
     write = 4,
     zero = 5,     // the range reads as zeroes after it
@@ -23,44 +24,59 @@
     answer = 9,
 };
 // Whether such an ask changes what is stored.
-constexpr bool changes(Kind kind) { return kind == Kind::write || kind == Kind::zero; }
+constexpr bool changes(Kind kind) {
+    return kind == Kind::write || kind == Kind::zero;
+}
 // The order is that on the wire.
 // `stale`: of an epoch that was cut off; `no_space`: the store is full. Neither was done.
-enum class Status : std::uint16_t { ok, error, full, too_late, bad_checksum, misdirected, called_off, stale, no_space };
+enum class Status : std::uint16_t {
+    ok,
+    error,
+    full,
+    too_late,
+    bad_checksum,
+    misdirected,
+    called_off,
+    stale,
+    no_space
+};
 
-inline constexpr std::uint8_t flag_durable = 1;  // the answer comes after the write is durable
-inline constexpr std::uint8_t flag_numbered = 2; // (life, number) is a mark: a repeat of it is dropped
-inline constexpr std::uint8_t flag_cut = 4;      // the volume is a snapshot or a clone: where it is not there, an error
+inline constexpr std::uint8_t flag_durable = 1; // the answer comes after the write is durable
+inline constexpr std::uint8_t flag_numbered =
+    2; // (life, number) is a mark: a repeat of it is dropped
+inline constexpr std::uint8_t flag_cut =
+    4; // the volume is a snapshot or a clone: where it is not there, an error
 inline constexpr std::size_t header_size = 84;
 // The largest payload of a frame: an edge cuts tasks smaller; past it a peer is not believed.
 inline constexpr std::uint32_t most_payload = 32u << 20;
 
-// `epoch`: of a change, the volume's when its request began; of an answer that is stale, the volume's at the store.
-// Called for each whole frame; times in whole nanoseconds, units in thousandths, `payload` until the call
-// returns. Returns false to stop reading.
+// `epoch`: of a change, the volume's when its request began; of an answer that is stale, the
+// volume's at the store. Called for each whole frame; times in whole nanoseconds, units in
+// thousandths, `payload` until the call returns. Returns false to stop reading.
 class Sink {
-  public:
+public:
     virtual ~Sink() = default;
-    virtual bool frame(Kind kind, std::uint8_t flags, Status status, std::uint64_t tag, VolumeId volume,
-                       std::uint64_t offset, std::uint32_t length, std::uint32_t units, std::uint64_t life,
-                       std::uint64_t number, Time not_after, ShardId shard, std::string_view payload,
+    virtual bool frame(Kind kind, std::uint8_t flags, Status status, std::uint64_t tag,
+                       VolumeId volume, std::uint64_t offset, std::uint32_t length,
+                       std::uint32_t units, std::uint64_t life, std::uint64_t number,
+                       Time not_after, ShardId shard, std::string_view payload,
                        std::uint32_t epoch) = 0;
 };
 
 // Puts one frame together, checksums included.
 std::string make(Kind kind, std::uint8_t flags, Status status, std::uint64_t tag, VolumeId volume,
-                 std::uint64_t offset, std::uint32_t length, std::uint32_t units, std::uint64_t life,
-                 std::uint64_t number, Time not_after, ShardId shard, std::string_view payload,
-                 std::uint32_t epoch = 0);
+                 std::uint64_t offset, std::uint32_t length, std::uint32_t units,
+                 std::uint64_t life, std::uint64_t number, Time not_after, ShardId shard,
+                 std::string_view payload, std::uint32_t epoch = 0);
 
 class Reader {
-  public:
-    // Takes what came, in any pieces, and passes whole frames on. An empty answer is good; else what is wrong
-    // with the stream, which can't be read any further.
+public:
+    // Takes what came, in any pieces, and passes whole frames on. An empty answer is good; else
+    // what is wrong with the stream, which can't be read any further.
     std::string feed(std::string_view in, Sink &to);
     std::size_t held() const { return in_.size() - at_; }
 
-  private:
+private:
     std::string in_;
     std::size_t at_ = 0;
 };
--- a/src/load/driver.hpp
+++ b/src/load/driver.hpp
@@ -1,5 +1,5 @@
-// Drives an edge over sockets: streams of reads and writes, closed or open loop, on one loop. Figures are kept as
-// the samples themselves.
+// Drives an edge over sockets: streams of reads and writes, closed or open loop, on one loop.
+// Figures are kept as the samples themselves.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
 namespace knotvane::load {
 
 struct Sample {
-    Time at;    // when it was to be sent, from the stream's begin
-    Time took;  // from then until its end
+    Time at;   // when it was to be sent, from the stream's begin
+    Time took; // from then until its end
     std::uint32_t units_bytes;
     std::uint16_t command;
     std::uint32_t error; // NBD's; ~0: its connection was lost
@@ -26,20 +26,21 @@
 struct Shape {
     std::string address, volume;
     std::uint32_t connections = 1, flying = 1;
-    double rate = 0;          // requests a second of all connections, open loop; 0: closed loop
-    double reads = 1;         // the part that reads; the rest writes
-    double flushes = 0;       // the part that flushes, of all
-    std::uint32_t least = 4096, most = 4096; // bytes
+    double rate = 0;    // requests a second of all connections, open loop; 0: closed loop
+    double reads = 1;   // the part that reads; the rest writes
+    double flushes = 0; // the part that flushes, of all
+    std::uint32_t least = 4096, most = 4096;   // bytes
     std::uint64_t from = 0, region = 16 << 20; // where it works
     Time begin = 0, length = 5 * sec;
-    Time leave_every = 0;     // a connection is dropped with requests out and made again, each time after this
+    Time leave_every =
+        0; // a connection is dropped with requests out and made again, each time after this
     double again_at_once = 0; // the part of denied requests that is asked again at once, once
     bool structured = true;
     std::uint64_t seed = 1;
 };
 
 class Stream {
-  public:
+public:
     // Starts `begin` after now, on the loop's thread.
     Stream(loop::Loop &loop, Shape shape);
     ~Stream();
@@ -50,7 +51,7 @@
     // What broke a session, last.
     const std::string &fault() const { return fault_; }
 
-  private:
+private:
     struct Conn;
     void tick();
     void ask(Conn &c, Time intended, bool again = false);
--- a/src/load/session.cpp
+++ b/src/load/session.cpp
@@ -11,10 +11,13 @@
 Session::Session(Replies &replies, std::string name, bool structured)
     : replies_(replies), name_(std::move(name)), want_structured_(structured) {}
 
-std::string Session::take_out() { return std::exchange(out_, {}); }
+std::string Session::take_out() {
+    return std::exchange(out_, {});
+}
 
 void Session::fail(std::string_view why) {
-    if (phase_ == Phase::broken) return;
+    if (phase_ == Phase::broken)
+        return;
     phase_ = Phase::broken;
     replies_.broken(why);
 }
@@ -27,17 +30,21 @@
 }
 
 void Session::bytes(std::string_view in) {
-    if (phase_ == Phase::broken) return;
+    if (phase_ == Phase::broken)
+        return;
     in_ += in;
-    while (phase_ != Phase::broken && step()) {}
-    if (at_ > in_.size() / 2) in_.erase(0, at_), at_ = 0;
+    while (phase_ != Phase::broken && step()) {
+    }
+    if (at_ > in_.size() / 2)
+        in_.erase(0, at_), at_ = 0;
 }
 
 bool Session::step() {
     std::string_view in = std::string_view(in_).substr(at_);
     switch (phase_) {
     case Phase::greeting: {
-        if (in.size() < 18) return false;
+        if (in.size() < 18)
+            return false;
         if (get<std::uint64_t>(in, 0) != init_magic || get<std::uint64_t>(in, 8) != option_magic)
             return fail("the greeting is not NBD's fixed newstyle"), false;
         at_ += 18;
@@ -46,17 +53,21 @@
         put(go, static_cast<std::uint32_t>(name_.size()));
         go += name_;
         put(go, std::uint16_t{0});
-        if (want_structured_) option(opt_structured_reply, "");
+        if (want_structured_)
+            option(opt_structured_reply, "");
         option(opt_go, go);
         phase_ = want_structured_ ? Phase::structured : Phase::go;
         return true;
     }
     case Phase::structured:
     case Phase::go: {
-        if (in.size() < 20) return false;
+        if (in.size() < 20)
+            return false;
         auto type = get<std::uint32_t>(in, 12), length = get<std::uint32_t>(in, 16);
-        if (get<std::uint64_t>(in, 0) != option_reply_magic) return fail("an option's reply has no magic"), false;
-        if (in.size() < 20 + std::size_t{length}) return false;
+        if (get<std::uint64_t>(in, 0) != option_reply_magic)
+            return fail("an option's reply has no magic"), false;
+        if (in.size() < 20 + std::size_t{length})
+            return false;
         at_ += 20 + std::size_t{length};
         auto data = in.substr(20, length);
         if (phase_ == Phase::structured) {
@@ -68,36 +79,47 @@
             phase_ = Phase::open;
             replies_.opened(size_, flags_);
         } else if (type >= 0x80000000) {
-            return fail("the server refused the export: " + std::string(data.substr(0, 200))), false;
+            return fail("the server refused the export: " + std::string(data.substr(0, 200))),
+                   false;
         }
         return true;
     }
-    case Phase::open: break;
-    case Phase::broken: return false;
+    case Phase::open:
+        break;
+    case Phase::broken:
+        return false;
     }
-    if (in.size() < 16) return false;
+    if (in.size() < 16)
+        return false;
     auto magic = get<std::uint32_t>(in, 0);
     if (magic == simple_reply_magic) {
         auto error = get<std::uint32_t>(in, 4);
         auto cookie = get<std::uint64_t>(in, 8);
         auto it = flying_.find(cookie);
-        if (it == flying_.end()) return fail("a reply for no request: " + std::to_string(cookie)), false;
+        if (it == flying_.end())
+            return fail("a reply for no request: " + std::to_string(cookie)), false;
         std::size_t n = it->second.command == cmd_read && error == 0 ? it->second.length : 0;
-        if (in.size() < 16 + n) return false;
-        if (n > 0) replies_.data(cookie, it->second.offset, in.substr(16, n));
+        if (in.size() < 16 + n)
+            return false;
+        if (n > 0)
+            replies_.data(cookie, it->second.offset, in.substr(16, n));
         at_ += 16 + n;
         flying_.erase(it);
         replies_.ended(cookie, error, "");
         return true;
     }
-    if (magic != structured_reply_magic) return fail("a reply has no magic"), false;
-    if (in.size() < 20) return false;
+    if (magic != structured_reply_magic)
+        return fail("a reply has no magic"), false;
+    if (in.size() < 20)
+        return false;
     auto flags = get<std::uint16_t>(in, 4), type = get<std::uint16_t>(in, 6);
     auto cookie = get<std::uint64_t>(in, 8);
     auto length = get<std::uint32_t>(in, 16);
-    if (in.size() < 20 + std::size_t{length}) return false;
+    if (in.size() < 20 + std::size_t{length})
+        return false;
     auto it = flying_.find(cookie);
-    if (it == flying_.end()) return fail("a reply for no request: " + std::to_string(cookie)), false;
+    if (it == flying_.end())
+        return fail("a reply for no request: " + std::to_string(cookie)), false;
     auto data = in.substr(20, length);
     if (type == chunk_data && length >= 8) {
         replies_.data(cookie, get<std::uint64_t>(data, 0), data.substr(8));
@@ -114,8 +136,8 @@
     return true;
 }
 
-void Session::ask(std::uint16_t command, std::uint16_t flags, std::uint64_t cookie, std::uint64_t offset,
-                  std::uint32_t length, std::string_view data) {
+void Session::ask(std::uint16_t command, std::uint16_t flags, std::uint64_t cookie,
+                  std::uint64_t offset, std::uint32_t length, std::string_view data) {
     put(out_, request_magic);
     put(out_, flags);
     put(out_, command);
@@ -123,7 +145,8 @@
     put(out_, offset);
     put(out_, length);
     out_ += data;
-    if (command != cmd_disc) flying_[cookie] = {command, offset, length, 0, {}};
+    if (command != cmd_disc)
+        flying_[cookie] = {command, offset, length, 0, {}};
 }
 
 } // namespace knotvane::load
--- a/src/load/session.hpp
+++ b/src/load/session.hpp
@@ -11,7 +11,7 @@
 
 // What comes of a client's requests.
 class Replies {
-  public:
+public:
     virtual ~Replies() = default;
     // The export is open: its size in bytes and the transmission flags.
     virtual void opened(std::uint64_t size, std::uint16_t flags) = 0;
@@ -23,7 +23,7 @@
 };
 
 class Session {
-  public:
+public:
     Session(Replies &replies, std::string name, bool structured);
     void bytes(std::string_view in);
     std::string take_out();
@@ -33,7 +33,7 @@
              std::uint32_t length, std::string_view data = {});
     std::size_t flying() const { return flying_.size(); }
 
-  private:
+private:
     enum class Phase { greeting, structured, go, open, broken };
     bool step();
     void option(std::uint32_t code, std::string_view data);
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,4 +1,5 @@
-// The log: lines of text or JSON to standard error, written by another thread so that no loop waits for them.
+// The log: lines of text or JSON to standard error, written by another thread so that no loop waits
+// for them.
 #pragma once
 
 #include <initializer_list>
--- a/src/loop/dialled.hpp
+++ b/src/loop/dialled.hpp
@@ -11,7 +11,7 @@
 namespace knotvane::loop {
 
 class Dialled {
-  public:
+public:
     std::function<void()> on_up, on_down; // down: a try failed, or the other side is gone
     std::function<void(std::string_view)> on_bytes;
 
@@ -25,7 +25,7 @@
     // Whether to leave what comes in unread.
     void hold(bool hold);
 
-  private:
+private:
     Loop &loop_;
     std::string address_;
     std::shared_ptr<Socket> socket_;
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -44,8 +44,9 @@
 
 Time now() {
     using namespace std::chrono;
-    static const Time ahead = duration_cast<nanoseconds>(system_clock::now().time_since_epoch()).count() -
-                              static_cast<Time>(uv_hrtime());
+    static const Time ahead =
+        duration_cast<nanoseconds>(system_clock::now().time_since_epoch()).count() -
+        static_cast<Time>(uv_hrtime());
     return static_cast<Time>(uv_hrtime()) + ahead;
 }
 
@@ -54,21 +55,23 @@
 };
 
 Loop::Loop() : posted_(std::make_unique<Posted>()) {
-    // A write to a connection that its peer has reset raises this, and would end the program; the write's own error
-    // tells it as well. Seen with answers too long to leave in one piece.
+    // A write to a connection that its peer has reset raises this, and would end the program; the
+    // write's own error tells it as well. Seen with answers too long to leave in one piece.
     std::signal(SIGPIPE, SIG_IGN);
     uv_loop_init(&loop_);
     loop_.data = this;
     uv_async_init(&loop_, &wake_, [](uv_async_t *a) {
         auto &self = *static_cast<Loop *>(a->loop->data);
         std::function<void()> call;
-        while (self.posted_->queue.try_dequeue(call)) call();
+        while (self.posted_->queue.try_dequeue(call))
+            call();
     });
     uv_timer_init(&loop_, &timer_);
     uv_prepare_init(&loop_, &prepare_);
     uv_prepare_start(&prepare_, [](uv_prepare_t *p) {
         auto &self = *static_cast<Loop *>(p->loop->data);
-        if (!self.at_end_) return;
+        if (!self.at_end_)
+            return;
         Time due = self.at_end_();
         if (due == std::numeric_limits<Time>::max()) {
             uv_timer_stop(&self.timer_);
@@ -76,17 +79,25 @@
         }
         uv_update_time(&self.loop_);
         auto wait = std::max<Time>(0, due - now());
-        uv_timer_start(&self.timer_, [](uv_timer_t *) {}, static_cast<std::uint64_t>((wait + ms - 1) / ms), 0);
+        uv_timer_start(
+            &self.timer_, [](uv_timer_t *) {}, static_cast<std::uint64_t>((wait + ms - 1) / ms), 0);
     });
 }
 Loop::~Loop() {
-    uv_walk(&loop_, [](uv_handle_t *h, void *) {
-        if (!uv_is_closing(h)) uv_close(h, nullptr);
-    }, nullptr);
-    while (uv_run(&loop_, UV_RUN_NOWAIT) != 0) {}
+    uv_walk(
+        &loop_,
+        [](uv_handle_t *h, void *) {
+            if (!uv_is_closing(h))
+                uv_close(h, nullptr);
+        },
+        nullptr);
+    while (uv_run(&loop_, UV_RUN_NOWAIT) != 0) {
+    }
     uv_loop_close(&loop_);
 }
-void Loop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
+void Loop::run() {
+    uv_run(&loop_, UV_RUN_DEFAULT);
+}
 void Loop::post(std::function<void()> call) {
     posted_->queue.enqueue(std::move(call));
     uv_async_send(&wake_);
@@ -100,7 +111,8 @@
     handle_->tcp.data = handle_;
 }
 Socket::~Socket() {
-    if (!closed_) close(true);
+    if (!closed_)
+        close(true);
 }
 
 void Socket::connect(const std::string &address, std::function<void(bool)> done) {
@@ -118,8 +130,10 @@
         bad = uv_tcp_connect(&c->req, &handle_->tcp, reinterpret_cast<sockaddr *>(&addr),
                              [](uv_connect_t *req, int status) {
                                  std::unique_ptr<Connect> self(static_cast<Connect *>(req->data));
-                                 if (self->socket->closed_) return;
-                                 if (status == 0) self->socket->start();
+                                 if (self->socket->closed_)
+                                     return;
+                                 if (status == 0)
+                                     self->socket->start();
                                  self->done(status == 0);
                              });
     } catch (const std::exception &) {
@@ -129,12 +143,14 @@
     if (bad != 0)
         loop_.post([c] {
             std::unique_ptr<Connect> self(c);
-            if (!self->socket->closed_) self->done(false);
+            if (!self->socket->closed_)
+                self->done(false);
         });
 }
 
 void Socket::start() {
-    if (closed_) return;
+    if (closed_)
+        return;
     up_ = true;
     handle_->owner = shared_from_this();
     uv_tcp_nodelay(&handle_->tcp, 1);
@@ -143,7 +159,8 @@
 
 void Socket::hold(bool hold) {
     held_ = hold;
-    if (closed_ || !up_ || reading_ == !hold) return;
+    if (closed_ || !up_ || reading_ == !hold)
+        return;
     reading_ = !hold;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
     if (hold) {
@@ -152,27 +169,34 @@
     }
     uv_read_start(stream, lend_buffer, [](uv_stream_t *s, ssize_t n, const uv_buf_t *buf) {
         auto self = static_cast<Handle *>(s->data)->owner;
-        if (!self || self->closed_ || n == 0) return;
-        if (n < 0) return self->gone(n == UV_EOF ? Gone::ended : Gone::broken);
+        if (!self || self->closed_ || n == 0)
+            return;
+        if (n < 0)
+            return self->gone(n == UV_EOF ? Gone::ended : Gone::broken);
         // Once it only ends, nothing is called back any more: whoever owned it may be gone.
-        if (self->on_bytes && !self->ending_) self->on_bytes({buf->base, static_cast<std::size_t>(n)});
+        if (self->on_bytes && !self->ending_)
+            self->on_bytes({buf->base, static_cast<std::size_t>(n)});
     });
 }
 
 void Socket::gone(Gone how) {
-    if (closed_) return;
+    if (closed_)
+        return;
     bool silent = ending_;
     // Who ends in order may still read: only a broken connection has nothing to lose by a reset.
     close(how == Gone::broken || !pending_.empty());
-    if (on_gone && !silent) on_gone(how);
+    if (on_gone && !silent)
+        on_gone(how);
 }
 
 void Socket::send(std::string bytes) {
-    if (!closed_ && !bytes.empty()) pending_.push_back(std::move(bytes));
+    if (!closed_ && !bytes.empty())
+        pending_.push_back(std::move(bytes));
 }
 
 void Socket::flush() {
-    if (closed_ || !up_ || pending_.empty()) return;
+    if (closed_ || !up_ || pending_.empty())
+        return;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
     std::size_t left_now = 0;
     std::size_t first = 0, within = 0;
@@ -183,11 +207,13 @@
         std::size_t wanted = 0;
         for (std::size_t i = first; i < pending_.size() && n < 64; ++i, ++n) {
             std::size_t skip = i == first ? within : 0;
-            bufs[n] = uv_buf_init(pending_[i].data() + skip, static_cast<unsigned>(pending_[i].size() - skip));
+            bufs[n] = uv_buf_init(pending_[i].data() + skip,
+                                  static_cast<unsigned>(pending_[i].size() - skip));
             wanted += bufs[n].len;
         }
         int put = uv_try_write(stream, bufs, n);
-        if (put == UV_EAGAIN) break;
+        if (put == UV_EAGAIN)
+            break;
         if (put < 0) {
             pending_.clear();
             // Told later: whoever flushes does not expect to lose what it holds.
@@ -204,10 +230,12 @@
             }
             rest -= here, ++first, within = 0;
         }
-        if (!all) break;
+        if (!all)
+            break;
     }
     std::string rest;
-    for (std::size_t i = first; i < pending_.size(); ++i) rest.append(pending_[i], i == first ? within : 0);
+    for (std::size_t i = first; i < pending_.size(); ++i)
+        rest.append(pending_[i], i == first ? within : 0);
     pending_.clear();
     if (!rest.empty()) {
         auto *w = new Write{{}, std::move(rest), shared_from_this(), &writing_, false};
@@ -218,52 +246,70 @@
             std::unique_ptr<Write> self(static_cast<Write *>(req->data));
             auto &s = *self->socket;
             s.writing_ -= self->bytes.size();
-            if (s.closed_) return;
-            if (status < 0) return s.gone(Gone::broken);
-            if (s.on_written && !s.ending_ && !self->told) s.on_written(self->bytes.size());
-            if (s.closed_) return;
-            if (s.ending_ && s.writing_ == 0 && s.pending_.empty()) return s.close();
+            if (s.closed_)
+                return;
+            if (status < 0)
+                return s.gone(Gone::broken);
+            if (s.on_written && !s.ending_ && !self->told)
+                s.on_written(self->bytes.size());
+            if (s.closed_)
+                return;
+            if (s.ending_ && s.writing_ == 0 && s.pending_.empty())
+                return s.close();
             s.shut_if_sent();
         });
-        // It may have left at once, and is called back in the next turn only: until then it would pass for unsent.
-        if (uv_stream_get_write_queue_size(stream) == 0) w->told = true, left_now += w->bytes.size();
+        // It may have left at once, and is called back in the next turn only: until then it would
+        // pass for unsent.
+        if (uv_stream_get_write_queue_size(stream) == 0)
+            w->told = true, left_now += w->bytes.size();
     }
-    if (left_now > 0 && on_written && !ending_) on_written(left_now);
+    if (left_now > 0 && on_written && !ending_)
+        on_written(left_now);
 }
 
 void Socket::close_when_sent() {
     ending_ = true;
     flush();
-    if (closed_) return;
-    if (writing_ == 0) return close();
+    if (closed_)
+        return;
+    if (writing_ == 0)
+        return close();
 }
 
 void Socket::shut() {
-    if (closed_ || shutting_) return;
+    if (closed_ || shutting_)
+        return;
     flush();
     shutting_ = true;
     shut_if_sent();
 }
 void Socket::shut_if_sent() {
-    if (!shutting_ || closed_ || !up_ || writing_ > 0 || !pending_.empty()) return;
+    if (!shutting_ || closed_ || !up_ || writing_ > 0 || !pending_.empty())
+        return;
     auto *req = new uv_shutdown_t;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
-    if (uv_shutdown(req, stream, [](uv_shutdown_t *r, int) { delete r; }) != 0) delete req;
+    if (uv_shutdown(req, stream, [](uv_shutdown_t *r, int) { delete r; }) != 0)
+        delete req;
 }
 
 void Socket::close(bool reset) {
-    if (closed_) return;
-    if (!reset) flush();
-    if (closed_) return;
+    if (closed_)
+        return;
+    if (!reset)
+        flush();
+    if (closed_)
+        return;
     closed_ = true;
     auto *raw_handle = reinterpret_cast<uv_handle_t *>(&handle_->tcp);
     auto end = [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); };
     // A connection whose sending side is being ended can't be reset.
-    if (!(reset && up_ && uv_tcp_close_reset(&handle_->tcp, end) == 0) && !uv_is_closing(raw_handle))
+    if (!(reset && up_ && uv_tcp_close_reset(&handle_->tcp, end) == 0) &&
+        !uv_is_closing(raw_handle))
         uv_close(raw_handle, end);
 }
 
-Listener::Listener(Loop &loop, const std::string &address, std::function<void(std::shared_ptr<Socket>)> on_came)
+Listener::Listener(Loop &loop, const std::string &address,
+                   std::function<void(std::shared_ptr<Socket>)> on_came)
     : loop_(loop), handle_(new Handle{{}, this}), on_came_(std::move(on_came)) {
     sockaddr_in addr{};
     try {
@@ -275,28 +321,33 @@
     uv_tcp_init(loop_.raw(), &handle_->tcp);
     handle_->tcp.data = handle_;
     int bad = uv_tcp_bind(&handle_->tcp, reinterpret_cast<sockaddr *>(&addr), 0);
-    // Reconnects after a restart come all at once: a longer backlog than the usual keeps them from being lost.
+    // Reconnects after a restart come all at once: a longer backlog than the usual keeps them from
+    // being lost.
     constexpr int backlog = 1024;
     if (bad == 0)
-        bad = uv_listen(reinterpret_cast<uv_stream_t *>(&handle_->tcp), backlog, [](uv_stream_t *s, int status) {
-            auto *self = static_cast<Handle *>(s->data)->owner;
-            if (!self || status < 0) return;
-            auto socket = std::make_shared<Socket>(self->loop_);
-            if (uv_accept(s, reinterpret_cast<uv_stream_t *>(socket->raw())) == 0) {
-                socket->up_ = true;
-                self->on_came_(socket);
-            } else {
-                socket->close();
-            }
-        });
+        bad = uv_listen(reinterpret_cast<uv_stream_t *>(&handle_->tcp), backlog,
+                        [](uv_stream_t *s, int status) {
+                            auto *self = static_cast<Handle *>(s->data)->owner;
+                            if (!self || status < 0)
+                                return;
+                            auto socket = std::make_shared<Socket>(self->loop_);
+                            if (uv_accept(s, reinterpret_cast<uv_stream_t *>(socket->raw())) == 0) {
+                                socket->up_ = true;
+                                self->on_came_(socket);
+                            } else {
+                                socket->close();
+                            }
+                        });
     sockaddr_in got{};
     int size = sizeof got;
-    if (bad == 0) bad = uv_tcp_getsockname(&handle_->tcp, reinterpret_cast<sockaddr *>(&got), &size);
+    if (bad == 0)
+        bad = uv_tcp_getsockname(&handle_->tcp, reinterpret_cast<sockaddr *>(&got), &size);
     if (bad != 0) {
         handle_->owner = nullptr;
         uv_close(reinterpret_cast<uv_handle_t *>(&handle_->tcp),
                  [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
-        throw std::runtime_error("address " + address + " can't be listened on: " + uv_strerror(bad));
+        throw std::runtime_error("address " + address +
+                                 " can't be listened on: " + uv_strerror(bad));
     }
     char text[64];
     uv_ip4_name(&got, text, sizeof text);
@@ -310,16 +361,22 @@
 
 Watch::Watch(Loop &loop, const std::string &path, std::function<void()> on_change)
     : handle_(new Handle{{}, this}), on_change_(std::move(on_change)) {
-    // The folder is watched: a file that is replaced by another takes a watch on itself along with it.
+    // The folder is watched: a file that is replaced by another takes a watch on itself along with
+    // it.
     auto slash = path.rfind('/');
-    std::string folder = slash == std::string::npos ? "." : path.substr(0, std::max<std::size_t>(slash, 1));
+    std::string folder =
+        slash == std::string::npos ? "." : path.substr(0, std::max<std::size_t>(slash, 1));
     name_ = slash == std::string::npos ? path : path.substr(slash + 1);
     uv_fs_event_init(loop.raw(), &handle_->event);
     handle_->event.data = handle_;
-    uv_fs_event_start(&handle_->event, [](uv_fs_event_t *e, const char *file, int, int) {
-        auto *self = static_cast<Handle *>(e->data)->owner;
-        if (self && (!file || self->name_ == file)) self->on_change_();
-    }, folder.c_str(), 0);
+    uv_fs_event_start(
+        &handle_->event,
+        [](uv_fs_event_t *e, const char *file, int, int) {
+            auto *self = static_cast<Handle *>(e->data)->owner;
+            if (self && (!file || self->name_ == file))
+                self->on_change_();
+        },
+        folder.c_str(), 0);
 }
 Watch::~Watch() {
     handle_->owner = nullptr;
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -1,5 +1,5 @@
-// A thin layer on libuv: one loop a thread, sockets that gather what is sent until the end of a moment, and calls
-// from other threads through a queue. It decides nothing.
+// A thin layer on libuv: one loop a thread, sockets that gather what is sent until the end of a
+// moment, and calls from other threads through a queue. It decides nothing.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace knotvane::loop {
 
-// Nanoseconds since the epoch that never go back: the wall clock when the program started, and the monotonic
-// clock from there on.
+// Nanoseconds since the epoch that never go back: the wall clock when the program started, and the
+// monotonic clock from there on.
 Time now();
 
 class Loop {
-  public:
+public:
     Loop();
     ~Loop();
     Loop(const Loop &) = delete;
@@ -33,7 +33,7 @@
     // Called before each wait for events; gives back when to be called again at the latest.
     void at_end(std::function<Time()> call) { at_end_ = std::move(call); }
 
-  private:
+private:
     struct Posted;
     uv_loop_t loop_;
     uv_async_t wake_;
@@ -43,21 +43,23 @@
     std::unique_ptr<Posted> posted_;
 };
 
-// How the other side let go of a connection: it ended its sending in order, or the connection broke.
+// How the other side let go of a connection: it ended its sending in order, or the connection
+// broke.
 enum class Gone { ended, broken };
 
 // A connection. Nothing is called back after close, nor from within send.
 class Socket : public std::enable_shared_from_this<Socket> {
-  public:
+public:
     std::function<void(std::string_view)> on_bytes;
-    std::function<void(Gone)> on_gone;            // closed or broken by the other side
+    std::function<void(Gone)> on_gone;           // closed or broken by the other side
     std::function<void(std::size_t)> on_written; // so many bytes have left
 
     explicit Socket(Loop &loop);
     ~Socket();
     // Connects to "ADDRESS:PORT"; `done` tells whether it worked, never from within this call.
     void connect(const std::string &address, std::function<void(bool)> done);
-    // Whether a connect that failed got as far as the network: without a descriptor it says nothing of the other side.
+    // Whether a connect that failed got as far as the network: without a descriptor it says nothing
+    // of the other side.
     bool tried() const { return tried_; }
     void start();
     // Gathers; flush sends what was gathered.
@@ -69,11 +71,12 @@
     void close(bool reset = false);
     // Once all that was sent has left.
     void close_when_sent();
-    // Once all that was sent has left, the sending side ends; what comes in is told as before, until close.
+    // Once all that was sent has left, the sending side ends; what comes in is told as before,
+    // until close.
     void shut();
     uv_tcp_t *raw() { return &handle_->tcp; }
 
-  private:
+private:
     friend class Listener;
     struct Handle {
         uv_tcp_t tcp;
@@ -85,18 +88,19 @@
     Handle *handle_;
     std::vector<std::string> pending_;
     std::size_t writing_ = 0;
-    bool reading_ = false, held_ = false, closed_ = false, up_ = false, ending_ = false, shutting_ = false,
-         tried_ = false;
+    bool reading_ = false, held_ = false, closed_ = false, up_ = false, ending_ = false,
+         shutting_ = false, tried_ = false;
 };
 
 class Listener {
-  public:
+public:
     // Listens on "ADDRESS:PORT", port 0 for a free one. Throws std::runtime_error.
-    Listener(Loop &loop, const std::string &address, std::function<void(std::shared_ptr<Socket>)> on_came);
+    Listener(Loop &loop, const std::string &address,
+             std::function<void(std::shared_ptr<Socket>)> on_came);
     ~Listener();
     const std::string &address() const { return address_; }
 
-  private:
+private:
     struct Handle {
         uv_tcp_t tcp;
         Listener *owner;
@@ -109,11 +113,11 @@
 
 // Calls when a file is written, replaced or removed; more often than that at times.
 class Watch {
-  public:
+public:
     Watch(Loop &loop, const std::string &path, std::function<void()> on_change);
     ~Watch();
 
-  private:
+private:
     struct Handle {
         uv_fs_event_t event;
         Watch *owner;
--- a/src/loop/sockets.hpp
+++ b/src/loop/sockets.hpp
@@ -1,5 +1,5 @@
-// A shell's sockets by the id that its core knows them by. What is sent goes out at flush, at the end of a moment;
-// what is closed is forgotten first, so that nothing is called back for it.
+// A shell's sockets by the id that its core knows them by. What is sent goes out at flush, at the
+// end of a moment; what is closed is forgotten first, so that nothing is called back for it.
 #pragma once
 
 #include <map>
@@ -12,10 +12,12 @@
 
 namespace knotvane::loop {
 
-template <class IdOf> class Sockets {
-  public:
+template <class IdOf>
+class Sockets {
+public:
     ~Sockets() {
-        for (auto &[id, s] : sockets_) s->close(true);
+        for (auto &[id, s] : sockets_)
+            s->close(true);
     }
     void add(IdOf id, std::shared_ptr<Socket> socket) { sockets_[id] = std::move(socket); }
     // Nothing for an id that is not there.
@@ -30,15 +32,17 @@
         return s;
     }
     void send(IdOf id, std::string bytes) {
-        if (auto s = find(id)) s->send(std::move(bytes)), out_.insert(id);
+        if (auto s = find(id))
+            s->send(std::move(bytes)), out_.insert(id);
     }
     bool has_out() const { return !out_.empty(); }
     void flush() {
         for (auto id : std::exchange(out_, {}))
-            if (auto s = find(id)) s->flush();
+            if (auto s = find(id))
+                s->flush();
     }
 
-  private:
+private:
     std::map<IdOf, std::shared_ptr<Socket>> sockets_;
     std::set<IdOf> out_; // with something to send
 };
--- a/src/nbd/server.hpp
+++ b/src/nbd/server.hpp
@@ -1,5 +1,5 @@
-// One client's NBD session without any I/O: bytes in, calls out; answers in, bytes out. The same session runs
-// behind a socket, in virtual time and under the fuzzer.
+// One client's NBD session without any I/O: bytes in, calls out; answers in, bytes out. The same
+// session runs behind a socket, in virtual time and under the fuzzer.
 #pragma once
 
 #include <cstdint>
@@ -13,38 +13,41 @@
 
 namespace knotvane::nbd {
 
-// A request of one session, numbered by the session: clients may use a cookie twice, these are used once.
+// A request of one session, numbered by the session: clients may use a cookie twice, these are used
+// once.
 using RequestId = Id<struct RequestKind, std::uint64_t>;
 
-// What a client asks, once it is known to be well formed, inside the export and aligned. `data` of a write
-// lives until the call returns.
+// What a client asks, once it is known to be well formed, inside the export and aligned. `data` of
+// a write lives until the call returns.
 class Asked {
-  public:
+public:
     virtual ~Asked() = default;
     // Names of all exports, in the order of the list.
     virtual std::vector<std::string> exports() = 0;
-    // Tells size in bytes, transmission flags and block sizes (least, preferred, most; bytes); false if there
-    // is no such export. An empty name asks for the default one.
+    // Tells size in bytes, transmission flags and block sizes (least, preferred, most; bytes);
+    // false if there is no such export. An empty name asks for the default one.
     virtual bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
                           std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) = 0;
     // The client has chosen; requests follow.
     virtual void opened(std::string_view name) = 0;
     virtual void read(RequestId id, std::uint64_t offset, std::uint32_t length, bool in_one) = 0;
     virtual void write(RequestId id, std::uint64_t offset, std::string_view data, bool fua) = 0;
-    virtual void zero(RequestId id, std::uint64_t offset, std::uint32_t length, bool fua, bool no_hole,
-                      bool fast) = 0;
+    virtual void zero(RequestId id, std::uint64_t offset, std::uint32_t length, bool fua,
+                      bool no_hole, bool fast) = 0;
     virtual void trim(RequestId id, std::uint64_t offset, std::uint32_t length, bool fua) = 0;
     virtual void flush(RequestId id) = 0;
     virtual void cache(RequestId id, std::uint64_t offset, std::uint32_t length) = 0;
     virtual void status(RequestId id, std::uint64_t offset, std::uint32_t length, bool one) = 0;
-    // The client said good-bye, or sent what can't be followed (`fault` says what; empty for a good-bye).
+    // The client said good-bye, or sent what can't be followed (`fault` says what; empty for a
+    // good-bye).
     virtual void left(std::string_view fault) = 0;
 };
 
 class Session {
-  public:
-    // `most_flying`: requests at work at once; past it input is kept unread. `most_request`: bytes of one
-    // read or write. The least block size is what every offset and length must be a multiple of.
+public:
+    // `most_flying`: requests at work at once; past it input is kept unread. `most_request`: bytes
+    // of one read or write. The least block size is what every offset and length must be a multiple
+    // of.
     Session(Asked &asked, std::uint32_t most_flying, std::uint32_t most_request);
 
     // Takes what has come from the client, in any pieces.
@@ -62,8 +65,8 @@
     // Bytes held: input not yet taken and reads that are being put together.
     std::size_t held() const { return in_.size() - at_ + kept_; }
 
-    // Answers. Each request ends once, by done, fail or extents; what comes for one that ended is dropped.
-    // A part of a read, at its offset in the export; parts may come in any order.
+    // Answers. Each request ends once, by done, fail or extents; what comes for one that ended is
+    // dropped. A part of a read, at its offset in the export; parts may come in any order.
     void data(RequestId id, std::uint64_t offset, std::string_view bytes);
     void done(RequestId id);
     // `offset`: where it went wrong, none if nowhere in particular.
@@ -72,7 +75,7 @@
     // The answer to a block status: pairs of length in bytes and flags (1 hole, 2 reads as zero).
     void extents(RequestId id, const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs);
 
-  private:
+private:
     enum class Phase { flags, options, requests };
     struct Flying {
         std::uint64_t cookie, offset;
@@ -99,11 +102,12 @@
     Asked &asked_;
     std::uint32_t most_flying_, most_request_;
     Phase phase_ = Phase::flags;
-    bool over_ = false, stepping_ = false, held_ = false, leaving_ = false, no_zeroes_ = false, structured_ = false, allocation_ = false;
+    bool over_ = false, stepping_ = false, held_ = false, leaving_ = false, no_zeroes_ = false,
+         structured_ = false, allocation_ = false;
     std::string allocation_of_; // the export for which the context was chosen
     std::string in_, out_;
-    std::size_t at_ = 0;    // where in `in_` the next record begins
-    std::size_t kept_ = 0;  // bytes in `gathered`
+    std::size_t at_ = 0;     // where in `in_` the next record begins
+    std::size_t kept_ = 0;   // bytes in `gathered`
     std::uint64_t skip_ = 0; // payload of a refused write, still to come
     std::uint64_t size_ = 0;
     std::uint16_t flags_ = 0;
--- a/src/nbd/wire.hpp
+++ b/src/nbd/wire.hpp
@@ -16,8 +16,8 @@
 inline constexpr std::uint16_t flag_fixed_newstyle = 1, flag_no_zeroes = 2;
 
 // Options and the replies to them.
-inline constexpr std::uint32_t opt_export_name = 1, opt_abort = 2, opt_list = 3, opt_info = 6, opt_go = 7,
-                               opt_structured_reply = 8, opt_list_meta_context = 9,
+inline constexpr std::uint32_t opt_export_name = 1, opt_abort = 2, opt_list = 3, opt_info = 6,
+                               opt_go = 7, opt_structured_reply = 8, opt_list_meta_context = 9,
                                opt_set_meta_context = 10;
 inline constexpr std::uint32_t rep_ack = 1, rep_server = 2, rep_info = 3, rep_meta_context = 4,
                                rep_err_unsup = 0x80000001, rep_err_invalid = 0x80000003,
@@ -25,15 +25,16 @@
 inline constexpr std::uint16_t info_export = 0, info_block_size = 3;
 
 // Transmission flags.
-inline constexpr std::uint16_t has_flags = 1, read_only = 2, send_flush = 4, send_fua = 8, send_trim = 32,
-                               send_write_zeroes = 64, send_df = 128, can_multi_conn = 256,
-                               send_cache = 1024, send_fast_zero = 2048;
+inline constexpr std::uint16_t has_flags = 1, read_only = 2, send_flush = 4, send_fua = 8,
+                               send_trim = 32, send_write_zeroes = 64, send_df = 128,
+                               can_multi_conn = 256, send_cache = 1024, send_fast_zero = 2048;
 
 // Commands, their flags, and the chunks of structured replies.
-inline constexpr std::uint16_t cmd_read = 0, cmd_write = 1, cmd_disc = 2, cmd_flush = 3, cmd_trim = 4,
-                               cmd_cache = 5, cmd_write_zeroes = 6, cmd_block_status = 7;
-inline constexpr std::uint16_t cmd_flag_fua = 1, cmd_flag_no_hole = 2, cmd_flag_df = 4, cmd_flag_req_one = 8,
-                               cmd_flag_fast_zero = 16;
+inline constexpr std::uint16_t cmd_read = 0, cmd_write = 1, cmd_disc = 2, cmd_flush = 3,
+                               cmd_trim = 4, cmd_cache = 5, cmd_write_zeroes = 6,
+                               cmd_block_status = 7;
+inline constexpr std::uint16_t cmd_flag_fua = 1, cmd_flag_no_hole = 2, cmd_flag_df = 4,
+                               cmd_flag_req_one = 8, cmd_flag_fast_zero = 16;
 inline constexpr std::uint16_t chunk_flag_done = 1, chunk_none = 0, chunk_data = 1, chunk_hole = 2,
                                chunk_status = 5, chunk_error = 0x8001, chunk_error_offset = 0x8002;
 
@@ -41,13 +42,15 @@
 inline constexpr std::uint32_t e_perm = 1, e_io = 5, e_nomem = 12, e_inval = 22, e_nospc = 28,
                                e_overflow = 75, e_notsup = 95, e_shutdown = 108;
 
-template <class T> void put(std::string &to, T v) {
+template <class T>
+void put(std::string &to, T v) {
     for (int shift = (static_cast<int>(sizeof v) - 1) * 8; shift >= 0; shift -= 8)
         to.push_back(static_cast<char>(static_cast<std::uint64_t>(v) >> shift));
 }
 
 // Reads one field at a byte offset; the caller has made sure that it is there.
-template <class T> T get(std::string_view from, std::size_t at) {
+template <class T>
+T get(std::string_view from, std::size_t at) {
     std::uint64_t v = 0;
     for (std::size_t i = 0; i < sizeof(T); ++i)
         v = v << 8 | static_cast<unsigned char>(from[at + i]);
--- a/src/node/background.hpp
+++ b/src/node/background.hpp
@@ -1,5 +1,5 @@
-// When a node may work at what nobody waits for: a bounded part of its time, behind the tasks that wait, but
-// never not at all. No I/O.
+// When a node may work at what nobody waits for: a bounded part of its time, behind the tasks that
+// wait, but never not at all. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace knotvane::node {
 
 class Background {
-  public:
+public:
     // Whether a piece may begin, given the tasks at work, how many can be, and those that wait.
     bool may(Time now, std::size_t working, std::size_t slots, std::size_t waiting) const {
         return now >= due(working, slots, waiting);
@@ -28,13 +28,14 @@
     // A new process: nothing is known of what was done.
     void restart() { next_ = last_ = 0; }
 
-  private:
-    // A piece's time is at most a tenth of all: a tenth of one slot is a fortieth of a node of four, under
-    // the one percent of service that background work may take when tasks wait.
+private:
+    // A piece's time is at most a tenth of all: a tenth of one slot is a fortieth of a node of
+    // four, under the one percent of service that background work may take when tasks wait.
     static constexpr Time rest = 10;
     // Pieces that cost next to nothing do not wake a node more often than this.
     static constexpr Time least = ms;
-    // Behind waiting tasks a piece goes every so often: space must come back on a node that is never idle.
+    // Behind waiting tasks a piece goes every so often: space must come back on a node that is
+    // never idle.
     static constexpr Time patience = 50 * ms;
     Time next_ = 0, last_ = 0;
 };
--- a/src/node/disk.cpp
+++ b/src/node/disk.cpp
@@ -23,14 +23,15 @@
     frames::Reader reader;
 
     Peer(Disk &d, ConnId c) : disk(d), conn(c) {}
-    bool frame(frames::Kind kind, std::uint8_t flags, frames::Status, std::uint64_t tag, VolumeId volume,
-               std::uint64_t offset, std::uint32_t length, std::uint32_t units, std::uint64_t life,
-               std::uint64_t number, Time not_after, ShardId shard, std::string_view payload,
-               std::uint32_t epoch) override {
+    bool frame(frames::Kind kind, std::uint8_t flags, frames::Status, std::uint64_t tag,
+               VolumeId volume, std::uint64_t offset, std::uint32_t length, std::uint32_t units,
+               std::uint64_t life, std::uint64_t number, Time not_after, ShardId shard,
+               std::string_view payload, std::uint32_t epoch) override {
         if (kind == frames::Kind::hello) {
             greeted = true;
-            disk.shell_.send(conn, frames::make(frames::Kind::welcome, 0, frames::Status::ok, disk.id_.value,
-                                                VolumeId{0}, static_cast<std::uint64_t>(disk.started_), 0, 0,
+            disk.shell_.send(conn, frames::make(frames::Kind::welcome, 0, frames::Status::ok,
+                                                disk.id_.value, VolumeId{0},
+                                                static_cast<std::uint64_t>(disk.started_), 0, 0,
                                                 disk.store_.life(), 0, now, disk.shard_, {}));
             return true;
         }
@@ -49,8 +50,9 @@
             }
             return true;
         }
-        Ask ask{conn,   kind,   flags,  tag,       volume,
-                offset, length, units / 1000.0, life,   number, not_after, std::string(payload), epoch};
+        Ask ask{conn,   kind,           flags, tag,    volume,    offset,
+                length, units / 1000.0, life,  number, not_after, std::string(payload),
+                epoch};
         if (shard != disk.shard_) {
             disk.answer(now, ask, frames::Status::misdirected);
             return true;
@@ -61,11 +63,12 @@
 };
 
 Disk::Disk(NodeId id, ShardId shard, Store &store, Shell &shell, std::uint64_t seed, Time now)
-    : id_(id), shard_(shard), store_(store), shell_(shell), chance_(static_cast<std::uint32_t>(seed)),
-      started_(now) {}
+    : id_(id), shard_(shard), store_(store), shell_(shell),
+      chance_(static_cast<std::uint32_t>(seed)), started_(now) {}
 
 void Disk::set_speed(Time unit_time, std::uint32_t cores, std::uint32_t slots, std::uint32_t room) {
-    unit_time_ = unit_time, cores_ = std::max(1u, cores), slots_ = std::max(1u, slots), room_ = room;
+    unit_time_ = unit_time, cores_ = std::max(1u, cores), slots_ = std::max(1u, slots),
+    room_ = room;
 }
 void Disk::set_cold(double start_part, Time warm_after, Time span, double multiple) {
     start_part_ = start_part, warm_after_ = warm_after, span_ = span, multiple_ = multiple;
@@ -80,7 +83,8 @@
 }
 
 double Disk::capacity(Time now) const {
-    if (warm_after_ <= 0 || now >= started_ + warm_after_) return 1;
+    if (warm_after_ <= 0 || now >= started_ + warm_after_)
+        return 1;
     return start_part_ + (1 - start_part_) * seconds(now - started_) / seconds(warm_after_);
 }
 
@@ -96,8 +100,10 @@
 bool Disk::hit(Fault kind, Time now, double *size) {
     for (auto &f : faults_)
         if (f.kind == kind && now >= f.from && now < f.until && (!f.counted || f.left > 0)) {
-            if (f.counted) --f.left;
-            if (size) *size = f.size;
+            if (f.counted)
+                --f.left;
+            if (size)
+                *size = f.size;
             return true;
         }
     return false;
@@ -105,19 +111,23 @@
 
 void Disk::came(Time now, ConnId conn) {
     peers_[conn] = std::make_shared<Peer>(*this, conn);
-    if (fallen_ || lasts(Fault::refuse, now)) drop(conn, true);
+    if (fallen_ || lasts(Fault::refuse, now))
+        drop(conn, true);
 }
 void Disk::gone(Time, ConnId conn) {
     peers_.erase(conn);
-    // What waits for a peer that is gone is done all the same: the node can't know that nobody wants it.
+    // What waits for a peer that is gone is done all the same: the node can't know that nobody
+    // wants it.
 }
 void Disk::drop(ConnId conn, bool reset) {
-    if (peers_.erase(conn) > 0) shell_.close(conn, reset);
+    if (peers_.erase(conn) > 0)
+        shell_.close(conn, reset);
 }
 
 void Disk::bytes(Time now, ConnId conn, std::string_view in) {
     auto it = peers_.find(conn);
-    if (it == peers_.end()) return;
+    if (it == peers_.end())
+        return;
     auto peer = it->second; // outlives its own end while it is read
     peer->now = now;
     std::string fault = peer->reader.feed(in, *peer);
@@ -130,32 +140,39 @@
 
 // Whether a cold node bears these units too. Counts all that reaches it, as the rule does.
 bool Disk::bears(Time now, double units) {
-    if (multiple_ <= 0 || warm_after_ <= 0 || unit_time_ <= 0 || now >= started_ + warm_after_) return true;
+    if (multiple_ <= 0 || warm_after_ <= 0 || unit_time_ <= 0 || now >= started_ + warm_after_)
+        return true;
     arrived_.emplace_back(now, units);
-    while (arrived_.front().first < now - span_) arrived_.pop_front();
+    while (arrived_.front().first < now - span_)
+        arrived_.pop_front();
     double sum = 0;
-    for (auto &[at, u] : arrived_) sum += u;
+    for (auto &[at, u] : arrived_)
+        sum += u;
     // One largest task of slack, as the bench allows for chance.
     return sum <= multiple_ * capacity(now) * seconds(span_) * cores_ / seconds(unit_time_) + 8;
 }
 
 void Disk::take(Time now, Ask ask) {
-    if (hit(Fault::reset, now)) return drop(ask.conn, true);
+    if (hit(Fault::reset, now))
+        return drop(ask.conn, true);
     if (!bears(now, ask.units)) {
         shell_.say("fell over: sent more while cold than it bears");
         fallen_ = true;
         waiting_.clear(), working_.clear(), leaving_.clear();
         shell_.listen(false);
-        while (!peers_.empty()) drop(peers_.begin()->first, true);
+        while (!peers_.empty())
+            drop(peers_.begin()->first, true);
         return;
     }
-    if (hit(Fault::full, now) || (unit_time_ > 0 && working_.size() >= slots_ && waiting_.size() >= room_))
+    if (hit(Fault::full, now) ||
+        (unit_time_ > 0 && working_.size() >= slots_ && waiting_.size() >= room_))
         return answer(now, ask, frames::Status::full);
     waiting_.push_back(std::move(ask));
 }
 
 void Disk::start(Time now) {
-    if (fallen_ || lasts(Fault::hang, now) || now < paused_until_) return;
+    if (fallen_ || lasts(Fault::hang, now) || now < paused_until_)
+        return;
     while (!waiting_.empty() && (unit_time_ == 0 || working_.size() < slots_)) {
         Ask ask = std::move(waiting_.front());
         waiting_.pop_front();
@@ -165,24 +182,29 @@
         }
         double factor = 1, units = std::max(ask.units, 0.1);
         hit(Fault::slow, now, &factor);
-        if (ask.kind == frames::Kind::write) put_off_units_ += put_off_part_ * units, units *= 1 - put_off_part_;
+        if (ask.kind == frames::Kind::write)
+            put_off_units_ += put_off_part_ * units, units *= 1 - put_off_part_;
         // More in work than there are cores share them.
         double crowd = std::max(1.0, static_cast<double>(working_.size() + 1) / cores_);
-        auto took = static_cast<Time>(static_cast<double>(unit_time_) * units * factor * crowd / capacity(now));
+        auto took = static_cast<Time>(static_cast<double>(unit_time_) * units * factor * crowd /
+                                      capacity(now));
         working_.emplace(now + std::max<Time>(took, 1), std::move(ask));
     }
 }
 
-Store::Cut Disk::open_cut(VolumeId of, VolumeId as, std::uint32_t epoch, std::set<facts::EdgeLife> late) {
+Store::Cut Disk::open_cut(VolumeId of, VolumeId as, std::uint32_t epoch,
+                          std::set<facts::EdgeLife> late) {
     auto how = store_.open_cut(of, as, epoch);
-    if (how == Store::Cut::done || how == Store::Cut::exists) late_[of] = std::move(late);
+    if (how == Store::Cut::done || how == Store::Cut::exists)
+        late_[of] = std::move(late);
     return how;
 }
-// A medium that can't make a cut durable serves nothing after that; the planner hears that the cut fell short, and the
-// next flush of a client tells the rest.
+// A medium that can't make a cut durable serves nothing after that; the planner hears that the cut
+// fell short, and the next flush of a client tells the rest.
 bool Disk::seal(VolumeId of, VolumeId as) {
     try {
-        if (!store_.seal(as)) return false;
+        if (!store_.seal(as))
+            return false;
     } catch (const std::runtime_error &e) {
         shell_.say(e.what());
         return false;
@@ -208,7 +230,8 @@
 }
 // Takes down a piece of what snapshots that were dropped had for themselves, when it is its turn.
 void Disk::tidy(Time now) {
-    if (!store_.reclaiming() || !background_.may(now, working_.size(), slots_, waiting_.size())) return;
+    if (!store_.reclaiming() || !background_.may(now, working_.size(), slots_, waiting_.size()))
+        return;
     if (unit_time_ == 0) {
         background_.began(now, piece_time);
         store_.reclaim(piece);
@@ -228,67 +251,89 @@
         return;
     }
     ++served_;
-    if (hit(Fault::fail, now)) return answer(now, ask, frames::Status::error);
-    // Guards against a snapshot that was dropped while an edge has it open: it would read as zeroes.
-    if ((ask.flags & frames::flag_cut) && !store_.has(ask.volume)) return answer(now, ask, frames::Status::error);
+    if (hit(Fault::fail, now))
+        return answer(now, ask, frames::Status::error);
+    // Guards against a snapshot that was dropped while an edge has it open: it would read as
+    // zeroes.
+    if ((ask.flags & frames::flag_cut) && !store_.has(ask.volume))
+        return answer(now, ask, frames::Status::error);
     std::string out;
     bool well = true;
     switch (ask.kind) {
     case frames::Kind::read:
-        if (hit(Fault::rot, now)) store_.rot(ask.volume, ask.offset);
+        if (hit(Fault::rot, now))
+            store_.rot(ask.volume, ask.offset);
         if (!store_.read(ask.volume, ask.offset, ask.length, out))
             return answer(now, ask, frames::Status::bad_checksum);
         break;
     case frames::Kind::write:
     case frames::Kind::zero: {
-        // A copy that was delayed past what its edge waits for must not write over what came later; one whose
-        // twin was done must not be done again. Both hold here, at the moment of the work, and nowhere else.
-        if (ask.not_after > 0 && now > ask.not_after) return answer(now, ask, frames::Status::too_late);
+        // A copy that was delayed past what its edge waits for must not write over what came later;
+        // one whose twin was done must not be done again. Both hold here, at the moment of the
+        // work, and nowhere else.
+        if (ask.not_after > 0 && now > ask.not_after)
+            return answer(now, ask, frames::Status::too_late);
         bool numbered = (ask.flags & frames::flag_numbered) != 0;
-        if (numbered && store_.was_done(ask.life, ask.number, now)) break;
+        if (numbered && store_.was_done(ask.life, ask.number, now))
+            break;
         std::optional<VolumeId> both;
         if (auto epoch = store_.epoch(ask.volume); ask.epoch < epoch) {
-            // Found in virtual time: an edge left out of one cut and late in the next brought a part of a change whose
-            // other parts were in the first.
+            // Found in virtual time: an edge left out of one cut and late in the next brought a
+            // part of a change whose other parts were in the first.
             if (auto sealed = store_.sealed(ask.volume); ask.epoch < sealed)
                 return answer(now, ask, frames::Status::stale, {}, sealed);
             both = store_.opened(ask.volume);
             auto late = late_.find(ask.volume);
             bool counts = late != late_.end() && late->second.contains(facts::EdgeLife{ask.life});
-            // Guards against a change that is in the cut here and out of it at another node. While the cut is open
-            // an edge that is not known to have stopped waits: told of the epoch it would begin changes of it at
-            // nodes that have not cut yet.
-            if (!counts && both) return answer(now, ask, frames::Status::full);
-            if (!counts) return answer(now, ask, frames::Status::stale, {}, epoch);
+            // Guards against a change that is in the cut here and out of it at another node. While
+            // the cut is open an edge that is not known to have stopped waits: told of the epoch it
+            // would begin changes of it at nodes that have not cut yet.
+            if (!counts && both)
+                return answer(now, ask, frames::Status::full);
+            if (!counts)
+                return answer(now, ask, frames::Status::stale, {}, epoch);
         }
-        if (!store_.has_room(both ? 2ull * ask.length : ask.length)) return answer(now, ask, frames::Status::no_space);
+        if (!store_.has_room(both ? 2ull * ask.length : ask.length))
+            return answer(now, ask, frames::Status::no_space);
         if (both)
-            well = ask.kind == frames::Kind::write ? store_.write_both(ask.volume, *both, ask.offset, ask.payload)
-                                                   : store_.zero_both(ask.volume, *both, ask.offset, ask.length);
+            well = ask.kind == frames::Kind::write
+                       ? store_.write_both(ask.volume, *both, ask.offset, ask.payload)
+                       : store_.zero_both(ask.volume, *both, ask.offset, ask.length);
         else
-            well = ask.kind == frames::Kind::write ? store_.write(ask.volume, ask.offset, ask.payload)
-                                                   : store_.zero(ask.volume, ask.offset, ask.length);
-        if (!well) return answer(now, ask, frames::Status::error);
-        if (numbered) store_.remember(ask.life, ask.number, ask.not_after, now);
-        if (ask.flags & frames::flag_durable) store_.flush();
+            well = ask.kind == frames::Kind::write
+                       ? store_.write(ask.volume, ask.offset, ask.payload)
+                       : store_.zero(ask.volume, ask.offset, ask.length);
+        if (!well)
+            return answer(now, ask, frames::Status::error);
+        if (numbered)
+            store_.remember(ask.life, ask.number, ask.not_after, now);
+        if (ask.flags & frames::flag_durable)
+            store_.flush();
         break;
     }
-    case frames::Kind::flush: store_.flush(); break;
+    case frames::Kind::flush:
+        store_.flush();
+        break;
     case frames::Kind::status:
         for (auto [length, data] : store_.runs(ask.volume, ask.offset, ask.length))
             for (std::uint32_t v : {length, data ? 0u : 3u})
-                for (unsigned i = 0; i < 4; ++i) out.push_back(static_cast<char>(v >> (8 * i)));
+                for (unsigned i = 0; i < 4; ++i)
+                    out.push_back(static_cast<char>(v >> (8 * i)));
+        break;
+    default:
         break;
-    default: break;
     }
     answer(now, ask, frames::Status::ok, out);
 }
 
-void Disk::answer(Time now, const Ask &ask, frames::Status status, std::string_view payload, std::uint32_t epoch) {
+void Disk::answer(Time now, const Ask &ask, frames::Status status, std::string_view payload,
+                  std::uint32_t epoch) {
     auto it = peers_.find(ask.conn);
-    if (it == peers_.end() || it->second->mute) return;
-    auto bytes = frames::make(frames::Kind::answer, 0, status, ask.tag, ask.volume, ask.offset, ask.length, 0,
-                              store_.life(), ask.number, now, shard_, payload, epoch);
+    if (it == peers_.end() || it->second->mute)
+        return;
+    auto bytes =
+        frames::make(frames::Kind::answer, 0, status, ask.tag, ask.volume, ask.offset, ask.length,
+                     0, store_.life(), ask.number, now, shard_, payload, epoch);
     if (status != frames::Status::full) { // the faults of answers meet work that was done
         if (hit(Fault::mute, now)) {
             it->second->mute = true;
@@ -305,7 +350,8 @@
         }
         double late = 0;
         if (hit(Fault::late, now, &late)) {
-            leaving_[{now + static_cast<Time>(late * 1e9), ++next_answer_}] = {ask.conn, std::move(bytes)};
+            leaving_[{now + static_cast<Time>(late * 1e9), ++next_answer_}] = {ask.conn,
+                                                                               std::move(bytes)};
             return;
         }
     }
@@ -313,29 +359,40 @@
 }
 
 Time Disk::next_due() const {
-    if (fallen_) return never;
+    if (fallen_)
+        return never;
     Time due = never;
-    if (!working_.empty()) due = working_.begin()->first;
-    if (!leaving_.empty()) due = std::min(due, leaving_.begin()->first.first);
-    if (pause_every_ > 0) due = std::min(due, next_pause_);
-    if (put_off_every_ > 0) due = std::min(due, next_put_off_);
-    if (!waiting_.empty() && paused_until_ > 0) due = std::min(due, paused_until_);
+    if (!working_.empty())
+        due = working_.begin()->first;
+    if (!leaving_.empty())
+        due = std::min(due, leaving_.begin()->first.first);
+    if (pause_every_ > 0)
+        due = std::min(due, next_pause_);
+    if (put_off_every_ > 0)
+        due = std::min(due, next_put_off_);
+    if (!waiting_.empty() && paused_until_ > 0)
+        due = std::min(due, paused_until_);
     if (store_.reclaiming())
         due = std::min(due, background_.due(working_.size(), slots_, waiting_.size()));
     for (const auto &f : faults_) {
-        if (f.kind == Fault::hang && !waiting_.empty()) due = std::min(due, f.until);
-        if (f.kind == Fault::refuse && f.from >= 0) due = std::min(due, std::max(f.from, Time{0}));
+        if (f.kind == Fault::hang && !waiting_.empty())
+            due = std::min(due, f.until);
+        if (f.kind == Fault::refuse && f.from >= 0)
+            due = std::min(due, std::max(f.from, Time{0}));
     }
     return due;
 }
 
 void Disk::tick(Time now) {
-    if (fallen_) return;
-    std::erase_if(faults_, [&](const Faulty &f) { return now >= f.until || (f.counted && f.left == 0); });
+    if (fallen_)
+        return;
+    std::erase_if(faults_,
+                  [&](const Faulty &f) { return now >= f.until || (f.counted && f.left == 0); });
     for (auto &f : faults_)
         if (f.kind == Fault::refuse && f.from >= 0 && now >= f.from) {
             f.from = -1; // acted on: what comes until its end is refused as it comes
-            while (!peers_.empty()) drop(peers_.begin()->first, true);
+            while (!peers_.empty())
+                drop(peers_.begin()->first, true);
         }
     while (!working_.empty() && working_.begin()->first <= now) {
         Time at = working_.begin()->first;
@@ -352,12 +409,14 @@
     }
     if (pause_every_ > 0 && now >= next_pause_) {
         paused_until_ = now + pause_length_;
-        next_pause_ = now + pause_every_ / 2 + static_cast<Time>(chance_() % 1024) * pause_every_ / 1024;
+        next_pause_ =
+            now + pause_every_ / 2 + static_cast<Time>(chance_() % 1024) * pause_every_ / 1024;
     }
     if (put_off_every_ > 0 && now >= next_put_off_) {
         next_put_off_ = now + put_off_every_;
-        paused_until_ = std::max(paused_until_, now + static_cast<Time>(put_off_units_ / cores_ *
-                                                                        static_cast<double>(unit_time_)));
+        paused_until_ =
+            std::max(paused_until_, now + static_cast<Time>(put_off_units_ / cores_ *
+                                                            static_cast<double>(unit_time_)));
         put_off_units_ = 0;
     }
     start(now);
@@ -371,12 +430,15 @@
     }
     waiting_.clear(), working_.clear(), leaving_.clear(), arrived_.clear();
     late_.clear(), background_.restart();
-    while (!peers_.empty()) drop(peers_.begin()->first, true);
+    while (!peers_.empty())
+        drop(peers_.begin()->first, true);
     fallen_ = false;
     started_ = now;
     paused_until_ = 0, put_off_units_ = 0;
-    if (pause_every_ > 0) next_pause_ = now + pause_every_;
-    if (put_off_every_ > 0) next_put_off_ = now + put_off_every_;
+    if (pause_every_ > 0)
+        next_pause_ = now + pause_every_;
+    if (put_off_every_ > 0)
+        next_put_off_ = now + put_off_every_;
     shell_.listen(true);
 }
 
--- a/src/node/disk.hpp
+++ b/src/node/disk.hpp
@@ -1,6 +1,6 @@
-// A stand-in for a storage node, without I/O of its own: connections' bytes and time in, bytes out. It serves
-// some tasks at once, queues others in turn of arrival, turns away what finds no room, is slow while it is
-// cold, pauses, puts part of a write's work off, and fails as it is told to.
+// A stand-in for a storage node, without I/O of its own: connections' bytes and time in, bytes out.
+// It serves some tasks at once, queues others in turn of arrival, turns away what finds no room, is
+// slow while it is cold, pauses, puts part of a write's work off, and fails as it is told to.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 // What a node asks of its shell.
 class Shell {
-  public:
+public:
     virtual ~Shell() = default;
     virtual void send(ConnId conn, std::string bytes) = 0;
     virtual void close(ConnId conn, bool reset) = 0;
@@ -40,28 +40,29 @@
 
 // The kinds of fault that a node can be told to have.
 enum class Fault {
-    mute,    // stops in the middle of an answer and is silent on that connection
-    hang,    // takes tasks and starts none; what it took is done when the fault ends
-    slow,    // work takes `size` times as long
-    reset,   // resets the connection on which an ask comes
-    refuse,  // takes no connection and resets those it has
-    full,    // turns every task away
-    fail,    // answers with an error, the work not done
-    cut,     // closes in the middle of an answer
-    garble,  // one bit of an answer is turned over on the way
-    late,    // answers leave `size` seconds late
-    rot,     // one stored bit of the range is turned over before a read
+    mute,   // stops in the middle of an answer and is silent on that connection
+    hang,   // takes tasks and starts none; what it took is done when the fault ends
+    slow,   // work takes `size` times as long
+    reset,  // resets the connection on which an ask comes
+    refuse, // takes no connection and resets those it has
+    full,   // turns every task away
+    fail,   // answers with an error, the work not done
+    cut,    // closes in the middle of an answer
+    garble, // one bit of an answer is turned over on the way
+    late,   // answers leave `size` seconds late
+    rot,    // one stored bit of the range is turned over before a read
 };
 
 class Disk {
-  public:
+public:
     // `now`: epoch nanoseconds, from which its start counts.
     Disk(NodeId id, ShardId shard, Store &store, Shell &shell, std::uint64_t seed, Time now);
 
-    // `unit_time`: what a unit takes on a warm, unhurried core; 0: no work is modelled, all is served at once.
+    // `unit_time`: what a unit takes on a warm, unhurried core; 0: no work is modelled, all is
+    // served at once.
     void set_speed(Time unit_time, std::uint32_t cores, std::uint32_t slots, std::uint32_t room);
-    // Its capacity grows from `start_part` evenly over `warm_after`. Sent more than `multiple` times what it
-    // can do within `span`, it falls over until it is restarted. 0: never.
+    // Its capacity grows from `start_part` evenly over `warm_after`. Sent more than `multiple`
+    // times what it can do within `span`, it falls over until it is restarted. 0: never.
     void set_cold(double start_part, Time warm_after, Time span, double multiple);
     // About every `every` it starts nothing for `length`.
     void set_pauses(Time every, Time length);
@@ -69,9 +70,11 @@
     void set_put_off(double part, Time every);
 
     // ---- Cuts, as the planner orders them. Each may be ordered again.
-    // `late`: the edges' processes that have stopped beginning changes of before `epoch`; what they began still goes
-    // into both. Any other's change of before it is turned away. Not durable before the seal.
-    Store::Cut open_cut(VolumeId of, VolumeId as, std::uint32_t epoch, std::set<facts::EdgeLife> late);
+    // `late`: the edges' processes that have stopped beginning changes of before `epoch`; what they
+    // began still goes into both. Any other's change of before it is turned away. Not durable
+    // before the seal.
+    Store::Cut open_cut(VolumeId of, VolumeId as, std::uint32_t epoch,
+                        std::set<facts::EdgeLife> late);
     bool seal(VolumeId of, VolumeId as);
     Store::Cut clone(VolumeId of, VolumeId as);
     // True where nothing of it is left but space to reclaim, which is done in the background.
@@ -84,7 +87,8 @@
     Time next_due() const;
     void tick(Time now);
 
-    // From a moment until another, or for the next `count` asks or answers that it can meet, 0: all of them.
+    // From a moment until another, or for the next `count` asks or answers that it can meet, 0: all
+    // of them.
     void fault(Fault kind, Time from, Time until, std::uint64_t count, double size);
     // A new process on the same store: connections and waiting work are gone, it is cold.
     void restart(Time now, bool lose_unflushed);
@@ -95,7 +99,7 @@
     std::size_t waiting() const { return waiting_.size(); }
     std::uint64_t served() const { return served_; }
 
-  private:
+private:
     struct Ask {
         ConnId conn;
         frames::Kind kind;
@@ -146,10 +150,12 @@
     std::map<ConnId, std::shared_ptr<Peer>> peers_;
     std::deque<Ask> waiting_;
     std::multimap<Time, Ask> working_; // by when it is done
-    std::map<std::pair<Time, std::uint64_t>, std::pair<ConnId, std::string>> leaving_; // answers kept back
+    std::map<std::pair<Time, std::uint64_t>, std::pair<ConnId, std::string>>
+        leaving_;                                 // answers kept back
     std::deque<std::pair<Time, double>> arrived_; // units, while cold
     std::vector<Faulty> faults_;
-    std::map<VolumeId, std::set<facts::EdgeLife>> late_; // by volume: whose changes of an earlier epoch count
+    std::map<VolumeId, std::set<facts::EdgeLife>>
+        late_; // by volume: whose changes of an earlier epoch count
     Background background_;
 };
 
--- a/src/node/registration.cpp
+++ b/src/node/registration.cpp
@@ -5,7 +5,8 @@
 
 namespace knotvane::node {
 namespace {
-// Nodes are fewer than edges and a hall of them may start together; the planner is given a quarter of a second.
+// Nodes are fewer than edges and a hall of them may start together; the planner is given a quarter
+// of a second.
 constexpr Time first_wait = 250 * ms, longest_wait = 2 * sec, dial_time = 2 * sec;
 } // namespace
 
@@ -20,7 +21,8 @@
 }
 void Registration::stop(Time now) {
     running_ = false;
-    if (std::exchange(up_, false) || redial_.trying()) line_.hang_up();
+    if (std::exchange(up_, false) || redial_.trying())
+        line_.hang_up();
     redial_.lost(now);
 }
 void Registration::up(Time now) {
@@ -35,8 +37,10 @@
 }
 void Registration::bytes(Time now, std::string_view in) {
     auto fault = reader_.bytes(in, *this);
-    if (fault.empty()) fault = fault_;
-    if (fault.empty()) return;
+    if (fault.empty())
+        fault = fault_;
+    if (fault.empty())
+        return;
     line_.say("planner: connection closed: " + fault);
     line_.hang_up();
     down(now);
@@ -44,7 +48,9 @@
 void Registration::node_told(NodeState state) {
     if (std::exchange(told_, state) != state)
         line_.say(std::string("the planner has this node as ") +
-                  (state == NodeState::ready ? "ready" : state == NodeState::draining ? "draining" : "gone"));
+                  (state == NodeState::ready      ? "ready"
+                   : state == NodeState::draining ? "draining"
+                                                  : "gone"));
 }
 // ---- Cuts. A failure of the medium leaves the store as it was, and is told.
 namespace {
@@ -52,41 +58,51 @@
 // Ranges told at once: a message of some tens of kilobytes.
 constexpr std::size_t most_ranges = 4096;
 } // namespace
-void Registration::cut_open(VolumeId of, VolumeId as, std::uint32_t epoch, const std::vector<facts::EdgeLife> &late) {
-    line_.send(facts::tell_cut(as, facts::CutStep::opened, line_.open_cut ? line_.open_cut(of, as, epoch, late) : fell_short));
+void Registration::cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
+                            const std::vector<facts::EdgeLife> &late) {
+    line_.send(facts::tell_cut(as, facts::CutStep::opened,
+                               line_.open_cut ? line_.open_cut(of, as, epoch, late) : fell_short));
 }
 void Registration::cut_seal(VolumeId of, VolumeId as) {
-    line_.send(facts::tell_cut(as, facts::CutStep::sealed, line_.seal && line_.seal(of, as) ? well : fell_short));
+    line_.send(facts::tell_cut(as, facts::CutStep::sealed,
+                               line_.seal && line_.seal(of, as) ? well : fell_short));
 }
 void Registration::cut_drop(VolumeId as) {
-    line_.send(facts::tell_cut(as, facts::CutStep::dropped, line_.drop && line_.drop(as) ? well : fell_short));
+    line_.send(facts::tell_cut(as, facts::CutStep::dropped,
+                               line_.drop && line_.drop(as) ? well : fell_short));
 }
 void Registration::cut_clone(VolumeId of, VolumeId as) {
-    line_.send(facts::tell_cut(as, facts::CutStep::cloned, line_.clone ? line_.clone(of, as) : fell_short));
+    line_.send(facts::tell_cut(as, facts::CutStep::cloned,
+                               line_.clone ? line_.clone(of, as) : fell_short));
 }
 void Registration::diff_asked(std::uint64_t question, VolumeId a, VolumeId b, std::uint64_t from) {
     std::vector<std::uint64_t> flat;
     bool more = false;
     if (line_.diff)
         for (auto [at, length] : line_.diff(a, b)) {
-            if (at < from) continue;
-            if ((more = flat.size() == 2 * most_ranges)) break;
+            if (at < from)
+                continue;
+            if ((more = flat.size() == 2 * most_ranges))
+                break;
             flat.push_back(at), flat.push_back(length);
         }
     line_.send(facts::tell_diff(question, flat, more));
 }
 Time Registration::next_due() const {
-    if (!running_) return std::numeric_limits<Time>::max();
+    if (!running_)
+        return std::numeric_limits<Time>::max();
     return up_ ? renew_at_ : redial_.due();
 }
 void Registration::tick(Time now) {
-    if (!running_ || now < next_due()) return;
+    if (!running_ || now < next_due())
+        return;
     if (up_) {
         line_.send(facts::node_renew());
         renew_at_ = now + every_;
         return;
     }
-    if (redial_.trying()) line_.hang_up();
+    if (redial_.trying())
+        line_.hang_up();
     redial_.trying(now, dial_time);
     line_.dial();
 }
--- a/src/node/registration.hpp
+++ b/src/node/registration.hpp
@@ -1,4 +1,5 @@
-// A node's word with the planner, without I/O: it says who it is and that it is there, again and again.
+// A node's word with the planner, without I/O: it says who it is and that it is there, again and
+// again.
 #pragma once
 
 #include <functional>
@@ -11,21 +12,23 @@
 namespace knotvane::node {
 
 class Registration final : facts::Heard {
-  public:
+public:
     struct Line {
         std::function<void()> dial, hang_up;
         std::function<void(std::string)> send, say;
         // The node's store does what the planner orders; `how` as store::Store::Cut counts.
-        std::function<std::uint8_t(VolumeId of, VolumeId as, std::uint32_t epoch, const std::vector<facts::EdgeLife> &late)>
+        std::function<std::uint8_t(VolumeId of, VolumeId as, std::uint32_t epoch,
+                                   const std::vector<facts::EdgeLife> &late)>
             open_cut{};
         std::function<bool(VolumeId of, VolumeId as)> seal{};
         std::function<bool(VolumeId as)> drop{};
         std::function<std::uint8_t(VolumeId of, VolumeId as)> clone{};
-        std::function<std::vector<std::pair<std::uint64_t, std::uint64_t>>(VolumeId, VolumeId)> diff{};
+        std::function<std::vector<std::pair<std::uint64_t, std::uint64_t>>(VolumeId, VolumeId)>
+            diff{};
     };
     // `every`: between two signs of life.
-    Registration(Line line, NodeId node, ShardId shard, ZoneId zone, std::string address, std::uint64_t seed,
-                 Time every);
+    Registration(Line line, NodeId node, ShardId shard, ZoneId zone, std::string address,
+                 std::uint64_t seed, Time every);
     // The node's process began, under a life of its own.
     void start(Time now, std::uint64_t life, Time started);
     // It is going down: nobody is told, the connection ends.
@@ -37,9 +40,10 @@
     void tick(Time now);
     NodeState told() const { return told_; }
 
-  private:
+private:
     void node_told(NodeState state) override;
-    void cut_open(VolumeId of, VolumeId as, std::uint32_t epoch, const std::vector<facts::EdgeLife> &late) override;
+    void cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
+                  const std::vector<facts::EdgeLife> &late) override;
     void cut_seal(VolumeId of, VolumeId as) override;
     void cut_drop(VolumeId as) override;
     void cut_clone(VolumeId of, VolumeId as) override;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -14,14 +14,17 @@
     auto cores = speed.count("cores", 1, 1024, 1), slots = speed.count("slots", 1, 65536, 4),
          room = speed.count("room", 0, 1000000, 64);
     auto &cold = file.one("cold", false);
-    double start = cold.number("start_part", 0.001, 1, 1), multiple = cold.number("multiple", 0, any, 0);
+    double start = cold.number("start_part", 0.001, 1, 1),
+           multiple = cold.number("multiple", 0, any, 0);
     Time warm = cold.time("warm_after", 0), span = cold.time("span", 0);
-    if (multiple > 0 && span <= 0) cold.fault("multiple", "needs a span");
+    if (multiple > 0 && span <= 0)
+        cold.fault("multiple", "needs a span");
     auto &rest = file.one("pauses", false);
     Time every = rest.time("every", 0), length = rest.time("length", 0);
     double part = rest.number("put_off_part", 0, 1, 0);
     Time put_off = rest.time("put_off_every", 0);
-    if (!disk) return;
+    if (!disk)
+        return;
     disk->set_speed(unit, static_cast<std::uint32_t>(cores), static_cast<std::uint32_t>(slots),
                     static_cast<std::uint32_t>(room));
     disk->set_cold(start, warm, span, multiple);
@@ -33,9 +36,9 @@
 // Signs of life to the planner: four within the time after which it takes a node for silent.
 constexpr Time sign_every = 500 * ms;
 
-void read_identity(settings::File &file, std::uint64_t &id, std::uint64_t &shard, std::string &listen,
-                   std::string &store, bool &sync, std::uint64_t &seed, Time &age, std::string &planner,
-                   std::uint64_t &zone) {
+void read_identity(settings::File &file, std::uint64_t &id, std::uint64_t &shard,
+                   std::string &listen, std::string &store, bool &sync, std::uint64_t &seed,
+                   Time &age, std::string &planner, std::uint64_t &zone) {
     auto &s = file.one("node", true);
     id = s.count("id", 1, std::numeric_limits<std::int64_t>::max());
     shard = s.count("shard", 0, 65535);
@@ -78,7 +81,8 @@
                                [this](std::string text) { say(std::move(text)); },
                                [this](VolumeId of, VolumeId as, std::uint32_t epoch,
                                       const std::vector<facts::EdgeLife> &late) {
-                                   return static_cast<std::uint8_t>(disk_->open_cut(of, as, epoch, {late.begin(), late.end()}));
+                                   return static_cast<std::uint8_t>(
+                                       disk_->open_cut(of, as, epoch, {late.begin(), late.end()}));
                                },
                                [this](VolumeId of, VolumeId as) { return disk_->seal(of, as); },
                                [this](VolumeId as) { return disk_->drop(as); },
@@ -90,7 +94,8 @@
         planner_->on_up = [this] { registration_->up(loop::now()); };
         planner_->on_down = [this] { registration_->down(loop::now()); };
         planner_->on_bytes = [this](std::string_view in) { registration_->bytes(loop::now(), in); };
-        registration_->start(loop::now(), static_cast<std::uint64_t>(disk_->started()), disk_->started());
+        registration_->start(loop::now(), static_cast<std::uint64_t>(disk_->started()),
+                             disk_->started());
     }
     loop_.at_end([this] { return end_of_moment(); });
 }
@@ -106,37 +111,50 @@
 void Server::listen(bool open) {
     if (!open) {
         listener_.reset();
-        if (registration_) registration_->stop(loop::now());
+        if (registration_)
+            registration_->stop(loop::now());
         return;
     }
-    if (listener_) return;
+    if (listener_)
+        return;
     if (registration_)
-        registration_->start(loop::now(), static_cast<std::uint64_t>(disk_->started()), disk_->started());
-    listener_ = std::make_unique<loop::Listener>(loop_, address_, [this](std::shared_ptr<loop::Socket> s) {
-        ConnId conn{++next_conn_};
-        conns_.add(conn, s);
-        s->on_bytes = [this, conn](std::string_view in) { disk_->bytes(loop::now(), conn, in); };
-        s->on_gone = [this, conn](loop::Gone) {
-            conns_.remove(conn);
-            disk_->gone(loop::now(), conn);
-        };
-        s->start();
-        disk_->came(loop::now(), conn);
-    });
+        registration_->start(loop::now(), static_cast<std::uint64_t>(disk_->started()),
+                             disk_->started());
+    listener_ =
+        std::make_unique<loop::Listener>(loop_, address_, [this](std::shared_ptr<loop::Socket> s) {
+            ConnId conn{++next_conn_};
+            conns_.add(conn, s);
+            s->on_bytes = [this, conn](std::string_view in) {
+                disk_->bytes(loop::now(), conn, in);
+            };
+            s->on_gone = [this, conn](loop::Gone) {
+                conns_.remove(conn);
+                disk_->gone(loop::now(), conn);
+            };
+            s->start();
+            disk_->came(loop::now(), conn);
+        });
     address_ = listener_->address(); // the same port again after a restart
 }
-void Server::send(ConnId conn, std::string bytes) { conns_.send(conn, std::move(bytes)); }
+void Server::send(ConnId conn, std::string bytes) {
+    conns_.send(conn, std::move(bytes));
+}
 void Server::close(ConnId conn, bool reset) {
     auto s = conns_.remove(conn);
-    if (!s) return;
+    if (!s)
+        return;
     if (reset)
         s->close(true);
     else
         s->close_when_sent();
 }
-void Server::say(std::string text) { log::line(log::warn, text, {{"node", std::to_string(id_.value)}}); }
+void Server::say(std::string text) {
+    log::line(log::warn, text, {{"node", std::to_string(id_.value)}});
+}
 
-void Server::stirred() { end_of_moment(); }
+void Server::stirred() {
+    end_of_moment();
+}
 
 Time Server::end_of_moment() {
     disk_->tick(loop::now());
@@ -145,7 +163,8 @@
         planner_->flush();
     }
     conns_.flush();
-    return registration_ ? std::min(disk_->next_due(), registration_->next_due()) : disk_->next_due();
+    return registration_ ? std::min(disk_->next_due(), registration_->next_due())
+                         : disk_->next_due();
 }
 
 } // namespace knotvane::node
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -4,9 +4,9 @@
 #include <memory>
 #include <string>
 
+#include "loop/dialled.hpp"
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
-#include "loop/dialled.hpp"
 #include "node/disk.hpp"
 #include "node/registration.hpp"
 #include "settings/ini.hpp"
@@ -18,9 +18,9 @@
 void check(settings::File &file);
 
 class Server final : public Shell {
-  public:
-    // Sets up from settings that were checked. Throws std::runtime_error where the address can't be listened on
-    // or the store can't be opened.
+public:
+    // Sets up from settings that were checked. Throws std::runtime_error where the address can't be
+    // listened on or the store can't be opened.
     Server(loop::Loop &loop, settings::File &file);
     ~Server() override;
     const std::string &address() const { return address_; }
@@ -36,7 +36,7 @@
     void listen(bool open) override;
     void say(std::string text) override;
 
-  private:
+private:
     Time end_of_moment();
     loop::Loop &loop_;
     NodeId id_;
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-// News that is not answered in this time is taken for lost and told again. Well above a round trip between halls.
+// News that is not answered in this time is taken for lost and told again. Well above a round trip
+// between halls.
 constexpr Time answer_time = sec;
-// News past this counts as long, and so many go out at once: with 280 edges asking for all of 10,000 volumes
-// together, the planner holds some megabytes, not hundreds.
+// News past this counts as long, and so many go out at once: with 280 edges asking for all of
+// 10,000 volumes together, the planner holds some megabytes, not hundreds.
 constexpr std::size_t long_news = 64 << 10, most_long = 8;
 // How far back a node's outs count for how long it has to be steady.
 constexpr Time outs_memory = 60 * sec;
@@ -30,14 +31,15 @@
 
 } // namespace
 
-Core::Core(Shell &shell, Keeper &keeper, Time lease, Time margin, Time fade, Time silent_for, Time out_after,
-           Time back_after, Time drain_time)
-    : shell_(shell), keeper_(keeper), silent_for_(silent_for), out_after_(out_after), back_after_(back_after),
-      drain_time_(drain_time), leases_(lease, margin, fade) {}
+Core::Core(Shell &shell, Keeper &keeper, Time lease, Time margin, Time fade, Time silent_for,
+           Time out_after, Time back_after, Time drain_time)
+    : shell_(shell), keeper_(keeper), silent_for_(silent_for), out_after_(out_after),
+      back_after_(back_after), drain_time_(drain_time), leases_(lease, margin, fade) {}
 Core::~Core() = default;
 
 // ---- Start.
-std::string Core::restore(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string_view body) {
+std::string Core::restore(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+                          std::string_view body) {
     struct Rows final : facts::Heard {
         Core &core;
         std::string fault;
@@ -73,16 +75,20 @@
             }
             at = end == std::string_view::npos ? body.size() : end + 1;
         }
-        if (f[0] > facts::whole_limit || f[1] > facts::whole_limit) return "a part's row is past the whole";
-        parts_.restore(VolumeId{b}, EdgeId{a}, static_cast<std::uint32_t>(f[0]), static_cast<std::uint32_t>(f[1]),
-                       Version{f[2]}, f[3] != 0, f[4] != 0);
+        if (f[0] > facts::whole_limit || f[1] > facts::whole_limit)
+            return "a part's row is past the whole";
+        parts_.restore(VolumeId{b}, EdgeId{a}, static_cast<std::uint32_t>(f[0]),
+                       static_cast<std::uint32_t>(f[1]), Version{f[2]}, f[3] != 0, f[4] != 0);
         return {};
     }
-    case Keeper::Row::drained: drained_.insert(NodeId{a}); return {};
+    case Keeper::Row::drained:
+        drained_.insert(NodeId{a});
+        return {};
     case Keeper::Row::undo: {
         std::uint32_t epoch = 0;
         for (char c : body) {
-            if (c < '0' || c > '9') return "an undone cut's row can't be read";
+            if (c < '0' || c > '9')
+                return "an undone cut's row can't be read";
             epoch = epoch * 10 + static_cast<std::uint32_t>(c - '0');
         }
         undo_rows_[VolumeId{a}] = {VolumeId{b}, epoch};
@@ -92,13 +98,14 @@
         facts::Reader reader;
         struct Line final : facts::Heard {
             Wanted::Node node;
-            void node_hello(NodeId, ShardId s, ZoneId z, const std::string &at, std::uint64_t draining,
-                            Time) override {
+            void node_hello(NodeId, ShardId s, ZoneId z, const std::string &at,
+                            std::uint64_t draining, Time) override {
                 node = {s, z, draining != 0, at, 0};
             }
             void unexpected(const char *) override {}
         } line;
-        if (auto fault = reader.bytes(body, line); !fault.empty()) return fault;
+        if (auto fault = reader.bytes(body, line); !fault.empty())
+            return fault;
         wanted_.nodes[NodeId{a}] = line.node;
         return {};
     }
@@ -106,23 +113,27 @@
     return "a row of no known kind";
 }
 
-bool Core::start(Time now, Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
-                 Version oldest, std::uint64_t settings, bool rebuilt) {
+bool Core::start(Time now, Term term, std::uint64_t instance, std::uint64_t lineage,
+                 Version version, Version oldest, std::uint64_t settings, bool rebuilt) {
     now_ = started_ = now;
     term_ = term, instance_ = instance, lineage_ = lineage;
     wanted_.version = settings;
-    // What edges were told before, they may still be about to go by: none has its right prolonged by this life
-    // before it goes by all that the last one decided.
+    // What edges were told before, they may still be about to go by: none has its right prolonged
+    // by this life before it goes by all that the last one decided.
     least_all_ = version;
     state_.restore(version, oldest);
     for (auto &[id, v] : state_.table().volumes) {
-        if (v.is_cut()) continue; // an operator's, not the settings'
-        wanted_.volumes[id] = {v, state_.table().plans.contains(v.plan) ? state_.table().plans.at(v.plan).name : "", 0};
+        if (v.is_cut())
+            continue; // an operator's, not the settings'
+        wanted_.volumes[id] = {
+            v, state_.table().plans.contains(v.plan) ? state_.table().plans.at(v.plan).name : "",
+            0};
     }
     for (auto &[id, n] : state_.table().nodes)
         if (n.state != NodeState::gone) {
             presence(id).assume(now, n.address, n.life, n.started);
-            if (n.state == NodeState::draining) draining_since_[id] = {version, now};
+            if (n.state == NodeState::draining)
+                draining_since_[id] = {version, now};
         }
     for (auto &[volume, holds] : parts_.all())
         for (auto &[edge, hold] : holds) {
@@ -133,10 +144,12 @@
             }
         }
     state_.restore(version, oldest);
-    // A cut that the last life did not make whole is undone, and its epoch, by which some may go, is not given twice.
+    // A cut that the last life did not make whole is undone, and its epoch, by which some may go,
+    // is not given twice.
     for (auto &[as, row] : undo_rows_) {
         cuts_.undo(as, all_shards());
-        if (auto v = state_.table().volumes.find(row.first); v != state_.table().volumes.end() && v->second.epoch < row.second) {
+        if (auto v = state_.table().volumes.find(row.first);
+            v != state_.table().volumes.end() && v->second.epoch < row.second) {
             auto fact = v->second;
             fact.epoch = row.second;
             state_.put(row.first, fact);
@@ -147,7 +160,8 @@
         parts_.unknown(facts::whole_limit);
         unknown_until_ = now + leases_.lease() + leases_.lease() / 10 + sec;
     }
-    started_up_ = keeper_.commit(term_, lineage_, state_.version(), state_.oldest_told(), wanted_.version);
+    started_up_ =
+        keeper_.commit(term_, lineage_, state_.version(), state_.oldest_told(), wanted_.version);
     return started_up_;
 }
 
@@ -156,19 +170,22 @@
     now_ = now;
     if (wanted.version <= wanted_.version && wanted_.version > 0) {
         if (wanted.version < wanted_.version)
-            faults.emplace_back(0, "version " + std::to_string(wanted.version) + " is older than the one in use, " +
+            faults.emplace_back(0, "version " + std::to_string(wanted.version) +
+                                       " is older than the one in use, " +
                                        std::to_string(wanted_.version));
         return;
     }
     for (auto &[id, n] : wanted_.nodes) {
         if (wanted.nodes.contains(id)) {
             if (wanted.nodes.at(id).shard != n.shard)
-                faults.emplace_back(wanted.nodes.at(id).line, "node " + text(id) + " holds shard " + text(n.shard) +
+                faults.emplace_back(wanted.nodes.at(id).line, "node " + text(id) + " holds shard " +
+                                                                  text(n.shard) +
                                                                   " and can't change to another");
             continue;
         }
         auto it = state_.table().nodes.find(id);
-        if (it == state_.table().nodes.end() || it->second.state == NodeState::gone) continue;
+        if (it == state_.table().nodes.end() || it->second.state == NodeState::gone)
+            continue;
         auto since = draining_since_.find(id);
         bool known = since != draining_since_.end() && now - since->second.second >= drain_time_;
         if (known)
@@ -176,18 +193,23 @@
                 known = known && (leases_.stage(edge) != Leases::Stage::held ||
                                   sides_.at(side)->acked >= since->second.first);
         if (!known)
-            faults.emplace_back(0, "node " + text(id) + " is in use and left out: drain it first, and remove it once " +
-                                       "every edge has known of the drain for " + std::to_string(drain_time_ / ms) + "ms");
+            faults.emplace_back(0,
+                                "node " + text(id) +
+                                    " is in use and left out: drain it first, and remove it once " +
+                                    "every edge has known of the drain for " +
+                                    std::to_string(drain_time_ / ms) + "ms");
     }
     for (auto &[id, v] : wanted_.volumes) {
         auto it = wanted.volumes.find(id);
         if (it == wanted.volumes.end()) {
             for (auto &[cut, f] : state_.table().volumes)
                 if (f.is_cut() && f.lies_as(cut) == id)
-                    faults.emplace_back(0, "volume " + v.fact.name + " is left out and has a snapshot or clone, " + f.name +
-                                               ": drop it first");
+                    faults.emplace_back(0, "volume " + v.fact.name +
+                                               " is left out and has a snapshot or clone, " +
+                                               f.name + ": drop it first");
             if (parts_.hosts(id) > 0)
-                faults.emplace_back(0, "volume " + v.fact.name + " is left out and has clients at " +
+                faults.emplace_back(0, "volume " + v.fact.name +
+                                           " is left out and has clients at " +
                                            std::to_string(parts_.hosts(id)) + " edges");
         } else if (it->second.fact.size < v.fact.size) {
             faults.emplace_back(it->second.line, "volume " + v.fact.name + " would shrink from " +
@@ -195,26 +217,32 @@
         }
     }
     for (auto &[id, f] : state_.table().volumes) {
-        if (!f.is_cut()) continue;
+        if (!f.is_cut())
+            continue;
         auto plan = state_.table().plans.find(f.plan);
-        if (f.charged_to(id) == id && plan != state_.table().plans.end() && !wanted.plans.contains(plan->second.name))
-            faults.emplace_back(0, "plan " + plan->second.name + " is left out and " + f.name + " is of it");
+        if (f.charged_to(id) == id && plan != state_.table().plans.end() &&
+            !wanted.plans.contains(plan->second.name))
+            faults.emplace_back(0, "plan " + plan->second.name + " is left out and " + f.name +
+                                       " is of it");
         for (auto &[other, v] : wanted.volumes)
             if (v.fact.name == f.name)
                 faults.emplace_back(v.line, "volume " + f.name + ": a clone has this name");
     }
-    if (!faults.empty()) return;
+    if (!faults.empty())
+        return;
     // Whole, from here on.
     for (auto &[id, n] : wanted_.nodes)
         if (!wanted.nodes.contains(id)) {
             state_.drop(id);
             presence_.erase(id), draining_since_.erase(id);
-            if (drained_.erase(id)) keeper_.drop(Keeper::Row::drained, id.value, 0);
+            if (drained_.erase(id))
+                keeper_.drop(Keeper::Row::drained, id.value, 0);
             keeper_.drop(Keeper::Row::wanted, id.value, 0);
         }
     std::map<std::string, PlanId> ids;
     std::uint32_t next = 0;
-    for (auto &[id, p] : state_.table().plans) ids[p.name] = id, next = std::max(next, id.value + 1);
+    for (auto &[id, p] : state_.table().plans)
+        ids[p.name] = id, next = std::max(next, id.value + 1);
     for (auto &[plan, p] : wanted.plans) {
         auto [it, is_new] = ids.try_emplace(plan, PlanId{next});
         next += is_new;
@@ -229,16 +257,20 @@
     }
     std::vector<VolumeId> left_out;
     for (auto &[id, v] : state_.table().volumes)
-        if (!wanted.volumes.contains(id) && !v.is_cut()) left_out.push_back(id);
-    for (auto id : left_out) state_.drop_volume(id);
+        if (!wanted.volumes.contains(id) && !v.is_cut())
+            left_out.push_back(id);
+    for (auto id : left_out)
+        state_.drop_volume(id);
     for (auto &[plan, id] : ids)
-        if (!wanted.plans.contains(plan)) state_.drop(id);
+        if (!wanted.plans.contains(plan))
+            state_.drop(id);
     wanted_ = wanted;
     cuts_.shards(all_shards());
     keep_wanted();
     commit_due_ = true;
     shell_.say("settings taken: version " + std::to_string(wanted.version) + ", " +
-               std::to_string(wanted.nodes.size()) + " nodes, " + std::to_string(wanted.volumes.size()) + " volumes");
+               std::to_string(wanted.nodes.size()) + " nodes, " +
+               std::to_string(wanted.volumes.size()) + " volumes");
 }
 void Core::keep_wanted() {
     for (auto &[id, n] : wanted_.nodes)
@@ -255,21 +287,26 @@
 void Core::bytes(Time now, SideId id, std::string_view in) {
     now_ = now;
     auto it = sides_.find(id);
-    if (it == sides_.end() || it->second->closed) return;
+    if (it == sides_.end() || it->second->closed)
+        return;
     auto &side = *it->second;
     side.heard = now;
     auto fault = side.reader.bytes(in, side);
-    if (fault.empty()) fault = side.fault;
-    if (!fault.empty() && !side.closed) close(side, fault);
+    if (fault.empty())
+        fault = side.fault;
+    if (!fault.empty() && !side.closed)
+        close(side, fault);
 }
 void Core::gone(Time now, SideId id) {
     now_ = now;
     auto it = sides_.find(id);
-    if (it == sides_.end()) return;
+    if (it == sides_.end())
+        return;
     auto &side = *it->second;
     if (side.role == Side::Role::edge && edges_[side.edge] == id) {
         edges_.erase(side.edge);
-        for (auto &[n, p] : presence_) p.no_witness(side.edge);
+        for (auto &[n, p] : presence_)
+            p.no_witness(side.edge);
         cuts_.edge_gone(now, side.edge);
     }
     if (side.role == Side::Role::node && nodes_[side.node] == id) {
@@ -282,21 +319,24 @@
     side.closed = true;
     static constexpr const char *roles[] = {"a peer", "edge ", "node ", "a visitor"};
     auto who = std::string(roles[static_cast<int>(side.role)]);
-    if (side.role == Side::Role::edge) who += text(side.edge);
-    if (side.role == Side::Role::node) who += text(side.node);
+    if (side.role == Side::Role::edge)
+        who += text(side.edge);
+    if (side.role == Side::Role::node)
+        who += text(side.node);
     shell_.say(who + ": connection closed: " + why);
     shell_.close(side.id);
 }
 
-void Core::edge_hello(Side &side, EdgeId edge, const std::string &listen, Term term, std::uint64_t instance,
-                      std::uint64_t lineage, Version version, const std::vector<NodeId> &draining,
-                      const std::vector<VolumeId> &serving) {
+void Core::edge_hello(Side &side, EdgeId edge, const std::string &listen, Term term,
+                      std::uint64_t instance, std::uint64_t lineage, Version version,
+                      const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving) {
     if ((term > term_ || (term == term_ && instance != instance_)) &&
         !outranked(term, "edge " + text(edge)))
         return;
     if (lineage == lineage_ && version > state_.version())
-        return retire("edge " + text(edge) + " goes by version " + text(version) + " of this store, which stands at " +
-                      text(state_.version()) + ": the store is an old copy; start with the right one, or rebuild");
+        return retire("edge " + text(edge) + " goes by version " + text(version) +
+                      " of this store, which stands at " + text(state_.version()) +
+                      ": the store is an old copy; start with the right one, or rebuild");
     if (auto old = edges_.find(edge); old != edges_.end() && old->second != side.id) {
         auto was = old->second;
         side.role = Side::Role::unknown;
@@ -307,42 +347,55 @@
     side.edge_term = term, side.edge_lineage = lineage;
     side.acked = side.told = lineage == lineage_ ? version : Version{0};
     edges_[edge] = side.id;
-    if (side.acked > Version{0}) parts_.acked(edge, side.acked);
+    if (side.acked > Version{0})
+        parts_.acked(edge, side.acked);
     std::set<VolumeId> now_serving(serving.begin(), serving.end());
     for (auto v : parts_.served_by(edge))
-        if (!now_serving.contains(v)) parts_.serve(v, edge, false);
-    for (auto v : now_serving) parts_.serve(v, edge, true);
+        if (!now_serving.contains(v))
+            parts_.serve(v, edge, false);
+    for (auto v : now_serving)
+        parts_.serve(v, edge, true);
     if (unknown_until_ > 0)
         // The store that knew of these drains is lost; the edges still do.
         for (auto node : draining)
             if (wanted_.nodes.contains(node) && drained_.insert(node).second)
-                keeper_.keep(Keeper::Row::drained, node.value, 0, state_.next(), {}), commit_due_ = true;
+                keeper_.keep(Keeper::Row::drained, node.value, 0, state_.next(), {}),
+                    commit_due_ = true;
 }
 
 void Core::renew(Side &side, Time at, Term term, Version version) {
-    if (term > term_) return void(outranked(term, "edge " + text(side.edge)));
+    if (term > term_)
+        return void(outranked(term, "edge " + text(side.edge)));
     side.edge_term = term;
     // Versions of another store say nothing here, until the edge goes by one of ours.
-    if (term == term_) side.edge_lineage = lineage_;
-    if (side.edge_lineage != lineage_) return;
-    if (version > side.acked) side.acked = version;
-    if (term == term_ && side.acked >= side.told) side.in_flight = false;
-    if (side.told < side.acked) side.told = side.acked;
+    if (term == term_)
+        side.edge_lineage = lineage_;
+    if (side.edge_lineage != lineage_)
+        return;
+    if (version > side.acked)
+        side.acked = version;
+    if (term == term_ && side.acked >= side.told)
+        side.in_flight = false;
+    if (side.told < side.acked)
+        side.told = side.acked;
     parts_.acked(side.edge, side.acked);
     // Its right goes on only once it goes by what lowered its parts while it was away.
-    if (term != term_ || version < least(side.edge) || retired_) return;
+    if (term != term_ || version < least(side.edge) || retired_)
+        return;
     bool away = leases_.stage(side.edge) != Leases::Stage::held;
     leases_.renewed(side.edge, now_);
-    if (away) parts_.back(side.edge);
-    shell_.send(side.id, facts::renewed(at, term_, leases_.lease(), leases_.fade(), least(side.edge)));
+    if (away)
+        parts_.back(side.edge);
+    shell_.send(side.id,
+                facts::renewed(at, term_, leases_.lease(), leases_.fade(), least(side.edge)));
 }
 Version Core::least(EdgeId edge) const {
     auto it = least_.find(edge);
     return it == least_.end() ? least_all_ : std::max(it->second, least_all_);
 }
 
-void Core::node_hello(Side &side, NodeId node, ShardId shard, ZoneId zone, const std::string &address,
-                      std::uint64_t life, Time age) {
+void Core::node_hello(Side &side, NodeId node, ShardId shard, ZoneId zone,
+                      const std::string &address, std::uint64_t life, Time age) {
     auto it = wanted_.nodes.find(node);
     auto refuse = [&](const std::string &why) {
         if (said_.insert("node " + text(node) + why).second)
@@ -350,10 +403,12 @@
         side.closed = true;
         shell_.close(side.id);
     };
-    if (it == wanted_.nodes.end()) return refuse("the settings don't list it");
+    if (it == wanted_.nodes.end())
+        return refuse("the settings don't list it");
     if (it->second.shard != shard || it->second.zone != zone)
-        return refuse("it says shard " + text(shard) + ", zone " + text(zone) + "; the settings shard " +
-                      text(it->second.shard) + ", zone " + text(it->second.zone));
+        return refuse("it says shard " + text(shard) + ", zone " + text(zone) +
+                      "; the settings shard " + text(it->second.shard) + ", zone " +
+                      text(it->second.zone));
     if (auto old = nodes_.find(node); old != nodes_.end() && old->second != side.id) {
         auto was = old->second;
         close(*sides_.at(was), "another connection says it is this node");
@@ -366,12 +421,14 @@
 }
 
 Presence &Core::presence(NodeId node) {
-    return presence_.try_emplace(node, silent_for_, out_after_, back_after_, outs_memory).first->second;
+    return presence_.try_emplace(node, silent_for_, out_after_, back_after_, outs_memory)
+        .first->second;
 }
 
 // ---- Other planners.
 void Core::retire(const std::string &why) {
-    if (std::exchange(retired_, true)) return;
+    if (std::exchange(retired_, true))
+        return;
     shell_.say("this planner (term " + text(term_) + ") stops planning: " + why);
     shell_.retired();
 }
@@ -380,7 +437,8 @@
         // A store made anew knows nothing of the terms before: it goes above each that it meets.
         term_ = Term{term.value + 1};
         commit_due_ = true;
-        for (auto &[id, side] : sides_) side->in_flight = false;
+        for (auto &[id, side] : sides_)
+            side->in_flight = false;
         shell_.say(who + " follows term " + text(term) + ": going on as term " + text(term_));
         return true;
     }
@@ -392,9 +450,11 @@
 std::string Core::effect(NodeId node, bool draining, bool &allowed, bool &serves) const {
     allowed = serves = false;
     auto w = wanted_.nodes.find(node);
-    if (w == wanted_.nodes.end()) return "node " + text(node) + " is not in the settings; nothing to do";
+    if (w == wanted_.nodes.end())
+        return "node " + text(node) + " is not in the settings; nothing to do";
     auto it = state_.table().nodes.find(node);
-    auto is = it == state_.table().nodes.end() ? std::string("not registered") : name(it->second.state);
+    auto is =
+        it == state_.table().nodes.end() ? std::string("not registered") : name(it->second.state);
     auto what = "node " + text(node) + " (shard " + text(w->second.shard) + ", " + is + "): ";
     std::string others;
     std::size_t count = 0;
@@ -405,22 +465,29 @@
         allowed = true, serves = count > 0;
         if (drained_.contains(node) || w->second.draining)
             return what + "drains already" + (w->second.draining ? " by the settings" : "");
-        return what + "would get no new work from any of " + std::to_string(edges_.size()) + " edges; " +
+        return what + "would get no new work from any of " + std::to_string(edges_.size()) +
+               " edges; " +
                (serves ? "its shard goes on at node " + others
-                       : "no other ready node holds its shard, whose requests would wait and be denied until one does");
+                       : "no other ready node holds its shard, whose requests would wait and be "
+                         "denied until one does");
     }
-    if (w->second.draining) return what + "drains by the settings: change its state there";
+    if (w->second.draining)
+        return what + "drains by the settings: change its state there";
     allowed = serves = true;
-    return drained_.contains(node) ? what + "would get new work again from " + std::to_string(edges_.size()) + " edges"
-                                   : what + "does not drain by an operator's word; nothing to do";
+    return drained_.contains(node)
+               ? what + "would get new work again from " + std::to_string(edges_.size()) + " edges"
+               : what + "does not drain by an operator's word; nothing to do";
 }
 void Core::drain_asked(Side &side, NodeId node, bool draining, std::uint8_t how) {
     bool allowed = false, serves = false;
     auto text_of = effect(node, draining, allowed, serves);
     bool act = allowed && (how == 2 || (how == 1 && serves));
-    if (!act) return shell_.send(side.id, facts::effect(allowed && serves, false, text_of));
-    if (draining && drained_.insert(node).second) keeper_.keep(Keeper::Row::drained, node.value, 0, state_.next(), {});
-    if (!draining && drained_.erase(node)) keeper_.drop(Keeper::Row::drained, node.value, 0);
+    if (!act)
+        return shell_.send(side.id, facts::effect(allowed && serves, false, text_of));
+    if (draining && drained_.insert(node).second)
+        keeper_.keep(Keeper::Row::drained, node.value, 0, state_.next(), {});
+    if (!draining && drained_.erase(node))
+        keeper_.drop(Keeper::Row::drained, node.value, 0);
     shell_.say("operator: " + std::string(draining ? "drain" : "undrain") + " node " + text(node));
     commit_due_ = true;
     // Said to be done once it is durable.
@@ -431,13 +498,17 @@
 void Core::decide_nodes() {
     for (auto &[id, w] : wanted_.nodes) {
         auto &p = presence(id);
-        if (!w.address.empty()) p.heard(now_, w.address, 1, 0);
+        if (!w.address.empty())
+            p.heard(now_, w.address, 1, 0);
         bool in = p.in(now_, leases_.held());
-        if (!p.ever_heard()) continue;
+        if (!p.ever_heard())
+            continue;
         if (p.to_ask(now_))
-            for (auto &[edge, side] : edges_) shell_.send(side, facts::ask_witness(id));
-        auto state = !in ? NodeState::gone
-                         : (w.draining || drained_.contains(id)) ? NodeState::draining : NodeState::ready;
+            for (auto &[edge, side] : edges_)
+                shell_.send(side, facts::ask_witness(id));
+        auto state = !in                                     ? NodeState::gone
+                     : (w.draining || drained_.contains(id)) ? NodeState::draining
+                                                             : NodeState::ready;
         auto was = state_.table().nodes.find(id);
         if (was == state_.table().nodes.end() || was->second.state != state)
             shell_.say("node " + text(id) + " is " + name(state));
@@ -453,18 +524,24 @@
     auto version = state_.next();
     parts_.part_out(
         version,
-        [&](VolumeId volume, EdgeId edge, const facts::Part &part) { state_.put_part(edge, volume, part); },
+        [&](VolumeId volume, EdgeId edge, const facts::Part &part) {
+            state_.put_part(edge, volume, part);
+        },
         [&](VolumeId volume, EdgeId edge, const Parts::Hold *h) {
-            if (!h) return keeper_.drop(Keeper::Row::hold, edge.value, volume.value);
+            if (!h)
+                return keeper_.drop(Keeper::Row::hold, edge.value, volume.value);
             keeper_.keep(Keeper::Row::hold, edge.value, volume.value, version,
-                         std::to_string(h->part) + " " + std::to_string(h->bound) + " " + text(h->since) + " " +
-                             std::to_string(h->serves) + " " + std::to_string(parts_.is_lapsed(edge)));
+                         std::to_string(h->part) + " " + std::to_string(h->bound) + " " +
+                             text(h->since) + " " + std::to_string(h->serves) + " " +
+                             std::to_string(parts_.is_lapsed(edge)));
         });
     using Kind = State::Kind;
     for (auto &key : state_.changed()) {
-        if (key.kind == Kind::part) continue; // kept as holds
-        auto row = key.kind == Kind::plan ? Keeper::Row::plan
-                                          : key.kind == Kind::volume ? Keeper::Row::volume : Keeper::Row::node;
+        if (key.kind == Kind::part)
+            continue; // kept as holds
+        auto row = key.kind == Kind::plan     ? Keeper::Row::plan
+                   : key.kind == Kind::volume ? Keeper::Row::volume
+                                              : Keeper::Row::node;
         if (!state_.has(key)) {
             keeper_.drop(row, key.id, 0);
             continue;
@@ -472,19 +549,23 @@
         auto &t = state_.table();
         PlanId plan{static_cast<std::uint32_t>(key.id)};
         keeper_.keep(row, key.id, 0, version,
-                     key.kind == Kind::plan     ? facts::put(plan, t.plans.at(plan))
-                     : key.kind == Kind::volume ? facts::put(VolumeId{key.id}, t.volumes.at(VolumeId{key.id}))
-                                                : facts::put(NodeId{key.id}, t.nodes.at(NodeId{key.id})));
+                     key.kind == Kind::plan ? facts::put(plan, t.plans.at(plan))
+                     : key.kind == Kind::volume
+                         ? facts::put(VolumeId{key.id}, t.volumes.at(VolumeId{key.id}))
+                         : facts::put(NodeId{key.id}, t.nodes.at(NodeId{key.id})));
     }
-    if (state_.close()) commit_due_ = true;
+    if (state_.close())
+        commit_due_ = true;
 }
 
 void Core::tell_sides() {
     std::size_t longs = 0;
-    for (auto &[id, side] : sides_) longs += side->in_flight && side->is_long && now_ - side->told_at < answer_time;
+    for (auto &[id, side] : sides_)
+        longs += side->in_flight && side->is_long && now_ - side->told_at < answer_time;
     for (auto &[id, s] : sides_) {
         auto &side = *s;
-        if (side.closed) continue;
+        if (side.closed)
+            continue;
         if (side.role == Side::Role::node) {
             auto it = state_.table().nodes.find(side.node);
             if (it != state_.table().nodes.end() && side.state_told != it->second.state) {
@@ -492,31 +573,38 @@
                 shell_.send(id, facts::tell_node(it->second.state));
             }
         }
-        if (side.role != Side::Role::edge) continue;
-        // One piece of news at a time: what changes while an edge is slow comes together in the next.
-        if (side.in_flight && now_ - side.told_at < answer_time) continue;
-        bool behind = side.acked < state_.version() || side.edge_term != term_ || side.edge_lineage != lineage_;
-        if (!behind) continue;
+        if (side.role != Side::Role::edge)
+            continue;
+        // One piece of news at a time: what changes while an edge is slow comes together in the
+        // next.
+        if (side.in_flight && now_ - side.told_at < answer_time)
+            continue;
+        bool behind = side.acked < state_.version() || side.edge_term != term_ ||
+                      side.edge_lineage != lineage_;
+        if (!behind)
+            continue;
         Version from = side.edge_lineage == lineage_ ? side.acked : Version{0};
         std::string facts_out;
         auto count = state_.news(side.edge, from, facts_out);
         side.is_long = facts_out.size() > long_news;
-        if (side.is_long && longs >= most_long) continue;
+        if (side.is_long && longs >= most_long)
+            continue;
         longs += side.is_long;
         side.in_flight = true, side.told = state_.version(), side.told_at = now_;
-        shell_.send(id, facts::begins(term_, instance_, lineage_, state_.version(), from, now_) + facts_out +
-                            facts::ends(state_.version(), count));
+        shell_.send(id, facts::begins(term_, instance_, lineage_, state_.version(), from, now_) +
+                            facts_out + facts::ends(state_.version(), count));
     }
 }
 
 void Core::settle(Time now) {
     now_ = now;
-    if (retired_ || !started_up_) return;
+    if (retired_ || !started_up_)
+        return;
     leases_.pass(now, [&](EdgeId edge, Leases::Stage stage) {
         if (stage == Leases::Stage::lapsed) {
             shell_.say("edge " + text(edge) + " has not renewed: its parts fall to a piece");
-            // Not before it goes by all that it was told until now, too: what was lowered and never reached it
-            // counts for a piece from here on, and must not be whole again.
+            // Not before it goes by all that it was told until now, too: what was lowered and never
+            // reached it counts for a piece from here on, and must not be whole again.
             least_[edge] = parts_.lapsed(edge) ? state_.next() : state_.version();
         } else {
             shell_.say("edge " + text(edge) + " is forgotten: its parts go to others");
@@ -526,34 +614,47 @@
     });
     if (unknown_until_ > 0 && now > unknown_until_ && !std::exchange(unknown_faded_, true))
         parts_.unknown(facts::usable(facts::whole_limit, 1, 1));
-    if (unknown_until_ > 0 && now > unknown_until_ + leases_.fade()) parts_.unknown(0), unknown_until_ = 0;
+    if (unknown_until_ > 0 && now > unknown_until_ + leases_.fade())
+        parts_.unknown(0), unknown_until_ = 0;
     decide_nodes();
     cuts_.tick(now, connected_nodes());
     settle_cuts();
     keep_changes();
     if (commit_due_) {
-        // Nothing is told that is not durable: a planner that comes back from its store must know all that it said.
-        if (!keeper_.commit(term_, lineage_, state_.version(), state_.oldest_told(), wanted_.version)) return;
+        // Nothing is told that is not durable: a planner that comes back from its store must know
+        // all that it said.
+        if (!keeper_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
+                            wanted_.version))
+            return;
         commit_due_ = false;
     }
-    for (auto id : std::exchange(undo_after_commit_, {})) cuts_.undo(id, all_shards());
+    for (auto id : std::exchange(undo_after_commit_, {}))
+        cuts_.undo(id, all_shards());
     for (auto &[side, bytes] : std::exchange(after_commit_, {}))
-        if (sides_.contains(side)) shell_.send(side, std::move(bytes));
+        if (sides_.contains(side))
+            shell_.send(side, std::move(bytes));
     tell_sides();
     begin_prepared();
 }
 
 Time Core::next_due() const {
-    if (retired_) return never;
+    if (retired_)
+        return never;
     Time due = std::min(leases_.next_due(), cuts_.next_due());
-    for (auto &[number, q] : questions_) due = std::min(due, q.until);
+    for (auto &[number, q] : questions_)
+        due = std::min(due, q.until);
     for (auto &[as, p] : pending_)
-        if (p.failed || p.whole) due = std::min(due, now_);
-    for (auto &[id, p] : presence_) due = std::min(due, p.next_due());
-    if (unknown_until_ > 0) due = std::min(due, unknown_until_ + (unknown_faded_ ? leases_.fade() : 0) + 1);
-    if (commit_due_) due = std::min(due, now_ + commit_again);
+        if (p.failed || p.whole)
+            due = std::min(due, now_);
+    for (auto &[id, p] : presence_)
+        due = std::min(due, p.next_due());
+    if (unknown_until_ > 0)
+        due = std::min(due, unknown_until_ + (unknown_faded_ ? leases_.fade() : 0) + 1);
+    if (commit_due_)
+        due = std::min(due, now_ + commit_again);
     for (auto &[id, side] : sides_)
-        if (side->role == Side::Role::edge && side->in_flight) due = std::min(due, side->told_at + answer_time);
+        if (side->role == Side::Role::edge && side->in_flight)
+            due = std::min(due, side->told_at + answer_time);
     return due;
 }
 
@@ -576,41 +677,50 @@
              {"shard", w.shard.value},
              {"zone", w.zone.value},
              {"state", known ? name(it->second.state) : "never heard"},
-             {"word", drained_.contains(id) ? "drain" : w.draining ? "drain (settings)" : "ready"},
+             {"word", drained_.contains(id) ? "drain"
+                      : w.draining          ? "drain (settings)"
+                                            : "ready"},
              {"address", known ? it->second.address : w.address},
              {"age_ms", known && it->second.started > 0 ? (now - it->second.started) / ms : 0},
-             {"silent_ms", p != presence_.end() && p->second.ever_heard() ? p->second.silent(now) / ms : -1},
+             {"silent_ms",
+              p != presence_.end() && p->second.ever_heard() ? p->second.silent(now) / ms : -1},
              {"out_of_reach_for", p != presence_.end() ? p->second.against() : 0}});
     }
     out["cuts"] = json::array();
     for (auto &[id, f] : state_.table().volumes) {
-        if (!f.is_cut()) continue;
+        if (!f.is_cut())
+            continue;
         auto of = state_.table().volumes.find(f.of);
-        out["cuts"].push_back({{"id", id.value},
-                               {"name", f.name},
-                               {"kind", f.frozen ? "snapshot" : "clone"},
-                               {"of", of == state_.table().volumes.end() ? "(dropped)" : of->second.name},
-                               {"size", f.size},
-                               {"age_ms", (now - f.taken) / ms},
-                               {"pays", f.charge.value ? "its source" : "itself"},
-                               {"used_by", users(id)}});
+        out["cuts"].push_back(
+            {{"id", id.value},
+             {"name", f.name},
+             {"kind", f.frozen ? "snapshot" : "clone"},
+             {"of", of == state_.table().volumes.end() ? "(dropped)" : of->second.name},
+             {"size", f.size},
+             {"age_ms", (now - f.taken) / ms},
+             {"pays", f.charge.value ? "its source" : "itself"},
+             {"used_by", users(id)}});
     }
     out["cuts_under_way"] = json::array();
     for (auto &[as, waits] : cuts_.under_way())
         if (auto p = pending_.find(as); p != pending_.end())
-            out["cuts_under_way"].push_back(
-                {{"name", p->second.fact.name}, {"since_ms", (now - p->second.began) / ms}, {"what", waits}});
+            out["cuts_under_way"].push_back({{"name", p->second.fact.name},
+                                             {"since_ms", (now - p->second.began) / ms},
+                                             {"what", waits}});
     out["cuts_undone"] = json::array();
     for (auto &[as, left] : cuts_.undoing()) {
         json shards = json::array();
-        for (auto s : left) shards.push_back(s.value);
+        for (auto s : left)
+            shards.push_back(s.value);
         out["cuts_undone"].push_back({{"id", as.value}, {"shards_left", shards}});
     }
     out["edges"] = json::array();
     std::set<EdgeId> all;
-    for (auto &[e, s] : edges_) all.insert(e);
+    for (auto &[e, s] : edges_)
+        all.insert(e);
     for (auto &[v, holds] : parts_.all())
-        for (auto &[e, h] : holds) all.insert(e);
+        for (auto &[e, h] : holds)
+            all.insert(e);
     for (auto e : all) {
         static constexpr const char *stages[] = {"held", "lapsed", "none"};
         json x{{"id", e.value}, {"lease", stages[static_cast<int>(leases_.stage(e))]}};
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -1,6 +1,6 @@
-// The planner without I/O: what edges, nodes, operators and settings files say in, versions of the fleet's facts
-// out. It decides who is a member, what drains, and which part of each limit an edge has. Nothing is handed out
-// before the keeper has it.
+// The planner without I/O: what edges, nodes, operators and settings files say in, versions of the
+// fleet's facts out. It decides who is a member, what drains, and which part of each limit an edge
+// has. Nothing is handed out before the keeper has it.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 using SideId = Id<struct SideKind, std::uint64_t>;
 
 class Shell {
-  public:
+public:
     virtual ~Shell() = default;
     virtual void send(SideId side, std::string bytes) = 0;
     virtual void close(SideId side) = 0;
@@ -35,13 +35,15 @@
     virtual void retired() = 0;
 };
 
-// What outlives the planner's process. Rows gather until commit, which makes all of them durable or none.
+// What outlives the planner's process. Rows gather until commit, which makes all of them durable or
+// none.
 class Keeper {
-  public:
+public:
     // `undo`: a snapshot or clone (a) of a volume (b) that is not whole; its body the epoch.
     enum class Row : std::uint8_t { plan, volume, node, hold, drained, wanted, undo };
     virtual ~Keeper() = default;
-    virtual void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string body) = 0;
+    virtual void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+                      std::string body) = 0;
     virtual void drop(Row row, std::uint64_t a, std::uint64_t b) = 0;
     // False where it could not: rows stay gathered for another try.
     virtual bool commit(Term term, std::uint64_t lineage, Version version, Version oldest,
@@ -69,19 +71,22 @@
 };
 
 class Core final : Cuts::Orders {
-  public:
-    // Times in nanoseconds. `lease`, `margin`, `fade`: see Leases. `silent_for`, `out_after`, `back_after`: see
-    // Presence. `drain_time`: how long a drain has to have been known before the node may be removed.
-    Core(Shell &shell, Keeper &keeper, Time lease, Time margin, Time fade, Time silent_for, Time out_after,
-         Time back_after, Time drain_time);
+public:
+    // Times in nanoseconds. `lease`, `margin`, `fade`: see Leases. `silent_for`, `out_after`,
+    // `back_after`: see Presence. `drain_time`: how long a drain has to have been known before the
+    // node may be removed.
+    Core(Shell &shell, Keeper &keeper, Time lease, Time margin, Time fade, Time silent_for,
+         Time out_after, Time back_after, Time drain_time);
     ~Core() override;
 
     // Rows of the store, before start. An empty answer is good.
-    std::string restore(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string_view body);
-    // `term`: of this life, above all before it in this store. `instance`: chance, another for each process.
-    // `rebuilt`: the store is new and an earlier one may have handed things out. False where the keeper fails.
-    bool start(Time now, Term term, std::uint64_t instance, std::uint64_t lineage, Version version, Version oldest,
-               std::uint64_t settings, bool rebuilt);
+    std::string restore(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+                        std::string_view body);
+    // `term`: of this life, above all before it in this store. `instance`: chance, another for each
+    // process. `rebuilt`: the store is new and an earlier one may have handed things out. False
+    // where the keeper fails.
+    bool start(Time now, Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
+               Version oldest, std::uint64_t settings, bool rebuilt);
 
     // New settings, taken whole or, with any fault, not at all. Faults: line and text.
     void want(Time now, const Wanted &wanted, std::vector<std::pair<int, std::string>> &faults);
@@ -103,11 +108,11 @@
     // A snapshot or clone that is under way, or being taken back.
     bool busy_with(VolumeId cut) const { return undo_rows_.contains(cut); }
 
-  private:
+private:
     struct Side;
-    void edge_hello(Side &side, EdgeId edge, const std::string &listen, Term term, std::uint64_t instance,
-                    std::uint64_t lineage, Version version, const std::vector<NodeId> &draining,
-                    const std::vector<VolumeId> &serving);
+    void edge_hello(Side &side, EdgeId edge, const std::string &listen, Term term,
+                    std::uint64_t instance, std::uint64_t lineage, Version version,
+                    const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving);
     void renew(Side &side, Time at, Term term, Version version);
     void node_hello(Side &side, NodeId node, ShardId shard, ZoneId zone, const std::string &address,
                     std::uint64_t life, Time age);
@@ -134,7 +139,8 @@
     void hold(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
     void go(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch) override;
     void release(EdgeId edge, VolumeId of, VolumeId as) override;
-    void open(NodeId node, VolumeId of, VolumeId as, std::uint32_t epoch, const std::vector<facts::EdgeLife> &late) override;
+    void open(NodeId node, VolumeId of, VolumeId as, std::uint32_t epoch,
+              const std::vector<facts::EdgeLife> &late) override;
     void seal(NodeId node, VolumeId of, VolumeId as) override;
     void clone(NodeId node, VolumeId of, VolumeId as) override;
     void drop(NodeId node, VolumeId as) override;
@@ -145,13 +151,14 @@
     void to_node(NodeId node, std::string bytes);
     void cut_asked(Side &side, std::uint8_t what, const std::string &name, const std::string &as,
                    const std::string &plan);
-    std::string refuse_cut(std::uint8_t what, const std::string &name, const std::string &as, const std::string &plan,
-                           Pending &p);
+    std::string refuse_cut(std::uint8_t what, const std::string &name, const std::string &as,
+                           const std::string &plan, Pending &p);
     void prepare(Pending p);
     void drop_cut(Side &side, VolumeId id);
     void compare(Side &side, VolumeId a, VolumeId b);
     void answer_question(std::uint64_t number, std::string why);
-    void diff_told(NodeId node, std::uint64_t number, const std::vector<std::uint64_t> &ranges, bool more);
+    void diff_told(NodeId node, std::uint64_t number, const std::vector<std::uint64_t> &ranges,
+                   bool more);
     void settle_cuts();
     std::vector<std::uint64_t> users(VolumeId id) const;
     void begin_prepared();
--- a/src/planner/core_cuts.cpp
+++ b/src/planner/core_cuts.cpp
@@ -1,5 +1,5 @@
-// The planner's core, of snapshots and clones: what operators may ask, what has to be durable before it is
-// begun or said, and who is told. What becomes of a cut is decided in cuts.cpp.
+// The planner's core, of snapshots and clones: what operators may ask, what has to be durable
+// before it is begun or said, and who is told. What becomes of a cut is decided in cuts.cpp.
 #include "planner/core.hpp"
 
 #include <algorithm>
@@ -21,13 +21,15 @@
 
 std::set<ShardId> Core::all_shards() const {
     std::set<ShardId> out;
-    for (auto &[id, n] : wanted_.nodes) out.insert(n.shard);
+    for (auto &[id, n] : wanted_.nodes)
+        out.insert(n.shard);
     return out;
 }
 std::map<NodeId, ShardId> Core::connected_nodes() const {
     std::map<NodeId, ShardId> out;
     for (auto &[id, side] : nodes_)
-        if (auto w = wanted_.nodes.find(id); w != wanted_.nodes.end()) out[id] = w->second.shard;
+        if (auto w = wanted_.nodes.find(id); w != wanted_.nodes.end())
+            out[id] = w->second.shard;
     return out;
 }
 std::set<NodeId> Core::nodes_for_cut(std::string &why) const {
@@ -35,12 +37,14 @@
     std::set<ShardId> met;
     for (auto &[id, shard] : connected_nodes()) {
         auto it = state_.table().nodes.find(id);
-        if (it == state_.table().nodes.end() || it->second.state == NodeState::gone) continue;
+        if (it == state_.table().nodes.end() || it->second.state == NodeState::gone)
+            continue;
         out.insert(id), met.insert(shard);
     }
     for (auto shard : all_shards())
         if (!met.contains(shard))
-            why = "no node of shard " + std::to_string(shard.value) + " is connected to the planner";
+            why =
+                "no node of shard " + std::to_string(shard.value) + " is connected to the planner";
     return why.empty() ? out : std::set<NodeId>{};
 }
 std::optional<VolumeId> Core::find(const std::string &name) const {
@@ -51,7 +55,8 @@
     std::vector<std::uint64_t> out;
     if (auto it = parts_.all().find(id); it != parts_.all().end())
         for (auto &[edge, h] : it->second)
-            if (h.serves) out.push_back(edge.value);
+            if (h.serves)
+                out.push_back(edge.value);
     return out;
 }
 
@@ -60,22 +65,26 @@
 std::string Core::refuse_cut(std::uint8_t what, const std::string &name, const std::string &as,
                              const std::string &plan, Pending &p) {
     auto of = find(name);
-    if (!of) return "there is no volume or snapshot " + name;
+    if (!of)
+        return "there is no volume or snapshot " + name;
     auto &source = state_.table().volumes.at(*of);
     bool take = what == 0;
     auto full = take ? name + "@" + as : as;
     if (as.empty() || as.find('@') != std::string::npos || full.size() > longest_name)
-        return "the name '" + as + "' can't be: expected one without '@', " + std::to_string(longest_name) +
-               " bytes at most with the volume's";
+        return "the name '" + as + "' can't be: expected one without '@', " +
+               std::to_string(longest_name) + " bytes at most with the volume's";
     if (auto old = find(full)) {
         auto &f = state_.table().volumes.at(*old);
         return full + " is there already" +
                (f.is_cut() ? ", taken " + std::to_string((now_ - f.taken) / sec) + "s ago" : "");
     }
     for (auto &[id, other] : pending_)
-        if (other.fact.name == full) return full + " is under way";
-    if (take && source.frozen) return name + " is a snapshot, which does not change: clone it";
-    if (!take && !source.frozen) return name + " is no snapshot: take one and clone that";
+        if (other.fact.name == full)
+            return full + " is under way";
+    if (take && source.frozen)
+        return name + " is a snapshot, which does not change: clone it";
+    if (!take && !source.frozen)
+        return name + " is no snapshot: take one and clone that";
     p.of = *of, p.clone = !take;
     p.fact = source;
     p.fact.name = full, p.fact.of = *of, p.fact.place = source.lies_as(*of), p.fact.frozen = take;
@@ -84,21 +93,27 @@
     p.fact.charge = source.charged_to(*of);
     if (!take && !plan.empty()) {
         auto &plans = state_.table().plans;
-        auto it = std::find_if(plans.begin(), plans.end(), [&](auto &x) { return x.second.name == plan; });
-        if (it == plans.end()) return "there is no plan " + plan;
+        auto it = std::find_if(plans.begin(), plans.end(),
+                               [&](auto &x) { return x.second.name == plan; });
+        if (it == plans.end())
+            return "there is no plan " + plan;
         if (it->second.reserve > 0)
             return "plan " + plan +
-                   " has a reserve, which a clone would have again: choose one without, or none to " +
+                   " has a reserve, which a clone would have again: choose one without, or none "
+                   "to " +
                    "pay from the source's part";
         p.fact.plan = it->first, p.fact.charge = {};
     }
     std::string why;
-    if (nodes_for_cut(why).empty()) return why.empty() ? "there are no nodes" : why;
+    if (nodes_for_cut(why).empty())
+        return why.empty() ? "there are no nodes" : why;
     return {};
 }
 void Core::cut_asked(Side &side, std::uint8_t what, const std::string &name, const std::string &as,
                      const std::string &plan) {
-    auto refuse = [&](const std::string &why) { shell_.send(side.id, facts::effect(false, false, why)); };
+    auto refuse = [&](const std::string &why) {
+        shell_.send(side.id, facts::effect(false, false, why));
+    };
     if (what == 1) {
         auto id = find(name);
         if (!id || !state_.table().volumes.at(*id).is_cut())
@@ -107,18 +122,21 @@
     }
     if (what == 3) {
         auto a = find(name), b = find(as);
-        if (!a || !b) return refuse("there is no volume or snapshot " + (a ? as : name));
+        if (!a || !b)
+            return refuse("there is no volume or snapshot " + (a ? as : name));
         auto &t = state_.table().volumes;
         if (t.at(*a).lies_as(*a) != t.at(*b).lies_as(*b))
             return refuse(name + " and " + as + " do not come from one volume");
         return compare(side, *a, *b);
     }
     Pending p;
-    if (auto why = refuse_cut(what, name, as, plan, p); !why.empty()) return refuse(why);
-    // Found in virtual time: one that had failed and was about to be tried again did not count, and two cuts of one
-    // volume were open at once, of which late changes met one.
+    if (auto why = refuse_cut(what, name, as, plan, p); !why.empty())
+        return refuse(why);
+    // Found in virtual time: one that had failed and was about to be tried again did not count, and
+    // two cuts of one volume were open at once, of which late changes met one.
     for (auto &[as_other, other] : pending_)
-        if (!p.clone && !other.clone && other.of == p.of) return refuse("another snapshot of " + name + " is under way");
+        if (!p.clone && !other.clone && other.of == p.of)
+            return refuse("another snapshot of " + name + " is under way");
     p.side = side.id, p.began = now_;
     prepare(std::move(p));
 }
@@ -126,10 +144,12 @@
 void Core::prepare(Pending p) {
     // Above every life's before: terms count up, and so does this.
     VolumeId as{};
-    do as = VolumeId{std::uint64_t{1} << 63 | (term_.value & 0x7fffff) << 40 | ++next_cut_};
+    do
+        as = VolumeId{std::uint64_t{1} << 63 | (term_.value & 0x7fffff) << 40 | ++next_cut_};
     while (state_.table().volumes.contains(as));
     if (!p.clone) {
-        // A store that was made anew has lost count of epochs; the clock is past all that it gave out.
+        // A store that was made anew has lost count of epochs; the clock is past all that it gave
+        // out.
         auto last = state_.table().volumes.at(p.of).epoch;
         p.epoch = std::max(last + 1, static_cast<std::uint32_t>(now_ / sec));
     }
@@ -141,7 +161,8 @@
 // After a commit.
 void Core::begin_prepared() {
     for (auto &[as, p] : pending_) {
-        if (std::exchange(p.durable, true)) continue;
+        if (std::exchange(p.durable, true))
+            continue;
         std::string why;
         auto nodes = nodes_for_cut(why);
         if (nodes.empty()) {
@@ -150,12 +171,15 @@
             cuts_.begin_clone(now_, p.of, as, std::move(nodes));
         } else {
             std::set<EdgeId> edges;
-            for (auto &[edge, side] : edges_) edges.insert(edge);
+            for (auto &[edge, side] : edges_)
+                edges.insert(edge);
             cuts_.begin_cut(now_, p.of, as, p.epoch, std::move(edges), std::move(nodes));
         }
     }
 }
-void Core::whole(VolumeId as) { pending_.at(as).whole = true; }
+void Core::whole(VolumeId as) {
+    pending_.at(as).whole = true;
+}
 void Core::failed(VolumeId as, const std::string &why, bool again) {
     auto &p = pending_.at(as);
     p.failed = true, p.again = again, p.why = why;
@@ -164,10 +188,12 @@
 void Core::settle_cuts() {
     std::vector<VolumeId> over;
     for (auto &[as, p] : pending_)
-        if (p.failed || p.whole) over.push_back(as);
+        if (p.failed || p.whole)
+            over.push_back(as);
     for (auto as : over) {
         auto p = std::move(pending_.extract(as).mapped());
-        if (auto v = state_.table().volumes.find(p.of); !p.clone && v != state_.table().volumes.end()) {
+        if (auto v = state_.table().volumes.find(p.of);
+            !p.clone && v != state_.table().volumes.end()) {
             // Whole or undone, the epoch is in use.
             auto source = v->second;
             source.epoch = std::max(source.epoch, p.epoch);
@@ -193,38 +219,47 @@
             prepare(std::move(p));
         } else {
             after_commit_.emplace_back(
-                p.side, facts::effect(true, false, p.fact.name + ": " + p.why + "; nothing is left of it"));
+                p.side,
+                facts::effect(true, false, p.fact.name + ": " + p.why + "; nothing is left of it"));
         }
     }
     std::vector<std::uint64_t> late;
     for (auto &[number, q] : questions_)
-        if (now_ >= q.until) late.push_back(number);
-    for (auto number : late) answer_question(number, "a node did not answer in time");
+        if (now_ >= q.until)
+            late.push_back(number);
+    for (auto number : late)
+        answer_question(number, "a node did not answer in time");
 }
 void Core::drop_cut(Side &side, VolumeId id) {
     auto fact = state_.table().volumes.at(id);
-    auto refuse = [&](const std::string &why) { shell_.send(side.id, facts::effect(true, false, why)); };
+    auto refuse = [&](const std::string &why) {
+        shell_.send(side.id, facts::effect(true, false, why));
+    };
     if (auto who = users(id); !who.empty()) {
         std::string edges;
-        for (auto e : who) edges += (edges.empty() ? "" : ", ") + std::to_string(e);
+        for (auto e : who)
+            edges += (edges.empty() ? "" : ", ") + std::to_string(e);
         return refuse(fact.name + " is in use by clients of edge " + edges);
     }
     for (auto &[as, p] : pending_)
-        if (p.of == id) return refuse(fact.name + " is being cloned to " + p.fact.name);
+        if (p.of == id)
+            return refuse(fact.name + " is being cloned to " + p.fact.name);
     state_.drop_volume(id);
     undo_rows_[id] = {fact.of, 0};
     keeper_.keep(Keeper::Row::undo, id.value, fact.of.value, Version{1}, "0");
-    // Found in virtual time: ordered before it was durable, a planner that died in between came back to a snapshot whose
-    // bytes were gone.
+    // Found in virtual time: ordered before it was durable, a planner that died in between came
+    // back to a snapshot whose bytes were gone.
     undo_after_commit_.push_back(id);
     shell_.say("operator: drop " + fact.name);
     commit_due_ = true;
     after_commit_.emplace_back(
-        side.id, facts::effect(true, true, fact.name + ": dropped; its space comes back in the background"));
+        side.id,
+        facts::effect(true, true, fact.name + ": dropped; its space comes back in the background"));
 }
 void Core::undone(VolumeId as) {
     auto it = undo_rows_.find(as);
-    if (it == undo_rows_.end()) return;
+    if (it == undo_rows_.end())
+        return;
     keeper_.drop(Keeper::Row::undo, as.value, it->second.first.value);
     undo_rows_.erase(it);
     commit_due_ = true;
@@ -234,7 +269,8 @@
 void Core::compare(Side &side, VolumeId a, VolumeId b) {
     std::string why;
     auto nodes = nodes_for_cut(why);
-    if (nodes.empty()) return shell_.send(side.id, facts::effect(false, false, why));
+    if (nodes.empty())
+        return shell_.send(side.id, facts::effect(false, false, why));
     auto number = ++next_question_;
     Question q{side.id, a, b, {}, {}, now_ + question_time};
     for (auto n : nodes) {
@@ -243,23 +279,29 @@
     }
     questions_[number] = std::move(q);
 }
-void Core::diff_told(NodeId node, std::uint64_t number, const std::vector<std::uint64_t> &ranges, bool more) {
+void Core::diff_told(NodeId node, std::uint64_t number, const std::vector<std::uint64_t> &ranges,
+                     bool more) {
     auto it = questions_.find(number);
-    if (it == questions_.end() || !it->second.left.contains(node)) return;
+    if (it == questions_.end() || !it->second.left.contains(node))
+        return;
     auto &q = it->second;
-    for (std::size_t i = 0; i + 1 < ranges.size(); i += 2) q.ranges[ranges[i]] = ranges[i + 1];
+    for (std::size_t i = 0; i + 1 < ranges.size(); i += 2)
+        q.ranges[ranges[i]] = ranges[i + 1];
     if (more && !ranges.empty()) {
         auto from = ranges[ranges.size() - 2] + 1;
         q.left[node] = from;
         return to_node(node, facts::ask_diff(number, q.a, q.b, from));
     }
     q.left.erase(node);
-    if (q.left.empty()) answer_question(number, {});
+    if (q.left.empty())
+        answer_question(number, {});
 }
 void Core::answer_question(std::uint64_t number, std::string why) {
     auto q = std::move(questions_.extract(number).mapped());
-    if (!sides_.contains(q.side)) return;
-    if (!why.empty()) return shell_.send(q.side, facts::effect(true, false, why));
+    if (!sides_.contains(q.side))
+        return;
+    if (!why.empty())
+        return shell_.send(q.side, facts::effect(true, false, why));
     // Ranges of two shards may touch.
     std::vector<std::pair<std::uint64_t, std::uint64_t>> merged;
     std::uint64_t sum = 0;
@@ -270,8 +312,10 @@
         else
             merged.emplace_back(at, length);
     }
-    std::string text = std::to_string(sum) + " bytes in " + std::to_string(merged.size()) + " ranges differ";
-    if (merged.size() > most_ranges) text += ", the first " + std::to_string(most_ranges) + " are";
+    std::string text =
+        std::to_string(sum) + " bytes in " + std::to_string(merged.size()) + " ranges differ";
+    if (merged.size() > most_ranges)
+        text += ", the first " + std::to_string(most_ranges) + " are";
     for (std::size_t i = 0; i < merged.size() && i < most_ranges; ++i)
         text += "\n" + std::to_string(merged[i].first) + " " + std::to_string(merged[i].second);
     shell_.send(q.side, facts::effect(true, true, text));
@@ -279,10 +323,12 @@
 
 // ---- Orders, to whoever is connected.
 void Core::to_edge(EdgeId edge, std::string bytes) {
-    if (auto it = edges_.find(edge); it != edges_.end()) shell_.send(it->second, std::move(bytes));
+    if (auto it = edges_.find(edge); it != edges_.end())
+        shell_.send(it->second, std::move(bytes));
 }
 void Core::to_node(NodeId node, std::string bytes) {
-    if (auto it = nodes_.find(node); it != nodes_.end()) shell_.send(it->second, std::move(bytes));
+    if (auto it = nodes_.find(node); it != nodes_.end())
+        shell_.send(it->second, std::move(bytes));
 }
 void Core::hold(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     to_edge(edge, facts::cut_hold(of, as, epoch, longest));
@@ -290,13 +336,21 @@
 void Core::go(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch) {
     to_edge(edge, facts::cut_go(of, as, epoch));
 }
-void Core::release(EdgeId edge, VolumeId of, VolumeId as) { to_edge(edge, facts::cut_release(of, as)); }
+void Core::release(EdgeId edge, VolumeId of, VolumeId as) {
+    to_edge(edge, facts::cut_release(of, as));
+}
 void Core::open(NodeId node, VolumeId of, VolumeId as, std::uint32_t epoch,
                 const std::vector<facts::EdgeLife> &late) {
     to_node(node, facts::cut_open(of, as, epoch, late));
 }
-void Core::seal(NodeId node, VolumeId of, VolumeId as) { to_node(node, facts::cut_seal(of, as)); }
-void Core::clone(NodeId node, VolumeId of, VolumeId as) { to_node(node, facts::cut_clone(of, as)); }
-void Core::drop(NodeId node, VolumeId as) { to_node(node, facts::cut_drop(as)); }
+void Core::seal(NodeId node, VolumeId of, VolumeId as) {
+    to_node(node, facts::cut_seal(of, as));
+}
+void Core::clone(NodeId node, VolumeId of, VolumeId as) {
+    to_node(node, facts::cut_clone(of, as));
+}
+void Core::drop(NodeId node, VolumeId as) {
+    to_node(node, facts::cut_drop(as));
+}
 
 } // namespace knotvane::planner
--- a/src/planner/cuts.cpp
+++ b/src/planner/cuts.cpp
@@ -8,12 +8,14 @@
 namespace knotvane::planner {
 namespace {
 
-// The longest that an edge holds changes back, by its own clock from when it hears. Far below any client's
-// patience, some hundred times a round trip between halls.
+// The longest that an edge holds changes back, by its own clock from when it hears. Far below any
+// client's patience, some hundred times a round trip between halls.
 constexpr Time hold_time = 500 * ms;
-// An edge that has not stopped by then is left out: its changes wait at the nodes until the cut is sealed.
+// An edge that has not stopped by then is left out: its changes wait at the nodes until the cut is
+// sealed.
 constexpr Time ready_time = 100 * ms;
-// After this nodes have cut or the cut ends: edges must hear to go on before they go on by themselves.
+// After this nodes have cut or the cut ends: edges must hear to go on before they go on by
+// themselves.
 constexpr Time open_time = 400 * ms;
 constexpr Time moved_time = sec;
 // Changes that began before end by then: longer than any client timeout in use.
@@ -29,11 +31,13 @@
                                             "changes to end", "nodes to seal", "nodes to clone"};
     return names[phase];
 }
-template <class Ids> std::string list(const Ids &ids) {
+template <class Ids>
+std::string list(const Ids &ids) {
     std::string out;
     std::size_t told = 0;
     for (auto id : ids) {
-        if (told++ == 5) return out + ", ... (" + std::to_string(ids.size()) + ")";
+        if (told++ == 5)
+            return out + ", ... (" + std::to_string(ids.size()) + ")";
         out += (out.empty() ? "" : ", ") + std::to_string(id.value);
     }
     return out;
@@ -41,59 +45,72 @@
 
 } // namespace
 
-void Cuts::begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, std::set<EdgeId> edges,
-                     std::set<NodeId> nodes) {
+void Cuts::begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch,
+                     std::set<EdgeId> edges, std::set<NodeId> nodes) {
     auto &a = attempts_[as];
     a.of = of, a.epoch = epoch, a.began = now, a.until = now + ready_time;
     a.asked = a.waited = std::move(edges), a.nodes = std::move(nodes);
-    for (auto e : a.asked) orders_.hold(e, of, as, epoch, hold_time);
+    for (auto e : a.asked)
+        orders_.hold(e, of, as, epoch, hold_time);
     step(now, as, a);
 }
 void Cuts::begin_clone(Time now, VolumeId of, VolumeId as, std::set<NodeId> nodes) {
     auto &a = attempts_[as];
     a.of = of, a.phase = Phase::cloning, a.began = now, a.until = now + clone_time;
     a.nodes = a.missing = std::move(nodes);
-    for (auto n : a.nodes) orders_.clone(n, of, as);
+    for (auto n : a.nodes)
+        orders_.clone(n, of, as);
 }
 
 void Cuts::open(Time now, VolumeId as, Attempt &a) {
     a.phase = Phase::opening, a.until = a.began + open_time;
     a.missing = a.nodes;
-    // Whoever has not stopped is not among these, and so can't change the cut: not a slow edge, not one that
-    // the planner does not know of.
-    for (auto e : a.waited) orders_.release(e, a.of, as);
+    // Whoever has not stopped is not among these, and so can't change the cut: not a slow edge, not
+    // one that the planner does not know of.
+    for (auto e : a.waited)
+        orders_.release(e, a.of, as);
     a.waited.clear();
     // By process, not by edge: one that restarts in the middle may go by an old plan.
     std::vector<facts::EdgeLife> late;
-    for (auto &[e, life] : a.late) late.push_back(life);
-    for (auto n : a.nodes) orders_.open(n, a.of, as, a.epoch, late);
+    for (auto &[e, life] : a.late)
+        late.push_back(life);
+    for (auto n : a.nodes)
+        orders_.open(n, a.of, as, a.epoch, late);
     step(now, as, a);
 }
 // Goes on to the next phase where this one has all it waits for.
 void Cuts::step(Time now, VolumeId as, Attempt &a) {
     switch (a.phase) {
     case Phase::holding:
-        if (a.waited.empty()) open(now, as, a);
+        if (a.waited.empty())
+            open(now, as, a);
         return;
     case Phase::opening:
-        if (!a.missing.empty()) return;
+        if (!a.missing.empty())
+            return;
         a.phase = Phase::moving, a.until = now + moved_time;
-        for (auto &[e, life] : a.late) a.waited.insert(e), orders_.go(e, a.of, as, a.epoch);
+        for (auto &[e, life] : a.late)
+            a.waited.insert(e), orders_.go(e, a.of, as, a.epoch);
         [[fallthrough]];
     case Phase::moving:
-        if (!a.waited.empty()) return;
+        if (!a.waited.empty())
+            return;
         a.phase = Phase::draining, a.until = now + drain_time;
         for (auto &[e, life] : a.late)
-            if (!a.drained.contains(e)) a.waited.insert(e);
+            if (!a.drained.contains(e))
+                a.waited.insert(e);
         [[fallthrough]];
     case Phase::draining:
-        if (!a.waited.empty()) return;
+        if (!a.waited.empty())
+            return;
         a.phase = Phase::sealing, a.until = now + seal_time, a.missing = a.nodes;
-        for (auto n : a.nodes) orders_.seal(n, a.of, as);
+        for (auto n : a.nodes)
+            orders_.seal(n, a.of, as);
         return;
     case Phase::sealing:
     case Phase::cloning:
-        if (!a.missing.empty()) return;
+        if (!a.missing.empty())
+            return;
         attempts_.erase(as);
         orders_.whole(as);
     }
@@ -102,64 +119,78 @@
     auto node = attempts_.extract(as);
     auto &a = node.mapped();
     if (a.phase == Phase::holding || a.phase == Phase::opening)
-        for (auto e : a.asked) orders_.release(e, a.of, as);
+        for (auto e : a.asked)
+            orders_.release(e, a.of, as);
     orders_.failed(as, why, again);
 }
 
 void Cuts::edge_told(Time now, EdgeId edge, facts::EdgeLife life, VolumeId as, CutStep what) {
     auto it = attempts_.find(as);
-    if (it == attempts_.end()) return;
+    if (it == attempts_.end())
+        return;
     auto &a = it->second;
-    if (!a.asked.contains(edge)) return;
+    if (!a.asked.contains(edge))
+        return;
     switch (what) {
     case CutStep::ready:
         if (a.phase != Phase::holding) {
-            if (!a.late.contains(edge)) orders_.release(edge, a.of, as);
+            if (!a.late.contains(edge))
+                orders_.release(edge, a.of, as);
             return;
         }
         a.waited.erase(edge);
         a.late[edge] = life;
         break;
     case CutStep::lapsed:
-        // Guards against an edge that went on by itself, in the epoch before, while others are in the new
-        // one.
-        if (!a.late.contains(edge)) return;
-        return fail(as, "edge " + std::to_string(edge.value) + " held its changes back for too long", true);
+        // Guards against an edge that went on by itself, in the epoch before, while others are in
+        // the new one.
+        if (!a.late.contains(edge))
+            return;
+        return fail(
+            as, "edge " + std::to_string(edge.value) + " held its changes back for too long", true);
     case CutStep::drained:
         a.drained.insert(edge);
-        if (a.phase == Phase::draining) a.waited.erase(edge);
+        if (a.phase == Phase::draining)
+            a.waited.erase(edge);
         break;
     case CutStep::moved:
-        if (a.phase == Phase::moving) a.waited.erase(edge);
+        if (a.phase == Phase::moving)
+            a.waited.erase(edge);
         break;
     default:
         return;
     }
     step(now, as, a);
 }
-void Cuts::node_told(Time now, NodeId node, ShardId shard, VolumeId as, CutStep what, std::uint8_t how) {
+void Cuts::node_told(Time now, NodeId node, ShardId shard, VolumeId as, CutStep what,
+                     std::uint8_t how) {
     constexpr std::uint8_t done = 0, exists = 1, full = 3;
     if (what == CutStep::dropped) {
         auto u = undo_.find(as);
-        if (u == undo_.end() || how != done) return;
+        if (u == undo_.end() || how != done)
+            return;
         u->second.erase(shard);
-        if (!u->second.empty()) return;
+        if (!u->second.empty())
+            return;
         undo_.erase(u);
         return orders_.undone(as);
     }
     auto it = attempts_.find(as);
-    if (it == attempts_.end()) return;
+    if (it == attempts_.end())
+        return;
     auto &a = it->second;
-    bool expected = what == CutStep::opened   ? a.phase == Phase::opening
-                    : what == CutStep::sealed ? a.phase == Phase::sealing
-                                              : what == CutStep::cloned && a.phase == Phase::cloning;
-    if (!expected || !a.missing.contains(node)) return;
+    bool expected = what == CutStep::opened ? a.phase == Phase::opening
+                    : what == CutStep::sealed
+                        ? a.phase == Phase::sealing
+                        : what == CutStep::cloned && a.phase == Phase::cloning;
+    if (!expected || !a.missing.contains(node))
+        return;
     if (how != done && how != exists)
-        return fail(
-            as,
-            "node " + std::to_string(node.value) +
-                (how == full ? ": less than a tenth of its store is free" : " could not do it; see its log"),
-            false);
+        return fail(as,
+                    "node " + std::to_string(node.value) +
+                        (how == full ? ": less than a tenth of its store is free"
+                                     : " could not do it; see its log"),
+                    false);
     a.missing.erase(node);
     step(now, as, a);
 }
@@ -167,7 +198,8 @@
 void Cuts::edge_gone(Time now, EdgeId edge) {
     std::vector<VolumeId> of;
     for (auto &[as, a] : attempts_)
-        if (a.asked.contains(edge)) of.push_back(as);
+        if (a.asked.contains(edge))
+            of.push_back(as);
     for (auto as : of) {
         auto &a = attempts_.at(as);
         a.asked.erase(edge);
@@ -183,10 +215,12 @@
 void Cuts::node_gone(Time, NodeId node) {
     std::vector<VolumeId> of;
     for (auto &[as, a] : attempts_)
-        if (a.nodes.contains(node)) of.push_back(as);
-    // Guards against a node that restarts in the middle: what it cut was not durable, and who is late it has
-    // forgotten.
-    for (auto as : of) fail(as, "node " + std::to_string(node.value) + " was lost on the way", true);
+        if (a.nodes.contains(node))
+            of.push_back(as);
+    // Guards against a node that restarts in the middle: what it cut was not durable, and who is
+    // late it has forgotten.
+    for (auto as : of)
+        fail(as, "node " + std::to_string(node.value) + " was lost on the way", true);
 }
 
 void Cuts::undo(VolumeId as, std::set<ShardId> shards) {
@@ -195,7 +229,8 @@
 }
 void Cuts::node_came(NodeId node, ShardId shard) {
     for (auto &[as, left] : undo_)
-        if (left.contains(shard)) orders_.drop(node, as);
+        if (left.contains(shard))
+            orders_.drop(node, as);
 }
 void Cuts::shards(const std::set<ShardId> &all) {
     for (auto it = undo_.begin(); it != undo_.end();) {
@@ -203,19 +238,22 @@
         auto as = it->first;
         bool over = it->second.empty();
         it = over ? undo_.erase(it) : std::next(it);
-        if (over) orders_.undone(as);
+        if (over)
+            orders_.undone(as);
     }
 }
 
 Time Cuts::next_due() const {
     Time due = std::numeric_limits<Time>::max();
-    for (auto &[as, a] : attempts_) due = std::min(due, a.until);
+    for (auto &[as, a] : attempts_)
+        due = std::min(due, a.until);
     return undo_.empty() ? due : std::min(due, undo_again_);
 }
 void Cuts::tick(Time now, const std::map<NodeId, ShardId> &connected) {
     std::vector<VolumeId> late;
     for (auto &[as, a] : attempts_)
-        if (now >= a.until) late.push_back(as);
+        if (now >= a.until)
+            late.push_back(as);
     for (auto as : late) {
         auto &a = attempts_.at(as);
         if (a.phase == Phase::holding)
@@ -227,9 +265,11 @@
                                         : ": node " + list(a.missing)),
                  true);
     }
-    if (undo_.empty() || now < undo_again_) return;
+    if (undo_.empty() || now < undo_again_)
+        return;
     undo_again_ = now + undo_every;
-    for (auto &[node, shard] : connected) node_came(node, shard);
+    for (auto &[node, shard] : connected)
+        node_came(node, shard);
 }
 
 std::map<VolumeId, std::string> Cuts::under_way() const {
--- a/src/planner/cuts.hpp
+++ b/src/planner/cuts.hpp
@@ -1,9 +1,9 @@
-// Snapshots and clones over all edges and nodes: one cut's steps, what is late, what ends it, and what has to
-// be undone. No I/O, no clock. docs/design/snapshots.md says why a cut is exact.
+// Snapshots and clones over all edges and nodes: one cut's steps, what is late, what ends it, and
+// what has to be undone. No I/O, no clock. docs/design/snapshots.md says why a cut is exact.
 //
-// A cut: edges hold back new changes; nodes cut; edges go on in the next epoch; once all that began before
-// has ended, nodes seal what they cut. It is whole only then. Whatever goes wrong before ends it, and it is
-// undone at every node.
+// A cut: edges hold back new changes; nodes cut; edges go on in the next epoch; once all that began
+// before has ended, nodes seal what they cut. It is whole only then. Whatever goes wrong before
+// ends it, and it is undone at every node.
 #pragma once
 
 #include <cstdint>
@@ -22,9 +22,9 @@
 using facts::EdgeId;
 
 class Cuts {
-  public:
-    // What is asked of edges and nodes, and how a cut ended. `whole`: sealed at every node, to be made
-    // durable. `failed`: why; it is to be undone. `again`: the reason may have passed.
+public:
+    // What is asked of edges and nodes, and how a cut ended. `whole`: sealed at every node, to be
+    // made durable. `failed`: why; it is to be undone. `again`: the reason may have passed.
     struct Orders {
         virtual ~Orders() = default;
         virtual void hold(EdgeId, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) = 0;
@@ -42,8 +42,8 @@
     };
     explicit Cuts(Orders &orders) : orders_(orders) {}
 
-    // `edges`: all that are connected; `nodes`: one or more of each shard, connected. Durable before it is
-    // called: that `as` may have to be undone.
+    // `edges`: all that are connected; `nodes`: one or more of each shard, connected. Durable
+    // before it is called: that `as` may have to be undone.
     void begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, std::set<EdgeId> edges,
                    std::set<NodeId> nodes);
     void begin_clone(Time now, VolumeId of, VolumeId as, std::set<NodeId> nodes);
@@ -52,7 +52,8 @@
 
     // `life`: of the edge's process, as nodes know it.
     void edge_told(Time now, EdgeId edge, facts::EdgeLife life, VolumeId as, CutStep step);
-    void node_told(Time now, NodeId node, ShardId shard, VolumeId as, CutStep step, std::uint8_t how);
+    void node_told(Time now, NodeId node, ShardId shard, VolumeId as, CutStep step,
+                   std::uint8_t how);
     // The connection went: what it was to do for a cut that is not whole may not have come about.
     void edge_gone(Time now, EdgeId edge);
     void node_gone(Time now, NodeId node);
@@ -69,7 +70,7 @@
     std::map<VolumeId, std::string> under_way() const;
     const std::map<VolumeId, std::set<ShardId>> &undoing() const { return undo_; }
 
-  private:
+private:
     enum class Phase { holding, opening, moving, draining, sealing, cloning };
     struct Attempt {
         VolumeId of;
--- a/src/planner/members.hpp
+++ b/src/planner/members.hpp
@@ -1,5 +1,5 @@
-// Who is there: edges by leases, nodes by registration and by what edges say of them. No I/O; time is given,
-// nanoseconds of a clock that never goes back.
+// Who is there: edges by leases, nodes by registration and by what edges say of them. No I/O; time
+// is given, nanoseconds of a clock that never goes back.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 
 // Edges' rights to their parts, as the planner has to count them.
 class Leases {
-  public:
+public:
     enum class Stage { held, lapsed, forgotten };
-    // `lease`: from the edge's own sending on; here it runs `margin` longer, for clocks that run unlike. `fade`:
-    // how much longer a lapsed edge keeps a piece.
+    // `lease`: from the edge's own sending on; here it runs `margin` longer, for clocks that run
+    // unlike. `fade`: how much longer a lapsed edge keeps a piece.
     Leases(Time lease, Time margin, Time fade) : lease_(lease), margin_(margin), fade_(fade) {}
     // An edge that may hold parts from before this planner's life, renewed by then at the latest.
     void known(EdgeId edge, Time now, bool lapsed) {
@@ -37,7 +37,7 @@
     Time lease() const { return lease_; }
     Time fade() const { return fade_; }
 
-  private:
+private:
     struct Entry {
         Time until;
         Stage stage;
@@ -48,12 +48,13 @@
 
 // One node's life as the planner makes it out.
 class Presence {
-  public:
-    // `silent_for`: how long a registration lasts without word. `out_after`: how long a node must be both silent
-    // and out of reach before it is out; `back_after`: how long it must be heard before it is in again, times
-    // how often it went out within `memory`.
+public:
+    // `silent_for`: how long a registration lasts without word. `out_after`: how long a node must
+    // be both silent and out of reach before it is out; `back_after`: how long it must be heard
+    // before it is in again, times how often it went out within `memory`.
     Presence(Time silent_for, Time out_after, Time back_after, Time memory)
-        : silent_for_(silent_for), out_after_(out_after), back_after_(back_after), memory_(memory) {}
+        : silent_for_(silent_for), out_after_(out_after), back_after_(back_after), memory_(memory) {
+    }
     // `started`: when its process did. Another life is in at once, and cold for all.
     void heard(Time now, const std::string &address, std::uint64_t life, Time started);
     void renewed(Time now) { heard_ = now; }
@@ -74,7 +75,7 @@
     // When in() may change with nothing heard.
     Time next_due() const;
 
-  private:
+private:
     static constexpr Time never_heard = -1'000'000 * sec, ask_every = sec;
     Time silent_for_, out_after_, back_after_, memory_;
     std::string address_;
--- a/src/planner/parts.cpp
+++ b/src/planner/parts.cpp
@@ -5,31 +5,37 @@
 
 namespace knotvane::planner {
 
-void Parts::restore(VolumeId volume, EdgeId edge, std::uint32_t part, std::uint32_t bound, Version since,
-                    bool serves, bool lapsed) {
+void Parts::restore(VolumeId volume, EdgeId edge, std::uint32_t part, std::uint32_t bound,
+                    Version since, bool serves, bool lapsed) {
     volumes_[volume][edge] = {part, bound, since, serves};
-    if (lapsed) lapsed_.insert(edge);
+    if (lapsed)
+        lapsed_.insert(edge);
     of_edge_[edge].insert(volume);
-    if (bound > part) unsettled_[edge].insert(volume);
+    if (bound > part)
+        unsettled_[edge].insert(volume);
     dirty_.insert(volume);
 }
 void Parts::unknown(std::uint32_t bound) {
     unknown_ = bound;
-    for (auto &[v, holds] : volumes_) dirty_.insert(v);
+    for (auto &[v, holds] : volumes_)
+        dirty_.insert(v);
 }
 
 void Parts::serve(VolumeId volume, EdgeId edge, bool on) {
     auto it = volumes_.find(volume);
-    if (!on && (it == volumes_.end() || !it->second.contains(edge))) return;
+    if (!on && (it == volumes_.end() || !it->second.contains(edge)))
+        return;
     auto &hold = volumes_[volume][edge];
     of_edge_[edge].insert(volume);
-    if (std::exchange(hold.serves, on) != on) dirty_.insert(volume);
+    if (std::exchange(hold.serves, on) != on)
+        dirty_.insert(volume);
 }
 std::vector<VolumeId> Parts::served_by(EdgeId edge) const {
     std::vector<VolumeId> out;
     if (auto it = of_edge_.find(edge); it != of_edge_.end())
         for (auto v : it->second)
-            if (volumes_.at(v).at(edge).serves) out.push_back(v);
+            if (volumes_.at(v).at(edge).serves)
+                out.push_back(v);
     return out;
 }
 
@@ -49,7 +55,8 @@
 
 bool Parts::lapsed(EdgeId edge) {
     bool fell = false;
-    if (!lapsed_.insert(edge).second) return false;
+    if (!lapsed_.insert(edge).second)
+        return false;
     for (auto v : of_edge_[edge]) {
         auto &hold = volumes_.at(v).at(edge);
         hold.bound = facts::usable(hold.bound, 1, 1);
@@ -59,8 +66,10 @@
     return fell;
 }
 void Parts::back(EdgeId edge) {
-    if (lapsed_.erase(edge) == 0) return;
-    for (auto v : of_edge_[edge]) dirty_.insert(v);
+    if (lapsed_.erase(edge) == 0)
+        return;
+    for (auto v : of_edge_[edge])
+        dirty_.insert(v);
 }
 void Parts::forgotten(EdgeId edge) {
     for (auto v : of_edge_[edge]) {
@@ -75,57 +84,73 @@
 std::uint64_t Parts::bound(VolumeId volume) const {
     std::uint64_t sum = unknown_;
     if (auto it = volumes_.find(volume); it != volumes_.end())
-        for (auto &[e, h] : it->second) sum += h.bound;
+        for (auto &[e, h] : it->second)
+            sum += h.bound;
     return sum;
 }
 std::uint32_t Parts::hosts(VolumeId volume) const {
     std::uint32_t n = 0;
     if (auto it = volumes_.find(volume); it != volumes_.end())
-        for (auto &[e, h] : it->second) n += h.serves && !is_lapsed(e);
+        for (auto &[e, h] : it->second)
+            n += h.serves && !is_lapsed(e);
     return n;
 }
 
 void Parts::share(VolumeId volume, std::map<EdgeId, Hold> &holds, Version version) {
-    // What can't be parted: the unknown, those that were released and have not said so, those that lapsed.
+    // What can't be parted: the unknown, those that were released and have not said so, those that
+    // lapsed.
     std::uint32_t apart = unknown_, sharing = hosts(volume);
     for (auto &[edge, h] : holds) {
-        if (h.serves && !is_lapsed(edge)) continue;
+        if (h.serves && !is_lapsed(edge))
+            continue;
         auto part = is_lapsed(edge) ? std::min(h.part, h.bound) : 0;
-        if (part != h.part) h.part = part, h.since = version;
+        if (part != h.part)
+            h.part = part, h.since = version;
         apart += h.bound;
     }
-    std::uint32_t even = sharing == 0 ? 0 : (facts::whole_limit - std::min(apart, facts::whole_limit)) / sharing;
+    std::uint32_t even =
+        sharing == 0 ? 0 : (facts::whole_limit - std::min(apart, facts::whole_limit)) / sharing;
     std::uint64_t used = unknown_;
     for (auto &[edge, h] : holds) {
-        if (h.serves && !is_lapsed(edge) && h.part > even) h.part = even, h.since = version;
+        if (h.serves && !is_lapsed(edge) && h.part > even)
+            h.part = even, h.since = version;
         used += h.bound;
     }
     std::uint64_t free = facts::whole_limit - std::min<std::uint64_t>(used, facts::whole_limit);
     for (auto &[edge, h] : holds) {
-        if (!h.serves || is_lapsed(edge) || h.part >= even) continue;
+        if (!h.serves || is_lapsed(edge) || h.part >= even)
+            continue;
         auto part = static_cast<std::uint32_t>(std::min<std::uint64_t>(even, h.bound + free));
-        // In few steps: to the even part at once, or to twice what it has. Each step is news to its edge.
-        if (part <= h.part || (part < even && part < 2 * h.part)) continue;
-        if (part > h.bound) free -= part - h.bound, h.bound = part;
+        // In few steps: to the even part at once, or to twice what it has. Each step is news to its
+        // edge.
+        if (part <= h.part || (part < even && part < 2 * h.part))
+            continue;
+        if (part > h.bound)
+            free -= part - h.bound, h.bound = part;
         h.part = part, h.since = version;
     }
 }
 
-void Parts::part_out(Version version, const std::function<void(VolumeId, EdgeId, const facts::Part &)> &tell,
+void Parts::part_out(Version version,
+                     const std::function<void(VolumeId, EdgeId, const facts::Part &)> &tell,
                      const std::function<void(VolumeId, EdgeId, const Hold *)> &keep) {
     for (auto volume : std::exchange(dirty_, {})) {
         auto it = volumes_.find(volume);
-        if (it == volumes_.end()) continue;
+        if (it == volumes_.end())
+            continue;
         auto &holds = it->second;
         share(volume, holds, version);
         auto n = hosts(volume);
         for (auto h = holds.begin(); h != holds.end();) {
             auto &[edge, hold] = *h;
-            if (hold.bound > hold.part) unsettled_[edge].insert(volume);
+            if (hold.bound > hold.part)
+                unsettled_[edge].insert(volume);
             facts::Part part{hold.part, n};
-            if (!hold.serves) part.hosts = 0;
+            if (!hold.serves)
+                part.hosts = 0;
             auto &told = told_[{volume, edge}];
-            if (told != part) told = part, tell(volume, edge, part);
+            if (told != part)
+                told = part, tell(volume, edge, part);
             if (hold.serves || hold.bound > 0) {
                 keep(volume, edge, &hold);
                 ++h;
@@ -135,10 +160,12 @@
             keep(volume, edge, nullptr);
             told_.erase({volume, edge});
             of_edge_[edge].erase(volume);
-            if (auto u = unsettled_.find(edge); u != unsettled_.end()) u->second.erase(volume);
+            if (auto u = unsettled_.find(edge); u != unsettled_.end())
+                u->second.erase(volume);
             h = holds.erase(h);
         }
-        if (holds.empty()) volumes_.erase(it);
+        if (holds.empty())
+            volumes_.erase(it);
     }
 }
 
--- a/src/planner/server.hpp
+++ b/src/planner/server.hpp
@@ -15,11 +15,12 @@
 namespace knotvane::planner {
 
 class Server final : public Shell {
-  public:
-    // `first`: there is no store yet, and never was. `rebuild`: the store is lost or damaged; it is put aside and a
-    // new one made, which settings and edges fill.
+public:
+    // `first`: there is no store yet, and never was. `rebuild`: the store is lost or damaged; it is
+    // put aside and a new one made, which settings and edges fill.
     enum class From { store, first, rebuild };
-    // Sets up from settings that were checked. Throws std::runtime_error: the store can't be used, or nothing can be listened on.
+    // Sets up from settings that were checked. Throws std::runtime_error: the store can't be used,
+    // or nothing can be listened on.
     Server(loop::Loop &loop, settings::File &file, From from);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
@@ -32,7 +33,7 @@
     void say(std::string text) override;
     void retired() override;
 
-  private:
+private:
     void read_fleet_file();
     Time end_of_moment();
     loop::Loop &loop_;
--- a/src/planner/side.hpp
+++ b/src/planner/side.hpp
@@ -8,7 +8,9 @@
 
 namespace knotvane::planner {
 
-inline std::string text(auto id) { return std::to_string(id.value); }
+inline std::string text(auto id) {
+    return std::to_string(id.value);
+}
 
 // One connection. What it says it is decides what it may say.
 struct Core::Side final : facts::Heard {
@@ -30,24 +32,28 @@
     Side(Core &c, SideId i) : core(c), id(i) {}
 
     bool expect(Role wanted, const char *what) {
-        if (role == wanted) return true;
+        if (role == wanted)
+            return true;
         unexpected(what);
         return false;
     }
-    void edge_hello(EdgeId e, const std::string &at, Term term, std::uint64_t instance, std::uint64_t lineage,
-                    Version version, const std::vector<NodeId> &draining,
+    void edge_hello(EdgeId e, const std::string &at, Term term, std::uint64_t instance,
+                    std::uint64_t lineage, Version version, const std::vector<NodeId> &draining,
                     const std::vector<VolumeId> &serving) override {
         if (expect(Role::unknown, "a second hello"))
             core.edge_hello(*this, e, at, term, instance, lineage, version, draining, serving);
     }
     void renew(Time at, Term term, Version version) override {
-        if (expect(Role::edge, "a renewal")) core.renew(*this, at, term, version);
+        if (expect(Role::edge, "a renewal"))
+            core.renew(*this, at, term, version);
     }
     void ask() override {
-        if (expect(Role::edge, "an ask for the whole")) acked = told = Version{0}, in_flight = false;
+        if (expect(Role::edge, "an ask for the whole"))
+            acked = told = Version{0}, in_flight = false;
     }
     void serve(VolumeId volume, bool on) override {
-        if (expect(Role::edge, "a volume served")) core.parts_.serve(volume, edge, on);
+        if (expect(Role::edge, "a volume served"))
+            core.parts_.serve(volume, edge, on);
     }
     void witness(NodeId n, bool reached) override {
         if (expect(Role::edge, "a witness"))
@@ -55,15 +61,17 @@
                 it->second.witness(edge, reached);
     }
     void superseded(Term term) override {
-        if (expect(Role::edge, "another planner's term")) core.outranked(term, "edge " + text(edge));
+        if (expect(Role::edge, "another planner's term"))
+            core.outranked(term, "edge " + text(edge));
     }
-    void node_hello(NodeId n, ShardId shard, ZoneId zone, const std::string &address, std::uint64_t life,
-                    Time age) override {
+    void node_hello(NodeId n, ShardId shard, ZoneId zone, const std::string &address,
+                    std::uint64_t life, Time age) override {
         if (expect(Role::unknown, "a second hello"))
             core.node_hello(*this, n, shard, zone, address, life, age);
     }
     void node_renew() override {
-        if (expect(Role::node, "a node's renewal")) core.presence(node).renewed(core.now_);
+        if (expect(Role::node, "a node's renewal"))
+            core.presence(node).renewed(core.now_);
     }
     void status_asked() override {
         role = role == Role::unknown ? Role::visitor : role;
@@ -72,24 +80,32 @@
     }
     void drain_asked(NodeId n, bool draining, std::uint8_t how) override {
         role = role == Role::unknown ? Role::visitor : role;
-        if (expect(Role::visitor, "a drain")) core.drain_asked(*this, n, draining, how);
+        if (expect(Role::visitor, "a drain"))
+            core.drain_asked(*this, n, draining, how);
     }
     void cut_asked(std::uint8_t what, const std::string &name, const std::string &as,
                    const std::string &plan) override {
         role = role == Role::unknown ? Role::visitor : role;
-        if (expect(Role::visitor, "a snapshot asked for")) core.cut_asked(*this, what, name, as, plan);
+        if (expect(Role::visitor, "a snapshot asked for"))
+            core.cut_asked(*this, what, name, as, plan);
     }
-    void cut_told(VolumeId as, facts::CutStep step, std::uint8_t how, facts::EdgeLife life) override {
-        if (role == Role::edge) return core.cuts_.edge_told(core.now_, edge, life, as, step);
-        if (!expect(Role::node, "a step of a cut")) return;
+    void cut_told(VolumeId as, facts::CutStep step, std::uint8_t how,
+                  facts::EdgeLife life) override {
+        if (role == Role::edge)
+            return core.cuts_.edge_told(core.now_, edge, life, as, step);
+        if (!expect(Role::node, "a step of a cut"))
+            return;
         if (auto w = core.wanted_.nodes.find(node); w != core.wanted_.nodes.end())
             core.cuts_.node_told(core.now_, node, w->second.shard, as, step, how);
     }
-    void diff_told(std::uint64_t question, const std::vector<std::uint64_t> &ranges, bool more) override {
-        if (expect(Role::node, "ranges")) core.diff_told(node, question, ranges, more);
+    void diff_told(std::uint64_t question, const std::vector<std::uint64_t> &ranges,
+                   bool more) override {
+        if (expect(Role::node, "ranges"))
+            core.diff_told(node, question, ranges, more);
     }
     void unexpected(const char *what) override {
-        if (fault.empty()) fault = std::string(what) + " is not expected here";
+        if (fault.empty())
+            fault = std::string(what) + " is not expected here";
     }
 };
 
--- a/src/planner/state.cpp
+++ b/src/planner/state.cpp
@@ -7,20 +7,23 @@
 
 namespace knotvane::planner {
 namespace {
-// Past so many changes the oldest are forgotten, and who missed them gets the whole: a few times what a fleet's
-// bad hour brings, and a few megabytes.
+// Past so many changes the oldest are forgotten, and who missed them gets the whole: a few times
+// what a fleet's bad hour brings, and a few megabytes.
 constexpr std::size_t most_changes = 1 << 16;
 } // namespace
 
 void State::stamp(const Key &key) {
     auto &to = key.kind == Kind::part ? own_[EdgeId{key.edge}] : common_;
     auto at = next();
-    if (auto it = to.at.find(key); it != to.at.end()) to.order.erase({it->second, key});
+    if (auto it = to.at.find(key); it != to.at.end())
+        to.order.erase({it->second, key});
     to.at[key] = at;
     to.order.insert({at, key});
     changed_.insert(key);
-    if (!has(key)) dropped_ = at;
-    if (to.order.size() <= most_changes) return;
+    if (!has(key))
+        dropped_ = at;
+    if (to.order.size() <= most_changes)
+        return;
     auto first = to.order.begin();
     oldest_ = std::max(oldest_, first->first);
     to.at.erase(first->second);
@@ -31,31 +34,37 @@
     auto &mine = parts_[edge];
     auto it = mine.find(volume);
     if (part == facts::Part{}) {
-        if (it == mine.end()) return;
+        if (it == mine.end())
+            return;
         mine.erase(it);
     } else {
-        if (it != mine.end() && it->second == part) return;
+        if (it != mine.end() && it->second == part)
+            return;
         mine[volume] = part;
     }
     stamp({Kind::part, edge.value, volume.value});
 }
 void State::drop(NodeId id) {
-    if (!table_.nodes.contains(id)) return;
+    if (!table_.nodes.contains(id))
+        return;
     table_.drop(id);
     stamp({Kind::node, 0, id.value});
 }
 void State::drop(PlanId id) {
-    if (!table_.plans.contains(id)) return;
+    if (!table_.plans.contains(id))
+        return;
     table_.drop(id);
     stamp({Kind::plan, 0, id.value});
 }
 void State::drop_volume(VolumeId id) {
-    if (!table_.volumes.contains(id)) return;
+    if (!table_.volumes.contains(id))
+        return;
     table_.drop_volume(id);
     stamp({Kind::volume, 0, id.value});
 }
 bool State::close() {
-    if (changed_.empty()) return false;
+    if (changed_.empty())
+        return false;
     version_ = next();
     changed_.clear();
     return true;
@@ -63,16 +72,21 @@
 
 const facts::Part *State::part(EdgeId edge, VolumeId volume) const {
     auto e = parts_.find(edge);
-    if (e == parts_.end()) return nullptr;
+    if (e == parts_.end())
+        return nullptr;
     auto it = e->second.find(volume);
     return it == e->second.end() ? nullptr : &it->second;
 }
 bool State::has(const Key &key) const {
     switch (key.kind) {
-    case Kind::plan: return table_.plans.contains(PlanId{static_cast<std::uint32_t>(key.id)});
-    case Kind::volume: return table_.volumes.contains(VolumeId{key.id});
-    case Kind::node: return table_.nodes.contains(NodeId{key.id});
-    case Kind::part: return part(EdgeId{key.edge}, VolumeId{key.id}) != nullptr;
+    case Kind::plan:
+        return table_.plans.contains(PlanId{static_cast<std::uint32_t>(key.id)});
+    case Kind::volume:
+        return table_.volumes.contains(VolumeId{key.id});
+    case Kind::node:
+        return table_.nodes.contains(NodeId{key.id});
+    case Kind::part:
+        return part(EdgeId{key.edge}, VolumeId{key.id}) != nullptr;
     }
     return false;
 }
@@ -112,21 +126,27 @@
         for (auto it = common_.order.lower_bound(after); it != common_.order.end(); ++it)
             missed.push_back(it->second);
         if (own != own_.end())
-            for (auto it = own->second.order.lower_bound(after); it != own->second.order.end(); ++it)
+            for (auto it = own->second.order.lower_bound(after); it != own->second.order.end();
+                 ++it)
                 missed.push_back(it->second);
         std::sort(missed.begin(), missed.end());
         if (missed.size() <= table_.nodes.size() + table_.plans.size() + table_.volumes.size()) {
-            for (auto &key : missed) tell(key, out);
+            for (auto &key : missed)
+                tell(key, out);
             return missed.size();
         }
     }
     from = Version{0};
     std::uint64_t count = 0;
-    for (auto &[id, p] : table_.plans) out += facts::put(id, p), ++count;
-    for (auto &[id, v] : table_.volumes) out += facts::put(id, v), ++count;
-    for (auto &[id, n] : table_.nodes) out += facts::put(id, n), ++count;
+    for (auto &[id, p] : table_.plans)
+        out += facts::put(id, p), ++count;
+    for (auto &[id, v] : table_.volumes)
+        out += facts::put(id, v), ++count;
+    for (auto &[id, n] : table_.nodes)
+        out += facts::put(id, n), ++count;
     if (auto mine = parts_.find(edge); mine != parts_.end())
-        for (auto &[id, p] : mine->second) out += facts::put(id, p), ++count;
+        for (auto &[id, p] : mine->second)
+            out += facts::put(id, p), ++count;
     return count;
 }
 
--- a/src/planner/state.hpp
+++ b/src/planner/state.hpp
@@ -1,5 +1,5 @@
-// The fleet's facts as the planner holds them, each stamped with the version that it last changed in: what an edge
-// has missed is found without a look at the rest. No I/O.
+// The fleet's facts as the planner holds them, each stamped with the version that it last changed
+// in: what an edge has missed is found without a look at the rest. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -18,9 +18,9 @@
 using facts::Version;
 
 class State {
-  public:
-    // A fact's kind and id; of parts the edge, too. Its order is that in which facts are told: what others name
-    // comes first.
+public:
+    // A fact's kind and id; of parts the edge, too. Its order is that in which facts are told: what
+    // others name comes first.
     enum class Kind : std::uint8_t { plan, volume, node, part };
     struct Key {
         Kind kind;
@@ -32,9 +32,11 @@
     // The version that changes made now will have.
     Version next() const { return Version{version_.value + 1}; }
     // Changes nothing where the fact stands already.
-    template <class I, class F> void put(I id, const F &fact) {
+    template <class I, class F>
+    void put(I id, const F &fact) {
         auto &to = map_of(id, fact);
-        if (auto it = to.find(id); it != to.end() && it->second == fact) return;
+        if (auto it = to.find(id); it != to.end() && it->second == fact)
+            return;
         table_.put(id, fact);
         stamp(key_of(id, fact));
     }
@@ -45,14 +47,17 @@
     // Ends a version if anything changed in it. True if it did.
     bool close();
 
-    // As the store has it: each fact after the version that it last changed in, then where all stand. `oldest`:
-    // the last version that dropped a fact, which edges from before it could not be told of.
+    // As the store has it: each fact after the version that it last changed in, then where all
+    // stand. `oldest`: the last version that dropped a fact, which edges from before it could not
+    // be told of.
     void restoring(Version stamp) { version_ = Version{stamp.value - 1}; }
-    void restore(Version version, Version oldest) { version_ = version, oldest_ = oldest, changed_.clear(); }
+    void restore(Version version, Version oldest) {
+        version_ = version, oldest_ = oldest, changed_.clear();
+    }
     Version oldest_told() const { return std::max(oldest_, dropped_); }
 
-    // What an edge that goes by `from` has missed, in messages; the count of them. Version 0 or one from before
-    // what is remembered: the whole, and `from` becomes 0.
+    // What an edge that goes by `from` has missed, in messages; the count of them. Version 0 or one
+    // from before what is remembered: the whole, and `from` becomes 0.
     std::uint64_t news(EdgeId edge, Version &from, std::string &out) const;
 
     const facts::Table &table() const { return table_; }
@@ -61,10 +66,12 @@
     const std::set<Key> &changed() const { return changed_; }
     bool has(const Key &key) const;
 
-  private:
+private:
     std::map<NodeId, facts::Node> &map_of(NodeId, const facts::Node &) { return table_.nodes; }
     std::map<PlanId, facts::Plan> &map_of(PlanId, const facts::Plan &) { return table_.plans; }
-    std::map<VolumeId, facts::Volume> &map_of(VolumeId, const facts::Volume &) { return table_.volumes; }
+    std::map<VolumeId, facts::Volume> &map_of(VolumeId, const facts::Volume &) {
+        return table_.volumes;
+    }
     static Key key_of(NodeId id, const facts::Node &) { return {Kind::node, 0, id.value}; }
     static Key key_of(PlanId id, const facts::Plan &) { return {Kind::plan, 0, id.value}; }
     static Key key_of(VolumeId id, const facts::Volume &) { return {Kind::volume, 0, id.value}; }
