--- a/src/planner/store.hpp
+++ b/src/planner/store.hpp
@@ -1,5 +1,5 @@
-// The planner's durable state: the one owner of its format, on SQLite. Every row has a checksum, and all rows
-// together one, so that a row that is missing is noticed like one that changed.
+// The planner's durable state: the one owner of its format, on SQLite. Every row has a checksum,
+// and all rows together one, so that a row that is missing is noticed like one that changed.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 namespace knotvane::planner {
 
 class Store final : public Keeper {
-  public:
-    // Opens or makes the file. Throws std::runtime_error with one line: what is wrong, where, what is expected.
-    // A store that another process has open is that, and so is one that is damaged. `vfs`: SQLite's name of the
-    // file layer, for tests.
+public:
+    // Opens or makes the file. Throws std::runtime_error with one line: what is wrong, where, what
+    // is expected. A store that another process has open is that, and so is one that is damaged.
+    // `vfs`: SQLite's name of the file layer, for tests.
     explicit Store(const std::string &path, const char *vfs = nullptr);
     ~Store() override;
     Store(const Store &) = delete;
@@ -39,11 +39,12 @@
 
     void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string body) override;
     void drop(Row row, std::uint64_t a, std::uint64_t b) override;
-    bool commit(Term term, std::uint64_t lineage, Version version, Version oldest, std::uint64_t settings) override;
+    bool commit(Term term, std::uint64_t lineage, Version version, Version oldest,
+                std::uint64_t settings) override;
     // What the last commit that failed met.
     const std::string &fault() const { return fault_; }
 
-  private:
+private:
     struct Change {
         bool there;
         Version stamp;
--- a/src/planner/visitor.cpp
+++ b/src/planner/visitor.cpp
@@ -29,24 +29,30 @@
         line.flush();
     };
     line.on_down = [&] {
-        if (!answer.come) fault = "no planner answers there";
+        if (!answer.come)
+            fault = "no planner answers there";
         loop.stop();
     };
     line.on_bytes = [&](std::string_view in) {
         auto bad = reader.bytes(in, answer);
-        if (bad.empty()) bad = answer.fault;
-        if (!bad.empty()) fault = "what answers is no planner: " + bad;
-        if (answer.come || !bad.empty()) loop.stop();
+        if (bad.empty())
+            bad = answer.fault;
+        if (!bad.empty())
+            fault = "what answers is no planner: " + bad;
+        if (answer.come || !bad.empty())
+            loop.stop();
     };
     Time until = loop::now() + wait;
     loop.at_end([&] {
-        if (loop::now() >= until && !answer.come) fault = "no answer within " + std::to_string(wait / ms) + "ms", loop.stop();
+        if (loop::now() >= until && !answer.come)
+            fault = "no answer within " + std::to_string(wait / ms) + "ms", loop.stop();
         return until;
     });
     line.dial();
     loop.run();
     line.hang_up();
-    if (!fault.empty()) throw std::runtime_error("planner " + address + ": " + fault);
+    if (!fault.empty())
+        throw std::runtime_error("planner " + address + ": " + fault);
     return answer;
 }
 
@@ -55,15 +61,16 @@
 std::string ask_status(const std::string &address, Time wait) {
     return visit(address, facts::ask_status(), wait).text;
 }
-std::string ask_drain(const std::string &address, NodeId node, bool draining, std::uint8_t how, bool &allowed,
-                      bool &done, Time wait) {
+std::string ask_drain(const std::string &address, NodeId node, bool draining, std::uint8_t how,
+                      bool &allowed, bool &done, Time wait) {
     auto a = visit(address, facts::ask_drain(node, draining, how), wait);
     allowed = a.allowed, done = a.done;
     return a.text;
 }
 
-std::string ask_cut(const std::string &address, std::uint8_t what, const std::string &name, const std::string &as,
-                    const std::string &plan, bool &allowed, bool &done, Time wait) {
+std::string ask_cut(const std::string &address, std::uint8_t what, const std::string &name,
+                    const std::string &as, const std::string &plan, bool &allowed, bool &done,
+                    Time wait) {
     auto a = visit(address, facts::ask_cut(what, name, as, plan), wait);
     allowed = a.allowed, done = a.done;
     return a.text;
--- a/src/platform/clients.hpp
+++ b/src/platform/clients.hpp
@@ -1,11 +1,11 @@
-// Clients' connections, without I/O: requests in, one at a time on each connection, and one answer to each. What can't
-// be a request gets an error at once and its connection is closed.
+// Clients' connections, without I/O: requests in, one at a time on each connection, and one answer
+// to each. What can't be a request gets an error at once and its connection is closed.
 #pragma once
 
 #include <cstdint>
-#include <limits>
 #include <deque>
 #include <functional>
+#include <limits>
 #include <map>
 #include <memory>
 #include <optional>
@@ -22,12 +22,14 @@
 
 namespace knotvane::platform {
 
-// What clients tell. A request that came is answered once, by its connection, unless it left before.
+// What clients tell. A request that came is answered once, by its connection, unless it left
+// before.
 class RequestsTold {
-  public:
+public:
     virtual ~RequestsTold() = default;
-    virtual void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan, ShardId shard,
-                              KeyId key, double units, double hosts, bool writes, bool repeated, Time deadline,
+    virtual void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume,
+                              PlanId plan, ShardId shard, KeyId key, double units, double hosts,
+                              bool writes, bool repeated, Time deadline,
                               std::shared_ptr<const Work> work) = 0;
     virtual void request_left(Time now, ConnId client) = 0;
     // Whether the scheduler may be put to use.
@@ -35,7 +37,7 @@
 };
 
 class Clients {
-  public:
+public:
     // `workloads`, `plans`: names in the order of their ids. `most`: connections at once.
     Clients(Wires &wires, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
             std::vector<std::string> plans, std::size_t most);
@@ -56,31 +58,36 @@
     void keep_idle() { keep_idle_ = true; }
     // From now on each answer is its connection's last, but where a request waits behind it.
     void stop() { stopping_ = true; }
-    // Ends every connection without an open request: what comes on it from now on is not taken any more.
+    // Ends every connection without an open request: what comes on it from now on is not taken any
+    // more.
     void finish_resting(Time now);
-    // Reads on where something came behind a request that has its answer now; not from within a decision.
+    // Reads on where something came behind a request that has its answer now; not from within a
+    // decision.
     void resume(Time now);
     bool resumes() const { return !resume_.empty(); }
     // Connections, but for those that only wait for the client's end.
     std::size_t open() const { return clients_.size() - ended_; }
     // All of them.
     std::size_t held() const { return clients_.size(); }
-    Time next_due() const { return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first; }
+    Time next_due() const {
+        return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
+    }
     void tick(Time now);
 
-  private:
+private:
     // Heads here are some hundred bytes; bodies 64 KiB at most, by the protocol.
     static constexpr std::size_t most_head = 8 << 10, most_body = 64 << 10;
     struct Client {
         http::Decoder in{http::Side::requests, most_head, most_body};
         Time due = 0, since = 0; // since: it came, or its last answer left
-        // served: it had an answer; last: the answer ends it; deaf: no more requests are read; ended: our side has
-        // ended, the client's has not.
+        // served: it had an answer; last: the answer ends it; deaf: no more requests are read;
+        // ended: our side has ended, the client's has not.
         bool heard = false, open = false, served = false, last = false, deaf = false, ended = false;
         std::size_t unsent = 0; // bytes of its answers that have not left
         std::size_t thrown = 0; // bytes that came after our end
-        std::deque<std::pair<Time, std::string>> behind; // what came while a request was open, and when
-        std::size_t kept = 0;                            // bytes of it
+        std::deque<std::pair<Time, std::string>>
+            behind;           // what came while a request was open, and when
+        std::size_t kept = 0; // bytes of it
     };
     // `came`: when these bytes did; a client's time starts there, also where they had to wait.
     void read(Time now, Time came, ConnId conn, std::string_view in);
@@ -103,7 +110,8 @@
     std::map<ConnId, Client> clients_;
     std::set<std::pair<Time, ConnId>> due_;
     std::set<ConnId> resume_;
-    std::unordered_set<std::uint64_t> traces_; // of open requests and of the last before them, hashed
+    std::unordered_set<std::uint64_t>
+        traces_; // of open requests and of the last before them, hashed
     std::deque<std::uint64_t> last_traces_;
     bool keep_idle_ = false, stopping_ = false;
 };
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -13,19 +13,23 @@
 std::string plain(const json &v) {
     std::string s = v.is_string() ? v.get<std::string>() : v.is_null() ? std::string() : v.dump();
     for (char &c : s)
-        if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
+        if (c == ' ' || c == ',' || c == '\n' || c == '\r')
+            c = '_';
     return s;
 }
 void flatten(const json &v, const std::string &path, std::string &out) {
     auto below = [&](const std::string &name) { return path.empty() ? name : path + "." + name; };
     if (v.is_object()) {
-        for (auto &[name, inner] : v.items()) flatten(inner, below(name), out);
+        for (auto &[name, inner] : v.items())
+            flatten(inner, below(name), out);
     } else if (v.is_array() && !v.empty() && v[0].is_object()) {
         out += path + ".count=" + std::to_string(v.size()) + "\n";
-        for (std::size_t i = 0; i < v.size(); ++i) flatten(v[i], below(std::to_string(i)), out);
+        for (std::size_t i = 0; i < v.size(); ++i)
+            flatten(v[i], below(std::to_string(i)), out);
     } else if (v.is_array()) {
         out += path + "=";
-        for (std::size_t i = 0; i < v.size(); ++i) out += (i ? "," : "") + plain(v[i]);
+        for (std::size_t i = 0; i < v.size(); ++i)
+            out += (i ? "," : "") + plain(v[i]);
         out += "\n";
     } else {
         out += path + "=" + plain(v) + "\n";
@@ -38,19 +42,24 @@
     json doc;
     const json &at(const char *field, bool fits(const json &), const char *what) const {
         auto it = doc.find(field);
-        if (it == doc.end() || !fits(*it)) throw Malformed(std::string(field) + ": expected " + what);
+        if (it == doc.end() || !fits(*it))
+            throw Malformed(std::string(field) + ": expected " + what);
         return *it;
     }
     std::string text(const char *field) const {
-        auto s = at(field, [](const json &v) { return v.is_string(); }, "text").get<std::string>();
-        if (s.empty()) throw Malformed(std::string(field) + ": empty");
+        auto s = at(
+                     field, [](const json &v) { return v.is_string(); }, "text")
+                     .get<std::string>();
+        if (s.empty())
+            throw Malformed(std::string(field) + ": empty");
         return s;
     }
 };
 
 Config::Config(std::string_view text) : parts_(std::make_unique<Parts>()) {
     parts_->doc = json::parse(text, nullptr, false);
-    if (!parts_->doc.is_object()) throw Malformed("expected a JSON object");
+    if (!parts_->doc.is_object())
+        throw Malformed("expected a JSON object");
     auto is_object = [](const json &v) { return v.is_object(); };
     parts_->at("settings", is_object, "an object");
     parts_->at("limits", is_object, "an object");
@@ -60,9 +69,15 @@
 Config::Config(Config &&) noexcept = default;
 Config &Config::operator=(Config &&) noexcept = default;
 
-std::string Config::name() const { return parts_->text("name"); }
-std::string Config::listen() const { return parts_->text("listen"); }
-std::string Config::discovery() const { return parts_->text("discovery"); }
+std::string Config::name() const {
+    return parts_->text("name");
+}
+std::string Config::listen() const {
+    return parts_->text("listen");
+}
+std::string Config::discovery() const {
+    return parts_->text("discovery");
+}
 std::uint64_t Config::seed() const {
     auto s = parts_->text("seed");
     std::uint64_t v = 0;
@@ -90,7 +105,8 @@
 std::vector<std::string> Config::names(const std::string &list) const {
     std::vector<std::string> out;
     auto it = parts_->doc["settings"].find(list);
-    if (it == parts_->doc["settings"].end() || !it->is_array()) throw Malformed("settings." + list + ": expected a list");
+    if (it == parts_->doc["settings"].end() || !it->is_array())
+        throw Malformed("settings." + list + ": expected a list");
     for (std::size_t i = 0; i < it->size(); ++i) {
         const json &v = (*it)[i];
         const json *name = v.is_object() && v.contains("Name") ? &v["Name"] : &v;
--- a/src/platform/config.hpp
+++ b/src/platform/config.hpp
@@ -12,7 +12,7 @@
 namespace knotvane::platform {
 
 class Config {
-  public:
+public:
     // Throws wire::Malformed, saying which field and what was expected.
     explicit Config(std::string_view json);
     ~Config();
@@ -31,7 +31,7 @@
     // Names in the order of their ids: of the objects of a list, or of a plain list.
     std::vector<std::string> names(const std::string &list) const;
 
-  private:
+private:
     struct Parts;
     std::unique_ptr<Parts> parts_;
 };
--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -9,17 +9,21 @@
 namespace knotvane::platform {
 namespace {
 
-// A stopping scheduler is killed no sooner than the longest client timeout (3 s at most) and 0.7 s after it was told.
-// What is taken is answered well before, with time for a throttled processor; connections keep coming for 0.4 s.
-constexpr Time killed_after = 700 * ms, longest_counted = 3 * sec, margin = 300 * ms, last_requests = 500 * ms,
-               keep_coming = 500 * ms;
-// Resting connections end so long before that: a client answers an end in a round trip, and what crosses it is read.
+// A stopping scheduler is killed no sooner than the longest client timeout (3 s at most) and 0.7 s
+// after it was told. What is taken is answered well before, with time for a throttled processor;
+// connections keep coming for 0.4 s.
+constexpr Time killed_after = 700 * ms, longest_counted = 3 * sec, margin = 300 * ms,
+               last_requests = 500 * ms, keep_coming = 500 * ms;
+// Resting connections end so long before that: a client answers an end in a round trip, and what
+// crosses it is read.
 constexpr Time rest = 200 * ms;
-// Descriptors for all that is neither a client nor a node: the loop's, the log's, discovery's, and those of
-// connections that are ending.
+// Descriptors for all that is neither a client nor a node: the loop's, the log's, discovery's, and
+// those of connections that are ending.
 constexpr std::size_t spare_sockets = 32;
 // The part of the others for nodes: the window keeps attempts few, clients come in any number.
-std::size_t for_nodes(std::size_t sockets) { return (sockets - spare_sockets / 2) / 3; }
+std::size_t for_nodes(std::size_t sockets) {
+    return (sockets - spare_sockets / 2) / 3;
+}
 std::size_t for_clients(std::size_t sockets) {
     auto taken = for_nodes(sockets) + spare_sockets;
     return sockets > taken ? sockets - taken : 1;
@@ -28,24 +32,29 @@
 // A time that a site may leave out: there is no such bound then.
 Time bound(const wire::Options &settings, const std::string &path) {
     Time t = settings.time(path);
-    if (t < 0) throw wire::Malformed("setting " + path + ": expected seconds, 0 or more");
+    if (t < 0)
+        throw wire::Malformed("setting " + path + ": expected seconds, 0 or more");
     return t > 0 ? t : Pools::unbounded;
 }
 
 } // namespace
 
 Core::Core(Wires &wires, const std::function<std::unique_ptr<Scheduler>(Actions &)> &scheduler,
-           const wire::Options &settings, std::vector<std::string> workloads, std::vector<std::string> plans,
-           std::vector<std::string> zones, std::uint64_t seed, std::size_t sockets)
-    : wires_(wires), clients_(wires, *this, conns_, std::move(workloads), std::move(plans), for_clients(sockets)),
+           const wire::Options &settings, std::vector<std::string> workloads,
+           std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
+           std::size_t sockets)
+    : wires_(wires),
+      clients_(wires, *this, conns_, std::move(workloads), std::move(plans), for_clients(sockets)),
       pools_(wires, *this, conns_, bound(settings, "Permissions.ConnectTimeoutS"),
              bound(settings, "Permissions.ConnIdleS"), for_nodes(sockets)),
-      discovery_(wires, *this, conns_, std::move(zones), settings.text("RegistryMode") == "on_request", seed),
+      discovery_(wires, *this, conns_, std::move(zones),
+                 settings.text("RegistryMode") == "on_request", seed),
       scheduler_(scheduler(*this)) {
     wire::set_up(*scheduler_, settings);
     for (std::uint32_t i = 0; i < settings.count("Classes.count"); ++i) {
         auto path = "Classes." + std::to_string(i) + ".DeadlineS";
-        if (settings.time(path) <= 0) throw wire::Malformed("setting " + path + ": expected seconds above 0");
+        if (settings.time(path) <= 0)
+            throw wire::Malformed("setting " + path + ": expected seconds above 0");
         longest_ = std::max(longest_, settings.time(path));
     }
 }
@@ -56,7 +65,8 @@
     return discovery_.start(now, known, discovery);
 }
 void Core::stop(Time now) {
-    if (stopping_) return;
+    if (stopping_)
+        return;
     stopping_ = true;
     ends_ = now + std::min(longest_, longest_counted) + killed_after - margin;
     last_calls_ = std::max(ends_ - last_requests, now + keep_coming);
@@ -75,12 +85,14 @@
 }
 void Core::bytes(Time now, ConnId conn, std::string_view in) {
     now_ = now;
-    if (clients_.owns(conn)) return clients_.bytes(now, conn, in);
+    if (clients_.owns(conn))
+        return clients_.bytes(now, conn, in);
     pools_.owns(conn) ? pools_.bytes(now, conn, in) : discovery_.bytes(now, conn, in);
 }
 void Core::gone(Time now, ConnId conn, Gone how) {
     now_ = now;
-    if (clients_.owns(conn)) return clients_.gone(now, conn);
+    if (clients_.owns(conn))
+        return clients_.gone(now, conn);
     pools_.owns(conn) ? pools_.gone(now, conn, how) : discovery_.gone(now, conn);
 }
 
@@ -90,7 +102,8 @@
 
 void Core::settle(Time now) {
     now_ = now;
-    if (wires_.traces()) trace_counts(now);
+    if (wires_.traces())
+        trace_counts(now);
     clients_.tick(now), pools_.tick(now), discovery_.tick(now);
     // A decision may end an attempt at once, which is told like any other outcome; a few rounds do.
     for (int round = 0; round < 8; ++round) {
@@ -106,20 +119,29 @@
         }
         clients_.resume(now);
         scheduler_->settle(now);
-        if (overs_.empty() && !clients_.resumes()) break;
+        if (overs_.empty() && !clients_.resumes())
+            break;
     }
-    // Connections end with their answers. Those that rest stay to the last: their clients can make no other any more.
-    // They end before the process does: a request that crosses the end is read and not taken, none is reset unread.
-    if (stopping_ && now >= last_calls_) clients_.stop();
-    if (stopping_ && now >= rest_ends_) clients_.finish_resting(now);
-    over_ = stopping_ && now >= last_calls_ && asked_.empty() && (clients_.held() == 0 || now >= ends_);
-    if (wires_.traces()) due_ = next_due();
-}
-// Ten times a second: how late the loop came to what was due, and what is believed to be out against what is.
+    // Connections end with their answers. Those that rest stay to the last: their clients can make
+    // no other any more. They end before the process does: a request that crosses the end is read
+    // and not taken, none is reset unread.
+    if (stopping_ && now >= last_calls_)
+        clients_.stop();
+    if (stopping_ && now >= rest_ends_)
+        clients_.finish_resting(now);
+    over_ =
+        stopping_ && now >= last_calls_ && asked_.empty() && (clients_.held() == 0 || now >= ends_);
+    if (wires_.traces())
+        due_ = next_due();
+}
+// Ten times a second: how late the loop came to what was due, and what is believed to be out
+// against what is.
 void Core::trace_counts(Time now) {
     constexpr Time each = 100 * ms;
-    if (due_ != never && now - due_ > 2 * ms) wires_.trace("late us=" + std::to_string((now - due_) / us));
-    if (now - traced_ < each) return;
+    if (due_ != never && now - due_ > 2 * ms)
+        wires_.trace("late us=" + std::to_string((now - due_) / us));
+    if (now - traced_ < each)
+        return;
     traced_ = now;
     auto busy = pools_.busy();
     for (auto &[node, n] : counted_)
@@ -128,9 +150,12 @@
 }
 Time Core::next_due() const {
     Time at = std::min({clients_.next_due(), pools_.next_due(), discovery_.next_due()});
-    if (!alarms_.empty()) at = std::min(at, alarms_.begin()->first);
-    if (!overs_.empty() || clients_.resumes()) at = now_;
-    if (stopping_) at = std::min(at, std::max(last_calls_, now_ + 20 * ms));
+    if (!alarms_.empty())
+        at = std::min(at, alarms_.begin()->first);
+    if (!overs_.empty() || clients_.resumes())
+        at = now_;
+    if (stopping_)
+        at = std::min(at, std::max(last_calls_, now_ + 20 * ms));
     return at;
 }
 
@@ -138,45 +163,60 @@
     --requests_.at(o.request).out;
     if (wires_.traces()) {
         --counted_[o.node];
-        wires_.trace("told request=" + std::to_string(o.request.value) + " attempt=" + std::to_string(o.attempt.value) +
+        wires_.trace("told request=" + std::to_string(o.request.value) +
+                     " attempt=" + std::to_string(o.attempt.value) +
                      " late=" + std::to_string((now - o.since) / us));
     }
     if (o.how == Outcome::answered)
-        if (auto client = end(o.request)) clients_.answer(now, *client, std::move(o.body));
-    scheduler_->shot_ended(now, o.request, o.attempt, o.node, o.how, o.took, requests_.at(o.request).ended, -1, 0, {});
+        if (auto client = end(o.request))
+            clients_.answer(now, *client, std::move(o.body));
+    scheduler_->shot_ended(now, o.request, o.attempt, o.node, o.how, o.took,
+                           requests_.at(o.request).ended, -1, 0, {});
     forget_if_done(o.request);
 }
 // The request needs no answer any more; gives who is owed one, if anybody still is.
 std::optional<ConnId> Core::end(TaskId request) {
     auto it = requests_.find(request);
-    if (it == requests_.end() || it->second.ended) return std::nullopt;
+    if (it == requests_.end() || it->second.ended)
+        return std::nullopt;
     it->second.ended = true;
     asked_.erase(it->second.client);
     return it->second.client;
 }
 void Core::forget_if_done(TaskId request) {
     auto it = requests_.find(request);
-    if (it != requests_.end() && it->second.ended && it->second.out == 0) requests_.erase(it);
+    if (it != requests_.end() && it->second.ended && it->second.out == 0)
+        requests_.erase(it);
 }
 
 void Core::shoot(TaskId request, NodeId node, Time time_out) {
     Request &t = requests_.at(request);
     ShotId attempt{t.attempts++};
     ++t.out;
-    if (wires_.traces()) ++counted_[node];
-    pools_.begin(now_, request, attempt, node, t.work, time_out > 0 ? std::min(t.until, now_ + time_out) : t.until);
+    if (wires_.traces())
+        ++counted_[node];
+    pools_.begin(now_, request, attempt, node, t.work,
+                 time_out > 0 ? std::min(t.until, now_ + time_out) : t.until);
+}
+void Core::call_off(TaskId request, ShotId attempt) {
+    pools_.call_off(now_, request, attempt);
 }
-void Core::call_off(TaskId request, ShotId attempt) { pools_.call_off(now_, request, attempt); }
 void Core::deny(TaskId request, Time come_back_after) {
-    if (auto client = end(request)) clients_.refuse(now_, *client, come_back_after);
+    if (auto client = end(request))
+        clients_.refuse(now_, *client, come_back_after);
     forget_if_done(request);
 }
 void Core::error(TaskId request) {
-    if (auto client = end(request)) clients_.error(now_, *client);
+    if (auto client = end(request))
+        clients_.error(now_, *client);
     forget_if_done(request);
 }
-void Core::probe(NodeId) { wires_.say("a probe was asked for, which this front does not make"); }
-void Core::tell_all(std::string_view) { wires_.say("a message to peers was asked for, which this front does not send"); }
+void Core::probe(NodeId) {
+    wires_.say("a probe was asked for, which this front does not make");
+}
+void Core::tell_all(std::string_view) {
+    wires_.say("a message to peers was asked for, which this front does not send");
+}
 
 bool Core::may_begin(Time now, TaskId request, ShotId attempt, NodeId node) const {
     auto t = requests_.find(request);
@@ -184,24 +224,29 @@
     return t != requests_.end() && !t->second.ended && n != nodes_.end() && n->second &&
            scheduler_->may_begin(now, request, attempt);
 }
-void Core::attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how, Time took, std::string body) {
+void Core::attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how,
+                        Time took, std::string body) {
     overs_.push_back({request, attempt, node, how, took, now, std::move(body)});
 }
-void Core::request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan, ShardId shard,
-                        KeyId key, double units, double hosts, bool writes, bool repeated, Time deadline,
-                        std::shared_ptr<const Work> work) {
-    if (stopping_) deadline = std::min(deadline, ends_);
+void Core::request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
+                        ShardId shard, KeyId key, double units, double hosts, bool writes,
+                        bool repeated, Time deadline, std::shared_ptr<const Work> work) {
+    if (stopping_)
+        deadline = std::min(deadline, ends_);
     TaskId id{++last_request_};
     requests_.emplace(id, Request{client, std::move(work), deadline});
     asked_[client] = id;
-    scheduler_->task_taken(now, id, workload, volume, plan, shard, key, units, hosts, writes, repeated, deadline);
+    scheduler_->task_taken(now, id, workload, volume, plan, shard, key, units, hosts, writes,
+                           repeated, deadline);
 }
 void Core::request_left(Time now, ConnId client) {
     auto asked = asked_.find(client);
-    if (asked == asked_.end()) return;
+    if (asked == asked_.end())
+        return;
     auto request = asked->second;
     end(request);
-    pools_.withdraw(now, request); // also where attempts may not be called off: these were not made yet
+    pools_.withdraw(now,
+                    request); // also where attempts may not be called off: these were not made yet
     scheduler_->task_withdrawn(now, request, true);
     forget_if_done(request);
 }
@@ -209,23 +254,26 @@
 void Core::list_begins(Time now, ListKind kind) {
     left_out_.clear();
     if (kind == ListKind::whole)
-        for (auto &[node, ready] : nodes_) left_out_.insert(node);
+        for (auto &[node, ready] : nodes_)
+            left_out_.insert(node);
     scheduler_->list_begins(now, kind);
 }
-void Core::node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone, NodeState state,
-                       Time started) {
+void Core::node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+                       NodeState state, Time started) {
     left_out_.erase(node);
     if (state == NodeState::gone) {
         nodes_.erase(node), pools_.node_gone(now_, node);
     } else {
         nodes_[node] = state == NodeState::ready;
         pools_.node_at(now_, node, address);
-        if (state == NodeState::draining) pools_.node_drains(now_, node);
+        if (state == NodeState::draining)
+            pools_.node_drains(now_, node);
     }
     scheduler_->node_listed(node, shard, zone, state, started);
 }
 void Core::list_ends() {
-    for (auto node : left_out_) nodes_.erase(node), pools_.node_gone(now_, node);
+    for (auto node : left_out_)
+        nodes_.erase(node), pools_.node_gone(now_, node);
     scheduler_->list_ends();
 }
 
--- a/src/platform/core.hpp
+++ b/src/platform/core.hpp
@@ -1,4 +1,5 @@
-// The front at work, without I/O: clients, attempts, discovery and the decisions. Bytes and time in, bytes and calls out.
+// The front at work, without I/O: clients, attempts, discovery and the decisions. Bytes and time
+// in, bytes and calls out.
 #pragma once
 
 #include <deque>
@@ -21,24 +22,29 @@
 namespace knotvane::platform {
 
 class Core final : public Actions, public AttemptsTold, public RequestsTold, public ListTold {
-  public:
-    // `sockets`: descriptors the process may hold. Throws wire::Malformed on settings that are wrong.
+public:
+    // `sockets`: descriptors the process may hold. Throws wire::Malformed on settings that are
+    // wrong.
     Core(Wires &wires, const std::function<std::unique_ptr<Scheduler>(Actions &)> &scheduler,
-         const wire::Options &settings, std::vector<std::string> workloads, std::vector<std::string> plans,
-         std::vector<std::string> zones, std::uint64_t seed, std::size_t sockets);
+         const wire::Options &settings, std::vector<std::string> workloads,
+         std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
+         std::size_t sockets);
 
-    // Once, first: the list as last had, empty for none; then the watch. Gives back why a list was refused.
+    // Once, first: the list as last had, empty for none; then the watch. Gives back why a list was
+    // refused.
     std::string start(Time now, const std::string &known, const std::string &discovery);
     void discovery_at(Time now, const std::string &address) { discovery_.watch(now, address); }
-    // Serves on, on the connections that there are, for as long as may be: who sits behind them has no other way to
-    // a node until this scheduler is back. Everything is answered before it may be killed.
+    // Serves on, on the connections that there are, for as long as may be: who sits behind them has
+    // no other way to a node until this scheduler is back. Everything is answered before it may be
+    // killed.
     void stop(Time now);
     bool over() const { return over_; }
 
     // Nothing where there is no room for one more.
     std::optional<ConnId> client_came(Time now) { return clients_.came(now); }
     void up(Time now, ConnId conn);
-    // `tried`: it left this machine; else a descriptor was lacking, which is not the other side's doing.
+    // `tried`: it left this machine; else a descriptor was lacking, which is not the other side's
+    // doing.
     void failed(Time now, ConnId conn, bool tried = true);
     void bytes(Time now, ConnId conn, std::string_view in);
     void gone(Time now, ConnId conn, Gone how);
@@ -63,18 +69,19 @@
     void note(std::string_view text) override { wires_.say(std::string(text)); }
 
     bool may_begin(Time now, TaskId request, ShotId attempt, NodeId node) const override;
-    void attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how, Time took, std::string body) override;
-    void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan, ShardId shard,
-                      KeyId key, double units, double hosts, bool writes, bool repeated, Time deadline,
-                      std::shared_ptr<const Work> work) override;
+    void attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how, Time took,
+                      std::string body) override;
+    void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
+                      ShardId shard, KeyId key, double units, double hosts, bool writes,
+                      bool repeated, Time deadline, std::shared_ptr<const Work> work) override;
     void request_left(Time now, ConnId client) override;
     bool serves() const override { return discovery_.listed() && !stopping_; }
     void list_begins(Time now, ListKind kind) override;
-    void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone, NodeState state,
-                     Time started) override;
+    void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+                     NodeState state, Time started) override;
     void list_ends() override;
 
-  private:
+private:
     static constexpr Time never = std::numeric_limits<Time>::max();
     struct Request {
         ConnId client;
@@ -105,11 +112,13 @@
     std::unique_ptr<Scheduler> scheduler_;
     std::map<TaskId, Request> requests_;
     std::map<ConnId, TaskId> asked_; // open requests by their connection
-    std::deque<Over> overs_;         // told at the end of the moment: the decisions are not called from within
+    std::deque<Over>
+        overs_; // told at the end of the moment: the decisions are not called from within
     std::set<std::pair<Time, AlarmId>> alarms_;
     std::map<NodeId, bool> nodes_; // listed, and whether ready
     std::set<NodeId> left_out_;    // of these, not named so far by the whole list being told
-    std::map<NodeId, std::size_t> counted_; // attempts that the decisions count out, by node; for the trace
+    std::map<NodeId, std::size_t>
+        counted_; // attempts that the decisions count out, by node; for the trace
     Time traced_ = 0, due_ = never;
     std::uint64_t last_request_ = 0;
     // Of a stop: answers end their connections, resting ones end, and all are answered.
--- a/src/platform/discovery.hpp
+++ b/src/platform/discovery.hpp
@@ -1,5 +1,6 @@
-// The list of nodes, as discovery's agent tells it, without I/O. What the agent has counts as told at that moment: so
-// there is always a call open or on its way, and a watch that fell silent is opened anew beside it.
+// The list of nodes, as discovery's agent tells it, without I/O. What the agent has counts as told
+// at that moment: so there is always a call open or on its way, and a watch that fell silent is
+// opened anew beside it.
 #pragma once
 
 #include <cstdint>
@@ -21,28 +22,32 @@
 
 // Told list by list, each whole: begins, its lines, ends.
 class ListTold {
-  public:
+public:
     virtual ~ListTold() = default;
     virtual void list_begins(Time now, ListKind kind) = 0;
-    virtual void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone, NodeState state,
-                             Time started) = 0;
+    virtual void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+                             NodeState state, Time started) = 0;
     virtual void list_ends() = 0;
 };
 
 class Discovery {
-  public:
-    // `zones`: names in the order of their ids. `on_request`: lists are asked for, of one service that all schedulers
-    // share and that turns calls away; else an agent of our own has what was pushed.
-    Discovery(Wires &wires, ListTold &told, Conns &conns, std::vector<std::string> zones, bool on_request,
-              std::uint64_t seed);
+public:
+    // `zones`: names in the order of their ids. `on_request`: lists are asked for, of one service
+    // that all schedulers share and that turns calls away; else an agent of our own has what was
+    // pushed.
+    Discovery(Wires &wires, ListTold &told, Conns &conns, std::vector<std::string> zones,
+              bool on_request, std::uint64_t seed);
 
-    // The list as last had, in discovery's form, empty for none; and where to watch. It may be old: it counts together
-    // with the agent's first word, or alone if the agent does not speak. Gives back why it was refused, or nothing.
+    // The list as last had, in discovery's form, empty for none; and where to watch. It may be old:
+    // it counts together with the agent's first word, or alone if the agent does not speak. Gives
+    // back why it was refused, or nothing.
     std::string start(Time now, std::string_view known, const std::string &address);
     // Watches there from now on. A watch that stands elsewhere is let go once this one speaks.
     void watch(Time now, const std::string &address);
 
-    bool owns(ConnId conn) const { return (now_ && now_->conn == conn) || (then_ && then_->conn == conn); }
+    bool owns(ConnId conn) const {
+        return (now_ && now_->conn == conn) || (then_ && then_->conn == conn);
+    }
     void up(Time now, ConnId conn);
     void failed(Time now, ConnId conn);
     void bytes(Time now, ConnId conn, std::string_view in);
@@ -51,7 +56,7 @@
     void tick(Time now);
     bool listed() const { return listed_; }
 
-  private:
+private:
     struct Entry {
         std::string id, address;
         ShardId shard;
--- a/src/platform/ids.hpp
+++ b/src/platform/ids.hpp
@@ -10,10 +10,10 @@
 
 // Gives out the ids of connections.
 class Conns {
-  public:
+public:
     ConnId next() { return ConnId{++last_}; }
 
-  private:
+private:
     std::uint64_t last_ = 0;
 };
 
--- a/src/platform/pools.cpp
+++ b/src/platform/pools.cpp
@@ -7,61 +7,76 @@
 namespace knotvane::platform {
 namespace {
 
-// A node's heads are a few hundred bytes. Its bodies were seen up to 400 KB, past the protocol's 64 KiB, and are good
-// answers all the same; a few times that still keeps all that are read at once within the least memory.
+// A node's heads are a few hundred bytes. Its bodies were seen up to 400 KB, past the protocol's 64
+// KiB, and are good answers all the same; a few times that still keeps all that are read at once
+// within the least memory.
 constexpr std::size_t most_head = 8 << 10, most_body = 1 << 20;
 
-// A second answer may come some milliseconds behind the first: on a connection that was handed the next request by then
-// it would be read as that one's answer. Seen 0.8 to 3.9 ms behind; a few times that, in which a new connection is made
-// where no other one rests.
+// A second answer may come some milliseconds behind the first: on a connection that was handed the
+// next request by then it would be read as that one's answer. Seen 0.8 to 3.9 ms behind; a few
+// times that, in which a new connection is made where no other one rests.
 constexpr Time quiet = 10 * ms;
 
 std::string message_of(const Work &w, Time left) {
     char expires[32];
     std::snprintf(expires, sizeof expires, "%.6f", seconds(std::max<Time>(left, 0)));
-    std::string out = w.method + " " + w.target + " HTTP/1.1\r\nHost: node\r\nX-Trace-Id: " + w.trace +
+    std::string out = w.method + " " + w.target +
+                      " HTTP/1.1\r\nHost: node\r\nX-Trace-Id: " + w.trace +
                       "\r\nX-Expires-In: " + expires + "\r\n";
-    if (!w.mark.empty()) out += "Idempotency-Key: " + w.mark + "\r\n";
-    if (w.method != "GET") out += "Content-Length: " + std::to_string(w.body.size()) + "\r\n";
+    if (!w.mark.empty())
+        out += "Idempotency-Key: " + w.mark + "\r\n";
+    if (w.method != "GET")
+        out += "Content-Length: " + std::to_string(w.body.size()) + "\r\n";
     return out += "\r\n" + w.body;
 }
 
 } // namespace
 
-Pools::Pools(Wires &wires, AttemptsTold &told, Conns &conns, Time connect, Time idle, std::size_t most)
+Pools::Pools(Wires &wires, AttemptsTold &told, Conns &conns, Time connect, Time idle,
+             std::size_t most)
     : wires_(wires), told_(told), conns_(conns), connect_(connect),
-      // A tenth and a quarter second before the node would: a request written as it closes is a reset.
-      idle_(std::max<Time>(idle - idle / 10 - 250 * ms, 0)), most_(std::max<std::size_t>(most, 1)) {}
+      // A tenth and a quarter second before the node would: a request written as it closes is a
+      // reset.
+      idle_(std::max<Time>(idle - idle / 10 - 250 * ms, 0)), most_(std::max<std::size_t>(most, 1)) {
+}
 
 void Pools::node_at(Time now, NodeId node, const std::string &address) {
     Peer &peer = peers_[node];
-    if (peer.address == address) return;
+    if (peer.address == address)
+        return;
     node_gone(now, node);
     peers_[node].address = address;
 }
 void Pools::node_drains(Time now, NodeId node) {
     auto it = peers_.find(node);
-    if (it == peers_.end()) return;
-    for (auto conn : std::vector<ConnId>(it->second.idle)) drop(conn);
+    if (it == peers_.end())
+        return;
+    for (auto conn : std::vector<ConnId>(it->second.idle))
+        drop(conn);
     std::vector<AttemptKey> unbegun;
     for (auto &[id, link] : links_)
         if (link.node == node) {
             link.leaving = true;
-            if (link.busy && !link.handed) unbegun.push_back(link.attempt);
+            if (link.busy && !link.handed)
+                unbegun.push_back(link.attempt);
         }
-    for (auto &key : unbegun) take_back(now, key);
+    for (auto &key : unbegun)
+        take_back(now, key);
 }
 void Pools::node_gone(Time now, NodeId node) {
     node_drains(now, node);
     auto it = peers_.find(node);
-    if (it == peers_.end()) return;
+    if (it == peers_.end())
+        return;
     it->second.address.clear();
-    if (it->second.links == 0) peers_.erase(it);
+    if (it->second.links == 0)
+        peers_.erase(it);
 }
 
 // Closes the idle connection that is next to be closed anyway.
 bool Pools::make_room() {
-    if (links_.size() < most_) return true;
+    if (links_.size() < most_)
+        return true;
     for (auto &[at, conn] : due_)
         if (auto &link = links_.at(conn); link.up && !link.busy) {
             drop(conn);
@@ -70,14 +85,16 @@
     return false;
 }
 
-void Pools::begin(Time now, TaskId request, ShotId attempt, NodeId node, std::shared_ptr<const Work> work, Time until) {
+void Pools::begin(Time now, TaskId request, ShotId attempt, NodeId node,
+                  std::shared_ptr<const Work> work, Time until) {
     AttemptKey key{request, attempt};
     auto peer = peers_.find(node);
     if (until <= now || peer == peers_.end() || peer->second.address.empty())
         return told_.attempt_over(now, request, attempt, node, Outcome::unsent, 0, {});
     Attempt &s = attempts_[key] = Attempt{node, {}, std::move(work), now, until};
     auto &idle = peer->second.idle;
-    auto rested = std::find_if(idle.rbegin(), idle.rend(), [&](ConnId c) { return links_.at(c).rests + quiet <= now; });
+    auto rested = std::find_if(idle.rbegin(), idle.rend(),
+                               [&](ConnId c) { return links_.at(c).rests + quiet <= now; });
     if (rested != idle.rend()) {
         s.conn = *rested;
         idle.erase(std::next(rested).base());
@@ -85,12 +102,14 @@
         link.busy = true, link.attempt = key;
         return give(now, s.conn, link);
     }
-    if (!make_room()) return over(now, key, Outcome::unsent);
+    if (!make_room())
+        return over(now, key, Outcome::unsent);
     s.conn = conns_.next();
-    Link &link = links_
-                     .emplace(s.conn, Link{node, peer->second.address, false, false, true, key, 0, false, 0, 0,
-                                           http::Decoder(http::Side::answers, most_head, most_body)})
-                     .first->second;
+    Link &link =
+        links_
+            .emplace(s.conn, Link{node, peer->second.address, false, false, true, key, 0, false, 0,
+                                  0, http::Decoder(http::Side::answers, most_head, most_body)})
+            .first->second;
     ++peer->second.links;
     due_at(s.conn, link, std::min(now + connect_, until));
     wires_.connect(s.conn, link.address);
@@ -98,8 +117,10 @@
 // Hands the request of the attempt to its connection.
 void Pools::give(Time now, ConnId conn, Link &link) {
     Attempt &s = attempts_.at(link.attempt);
-    // Between the decision and this moment a connection came up: the client may have left, the node may drain.
-    if (link.leaving || now >= s.until || !told_.may_begin(now, link.attempt.first, link.attempt.second, link.node))
+    // Between the decision and this moment a connection came up: the client may have left, the node
+    // may drain.
+    if (link.leaving || now >= s.until ||
+        !told_.may_begin(now, link.attempt.first, link.attempt.second, link.node))
         return take_back(now, AttemptKey(link.attempt));
     auto bytes = message_of(*s.work, s.until - now);
     link.to_write = bytes.size(), link.handed = true;
@@ -109,8 +130,10 @@
 }
 void Pools::call_off(Time now, TaskId request, ShotId attempt) {
     auto it = attempts_.find({request, attempt});
-    if (it == attempts_.end()) return;
-    if (!left(it->second)) return take_back(now, {request, attempt});
+    if (it == attempts_.end())
+        return;
+    if (!left(it->second))
+        return take_back(now, {request, attempt});
     drop(it->second.conn);
     over(now, {request, attempt}, Outcome::called_off);
 }
@@ -125,21 +148,27 @@
 }
 void Pools::withdraw(Time now, TaskId request) {
     std::vector<AttemptKey> unwritten;
-    for (auto it = attempts_.lower_bound({request, ShotId{}}); it != attempts_.end() && it->first.first == request; ++it)
-        if (!left(it->second)) unwritten.push_back(it->first);
-    for (auto &key : unwritten) take_back(now, key);
+    for (auto it = attempts_.lower_bound({request, ShotId{}});
+         it != attempts_.end() && it->first.first == request; ++it)
+        if (!left(it->second))
+            unwritten.push_back(it->first);
+    for (auto &key : unwritten)
+        take_back(now, key);
 }
 void Pools::over(Time now, const AttemptKey &key, Outcome how, std::string body) {
     auto it = attempts_.find(key);
     Attempt s = std::move(it->second);
     attempts_.erase(it);
     if (wires_.traces()) {
-        auto after = [&](Time t) { return t == 0 ? std::string("-") : std::to_string((t - s.began) / us); };
-        wires_.trace("attempt request=" + std::to_string(key.first.value) + " attempt=" + std::to_string(key.second.value) +
-                     " node=" + std::to_string(s.node.value) + " conn=" + std::to_string(s.conn.value) + " how=" +
-                     std::to_string(static_cast<int>(how)) + " at=" + std::to_string(s.began / us) + " connected=" +
-                     after(s.connected) + " written=" + after(s.written) + " first=" + after(s.first) +
-                     " over=" + after(now));
+        auto after = [&](Time t) {
+            return t == 0 ? std::string("-") : std::to_string((t - s.began) / us);
+        };
+        wires_.trace("attempt request=" + std::to_string(key.first.value) + " attempt=" +
+                     std::to_string(key.second.value) + " node=" + std::to_string(s.node.value) +
+                     " conn=" + std::to_string(s.conn.value) + " how=" +
+                     std::to_string(static_cast<int>(how)) + " at=" + std::to_string(s.began / us) +
+                     " connected=" + after(s.connected) + " written=" + after(s.written) +
+                     " first=" + after(s.first) + " over=" + after(now));
     }
     told_.attempt_over(now, key.first, key.second, s.node, how, now - s.began, std::move(body));
 }
@@ -149,10 +178,12 @@
     due_.erase({link.due, conn});
     if (auto p = peers_.find(link.node); p != peers_.end()) {
         std::erase(p->second.idle, conn);
-        if (--p->second.links == 0 && p->second.address.empty()) peers_.erase(p);
+        if (--p->second.links == 0 && p->second.address.empty())
+            peers_.erase(p);
     }
     links_.erase(it);
-    if (close) wires_.close(conn);
+    if (close)
+        wires_.close(conn);
 }
 void Pools::due_at(ConnId conn, Link &link, Time at) {
     due_.erase({link.due, conn});
@@ -169,48 +200,57 @@
 
 std::map<NodeId, std::size_t> Pools::busy() const {
     std::map<NodeId, std::size_t> out;
-    for (auto &[id, link] : links_) out[link.node] += link.busy;
+    for (auto &[id, link] : links_)
+        out[link.node] += link.busy;
     return out;
 }
 
 void Pools::up(Time now, ConnId conn) {
     auto it = links_.find(conn);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     it->second.up = true;
     attempts_.at(it->second.attempt).connected = now;
     give(now, conn, it->second);
 }
 void Pools::failed(Time now, ConnId conn, bool tried) {
     auto it = links_.find(conn);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     auto key = it->second.attempt;
     drop(conn, false);
     over(now, key, tried ? Outcome::unreachable : Outcome::unsent);
 }
 void Pools::gone(Time now, ConnId conn, Gone how) {
     auto it = links_.find(conn);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     bool busy = it->second.busy, whole = it->second.handed && it->second.to_write == 0;
     auto key = it->second.attempt;
     // An answer without a length ends with its stream; a connection that broke ends nothing.
     if (busy && whole && how == Gone::ended) {
         it->second.in.finish(), it->second.leaving = true;
-        if (it->second.in.state() == http::State::whole) return answered(now, conn, {});
+        if (it->second.in.state() == http::State::whole)
+            return answered(now, conn, {});
     }
     drop(conn, false);
     // Before its last byte has left, the node can't have begun it.
-    if (busy) over(now, key, whole ? Outcome::reset : Outcome::unreachable);
+    if (busy)
+        over(now, key, whole ? Outcome::reset : Outcome::unreachable);
 }
 void Pools::written(Time now, ConnId conn, std::size_t bytes) {
     auto it = links_.find(conn);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     it->second.to_write -= std::min(bytes, it->second.to_write);
-    if (it->second.busy && it->second.to_write == 0) attempts_.at(it->second.attempt).written = now;
+    if (it->second.busy && it->second.to_write == 0)
+        attempts_.at(it->second.attempt).written = now;
 }
 
 void Pools::bytes(Time now, ConnId conn, std::string_view in) {
     auto it = links_.find(conn);
-    if (it == links_.end()) return;
+    if (it == links_.end())
+        return;
     Link &link = it->second;
     // Nothing was asked: whatever this is, it must not be taken for the next one's answer.
     if (!link.busy) {
@@ -219,7 +259,8 @@
                          " after=" + std::to_string((now - link.rests) / us));
         return drop(conn);
     }
-    if (Attempt &s = attempts_.at(link.attempt); s.first == 0) s.first = now;
+    if (Attempt &s = attempts_.at(link.attempt); s.first == 0)
+        s.first = now;
     in.remove_prefix(link.in.take(in));
     auto state = link.in.state();
     if (state != http::State::whole && state != http::State::broken)
@@ -243,7 +284,8 @@
         keep = behind.empty() && link.in.keeps_open() && !link.leaving && link.to_write == 0;
     }
     if (how == Outcome::error && wires_.traces())
-        wires_.trace("error conn=" + std::to_string(conn.value) + " status=" + std::to_string(link.in.status()) +
+        wires_.trace("error conn=" + std::to_string(conn.value) +
+                     " status=" + std::to_string(link.in.status()) +
                      " length=" + std::string(link.in.header("Content-Length").value_or("-")) +
                      " fault=" + (*link.in.fault() ? link.in.fault() : "-"));
     if (keep)
@@ -260,11 +302,13 @@
         auto key = link.attempt;
         bool busy = link.busy, handed = link.handed;
         drop(conn);
-        if (!busy) continue;
+        if (!busy)
+            continue;
         auto &s = attempts_.at(key);
         // An answer that stopped short is spoilt: the node has done with it, and no more will come.
         Outcome how = s.until > now ? handed ? Outcome::error : Outcome::unreachable
-                                    : handed ? Outcome::timed_out : Outcome::unsent;
+                      : handed      ? Outcome::timed_out
+                                    : Outcome::unsent;
         over(now, key, how);
     }
 }
--- a/src/platform/pools.hpp
+++ b/src/platform/pools.hpp
@@ -1,5 +1,5 @@
-// Connections to nodes, without I/O: one request at a time on each, the last used first of those that rested for a
-// moment. Every outcome comes from the event that it names.
+// Connections to nodes, without I/O: one request at a time on each, the last used first of those
+// that rested for a moment. Every outcome comes from the event that it names.
 #pragma once
 
 #include <cstdint>
@@ -18,40 +18,46 @@
 
 namespace knotvane::platform {
 
-// What is asked of a node; the same for each attempt of a request. The head is written anew for each attempt.
+// What is asked of a node; the same for each attempt of a request. The head is written anew for
+// each attempt.
 struct Work {
     std::string method, target, trace, mark, body; // mark: the Idempotency-Key, empty for none
 };
 
 // What pools tell and ask. `body`: of an answer.
 class AttemptsTold {
-  public:
+public:
     virtual ~AttemptsTold() = default;
-    // Asked before an attempt's first byte, and nowhere else: is somebody owed an answer, may the node have it now?
+    // Asked before an attempt's first byte, and nowhere else: is somebody owed an answer, may the
+    // node have it now?
     virtual bool may_begin(Time now, TaskId request, ShotId attempt, NodeId node) const = 0;
-    virtual void attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how, Time took,
-                           std::string body) = 0;
+    virtual void attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how,
+                              Time took, std::string body) = 0;
 };
 
 class Pools {
-  public:
+public:
     static constexpr Time unbounded = 3600 * sec; // far past all that is waited for
-    // A connection that takes longer than `connect` failed, and so did an answer that stops for as long: both wait
-    // for a peer that is there, across the same network. One idle for `idle` is closed by the node, so it is closed
-    // here a margin before. `most`: connections to all nodes together.
-    Pools(Wires &wires, AttemptsTold &told, Conns &conns, Time connect, Time idle, std::size_t most);
+    // A connection that takes longer than `connect` failed, and so did an answer that stops for as
+    // long: both wait for a peer that is there, across the same network. One idle for `idle` is
+    // closed by the node, so it is closed here a margin before. `most`: connections to all nodes
+    // together.
+    Pools(Wires &wires, AttemptsTold &told, Conns &conns, Time connect, Time idle,
+          std::size_t most);
 
     // Where a node listens; connections to where it was before are not used any more.
     void node_at(Time now, NodeId node, const std::string &address);
-    // A node that drains, or is gone: attempts out there go on; those that have not begun come back as unsent, idle
-    // connections are closed.
+    // A node that drains, or is gone: attempts out there go on; those that have not begun come back
+    // as unsent, idle connections are closed.
     void node_drains(Time now, NodeId node);
     void node_gone(Time now, NodeId node);
     // Until `until` its outcome may come; then it is timed_out, or unsent where no byte went out.
-    void begin(Time now, TaskId request, ShotId attempt, NodeId node, std::shared_ptr<const Work> work, Time until);
+    void begin(Time now, TaskId request, ShotId attempt, NodeId node,
+               std::shared_ptr<const Work> work, Time until);
     // Closes its connection before it is told.
     void call_off(Time now, TaskId request, ShotId attempt);
-    // Nobody is owed an answer any more: its attempts whose last byte has not left come back as never run.
+    // Nobody is owed an answer any more: its attempts whose last byte has not left come back as
+    // never run.
     void withdraw(Time now, TaskId request);
 
     bool owns(ConnId conn) const { return links_.contains(conn); }
@@ -61,14 +67,16 @@
     void gone(Time now, ConnId conn, Gone how);
     void written(Time now, ConnId conn, std::size_t bytes);
 
-    Time next_due() const { return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first; }
+    Time next_due() const {
+        return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
+    }
     void tick(Time now);
     std::size_t open() const { return links_.size(); }
     std::size_t attempts_out() const { return attempts_.size(); }
     // Open connections with an attempt on them, by node.
     std::map<NodeId, std::size_t> busy() const;
 
-  private:
+private:
     using AttemptKey = std::pair<TaskId, ShotId>;
     struct Link {
         NodeId node;
@@ -78,7 +86,7 @@
         AttemptKey attempt{};
         std::size_t to_write = 0; // of the attempt's request, bytes that have not left
         bool handed = false;      // the request was given to the shell
-        Time due = 0, rests = 0; // rests: since its last answer
+        Time due = 0, rests = 0;  // rests: since its last answer
         http::Decoder in;
     };
     struct Attempt {
--- a/src/platform/server.hpp
+++ b/src/platform/server.hpp
@@ -13,11 +13,14 @@
 namespace knotvane::platform {
 
 class Server final : public Wires {
-  public:
-    // `path`: where the configuration is, for when it is told to read it again. Throws std::runtime_error where the
-    // address can't be listened on, wire::Malformed on settings that are wrong.
-    Server(loop::Loop &loop, std::string path, const Config &config,
-           const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t seed)> &scheduler, bool traces);
+public:
+    // `path`: where the configuration is, for when it is told to read it again. Throws
+    // std::runtime_error where the address can't be listened on, wire::Malformed on settings that
+    // are wrong.
+    Server(
+        loop::Loop &loop, std::string path, const Config &config,
+        const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t seed)> &scheduler,
+        bool traces);
     ~Server() override;
     // Ends the loop once nothing is open.
     void stop();
@@ -33,7 +36,7 @@
     void trace(std::string line) override;
     bool traces() const override { return traces_; }
 
-  private:
+private:
     void carry(ConnId conn, const std::shared_ptr<loop::Socket> &socket);
     Time end_of_moment();
     loop::Loop &loop_;
--- a/src/platform/trace.hpp
+++ b/src/platform/trace.hpp
@@ -1,4 +1,5 @@
-// What a trace of the front tells: what the decisions believed against what crossed the sockets. No I/O.
+// What a trace of the front tells: what the decisions believed against what crossed the sockets. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +11,17 @@
 namespace knotvane::platform {
 
 class Trace {
-  public:
+public:
     // A line of the log; one without a trace in it is passed over.
     void line(std::string_view text);
     // The figures, a line each.
     std::string report() const;
 
-  private:
+private:
     struct Attempts {
-        std::vector<std::int64_t> over, connected, answer; // us: since decided; of a new connection; first byte to last
-        std::size_t begun = 0;                             // something came back
+        std::vector<std::int64_t> over, connected,
+            answer;            // us: since decided; of a new connection; first byte to last
+        std::size_t begun = 0; // something came back
     };
     std::map<int, Attempts> attempts_; // by outcome
     std::vector<std::int64_t> late_, told_;
--- a/src/platform/wires.hpp
+++ b/src/platform/wires.hpp
@@ -7,18 +7,20 @@
 
 namespace knotvane::platform {
 
-// How the other side let go of a connection: it ended its sending in order, or the connection broke.
+// How the other side let go of a connection: it ended its sending in order, or the connection
+// broke.
 enum class Gone { ended, broken };
 
 class Wires {
-  public:
+public:
     virtual ~Wires() = default;
     virtual void connect(ConnId conn, const std::string &address) = 0;
     // Gathers; what is gathered leaves at the end of the moment, and is then told as written.
     virtual void send(ConnId conn, std::string bytes) = 0;
     // At once; nothing is told of it any more, and what was gathered does not leave.
     virtual void close(ConnId conn) = 0;
-    // Ends the sending side once all that was sent has left. What comes in, and the other side's end, are still told.
+    // Ends the sending side once all that was sent has left. What comes in, and the other side's
+    // end, are still told.
     virtual void shut(ConnId conn) = 0;
     virtual void say(std::string text) = 0;
     // A line of the trace: a word for what, then names and values. Only where traces() is true.
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -1,8 +1,8 @@
 // The interface of the decisions: what a scheduler is told and what it may do about it.
 //
-// Call order: make_scheduler; the set-up calls, each once (workload and plan once for each); ready; then
-// events in the order in which they happen. A plan and its limit may be told anew at any time and count for what
-// comes after. A run of events that share one moment ends with settle, in which
+// Call order: make_scheduler; the set-up calls, each once (workload and plan once for each); ready;
+// then events in the order in which they happen. A plan and its limit may be told anew at any time
+// and count for what comes after. A run of events that share one moment ends with settle, in which
 // waiting work goes. A list of nodes comes as list_begins, node_listed for each line, list_ends.
 #pragma once
 
@@ -24,7 +24,7 @@
 
 // What a scheduler may do.
 class Actions {
-  public:
+public:
     virtual ~Actions() = default;
     virtual void shoot(TaskId task, NodeId node, Time time_out) = 0;
     virtual void call_off(TaskId task, ShotId shot) = 0;
@@ -40,7 +40,7 @@
 
 // What a scheduler is told.
 class Scheduler {
-  public:
+public:
     virtual ~Scheduler() = default;
 
     // Set-up, one call for each concern. A figure of zero means that the site does not have
@@ -68,28 +68,31 @@
 
     // Events.
     virtual void list_begins(Time now, ListKind kind) = 0;
-    virtual void node_listed(NodeId node, ShardId shard, ZoneId zone, NodeState state, Time started) = 0;
+    virtual void node_listed(NodeId node, ShardId shard, ZoneId zone, NodeState state,
+                             Time started) = 0;
     virtual void list_ends() = 0;
     virtual void list_failed(Time now) = 0;
-    // This scheduler's part of a volume's limit is one over `hosts`, endless for none yet, and others' parts are
-    // kept from adding past the whole. Untold, a task's hosts count.
+    // This scheduler's part of a volume's limit is one over `hosts`, endless for none yet, and
+    // others' parts are kept from adding past the whole. Untold, a task's hosts count.
     virtual void part_told(Time, VolumeId, double /*hosts*/) {}
-    virtual void task_taken(Time now, TaskId task, WorkloadId workload, VolumeId volume, PlanId plan,
-                            ShardId shard, KeyId key, double units, double hosts, bool writes, bool repeated,
-                            Time client_timeout) = 0;
+    virtual void task_taken(Time now, TaskId task, WorkloadId workload, VolumeId volume,
+                            PlanId plan, ShardId shard, KeyId key, double units, double hosts,
+                            bool writes, bool repeated, Time client_timeout) = 0;
     // `repeated`: the client says that it asked before.
     // `ended`: the client has its answer. `meter`: what the volume was served everywhere,
     // in parts of its plan's usual rate, below 0 if untold.
     // `elsewhere`: units this node served to the volume for other schedulers.
     virtual void shot_ended(Time now, TaskId task, ShotId shot, NodeId node, Outcome how, Time took,
-                            bool ended, double meter, double elsewhere, std::span<const float> report) = 0;
-    // `by_client`: its client left, which tells how long clients wait; told once for each client that leaves, of
-    // the first task that it had waiting.
+                            bool ended, double meter, double elsewhere,
+                            std::span<const float> report) = 0;
+    // `by_client`: its client left, which tells how long clients wait; told once for each client
+    // that leaves, of the first task that it had waiting.
     virtual void task_withdrawn(Time now, TaskId task, bool by_client) = 0;
-    virtual void probe_ended(Time, NodeId, bool /*well*/, Time /*took*/, std::span<const float> /*report*/) {}
+    virtual void probe_ended(Time, NodeId, bool /*well*/, Time /*took*/,
+                             std::span<const float> /*report*/) {}
     virtual void peer_told(Time, PeerId, std::string_view /*text*/) {}
-    // Asked before a shot's first byte where that comes later than shoot: whether it may still be made. One that
-    // may not comes back as unsent.
+    // Asked before a shot's first byte where that comes later than shoot: whether it may still be
+    // made. One that may not comes back as unsent.
     virtual bool may_begin(Time /*now*/, TaskId, ShotId) const { return true; }
     virtual void alarm(Time now, AlarmId alarm) = 0;
     virtual void settle(Time now) = 0;
--- a/src/record/recording.hpp
+++ b/src/record/recording.hpp
@@ -1,5 +1,5 @@
-// Recordings: what passed on the wires and what happened to the fleet, entry by entry in a file, each with its
-// length and checksum. The one owner of that format.
+// Recordings: what passed on the wires and what happened to the fleet, entry by entry in a file,
+// each with its length and checksum. The one owner of that format.
 #pragma once
 
 #include <cstdint>
@@ -27,20 +27,21 @@
 };
 
 class Writer {
-  public:
+public:
     // Throws std::runtime_error where the file can't be made.
     explicit Writer(const std::string &path);
-    void put(Time at, Kind kind, std::uint64_t a, std::uint64_t b, std::uint64_t c, std::string_view text);
+    void put(Time at, Kind kind, std::uint64_t a, std::uint64_t b, std::uint64_t c,
+             std::string_view text);
     void flush() { out_.flush(); }
 
-  private:
+private:
     std::ofstream out_;
 };
 
-// Reads a recording and calls for each entry. An empty answer is good; else what is wrong and at which byte. A
-// recording that stops without its end is one of these.
+// Reads a recording and calls for each entry. An empty answer is good; else what is wrong and at
+// which byte. A recording that stops without its end is one of these.
 std::string read(const std::string &path,
-                 const std::function<void(Time at, Kind kind, std::uint64_t a, std::uint64_t b, std::uint64_t c,
-                                          std::string_view text)> &call);
+                 const std::function<void(Time at, Kind kind, std::uint64_t a, std::uint64_t b,
+                                          std::uint64_t c, std::string_view text)> &call);
 
 } // namespace knotvane::record
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,5 +1,6 @@
-// A relay on loopback between clients and edges and between edges and nodes: it records every byte with its time,
-// beside the edge, and can hold, cut, split or swallow what passes. Runs on one loop.
+// A relay on loopback between clients and edges and between edges and nodes: it records every byte
+// with its time, beside the edge, and can hold, cut, split or swallow what passes. Runs on one
+// loop.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +17,15 @@
 namespace knotvane::relay {
 
 class Relay {
-  public:
+public:
     Relay(loop::Loop &loop, record::Writer &to);
     ~Relay();
     // Listens for an edge's clients, or for an edge's connections to a node; gives the address.
     std::string front_of_edge(std::uint64_t edge, const std::string &address);
     std::string front_of_node(std::uint64_t edge, NodeId node, const std::string &address);
 
-    // What passes between an edge and a node waits until then, and goes in order; edge ~0: every edge's.
+    // What passes between an edge and a node waits until then, and goes in order; edge ~0: every
+    // edge's.
     void hold(std::uint64_t edge, NodeId node, Time until);
     // Goes on in pieces of a few bytes until then.
     void split(std::uint64_t edge, NodeId node, Time until);
@@ -34,9 +36,10 @@
     // Connections are reset and none is taken until it is opened again.
     void block(NodeId node);
     void unblock(NodeId node);
-    void put(record::Kind kind, std::uint64_t a, std::uint64_t b, std::uint64_t c, std::string_view text = {});
+    void put(record::Kind kind, std::uint64_t a, std::uint64_t b, std::uint64_t c,
+             std::string_view text = {});
 
-  private:
+private:
     struct Front;
     struct Wire;
     void came(Front &front, std::shared_ptr<loop::Socket> from);
--- a/src/rules/figures.cpp
+++ b/src/rules/figures.cpp
@@ -13,8 +13,8 @@
 
 using json = nlohmann::ordered_json;
 
-std::string figures_of(const std::string &scheduling, const std::string &service, std::uint64_t read_cut,
-                       std::uint64_t write_cut) {
+std::string figures_of(const std::string &scheduling, const std::string &service,
+                       std::uint64_t read_cut, std::uint64_t write_cut) {
     settings::File s("scheduling", scheduling), n("service", service);
     json j;
     j["read_cut"] = read_cut, j["write_cut"] = write_cut;
@@ -26,11 +26,13 @@
              {"window", w->time("window", 0)},
              {"key_rest", w->time("key_rest", 0)}});
     std::map<std::string, std::pair<double, double>> limits;
-    for (auto *p : s.all("plan")) limits[p->name()] = {p->number("limit", 0, 1e18, 0), p->number("burst", 0, 1e18, 0)};
+    for (auto *p : s.all("plan"))
+        limits[p->name()] = {p->number("limit", 0, 1e18, 0), p->number("burst", 0, 1e18, 0)};
     for (auto *v : s.all("volume")) {
         auto id = v->count("id", 0, ~0ull >> 1, XXH3_64bits(v->name().data(), v->name().size()));
         auto [rate, burst] = limits[v->text("plan")];
-        j["volumes"].push_back({{"name", v->name()}, {"id", id}, {"limit", rate}, {"burst", burst}});
+        j["volumes"].push_back(
+            {{"name", v->name()}, {"id", id}, {"limit", rate}, {"burst", burst}});
     }
     auto &shots = s.one("shots", false);
     j["most_shots"] = shots.count("most", 1, 16, 3), j["parallel"] = shots.flag("parallel", false);
@@ -42,10 +44,13 @@
     j["hold"] = nodes.time("connect_timeout", 250 * ms);
     auto &speed = n.one("speed", false);
     Time unit = speed.time("unit_time", 0);
-    j["capacity"] = unit > 0 ? static_cast<double>(speed.count("cores", 1, 1024, 1)) / seconds(unit) : 0;
+    j["capacity"] =
+        unit > 0 ? static_cast<double>(speed.count("cores", 1, 1024, 1)) / seconds(unit) : 0;
     auto &cold = n.one("cold", false);
-    j["start_part"] = cold.number("start_part", 0, 1, 1), j["warm_after"] = cold.time("warm_after", 0);
-    j["cold_span"] = cold.time("span", 0), j["cold_multiple"] = unit > 0 ? cold.number("multiple", 0, 1e9, 0) : 0;
+    j["start_part"] = cold.number("start_part", 0, 1, 1),
+    j["warm_after"] = cold.time("warm_after", 0);
+    j["cold_span"] = cold.time("span", 0),
+    j["cold_multiple"] = unit > 0 ? cold.number("multiple", 0, 1e9, 0) : 0;
     return j.dump();
 }
 
@@ -54,16 +59,19 @@
         auto j = json::parse(figures);
         judge.set_cut(j.at("read_cut"), j.at("write_cut"));
         for (auto &w : j.at("workloads"))
-            judge.set_workload(w.at("command"), w.at("client_timeout"), static_cast<Repeat>(w.at("repeat").get<int>()),
-                               w.at("window"), w.at("key_rest"));
+            judge.set_workload(w.at("command"), w.at("client_timeout"),
+                               static_cast<Repeat>(w.at("repeat").get<int>()), w.at("window"),
+                               w.at("key_rest"));
         for (auto &v : j.at("volumes")) {
             judge.set_volume(v.at("name"), VolumeId{v.at("id")});
             // The slack of a tenth of the burst is the bench's.
             if (double rate = v.at("limit"); rate > 0)
-                judge.set_limit(VolumeId{v.at("id")}, rate, v.at("burst"), v.at("burst").get<double>() / 10);
+                judge.set_limit(VolumeId{v.at("id")}, rate, v.at("burst"),
+                                v.at("burst").get<double>() / 10);
         }
         judge.set_shots(j.at("most_shots"), j.at("parallel"));
-        if (Time span = j.at("further_span"); span > 0) judge.set_further(j.at("further_each"), j.at("further_free"), span);
+        if (Time span = j.at("further_span"); span > 0)
+            judge.set_further(j.at("further_each"), j.at("further_free"), span);
         judge.set_drain(j.at("drain_grace"));
         judge.set_hold(j.at("hold"));
         judge.set_cold(j.at("capacity"), j.at("start_part"), j.at("warm_after"), j.at("cold_span"),
@@ -76,47 +84,73 @@
 std::string judge_file(const std::string &path, Judge &judge) {
     Time last = 0;
     bool figures = false;
-    auto fault = record::read(path, [&](Time at, record::Kind kind, std::uint64_t a, std::uint64_t b, std::uint64_t c,
-                                        std::string_view text) {
+    auto fault = record::read(path, [&](Time at, record::Kind kind, std::uint64_t a,
+                                        std::uint64_t b, std::uint64_t c, std::string_view text) {
         using record::Kind;
         last = std::max(last, at);
         switch (kind) {
-        case Kind::figures: set_up(judge, std::string(text)), figures = true; break;
-        case Kind::client_wire: judge.client_wire(at, WireId{a}, EdgeId{b}, VolumeId{}); break;
-        case Kind::node_wire: judge.node_wire(at, WireId{a}, EdgeId{b}, NodeId{c}); break;
-        case Kind::bytes: judge.bytes(at, WireId{a}, b != 0, text); break;
-        case Kind::closed: judge.closed(at, WireId{a}, b != 0); break;
-        case Kind::told: judge.told(at, EdgeId{a}, NodeId{b}, static_cast<NodeState>(std::min<std::uint64_t>(c, 2))); break;
-        case Kind::started: judge.started(at, NodeId{a}); break;
-        case Kind::lost: judge.lost(at, NodeId{a}); break;
-        case Kind::killed: judge.killed(at, EdgeId{a}); break;
+        case Kind::figures:
+            set_up(judge, std::string(text)), figures = true;
+            break;
+        case Kind::client_wire:
+            judge.client_wire(at, WireId{a}, EdgeId{b}, VolumeId{});
+            break;
+        case Kind::node_wire:
+            judge.node_wire(at, WireId{a}, EdgeId{b}, NodeId{c});
+            break;
+        case Kind::bytes:
+            judge.bytes(at, WireId{a}, b != 0, text);
+            break;
+        case Kind::closed:
+            judge.closed(at, WireId{a}, b != 0);
+            break;
+        case Kind::told:
+            judge.told(at, EdgeId{a}, NodeId{b},
+                       static_cast<NodeState>(std::min<std::uint64_t>(c, 2)));
+            break;
+        case Kind::started:
+            judge.started(at, NodeId{a});
+            break;
+        case Kind::lost:
+            judge.lost(at, NodeId{a});
+            break;
+        case Kind::killed:
+            judge.killed(at, EdgeId{a});
+            break;
         case Kind::note:
-        case Kind::end: break;
+        case Kind::end:
+            break;
         }
     });
-    if (fault.empty() && !figures) fault = path + ": the recording has no figures to judge by";
+    if (fault.empty() && !figures)
+        fault = path + ": the recording has no figures to judge by";
     judge.finish(last);
     return fault;
 }
 
 std::string verdict(const Judge &judge) {
-    static constexpr const char *names[] = {"1 one final answer", "2 no effect twice", "3 drains kept",
-                                            "4 no cold node pushed over", "5 order per key", "6 further shots",
-                                            "7 limits", "  data as written"};
+    static constexpr const char *names[] = {
+        "1 one final answer", "2 no effect twice", "3 drains kept", "4 no cold node pushed over",
+        "5 order per key",    "6 further shots",   "7 limits",      "  data as written"};
     std::ostringstream out;
     for (std::size_t i = 0; i < 8; ++i) {
         auto rule = static_cast<Rule>(i + 1);
         std::string name = names[i];
         name.resize(28, ' ');
-        out << "  " << name << (judge.breaches(rule) > 0 ? "BROKEN " + std::to_string(judge.breaches(rule)) + " times of "
-                                : judge.judged(rule) > 0 ? "kept, judged "
-                                                         : "not judged ")
+        out << "  " << name
+            << (judge.breaches(rule) > 0
+                    ? "BROKEN " + std::to_string(judge.breaches(rule)) + " times of "
+                : judge.judged(rule) > 0 ? "kept, judged "
+                                         : "not judged ")
             << judge.judged(rule) << "\n";
     }
-    for (auto &b : judge.broken()) out << "  " << b << "\n";
+    for (auto &b : judge.broken())
+        out << "  " << b << "\n";
     return out.str();
 }
 
-bool kept(const Judge &judge) { return judge.broken().empty() && judge.judged(Rule::answers) > 0; }
+bool kept(const Judge &judge) {
+    return judge.broken().empty() && judge.judged(Rule::answers) > 0;
+}
 
 } // namespace knotvane::rules
--- a/src/rules/figures.hpp
+++ b/src/rules/figures.hpp
@@ -1,4 +1,5 @@
-// The rules' figures as text that stands at the head of a recording, and the judging of whole recordings.
+// The rules' figures as text that stands at the head of a recording, and the judging of whole
+// recordings.
 #pragma once
 
 #include <string>
@@ -8,10 +9,10 @@
 
 namespace knotvane::rules {
 
-// The figures (JSON) of edges with this scheduling and nodes with this service, both settings' text that was
-// checked; bytes where edges cut reads and writes.
-std::string figures_of(const std::string &scheduling, const std::string &service, std::uint64_t read_cut,
-                       std::uint64_t write_cut);
+// The figures (JSON) of edges with this scheduling and nodes with this service, both settings' text
+// that was checked; bytes where edges cut reads and writes.
+std::string figures_of(const std::string &scheduling, const std::string &service,
+                       std::uint64_t read_cut, std::uint64_t write_cut);
 // Sets a judge up. Throws std::runtime_error on what is not such text.
 void set_up(Judge &judge, const std::string &figures);
 // Reads a recording and judges it. An empty answer is good; else why it can't be judged.
--- a/src/rules/history.hpp
+++ b/src/rules/history.hpp
@@ -1,5 +1,5 @@
-// Judges a snapshot from what clients saw: which writes began and ended when, and what the snapshot holds. It
-// knows nothing of epochs, edges or nodes.
+// Judges a snapshot from what clients saw: which writes began and ended when, and what the snapshot
+// holds. It knows nothing of epochs, edges or nodes.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,26 @@
 using WriteNo = Id<struct WriteKind, std::uint64_t>; // from 1; 0: nothing was written there
 
 class History {
-  public:
+public:
     // A write of whole blocks, from `block` on, was sent.
     WriteNo begins(Time at, std::uint64_t block, std::uint32_t blocks, bool durable);
     // Its answer came: well, or with an error, after which it may be there or not.
     void ends(WriteNo write, Time at, bool well);
-    // A store lost what was not made durable: writes that were not asked to be, and began before, prove
-    // nothing.
+    // A store lost what was not made durable: writes that were not asked to be, and began before,
+    // prove nothing.
     void lost(Time at);
 
-    // `held`: by block, the write whose bytes the snapshot has there; a block that is left out has nothing.
-    // `called`, `returned`: of the take. What does not hold, one line each:
-    // - a write answered before the call is in (or one that came over it), and one begun after the return is
-    // not;
+    // `held`: by block, the write whose bytes the snapshot has there; a block that is left out has
+    // nothing. `called`, `returned`: of the take. What does not hold, one line each:
+    // - a write answered before the call is in (or one that came over it), and one begun after the
+    // return is not;
     // - a write that is in brings with it every write that was answered before it began;
     // - a write that was answered is in or out with all its blocks.
     std::vector<std::string> judge(Time called, Time returned,
                                    const std::map<std::uint64_t, WriteNo> &held) const;
     std::size_t writes() const { return writes_.size(); }
 
-  private:
+private:
     struct Write {
         Time began, ended; // ended: never, where it was not answered well
         std::uint64_t block;
--- a/src/rules/judge.hpp
+++ b/src/rules/judge.hpp
@@ -1,5 +1,6 @@
-// Judges the seven rules, and what reads return, from what passed on the wires alone: never from an edge's word.
-// Fed with the bytes of each connection, as seen beside the edge, and with what happened to the fleet.
+// Judges the seven rules, and what reads return, from what passed on the wires alone: never from an
+// edge's word. Fed with the bytes of each connection, as seen beside the edge, and with what
+// happened to the fleet.
 #pragma once
 
 #include <array>
@@ -29,12 +30,13 @@
 enum class Rule { answers = 1, effects, drains, cold, order, further, limits, data };
 
 class Judge {
-  public:
-    // Figures of the rules; what is not set is not judged. `slack`: how far apart the wires' times may be from the
-    // edge's own.
+public:
+    // Figures of the rules; what is not set is not judged. `slack`: how far apart the wires' times
+    // may be from the edge's own.
     explicit Judge(Time slack);
     ~Judge();
-    // `command`: 0 read, 1 write, 2 zero, 3 flush, 4 status, as the edge's; the longest time of a command counts.
+    // `command`: 0 read, 1 write, 2 zero, 3 flush, 4 status, as the edge's; the longest time of a
+    // command counts.
     void set_workload(int command, Time client_timeout, Repeat repeat, Time window, Time key_rest);
     // Where the edges cut requests into tasks: multiples of these many bytes.
     void set_cut(std::uint64_t reads, std::uint64_t writes);
@@ -49,12 +51,14 @@
     void set_volume(const std::string &name, VolumeId volume);
     void set_limit(VolumeId volume, double rate, double burst, double slack);
 
-    // An edge's connection to a client or, with a node, to that node. Clients' connections name the volume.
+    // An edge's connection to a client or, with a node, to that node. Clients' connections name the
+    // volume.
     void client_wire(Time now, WireId wire, EdgeId edge, VolumeId volume);
     void node_wire(Time now, WireId wire, EdgeId edge, NodeId node);
     void bytes(Time now, WireId wire, bool from_edge, std::string_view in);
     void closed(Time now, WireId wire, bool by_edge);
-    // An edge was told a node's state; a node's process started; what a node had not flushed was lost.
+    // An edge was told a node's state; a node's process started; what a node had not flushed was
+    // lost.
     void told(Time now, EdgeId edge, NodeId node, NodeState state);
     void started(Time now, NodeId node);
     void lost(Time now, NodeId node);
@@ -63,7 +67,8 @@
     // After the last event: nothing may be owed any more.
     void finish(Time now);
 
-    // One line for each breach, at most a few of a kind; how often each rule was broken and how often judged.
+    // One line for each breach, at most a few of a kind; how often each rule was broken and how
+    // often judged.
     const std::vector<std::string> &broken() const { return broken_; }
     std::uint64_t breaches(Rule rule) const { return breaches_[static_cast<std::size_t>(rule)]; }
     std::uint64_t judged(Rule rule) const { return judged_[static_cast<std::size_t>(rule)]; }
@@ -71,7 +76,7 @@
     std::uint64_t shots() const { return shots_; }
     std::uint64_t delivered() const { return delivered_; }
 
-  private:
+private:
     struct Request;
     struct Wire;
     struct ShotSeen {
@@ -106,8 +111,9 @@
     void got(Wire &w, std::uint64_t cookie, std::uint64_t offset, std::string_view data);
     void ended(Time now, Wire &w, std::uint64_t cookie, std::uint32_t error);
     void check_read(Time now, Request &r);
-    void shot(Time now, Wire &w, frames::Kind kind, std::uint64_t tag, VolumeId volume, std::uint64_t offset,
-              std::uint32_t length, double units, std::uint64_t number, ShardId shard, std::uint64_t first);
+    void shot(Time now, Wire &w, frames::Kind kind, std::uint64_t tag, VolumeId volume,
+              std::uint64_t offset, std::uint32_t length, double units, std::uint64_t number,
+              ShardId shard, std::uint64_t first);
     void shot_over(Time now, TaskSeen &t, ShotSeen &s, bool proved, bool known);
     void check_waiting(Time now);
     void check_order(Time now, EdgeId edge, TaskSeen &t);
@@ -128,16 +134,17 @@
     std::map<std::string, VolumeId, std::less<>> volumes_;
 
     std::map<WireId, std::unique_ptr<Wire>> wires_;
-    std::map<EdgeId, std::vector<Requestp>> open_;        // writes, in order of arrival
+    std::map<EdgeId, std::vector<Requestp>> open_; // writes, in order of arrival
     std::map<std::pair<EdgeId, std::uint64_t>, TaskSeen> tasks_;
     std::deque<std::pair<Time, std::pair<EdgeId, std::uint64_t>>> by_age_;
-    std::map<EdgeId, std::set<std::uint64_t>> writing_;   // writes with a shot that may still run
-    std::map<std::pair<EdgeId, NodeId>, Time> leaving_;   // told draining or gone
+    std::map<EdgeId, std::set<std::uint64_t>> writing_; // writes with a shot that may still run
+    std::map<std::pair<EdgeId, NodeId>, Time> leaving_; // told draining or gone
     std::set<ShardId> shards_;
     std::map<NodeId, Time> started_, flush_asked_;
     std::map<NodeId, std::deque<std::pair<Time, double>>> sent_cold_;
     std::map<EdgeId, std::deque<Time>> taken_, further_; // taken_: once for each task
-    std::map<std::pair<VolumeId, std::uint64_t>, std::vector<std::pair<Requestp, std::uint64_t>>> history_;
+    std::map<std::pair<VolumeId, std::uint64_t>, std::vector<std::pair<Requestp, std::uint64_t>>>
+        history_;
     std::vector<Requestp> undurable_;
     std::set<std::pair<Time, const Request *>> reading_;
     std::deque<std::tuple<Time, Requestp, std::string>> waiting_; // what must have ended soon after
--- a/src/settings/ini.cpp
+++ b/src/settings/ini.cpp
@@ -15,7 +15,8 @@
 // The library cuts longer lines without a word, so they are refused before it sees them.
 constexpr std::size_t longest_line = 190;
 
-// What the library's callbacks work on: it reads line by line and calls back for each pair of the line just read.
+// What the library's callbacks work on: it reads line by line and calls back for each pair of the
+// line just read.
 struct Lines {
     std::string_view rest;
     int line = 0;
@@ -25,7 +26,8 @@
 
 char *next_line(char *to, int room, void *from) {
     auto &lines = *static_cast<Lines *>(from);
-    if (lines.rest.empty()) return nullptr;
+    if (lines.rest.empty())
+        return nullptr;
     ++lines.line;
     auto n = std::min(lines.rest.find('\n'), lines.rest.size() - 1) + 1;
     std::string_view line = lines.rest.substr(0, n);
@@ -49,7 +51,8 @@
 // Splits "12.5ms" into its number and its unit.
 bool split_unit(const std::string &s, double &number, std::string &unit) {
     auto [end, bad] = std::from_chars(s.data(), s.data() + s.size(), number);
-    if (bad != std::errc{}) return false;
+    if (bad != std::errc{})
+        return false;
     unit.assign(end, s.data() + s.size());
     return true;
 }
@@ -69,14 +72,17 @@
     int bad = ini_parse_stream(next_line, &lines, take_pair, &lines);
     for (int l : lines.long_lines)
         fault(l, "the line is longer than " + std::to_string(longest_line) + " characters");
-    if (bad > 0) fault(bad, "neither a section, a key with a value, nor a comment");
-    // Sections without a pair are not told by the library's callback, and one that is told twice is a fault.
+    if (bad > 0)
+        fault(bad, "neither a section, a key with a value, nor a comment");
+    // Sections without a pair are not told by the library's callback, and one that is told twice is
+    // a fault.
     std::istringstream all(text);
     std::string raw;
     std::map<std::string, Section *> named;
     for (int line = 1; std::getline(all, raw); ++line) {
         auto end = raw.find(']');
-        if (raw.empty() || raw[0] != '[' || end == std::string::npos) continue;
+        if (raw.empty() || raw[0] != '[' || end == std::string::npos)
+            continue;
         std::string whole = raw.substr(1, end - 1);
         if (named.contains(whole)) {
             fault(line, "section [" + whole + "] stands twice; the first is in line " +
@@ -98,8 +104,8 @@
         }
         auto [place, is_new] = it->second->values_.try_emplace(key, Section::Value{value, line});
         if (!is_new)
-            fault(line, "key '" + key + "' stands twice in [" + section + "]; the first is in line " +
-                            std::to_string(place->second.line));
+            fault(line, "key '" + key + "' stands twice in [" + section +
+                            "]; the first is in line " + std::to_string(place->second.line));
     }
 }
 
@@ -110,8 +116,10 @@
 Section &File::one(const std::string &kind, bool needed) {
     kinds_asked_[kind] = true;
     for (auto &s : sections_)
-        if (s->kind_ == kind && s->name_.empty()) return *s;
-    if (needed) fault(0, "section [" + kind + "] is missing");
+        if (s->kind_ == kind && s->name_.empty())
+            return *s;
+    if (needed)
+        fault(0, "section [" + kind + "] is missing");
     auto s = std::make_unique<Section>();
     s->file_ = this, s->kind_ = kind;
     sections_.push_back(std::move(s));
@@ -122,7 +130,8 @@
     kinds_asked_[kind] = true;
     std::vector<Section *> out;
     for (auto &s : sections_)
-        if (s->kind_ == kind && (s->line_ > 0)) out.push_back(s.get());
+        if (s->kind_ == kind && (s->line_ > 0))
+            out.push_back(s.get());
     return out;
 }
 
@@ -132,16 +141,20 @@
         for (auto &s : sections_) {
             if (!kinds_asked_.contains(s->kind_)) {
                 std::string known;
-                for (auto &[k, _] : kinds_asked_) known += (known.empty() ? "[" : ", [") + k + "]";
-                fault(s->line_, "section [" + s->kind_ + "] is not known; expected one of " + known);
+                for (auto &[k, _] : kinds_asked_)
+                    known += (known.empty() ? "[" : ", [") + k + "]";
+                fault(s->line_,
+                      "section [" + s->kind_ + "] is not known; expected one of " + known);
                 continue;
             }
             for (auto &[key, v] : s->values_)
-                if (!v.asked) fault(v.line, "key '" + key + "' is not known in [" + s->kind_ + "]");
+                if (!v.asked)
+                    fault(v.line, "key '" + key + "' is not known in [" + s->kind_ + "]");
         }
     }
     std::vector<std::string> out;
-    for (auto &[line, what] : faults_) out.push_back(what);
+    for (auto &[line, what] : faults_)
+        out.push_back(what);
     return out;
 }
 
@@ -149,7 +162,8 @@
     auto it = values_.find(key);
     if (it == values_.end()) {
         if (needed)
-            file_->fault(line_, "[" + kind_ + (name_.empty() ? "" : " " + name_) + "] needs the key '" + key + "'");
+            file_->fault(line_, "[" + kind_ + (name_.empty() ? "" : " " + name_) +
+                                    "] needs the key '" + key + "'");
         return nullptr;
     }
     it->second.asked = true;
@@ -165,7 +179,8 @@
 
 std::string Section::text(const std::string &key) {
     auto *v = find(key, true);
-    if (v && v->empty()) fault(key, "the value is empty");
+    if (v && v->empty())
+        fault(key, "the value is empty");
     return v ? *v : "";
 }
 std::string Section::text(const std::string &key, const std::string &otherwise) {
@@ -175,14 +190,19 @@
 
 Time Section::time(const std::string &key, Time otherwise) {
     auto *v = find(key, false);
-    if (!v) return otherwise;
+    if (!v)
+        return otherwise;
     double n = 0;
     std::string unit;
     if (split_unit(*v, n, unit) && n >= 0 && n < 1e9) {
-        if (unit == "s") return static_cast<Time>(n * 1e9);
-        if (unit == "ms") return static_cast<Time>(n * 1e6);
-        if (unit == "us") return static_cast<Time>(n * 1e3);
-        if (unit == "ns") return static_cast<Time>(n);
+        if (unit == "s")
+            return static_cast<Time>(n * 1e9);
+        if (unit == "ms")
+            return static_cast<Time>(n * 1e6);
+        if (unit == "us")
+            return static_cast<Time>(n * 1e3);
+        if (unit == "ns")
+            return static_cast<Time>(n);
     }
     fault(key, "expected a time like 250ms or 4s (ns, us, ms, s)");
     return otherwise;
@@ -194,7 +214,8 @@
 
 std::uint64_t Section::bytes(const std::string &key, std::uint64_t otherwise) {
     auto *v = find(key, false);
-    if (!v) return otherwise;
+    if (!v)
+        return otherwise;
     double n = 0;
     std::string unit;
     if (split_unit(*v, n, unit) && n >= 0) {
@@ -204,7 +225,8 @@
                     : unit == "GiB"             ? 1024.0 * 1024 * 1024
                     : unit == "TiB"             ? 1024.0 * 1024 * 1024 * 1024
                                                 : 0;
-        if (by > 0 && n * by < 9e18 && n * by == static_cast<double>(static_cast<std::uint64_t>(n * by)))
+        if (by > 0 && n * by < 9e18 &&
+            n * by == static_cast<double>(static_cast<std::uint64_t>(n * by)))
             return static_cast<std::uint64_t>(n * by);
     }
     fault(key, "expected a size like 512, 64KiB or 4MiB (B, KiB, MiB, GiB, TiB)");
@@ -218,11 +240,14 @@
 std::uint64_t Section::count(const std::string &key, std::uint64_t least, std::uint64_t most,
                              std::uint64_t otherwise) {
     auto *v = find(key, false);
-    if (!v) return otherwise;
+    if (!v)
+        return otherwise;
     std::uint64_t n = 0;
     auto [end, bad] = std::from_chars(v->data(), v->data() + v->size(), n);
-    if (bad == std::errc{} && end == v->data() + v->size() && n >= least && n <= most) return n;
-    fault(key, "expected a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+    if (bad == std::errc{} && end == v->data() + v->size() && n >= least && n <= most)
+        return n;
+    fault(key,
+          "expected a whole number from " + std::to_string(least) + " to " + std::to_string(most));
     return otherwise;
 }
 std::uint64_t Section::count(const std::string &key, std::uint64_t least, std::uint64_t most) {
@@ -232,10 +257,12 @@
 
 double Section::number(const std::string &key, double least, double most, double otherwise) {
     auto *v = find(key, false);
-    if (!v) return otherwise;
+    if (!v)
+        return otherwise;
     double n = 0;
     std::string rest;
-    if (split_unit(*v, n, rest) && rest.empty() && n >= least && n <= most) return n;
+    if (split_unit(*v, n, rest) && rest.empty() && n >= least && n <= most)
+        return n;
     std::ostringstream range;
     range << "expected a number from " << least << " to " << most;
     fault(key, range.str());
@@ -248,20 +275,25 @@
 
 bool Section::flag(const std::string &key, bool otherwise) {
     auto *v = find(key, false);
-    if (!v) return otherwise;
-    if (*v == "yes") return true;
-    if (*v != "no") fault(key, "expected yes or no");
+    if (!v)
+        return otherwise;
+    if (*v == "yes")
+        return true;
+    if (*v != "no")
+        fault(key, "expected yes or no");
     return false;
 }
 
 std::size_t Section::choice(const std::string &key, std::initializer_list<std::string_view> words,
                             std::size_t otherwise) {
     auto *v = find(key, false);
-    if (!v) return otherwise;
+    if (!v)
+        return otherwise;
     std::string all;
     std::size_t i = 0;
     for (auto w : words) {
-        if (*v == w) return i;
+        if (*v == w)
+            return i;
         all += (i++ > 0 ? ", " : "") + std::string(w);
     }
     fault(key, "expected one of " + all);
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -22,7 +22,8 @@
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-constexpr std::uint64_t volume_size = 512 << 10, extent = 64 << 10, span = 16 << 10, unit = 16 << 10;
+constexpr std::uint64_t volume_size = 512 << 10, extent = 64 << 10, span = 16 << 10,
+                        unit = 16 << 10;
 constexpr std::uint64_t block = 4096, busy_blocks = 48; // clients meet in these, of three extents
 constexpr Time client_timeout = 1500 * ms, window = 700 * ms, key_rest = 800 * ms;
 constexpr VolumeId volume{7};
@@ -30,8 +31,8 @@
 using planner::SideId;
 using rules::WriteNo;
 
-// A connection of two ends: bytes arrive in order, some time later; an end that closed hears nothing more,
-// what it had sent still arrives.
+// A connection of two ends: bytes arrive in order, some time later; an end that closed hears
+// nothing more, what it had sent still arrives.
 struct Wire {
     bool open[2] = {true, true};
     Time last[2] = {0, 0}, held = 0;
@@ -157,13 +158,17 @@
         return n <= 1 ? 0 : (std::uint64_t{chance()} << 24 | chance()) % n;
     }
     Time time_under(Time t) { return static_cast<Time>(under(static_cast<std::uint64_t>(t))); }
-    bool lot(double p) { return static_cast<double>(chance()) < p * static_cast<double>(chance.max()); }
+    bool lot(double p) {
+        return static_cast<double>(chance()) < p * static_cast<double>(chance.max());
+    }
     void at(Time t, std::function<void()> f) { queue.emplace(std::pair{t, ++seq}, std::move(f)); }
-    Time delay() { return !quiet && lot(0.02) ? time_under(60 * ms) : 50 * us + time_under(500 * us); }
+    Time delay() {
+        return !quiet && lot(0.02) ? time_under(60 * ms) : 50 * us + time_under(500 * us);
+    }
     void broken(std::string what) {
         if (out.broken.size() < 10)
-            out.broken.push_back("seed " + std::to_string(day.seed) + ", " + std::to_string(now / ms) +
-                                 "ms: " + what);
+            out.broken.push_back("seed " + std::to_string(day.seed) + ", " +
+                                 std::to_string(now / ms) + "ms: " + what);
     }
 
     // ---- Wires. `from`: the end that sends.
@@ -178,23 +183,28 @@
         queue.clear();
         for (auto &weak : wires)
             if (auto wire = weak.lock())
-                for (int end : {0, 1}) wire->hear[end] = nullptr, wire->ended[end] = nullptr;
+                for (int end : {0, 1})
+                    wire->hear[end] = nullptr, wire->ended[end] = nullptr;
     }
     void send(const WirePtr &wire, int from, std::string bytes) {
-        if (!wire->open[from]) return;
+        if (!wire->open[from])
+            return;
         auto &last = wire->last[from];
         last = std::max({last, now + delay(), wire->held});
         at(last, [wire, to = 1 - from, b = std::move(bytes)] {
-            if (wire->open[to]) wire->hear[to](b);
+            if (wire->open[to])
+                wire->hear[to](b);
         });
     }
     void close(const WirePtr &wire, int from) {
-        if (!std::exchange(wire->open[from], false)) return;
+        if (!std::exchange(wire->open[from], false))
+            return;
         at(std::max(wire->last[from], now + delay()), [wire, to = 1 - from] { end(wire, to); });
     }
     // A connection that was given up before it came about has nobody at its far end.
     static void end(const WirePtr &wire, int side) {
-        if (std::exchange(wire->open[side], false) && wire->ended[side]) wire->ended[side]();
+        if (std::exchange(wire->open[side], false) && wire->ended[side])
+            wire->ended[side]();
     }
     void sever(const WirePtr &wire) {
         for (int side : {0, 1})
@@ -210,13 +220,14 @@
         v.name = "v", v.size = volume_size, v.least = 512;
         p.volumes[volume] = {v, "p", 0};
         for (std::uint32_t i = 0; i < day.nodes; ++i)
-            p.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "", 0};
+            p.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
+                                      0};
         return p;
     }
     void planner_start() {
         keeper.lives_on();
-        core = std::make_unique<planner::Core>(*this, keeper, 3 * sec, 250 * ms, 20 * sec, 500 * ms, 200 * ms,
-                                               200 * ms, sec);
+        core = std::make_unique<planner::Core>(*this, keeper, 3 * sec, 250 * ms, 20 * sec, 500 * ms,
+                                               200 * ms, 200 * ms, sec);
         for (auto &[key, row] : keeper.rows) {
             auto [kind, a, b] = key;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
@@ -229,27 +240,34 @@
             return planner_die();
         std::vector<std::pair<int, std::string>> faults;
         core->want(now, wanted(), faults);
-        for (auto &[line, what] : faults) broken("settings refused: " + what);
+        for (auto &[line, what] : faults)
+            broken("settings refused: " + what);
         planner_run();
     }
     void planner_die() {
         ++out.met["planner deaths"];
         core.reset();
         planner_wake = never;
-        for (auto &[id, wire] : std::exchange(sides, {})) close(wire, 1);
+        for (auto &[id, wire] : std::exchange(sides, {}))
+            close(wire, 1);
         at(now + 50 * ms + time_under(800 * ms), [this] {
-            if (!core) planner_start();
+            if (!core)
+                planner_start();
         });
     }
     void planner_run() {
-        if (!core) return;
+        if (!core)
+            return;
         core->settle(now);
-        if (keeper.died) return planner_die();
+        if (keeper.died)
+            return planner_die();
         auto due = core->next_due();
-        if (due >= planner_wake) return;
+        if (due >= planner_wake)
+            return;
         planner_wake = due;
         at(std::max(due, now + 1), [this, due] {
-            if (planner_wake != due) return;
+            if (planner_wake != due)
+                return;
             planner_wake = never;
             planner_run();
         });
@@ -260,13 +278,15 @@
         SideId side{++next_side};
         wire->hear[0] = std::move(hear), wire->ended[0] = std::move(ended);
         wire->hear[1] = [this, side](std::string_view b) {
-            if (!core) return;
+            if (!core)
+                return;
             core->bytes(now, side, b);
             planner_run();
         };
         wire->ended[1] = [this, side] {
             sides.erase(side);
-            if (!core) return;
+            if (!core)
+                return;
             core->gone(now, side);
             planner_run();
         };
@@ -275,27 +295,33 @@
         return wire;
     }
     void send(SideId side, std::string bytes) override {
-        if (auto it = sides.find(side); it != sides.end()) send(it->second, 1, std::move(bytes));
+        if (auto it = sides.find(side); it != sides.end())
+            send(it->second, 1, std::move(bytes));
     }
     void close(SideId side) override {
         auto it = sides.find(side);
-        if (it == sides.end()) return;
+        if (it == sides.end())
+            return;
         auto wire = it->second;
         sides.erase(it);
         close(wire, 1);
         at(now, [this, side] {
-            if (core) core->gone(now, side), planner_run();
+            if (core)
+                core->gone(now, side), planner_run();
         });
     }
     void say(std::string) override {}
     void retired() override { broken("the only planner retired"); }
 
     // ---- Stirring.
-    template <class Host, class Due> void wake(Host &h, Due due, const std::function<void()> &run) {
-        if (due >= h.wake) return;
+    template <class Host, class Due>
+    void wake(Host &h, Due due, const std::function<void()> &run) {
+        if (due >= h.wake)
+            return;
         h.wake = due;
         at(std::max(due, now + 1), [&h, due, run] {
-            if (h.wake != due) return;
+            if (h.wake != due)
+                return;
             h.wake = never;
             run();
         });
@@ -306,7 +332,8 @@
         wake(n, std::min(n.disk.next_due(), n.reg->next_due()), [this, &n] { stir(n); });
     }
     void stir(EdgeHost &e) {
-        if (!e.core || e.paused) return;
+        if (!e.core || e.paused)
+            return;
         e.sub->tick(now);
         e.core->settle(now);
         wake(e, std::min(e.core->next_due(), e.sub->next_due()), [this, &e] { stir(e); });
@@ -322,26 +349,31 @@
         };
         for (auto &[key, row] : keeper.rows) {
             auto [kind, id, b] = key;
-            if (kind != planner::Keeper::Row::volume) continue;
+            if (kind != planner::Keeper::Row::volume)
+                continue;
             Row r;
             facts::Reader().bytes(row.body, r);
-            if (r.name == name) return VolumeId{id};
+            if (r.name == name)
+                return VolumeId{id};
         }
         return VolumeId{};
     }
     void operate(std::string question, std::function<void(bool done)> heard) {
-        if (!core) return;
+        if (!core)
+            return;
         struct Ear final : facts::Heard {
             std::function<void(bool)> heard;
             void effect(bool, bool done, const std::string &) override {
-                if (heard) std::exchange(heard, nullptr)(done);
+                if (heard)
+                    std::exchange(heard, nullptr)(done);
             }
             void unexpected(const char *) override {}
         };
         auto ear = std::make_shared<Ear>();
         auto reader = std::make_shared<facts::Reader>();
         ear->heard = std::move(heard);
-        auto wire = to_planner([ear, reader](std::string_view b) { reader->bytes(b, *ear); }, [] {});
+        auto wire =
+            to_planner([ear, reader](std::string_view b) { reader->bytes(b, *ear); }, [] {});
         send(wire, 0, std::move(question));
     }
     void take() {
@@ -349,23 +381,27 @@
         Time called = now;
         operate(facts::ask_cut(0, "v", name, ""), [this, name, called](bool done) {
             auto full = "v@" + name;
-            if (!done) return void(++out.refused);
+            if (!done)
+                return void(++out.refused);
             ++out.taken;
             auto id = id_of(full);
             snapshots[full] = {called, now, id, held(id)};
-            if (lot(0.3)) drop_or_clone(full);
+            if (lot(0.3))
+                drop_or_clone(full);
         });
     }
     void drop_or_clone(const std::string &full) {
         if (lot(0.5)) {
             operate(facts::ask_cut(1, full, "", ""), [this, full](bool done) {
-                if (done) judge(full), snapshots.erase(full);
+                if (done)
+                    judge(full), snapshots.erase(full);
             });
             return;
         }
         auto as = "c" + std::to_string(++taken_names);
         operate(facts::ask_cut(2, full, as, ""), [this, full, as](bool done) {
-            if (!done || !snapshots.contains(full)) return;
+            if (!done || !snapshots.contains(full))
+                return;
             ++out.clones;
             if (held(id_of(as)) != snapshots.at(full).held)
                 broken("clone " + as + " does not hold what " + full + " does");
@@ -384,23 +420,28 @@
                        std::to_string(n.id.value));
                 return got;
             }
-            if (!n.store.read(id, b * block, block, bytes)) broken("a block does not match its checksum");
+            if (!n.store.read(id, b * block, block, bytes))
+                broken("a block does not match its checksum");
             std::uint64_t no = 0;
             std::memcpy(&no, bytes.data(), sizeof no);
-            if (no == 0) continue;
+            if (no == 0)
+                continue;
             for (std::size_t i = 0; i < block; i += sizeof no)
-                if (std::memcmp(bytes.data() + i, &no, sizeof no) != 0) broken("a block holds two writes");
+                if (std::memcmp(bytes.data() + i, &no, sizeof no) != 0)
+                    broken("a block holds two writes");
             got[b] = WriteNo{no};
         }
         return got;
     }
     void judge(const std::string &full) {
         auto &s = snapshots.at(full);
-        for (auto &what : history.judge(s.called, s.returned, s.held)) broken(full + ": " + what);
+        for (auto &what : history.judge(s.called, s.returned, s.held))
+            broken(full + ": " + what);
     }
     std::vector<ShardId> all_shards() const {
         std::vector<ShardId> out_shards;
-        for (std::uint32_t i = 0; i < day.nodes; ++i) out_shards.emplace_back(static_cast<std::int32_t>(i));
+        for (std::uint32_t i = 0; i < day.nodes; ++i)
+            out_shards.emplace_back(static_cast<std::int32_t>(i));
         return out_shards;
     }
 
@@ -415,22 +456,26 @@
     node::Registration::Line line;
     line.dial = [this] {
         w.at(w.now + w.delay(), [this] {
-            if (!listening) return;
+            if (!listening)
+                return;
             if (!w.core) {
                 reg->down(w.now);
                 return w.stir(*this);
             }
-            planner = w.to_planner([this](std::string_view b) { reg->bytes(w.now, b), w.stir(*this); },
-                                   [this] { planner.reset(), reg->down(w.now), w.stir(*this); });
+            planner =
+                w.to_planner([this](std::string_view b) { reg->bytes(w.now, b), w.stir(*this); },
+                             [this] { planner.reset(), reg->down(w.now), w.stir(*this); });
             reg->up(w.now);
             w.stir(*this);
         });
     };
     line.hang_up = [this] {
-        if (auto p = std::exchange(planner, nullptr)) w.close(p, 0);
+        if (auto p = std::exchange(planner, nullptr))
+            w.close(p, 0);
     };
     line.send = [this](std::string b) {
-        if (planner) w.send(planner, 0, std::move(b));
+        if (planner)
+            w.send(planner, 0, std::move(b));
     };
     line.say = [](std::string) {};
     line.open_cut = [this](VolumeId of, VolumeId as, std::uint32_t epoch,
@@ -438,7 +483,8 @@
         std::set<facts::EdgeLife> who(late.begin(), late.end());
         if (w.day.nodes_let_in)
             for (std::uint32_t e = 0; e < w.day.edges; ++e)
-                who.insert(w.edges[e]->core ? facts::EdgeLife{w.edges[e]->core->life()} : facts::EdgeLife{});
+                who.insert(w.edges[e]->core ? facts::EdgeLife{w.edges[e]->core->life()}
+                                            : facts::EdgeLife{});
         if (w.day.nodes_cut_once) {
             // As a store that knows nothing of late changes: sealed at once.
             auto how = store.cut(of, as, true);
@@ -448,22 +494,28 @@
     };
     line.seal = [this](VolumeId of, VolumeId as) { return disk.seal(of, as); };
     line.drop = [this](VolumeId as) { return disk.drop(as); };
-    line.clone = [this](VolumeId of, VolumeId as) { return static_cast<std::uint8_t>(disk.clone(of, as)); };
+    line.clone = [this](VolumeId of, VolumeId as) {
+        return static_cast<std::uint8_t>(disk.clone(of, as));
+    };
     line.diff = [this](VolumeId a, VolumeId b) { return store.diff(a, b); };
     reg = std::make_unique<node::Registration>(line, id, shard, ZoneId{0}, std::to_string(id.value),
                                                seed + id.value, 100 * ms);
     reg->start(now, 1, now - 3600 * sec);
 }
 void NodeHost::send(node::ConnId conn, std::string out) {
-    if (auto it = conns.find(conn); it != conns.end()) w.send(it->second, 1, std::move(out));
+    if (auto it = conns.find(conn); it != conns.end())
+        w.send(it->second, 1, std::move(out));
 }
 void NodeHost::close(node::ConnId conn, bool) {
     auto it = conns.find(conn);
-    if (it == conns.end()) return;
+    if (it == conns.end())
+        return;
     w.close(it->second, 1);
     conns.erase(it);
 }
-void NodeHost::listen(bool open) { listening = open; }
+void NodeHost::listen(bool open) {
+    listening = open;
+}
 
 // ---- Edges.
 void EdgeHost::in(const std::function<void()> &call) {
@@ -475,8 +527,8 @@
 void EdgeHost::start() {
     ++lives;
     core = std::make_unique<edge::Core>(
-        *this, [&](Actions &a) { return make_scheduler(a, w.day.seed + id); }, id, w.day.seed + lives * 1000,
-        extent, span, unit, w.all_shards());
+        *this, [&](Actions &a) { return make_scheduler(a, w.day.seed + id); }, id,
+        w.day.seed + lives * 1000, extent, span, unit, w.all_shards());
     auto &s = core->scheduler();
     s.set_place(PeerId{static_cast<std::uint32_t>(id)}, w.day.edges, ZoneId{0});
     s.set_clock(ms, 10 * ms);
@@ -485,7 +537,8 @@
         s.add_workload(WorkloadId{i}, 300 * ms, client_timeout, 1, 0.1);
         s.set_repeat(WorkloadId{i}, writes ? Repeat::numbered : Repeat::reissuable, Group::shard,
                      writes ? window : 0);
-        if (writes) s.set_turns(WorkloadId{i}, key_rest);
+        if (writes)
+            s.set_turns(WorkloadId{i}, key_rest);
         core->add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
                            writes ? window : 0);
     }
@@ -496,17 +549,20 @@
     core->set_links(2, 250 * ms, 300 * ms, 2 * sec, 1 << 20);
     core->set_door(16, 64 << 10, 256, 4 << 20);
     core->ready(w.now);
-    sub = std::make_unique<edge::Subscription>(*this, EdgeId{id}, "e", w.day.seed + lives * 31 + id, 100 * ms,
-                                               3600 * sec);
+    sub = std::make_unique<edge::Subscription>(*this, EdgeId{id}, "e", w.day.seed + lives * 31 + id,
+                                               100 * ms, 3600 * sec);
     core->follow(sub->copy().table());
     lists = 0;
     sub->start(w.now, {});
     w.stir(*this);
 }
 void EdgeHost::stop() {
-    if (planner) w.close(std::exchange(planner, nullptr), 0);
-    for (auto &[l, wire] : std::exchange(links, {})) w.close(wire, 0);
-    for (auto &[c, wire] : std::exchange(clients, {})) w.close(wire, 1);
+    if (planner)
+        w.close(std::exchange(planner, nullptr), 0);
+    for (auto &[l, wire] : std::exchange(links, {}))
+        w.close(wire, 0);
+    for (auto &[c, wire] : std::exchange(clients, {}))
+        w.close(wire, 1);
     core.reset(), sub.reset();
     paused = false, while_paused.clear(), wake = never;
 }
@@ -516,75 +572,95 @@
     auto life = lives;
     wire->hear[0] = [this, link, life](std::string_view b) {
         in([this, link, life, bytes = std::string(b)] {
-            if (life == lives && links.contains(link)) core->link_bytes(w.now, link, bytes);
+            if (life == lives && links.contains(link))
+                core->link_bytes(w.now, link, bytes);
         });
     };
     wire->ended[0] = [this, link, life] {
         in([this, link, life] {
-            if (life == lives && links.erase(link)) core->link_gone(w.now, link);
+            if (life == lives && links.erase(link))
+                core->link_gone(w.now, link);
         });
     };
     auto &n = *w.nodes[std::stoull(address) - 1];
     w.at(w.now + w.delay(), [this, link, life, wire, &n] {
-        if (!wire->open[0]) return;
+        if (!wire->open[0])
+            return;
         if (!n.listening) {
             wire->open[0] = false;
             return in([this, link, life] {
-                if (life == lives && links.erase(link)) core->link_failed(w.now, link);
+                if (life == lives && links.erase(link))
+                    core->link_failed(w.now, link);
             });
         }
         node::ConnId conn{++w.next_conn};
         n.conns[conn] = wire;
-        wire->hear[1] = [this, &n, conn](std::string_view b) { n.disk.bytes(w.now, conn, b), w.stir(n); };
+        wire->hear[1] = [this, &n, conn](std::string_view b) {
+            n.disk.bytes(w.now, conn, b), w.stir(n);
+        };
         wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.gone(w.now, conn); };
         n.disk.came(w.now, conn);
         in([this, link, life] {
-            if (life == lives && links.contains(link)) core->link_up(w.now, link);
+            if (life == lives && links.contains(link))
+                core->link_up(w.now, link);
         });
     });
 }
 void EdgeHost::send(edge::LinkId link, std::string bytes) {
     auto it = links.find(link);
-    if (it == links.end()) return;
+    if (it == links.end())
+        return;
     auto size = bytes.size();
     w.send(it->second, 0, std::move(bytes));
     w.at(w.now, [this, link, size, life = lives] {
         in([this, link, size, life] {
-            if (life == lives && links.contains(link)) core->link_written(w.now, link, size);
+            if (life == lives && links.contains(link))
+                core->link_written(w.now, link, size);
         });
     });
 }
 void EdgeHost::close(edge::LinkId link) {
     auto it = links.find(link);
-    if (it == links.end()) return;
+    if (it == links.end())
+        return;
     auto wire = it->second;
     links.erase(it);
     w.close(wire, 0);
 }
 void EdgeHost::send_client(edge::ClientId client, std::string bytes) {
     auto it = clients.find(client);
-    if (it == clients.end()) return;
+    if (it == clients.end())
+        return;
     auto size = bytes.size();
     w.send(it->second, 1, std::move(bytes));
     w.at(w.now, [this, client, size, life = lives] {
         in([this, client, size, life] {
-            if (life == lives && clients.contains(client)) core->client_written(w.now, client, size);
+            if (life == lives && clients.contains(client))
+                core->client_written(w.now, client, size);
         });
     });
 }
 void EdgeHost::close_client(edge::ClientId client) {
     auto it = clients.find(client);
-    if (it == clients.end()) return;
+    if (it == clients.end())
+        return;
     auto wire = it->second;
     clients.erase(it);
     w.close(wire, 1);
 }
-void EdgeHost::shot_ended(TaskId, NodeId node, Outcome how, Time) { sub->shot_ended(w.now, node, how); }
-void EdgeHost::volume_used(VolumeId v, bool on) { sub->volume_used(w.now, v, on); }
-void EdgeHost::cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife l) { sub->cut_told(as, step, l); }
+void EdgeHost::shot_ended(TaskId, NodeId node, Outcome how, Time) {
+    sub->shot_ended(w.now, node, how);
+}
+void EdgeHost::volume_used(VolumeId v, bool on) {
+    sub->volume_used(w.now, v, on);
+}
+void EdgeHost::cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife l) {
+    sub->cut_told(as, step, l);
+}
 void EdgeHost::dial() {
     w.at(w.now + w.delay(), [this, life = lives] {
-        if (life != lives || !sub || paused) return;
+        if (life != lives || !sub || paused)
+            return;
         if (!w.core || cut_off) {
             sub->down(w.now);
             return w.stir(*this);
@@ -593,12 +669,14 @@
         *wire = planner = w.to_planner(
             [this, life](std::string_view b) {
                 in([this, life, bytes = std::string(b)] {
-                    if (life == lives && planner) sub->bytes(w.now, bytes);
+                    if (life == lives && planner)
+                        sub->bytes(w.now, bytes);
                 });
             },
             [this, life, wire] {
                 in([this, life, wire] {
-                    if (life == lives && planner == *wire) planner.reset(), sub->down(w.now);
+                    if (life == lives && planner == *wire)
+                        planner.reset(), sub->down(w.now);
                 });
             });
         sub->up(w.now);
@@ -606,10 +684,12 @@
     });
 }
 void EdgeHost::hang_up() {
-    if (planner) w.close(std::exchange(planner, nullptr), 0);
+    if (planner)
+        w.close(std::exchange(planner, nullptr), 0);
 }
 void EdgeHost::send_planner(std::string bytes) {
-    if (planner) w.send(planner, 0, std::move(bytes));
+    if (planner)
+        w.send(planner, 0, std::move(bytes));
 }
 void EdgeHost::plan_taken(const facts::Table &table, bool nodes, bool plans,
                           const std::map<NodeId, Time> &started) {
@@ -617,16 +697,21 @@
         for (auto &[pid, p] : table.plans)
             core->plan_told(pid, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
     core->facts_changed(w.now);
-    if (!nodes || !core->list_begins(w.now, ++lists)) return;
+    if (!nodes || !core->list_begins(w.now, ++lists))
+        return;
     for (auto &[nid, n] : table.nodes)
         core->node_listed(nid, n.address, n.shard, n.zone, n.state, started.at(nid));
     core->list_ends();
 }
-void EdgeHost::part_told(VolumeId v, double hosts) { core->part_told(w.now, v, hosts); }
+void EdgeHost::part_told(VolumeId v, double hosts) {
+    core->part_told(w.now, v, hosts);
+}
 void EdgeHost::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-    if (w.day.edges_begin_on) return sub->cut_told(as, facts::CutStep::ready, facts::EdgeLife{core->life()});
+    if (w.day.edges_begin_on)
+        return sub->cut_told(as, facts::CutStep::ready, facts::EdgeLife{core->life()});
     core->cut_hold(w.now, of, as, epoch, longest);
-    if (w.day.nobody_waits) sub->cut_told(as, facts::CutStep::drained, facts::EdgeLife{core->life()});
+    if (w.day.nobody_waits)
+        sub->cut_told(as, facts::CutStep::drained, facts::EdgeLife{core->life()});
 }
 void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
     if (w.day.edges_begin_on) {
@@ -635,12 +720,17 @@
     }
     core->cut_go(w.now, of, as, epoch);
 }
-void EdgeHost::cut_release(VolumeId of, VolumeId as) { core->cut_release(w.now, of, as); }
-void EdgeHost::planner_lost() { core->planner_lost(w.now); }
+void EdgeHost::cut_release(VolumeId of, VolumeId as) {
+    core->cut_release(w.now, of, as);
+}
+void EdgeHost::planner_lost() {
+    core->planner_lost(w.now);
+}
 
 // ---- Clients.
 void ClientHost::come() {
-    if (w.quiet) return;
+    if (w.quiet)
+        return;
     auto &e = *w.edges[edge];
     if (!e.core || e.sub->copy().table().names.empty()) {
         w.at(w.now + 20 * ms, [this] { come(); });
@@ -654,21 +744,25 @@
     auto mine = wire;
     auto life = e.lives;
     wire->hear[0] = [this, mine](std::string_view b) {
-        if (wire != mine) return;
+        if (wire != mine)
+            return;
         session->bytes(b);
         flush_out();
     };
     wire->ended[0] = [this, mine] {
-        if (wire == mine) w.at(w.now + 10 * ms + w.time_under(20 * ms), [this] { come(); });
+        if (wire == mine)
+            w.at(w.now + 10 * ms + w.time_under(20 * ms), [this] { come(); });
     };
     wire->hear[1] = [&e, id, life, this](std::string_view b) {
         e.in([&e, id, life, this, bytes = std::string(b)] {
-            if (life == e.lives && e.clients.contains(id)) e.core->client_bytes(w.now, id, bytes);
+            if (life == e.lives && e.clients.contains(id))
+                e.core->client_bytes(w.now, id, bytes);
         });
     };
     wire->ended[1] = [&e, id, life, this] {
         e.in([&e, id, life, this] {
-            if (life == e.lives && e.clients.erase(id)) e.core->client_gone(w.now, id);
+            if (life == e.lives && e.clients.erase(id))
+                e.core->client_gone(w.now, id);
         });
     };
     e.in([&e, id, this] { e.core->client_came(w.now, id); });
@@ -677,15 +771,16 @@
     while (session->is_open() && session->flying() < 4 && !w.quiet) {
         auto c = ++cookie;
         auto first = w.under(busy_blocks);
-        auto blocks =
-            static_cast<std::uint32_t>(1 + (w.lot(0.4) ? w.under(10) : 0)); // some go over spans and extents
+        auto blocks = static_cast<std::uint32_t>(
+            1 + (w.lot(0.4) ? w.under(10) : 0)); // some go over spans and extents
         blocks = std::min<std::uint32_t>(blocks, static_cast<std::uint32_t>(busy_blocks - first));
         if (w.lot(0.1)) {
             session->ask(nbd::cmd_flush, 0, c, 0, 0);
             continue;
         }
         if (w.lot(0.1)) {
-            session->ask(nbd::cmd_read, 0, c, first * block, static_cast<std::uint32_t>(blocks * block));
+            session->ask(nbd::cmd_read, 0, c, first * block,
+                         static_cast<std::uint32_t>(blocks * block));
             continue;
         }
         bool fua = w.lot(0.5);
@@ -706,18 +801,23 @@
         // Both ways may take some time; an edge that stood still could not answer.
         if (w.now - it->second.second > client_timeout + 150 * ms &&
             w.edges[edge]->stood_still < it->second.second)
-            w.broken("a write was answered after " + std::to_string((w.now - it->second.second) / ms) + "ms");
-        if (error == 0) w.out.took.push_back(w.now - it->second.second);
+            w.broken("a write was answered after " +
+                     std::to_string((w.now - it->second.second) / ms) + "ms");
+        if (error == 0)
+            w.out.took.push_back(w.now - it->second.second);
         flying.erase(it);
     }
-    if (error == 0) return pump();
+    if (error == 0)
+        return pump();
     w.at(w.now + w.time_under(40 * ms), [this, mine = wire] {
-        if (wire == mine) pump(), flush_out();
+        if (wire == mine)
+            pump(), flush_out();
     });
 }
 void ClientHost::flush_out() {
     auto bytes = session->take_out();
-    if (!bytes.empty()) w.send(wire, 0, std::move(bytes));
+    if (!bytes.empty())
+        w.send(wire, 0, std::move(bytes));
 }
 
 // ---- Troubles.
@@ -730,14 +830,16 @@
         bool lose = lot(0.5);
         ++out.met[lose ? "node restarts with loss" : "node restarts"];
         n.reg->stop(now);
-        if (lose) history.lost(now);
+        if (lose)
+            history.lost(now);
         n.disk.restart(now, lose);
         n.reg->start(now, static_cast<std::uint64_t>(now), now);
         stir(n);
         break;
     }
     case 1:
-        if (!core) break;
+        if (!core)
+            break;
         if (lot(0.5)) {
             planner_die();
         } else {
@@ -745,40 +847,48 @@
         }
         break;
     case 2: // an edge is cut off from the planner for a while, and goes on serving
-        if (!e.planner || e.cut_off) break;
+        if (!e.planner || e.cut_off)
+            break;
         ++out.met["edges cut off"];
         e.cut_off = true;
         sever(e.planner);
         at(now + time_under(2 * sec), [&e] { e.cut_off = false; });
         break;
     case 3: // its word with the planner is late
-        if (!e.planner) break;
+        if (!e.planner)
+            break;
         ++out.met["planner's word late"];
         e.planner->held = now + time_under(1200 * ms);
         break;
     case 4:
-        if (e.paused || !e.core) break;
+        if (e.paused || !e.core)
+            break;
         ++out.met["edges paused"];
         e.paused = true;
         at(now + time_under(1500 * ms), [this, &e, life = e.lives] {
-            if (life != e.lives || !e.paused) return;
+            if (life != e.lives || !e.paused)
+                return;
             e.paused = false, e.stood_still = now;
             stir(e);
-            for (auto &call : std::exchange(e.while_paused, {})) call();
+            for (auto &call : std::exchange(e.while_paused, {}))
+                call();
             e.wake = never, stir(e);
         });
         break;
     case 5:
-        if (!e.core) break;
+        if (!e.core)
+            break;
         ++out.met["edge restarts"];
         e.stop();
         at(now + 20 * ms + time_under(500 * ms), [&e] {
-            if (!e.core) e.start();
+            if (!e.core)
+                e.start();
         });
         break;
     case 6:
     case 7: // shots under way come late, past their edge's patience
-        if (e.links.empty()) break;
+        if (e.links.empty())
+            break;
         {
             auto l = e.links.begin();
             std::advance(l, static_cast<std::ptrdiff_t>(under(e.links.size())));
@@ -787,15 +897,18 @@
         }
         break;
     case 8:
-        if (e.links.empty()) break;
+        if (e.links.empty())
+            break;
         ++out.met["links severed"];
         sever(e.links.begin()->second);
         break;
     default: {
-        static constexpr node::Fault kinds[] = {node::Fault::hang, node::Fault::slow, node::Fault::late,
-                                                node::Fault::mute, node::Fault::full, node::Fault::cut};
+        static constexpr node::Fault kinds[] = {node::Fault::hang, node::Fault::slow,
+                                                node::Fault::late, node::Fault::mute,
+                                                node::Fault::full, node::Fault::cut};
         ++out.met["node faults"];
-        n.disk.fault(kinds[under(6)], now, now + 20 * ms + time_under(700 * ms), 0, lot(0.5) ? 0.2 : 6);
+        n.disk.fault(kinds[under(6)], now, now + 20 * ms + time_under(700 * ms), 0,
+                     lot(0.5) ? 0.2 : 6);
         n.disk.tick(now);
         stir(n);
     }
@@ -805,8 +918,8 @@
 CutResult World::run() {
     planner_start();
     for (std::uint32_t i = 0; i < day.nodes; ++i) {
-        nodes.push_back(std::make_unique<NodeHost>(*this, NodeId{i + 1},
-                                                   ShardId{static_cast<std::int32_t>(i)}, day.seed, now));
+        nodes.push_back(std::make_unique<NodeHost>(
+            *this, NodeId{i + 1}, ShardId{static_cast<std::int32_t>(i)}, day.seed, now));
         stir(*nodes.back());
     }
     for (std::uint32_t i = 0; i < day.edges; ++i) {
@@ -834,27 +947,33 @@
     }
     for (auto &[full, s] : snapshots) {
         judge(full);
-        if (held(s.id) != s.held) broken(full + " changed after it was taken");
+        if (held(s.id) != s.held)
+            broken(full + " changed after it was taken");
     }
     // What failed left nothing; what planner and nodes hold is the same.
-    if (!core) return std::move(out);
+    if (!core)
+        return std::move(out);
     for (auto &n : nodes) {
         std::set<VolumeId> expected;
         for (auto &[id, v] : core->state().table().volumes)
-            if (v.is_cut()) expected.insert(id);
+            if (v.is_cut())
+                expected.insert(id);
         for (auto id : n->store.cuts())
             if (!expected.contains(id) && !core->busy_with(id))
                 broken("node " + std::to_string(n->id.value) + " holds a cut that was undone");
         for (auto id : expected)
             if (!n->store.has(id))
                 broken("node " + std::to_string(n->id.value) + " lacks a cut that is whole");
-        for (auto &line : n->store.check()) broken("node's store: " + line);
+        for (auto &line : n->store.check())
+            broken("node's store: " + line);
     }
     return std::move(out);
 }
 
 } // namespace
 
-CutResult play(const CutDay &day) { return World(day).run(); }
+CutResult play(const CutDay &day) {
+    return World(day).run();
+}
 
 } // namespace knotvane::sim
--- a/src/sim/cutting.hpp
+++ b/src/sim/cutting.hpp
@@ -1,6 +1,7 @@
-// Snapshots in virtual time: the real cores of planner, edges, nodes, their stores and clients, joined by a
-// network that delays, holds and cuts, with deaths of everything in the middle of a cut. One thread, one
-// seed. Each snapshot is judged by rules::History from what the clients saw and what the stores hold.
+// Snapshots in virtual time: the real cores of planner, edges, nodes, their stores and clients,
+// joined by a network that delays, holds and cuts, with deaths of everything in the middle of a
+// cut. One thread, one seed. Each snapshot is judged by rules::History from what the clients saw
+// and what the stores hold.
 #pragma once
 
 #include <cstdint>
--- a/src/sim/keeper.hpp
+++ b/src/sim/keeper.hpp
@@ -1,5 +1,5 @@
-// The planner's store in virtual time: durable for as long as the day, dies before or after a commit when
-// told to.
+// The planner's store in virtual time: durable for as long as the day, dies before or after a
+// commit when told to.
 #pragma once
 
 #include <map>
@@ -30,7 +30,9 @@
               std::string body) override {
         gathered[{r, a, b}] = Row{stamp, std::move(body)};
     }
-    void drop(planner::Keeper::Row r, std::uint64_t a, std::uint64_t b) override { gathered[{r, a, b}] = {}; }
+    void drop(planner::Keeper::Row r, std::uint64_t a, std::uint64_t b) override {
+        gathered[{r, a, b}] = {};
+    }
     bool commit(planner::Term t, std::uint64_t l, planner::Version v, planner::Version o,
                 std::uint64_t s) override {
         if (die_at == 1) {
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -44,20 +44,27 @@
             return offset + w.now + static_cast<Time>(static_cast<double>(w.now) * drift);
         }
         Time real(Time local) const {
-            if (local >= never / 4) return never;
+            if (local >= never / 4)
+                return never;
             return static_cast<Time>(static_cast<double>(local - offset) / (1 + drift)) + 1;
         }
         void dial() override { w.dial(*this); }
         void hang_up() override { w.hang_up(side, true), side = SideId{0}; }
         void send_planner(std::string bytes) override { w.to_planner(side, std::move(bytes)); }
-        void keep_plan(std::string bytes, bool anew) override { disk = anew ? std::move(bytes) : disk + bytes; }
+        void keep_plan(std::string bytes, bool anew) override {
+            disk = anew ? std::move(bytes) : disk + bytes;
+        }
         void say(std::string) override {}
-        void plan_taken(const facts::Table &table, bool, bool, const std::map<NodeId, Time> &started) override {
+        void plan_taken(const facts::Table &table, bool, bool,
+                        const std::map<NodeId, Time> &started) override {
             w.taken(*this, table, started);
         }
         void part_told(VolumeId v, double hosts) override {
-            auto is = std::isinf(hosts) ? 0 : std::llround(static_cast<double>(facts::whole_limit) / hosts);
-            if (!paused) w.usable[v] += is - usable[v];
+            auto is = std::isinf(hosts)
+                          ? 0
+                          : std::llround(static_cast<double>(facts::whole_limit) / hosts);
+            if (!paused)
+                w.usable[v] += is - usable[v];
             usable[v] = is;
         }
     };
@@ -92,41 +99,52 @@
     planner::Wanted wanted;
     std::map<VolumeId, std::int64_t> usable;
     std::map<std::pair<std::uint64_t, Version>, std::string> content; // by lineage and version
-    std::map<NodeId, bool> drain_said; // by the operator, last word
+    std::map<NodeId, bool> drain_said;                                // by the operator, last word
     std::map<NodeId, std::set<Version>> undrained; // in which versions at the earliest
     std::map<Version, Time> durable_at;
     std::map<Version, std::vector<Time>> reached;
     bool quiet = false;
 
-    explicit World(const PlanDay &d) : day(d), chance(static_cast<std::ranlux24_base::result_type>(d.seed)) {}
+    explicit World(const PlanDay &d)
+        : day(d), chance(static_cast<std::ranlux24_base::result_type>(d.seed)) {}
 
     Time under(Time most) {
         auto drawn = static_cast<std::uint64_t>(chance()) << 24 | chance();
         return static_cast<Time>(drawn % static_cast<std::uint64_t>(std::max<Time>(1, most)));
     }
-    bool happens(double p) { return static_cast<double>(chance()) < p * static_cast<double>(chance.max()); }
+    bool happens(double p) {
+        return static_cast<double>(chance()) < p * static_cast<double>(chance.max());
+    }
     void at(Time when, std::function<void()> call) { events.emplace(when, std::move(call)); }
     void broken(std::string what) {
         if (out.broken.size() < 10)
-            out.broken.push_back("seed " + std::to_string(day.seed) + ", " + std::to_string(now / ms) + "ms: " + what);
+            out.broken.push_back("seed " + std::to_string(day.seed) + ", " +
+                                 std::to_string(now / ms) + "ms: " + what);
     }
 
-    // ---- Network. A connection's first message comes first; after it each takes a time of its own.
-    void pass(SideId side, std::string bytes, Time extra, std::function<void(std::string_view)> to) {
+    // ---- Network. A connection's first message comes first; after it each takes a time of its
+    // own.
+    void pass(SideId side, std::string bytes, Time extra,
+              std::function<void(std::string_view)> to) {
         auto it = conns.find(side);
-        if (it == conns.end() || !it->second.open) return;
+        if (it == conns.end() || !it->second.open)
+            return;
         bool first = std::exchange(it->second.first, false);
-        if (!quiet && !first && happens(day.loss)) return;
+        if (!quiet && !first && happens(day.loss))
+            return;
         int copies = !quiet && !first && happens(day.repeats) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
-            at(now + (first ? 1 : 1 + under(quiet ? 5 * ms : day.delay) + extra), [this, side, bytes, to] {
-                auto c = conns.find(side);
-                if (c != conns.end() && c->second.open) to(bytes);
-            });
+            at(now + (first ? 1 : 1 + under(quiet ? 5 * ms : day.delay) + extra),
+               [this, side, bytes, to] {
+                   auto c = conns.find(side);
+                   if (c != conns.end() && c->second.open)
+                       to(bytes);
+               });
     }
     void dial(EdgeHost &e) {
         at(now + under(2 * ms) + 1, [this, &e] {
-            if (!e.sub || e.paused) return;
+            if (!e.sub || e.paused)
+                return;
             if (!core) {
                 e.sub->down(e.clock());
                 return run(e);
@@ -134,10 +152,12 @@
             SideId side{++next_side};
             e.side = side, e.up = true;
             auto far = [this, &e, side](std::string_view in) {
-                if (e.side != side || !e.sub) return;
+                if (e.side != side || !e.sub)
+                    return;
                 std::string bytes(in);
                 auto call = [this, &e, side, bytes] {
-                    if (e.side != side || !e.sub) return;
+                    if (e.side != side || !e.sub)
+                        return;
                     e.sub->bytes(e.clock(), bytes);
                     run(e);
                 };
@@ -146,13 +166,15 @@
                 else
                     call();
             };
-            conns[side] = {far,
-                           [this, &e, side] {
-                               if (e.side != side) return;
+            conns[side] = {far, [this, &e, side] {
+                               if (e.side != side)
+                                   return;
                                e.side = SideId{0}, e.up = false;
-                               if (!e.sub) return;
+                               if (!e.sub)
+                                   return;
                                e.sub->down(e.clock());
-                               if (!e.paused) run(e);
+                               if (!e.paused)
+                                   run(e);
                            }};
             planner_in([this, side] { core->came(now, side); });
             e.sub->up(e.clock());
@@ -167,7 +189,8 @@
     }
     void dial(NodeHost &n) {
         at(now + under(2 * ms) + 1, [this, &n] {
-            if (!n.running) return;
+            if (!n.running)
+                return;
             if (!core) {
                 n.reg->down(now);
                 return run(n);
@@ -175,12 +198,15 @@
             SideId side{++next_side};
             n.side = side;
             conns[side] = {[this, &n, side](std::string_view in) {
-                               if (n.side == side && n.running) n.reg->bytes(now, in), run(n);
+                               if (n.side == side && n.running)
+                                   n.reg->bytes(now, in), run(n);
                            },
                            [this, &n, side] {
-                               if (n.side != side) return;
+                               if (n.side != side)
+                                   return;
                                n.side = SideId{0};
-                               if (n.running) n.reg->down(now), run(n);
+                               if (n.running)
+                                   n.reg->down(now), run(n);
                            }};
             planner_in([this, side] { core->came(now, side); });
             n.reg->up(now);
@@ -196,8 +222,10 @@
     // The far side closed, or we did.
     void hang_up(SideId side, bool by_far) {
         auto it = conns.find(side);
-        if (it == conns.end() || !std::exchange(it->second.open, false)) return;
-        if (by_far) planner_in([this, side] { core->gone(now, side); });
+        if (it == conns.end() || !std::exchange(it->second.open, false))
+            return;
+        if (by_far)
+            planner_in([this, side] { core->gone(now, side); });
     }
 
     // ---- The planner.
@@ -206,38 +234,45 @@
             while_paused.push_back(call);
             return;
         }
-        if (!core) return;
+        if (!core)
+            return;
         call();
         planner_run();
     }
     void planner_run() {
-        if (!core || planner_paused) return;
+        if (!core || planner_paused)
+            return;
         auto before = disk.version;
         core->settle(now);
-        if (disk.died) return planner_die();
-        if (before != disk.version) durable_at[disk.version] = now, ++out.versions;
+        if (disk.died)
+            return planner_die();
+        if (before != disk.version)
+            durable_at[disk.version] = now, ++out.versions;
         auto due = core->next_due();
         planner_wake = due == never ? never : std::max(now, due);
     }
     void planner_start() {
         // A store as it is on disk: what was gathered is lost with the process.
         disk.lives_on();
-        core = std::make_unique<planner::Core>(*this, disk, day.lease, day.lease / 20 + 100 * ms, day.fade, 2 * sec,
-                                               sec, sec, 2 * sec);
+        core = std::make_unique<planner::Core>(*this, disk, day.lease, day.lease / 20 + 100 * ms,
+                                               day.fade, 2 * sec, sec, sec, 2 * sec);
         for (auto &[key, row] : disk.rows) {
             auto [kind, a, b] = key;
-            if (day.planner_forgets && kind == planner::Keeper::Row::hold) continue;
+            if (day.planner_forgets && kind == planner::Keeper::Row::hold)
+                continue;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
                 broken("a row is not read back: " + fault);
         }
         ++out.terms;
         bool fresh = disk.term == planner::Term{0};
-        if (!core->start(now, planner::Term{disk.term.value + 1}, ++instances, fresh ? day.seed + 1 : disk.lineage,
-                         disk.version, disk.oldest, disk.settings, false))
+        if (!core->start(now, planner::Term{disk.term.value + 1}, ++instances,
+                         fresh ? day.seed + 1 : disk.lineage, disk.version, disk.oldest,
+                         disk.settings, false))
             return planner_die();
         std::vector<std::pair<int, std::string>> faults;
         core->want(now, wanted, faults);
-        for (auto &[line, what] : faults) broken("settings refused: " + what);
+        for (auto &[line, what] : faults)
+            broken("settings refused: " + what);
         planner_run();
     }
     void planner_die() {
@@ -245,19 +280,24 @@
         core.reset();
         planner_paused = false, while_paused.clear(), planner_wake = never;
         for (auto &[side, c] : std::exchange(conns, {}))
-            if (c.open) c.cut();
+            if (c.open)
+                c.cut();
         at(now + 100 * ms + (quiet ? 0 : under(happens(0.2) ? 30 * sec : 2 * sec)), [this] {
-            if (!core) planner_start();
+            if (!core)
+                planner_start();
         });
     }
     void send(SideId side, std::string bytes) override {
         out.planner_bytes_out += bytes.size();
         auto it = conns.find(side);
-        if (it != conns.end()) pass(side, std::move(bytes), day.late > 0 && !quiet ? under(day.late) : 0, it->second.to_far);
+        if (it != conns.end())
+            pass(side, std::move(bytes), day.late > 0 && !quiet ? under(day.late) : 0,
+                 it->second.to_far);
     }
     void close(SideId side) override {
         auto it = conns.find(side);
-        if (it == conns.end() || !std::exchange(it->second.open, false)) return;
+        if (it == conns.end() || !std::exchange(it->second.open, false))
+            return;
         at(now + 1, [this, side] {
             if (auto c = conns.find(side); c != conns.end()) {
                 auto cut = c->second.cut;
@@ -272,24 +312,27 @@
 
     // ---- Edges and nodes.
     void run(EdgeHost &e) {
-        if (!e.sub || e.paused) return;
+        if (!e.sub || e.paused)
+            return;
         e.sub->tick(e.clock());
         e.wake = std::max(now, e.real(e.sub->next_due()));
     }
     void run(NodeHost &n) {
-        if (!n.running) return;
+        if (!n.running)
+            return;
         n.reg->tick(now);
         n.wake = std::max(now, n.reg->next_due());
     }
     void start(EdgeHost &e) {
-        e.sub = std::make_unique<edge::Subscription>(e, e.id, "e", day.seed + instances++, day.lease / 6,
-                                                     24 * 3600 * sec);
+        e.sub = std::make_unique<edge::Subscription>(e, e.id, "e", day.seed + instances++,
+                                                     day.lease / 6, 24 * 3600 * sec);
         e.sub->start(e.clock(), e.disk);
         run(e);
     }
     void stop(EdgeHost &e) {
         for (auto &[v, u] : e.usable)
-            if (!e.paused) usable[v] -= u;
+            if (!e.paused)
+                usable[v] -= u;
         e.usable.clear(), e.serving.clear();
         e.paused = false;
         auto side = std::exchange(e.side, SideId{0});
@@ -298,15 +341,18 @@
         hang_up(side, true);
     }
     void pause(EdgeHost &e, bool on) {
-        if (!e.sub || e.paused == on) return;
+        if (!e.sub || e.paused == on)
+            return;
         // What stands still uses nothing; what wakes has looked at its clock before it does.
         if (on) {
-            for (auto &[v, u] : e.usable) usable[v] -= u;
+            for (auto &[v, u] : e.usable)
+                usable[v] -= u;
             e.paused = true, e.wake = never;
         } else {
             e.sub->tick(e.clock());
             e.paused = false;
-            for (auto &[v, u] : e.usable) usable[v] += u;
+            for (auto &[v, u] : e.usable)
+                usable[v] += u;
             run(e);
         }
     }
@@ -316,20 +362,27 @@
             broken("edge " + std::to_string(e.id.value) + " went back from version " +
                    std::to_string(e.version.value) + " to " + std::to_string(copy.version().value));
         std::string all;
-        for (auto &[id, n] : table.nodes) all += facts::put(id, n);
-        for (auto &[id, p] : table.plans) all += facts::put(id, p);
-        for (auto &[id, v] : table.volumes) all += facts::put(id, v);
+        for (auto &[id, n] : table.nodes)
+            all += facts::put(id, n);
+        for (auto &[id, p] : table.plans)
+            all += facts::put(id, p);
+        for (auto &[id, v] : table.volumes)
+            all += facts::put(id, v);
         auto [it, is_new] = content.try_emplace({copy.lineage(), copy.version()}, all);
         if (!is_new && it->second != all)
-            broken("version " + std::to_string(copy.version().value) + " is held with two contents");
+            broken("version " + std::to_string(copy.version().value) +
+                   " is held with two contents");
         for (auto &[id, n] : table.nodes) {
             auto was = e.nodes.find(id);
             auto &ended = undrained[id];
-            if (was != e.nodes.end() && was->second == NodeState::draining && n.state == NodeState::ready &&
-                (ended.upper_bound(e.version) == ended.end() || *ended.upper_bound(e.version) > copy.version()))
+            if (was != e.nodes.end() && was->second == NodeState::draining &&
+                n.state == NodeState::ready &&
+                (ended.upper_bound(e.version) == ended.end() ||
+                 *ended.upper_bound(e.version) > copy.version()))
                 broken("the drain of node " + std::to_string(id.value) + " ended unsaid");
             e.nodes[id] = n.state;
-            if (started.at(id) > e.clock()) broken("a node started in an edge's future");
+            if (started.at(id) > e.clock())
+                broken("a node started in an edge's future");
         }
         e.term = copy.term(), e.version = copy.version();
         reached[copy.version()].push_back(now);
@@ -337,13 +390,14 @@
     void check() {
         for (auto &[v, sum] : usable)
             if (sum > static_cast<std::int64_t>(facts::whole_limit))
-                broken("edges use " + std::to_string(sum) + " millionths of volume " + std::to_string(v.value) +
-                       "'s limit");
+                broken("edges use " + std::to_string(sum) + " millionths of volume " +
+                       std::to_string(v.value) + "'s limit");
     }
 
     // ---- Troubles.
     void restart(NodeHost &n, Time down) {
-        if (!n.running) return;
+        if (!n.running)
+            return;
         n.running = false;
         n.reg->stop(now);
         hang_up(std::exchange(n.side, SideId{0}), true);
@@ -354,13 +408,16 @@
         });
     }
     void drain(NodeId node, bool on) {
-        if (!core || planner_paused) return;
+        if (!core || planner_paused)
+            return;
         SideId side{++next_side};
         conns[side] = {[](std::string_view) {}, [] {}};
         drain_said[node] = on; // from here on it may be either, until it is durable
         planner_in([this, side] { core->came(now, side); });
-        if (!on) undrained[node].insert(core->state().next());
-        planner_in([this, side, node, on] { core->bytes(now, side, facts::ask_drain(node, on, 2)); });
+        if (!on)
+            undrained[node].insert(core->state().next());
+        planner_in(
+            [this, side, node, on] { core->bytes(now, side, facts::ask_drain(node, on, 2)); });
         ++out.met[on ? "drains" : "undrains"];
     }
     void trouble() {
@@ -371,17 +428,20 @@
             ++out.met["edge restarts"];
             stop(e);
             at(now + under(10 * sec), [this, &e] {
-                if (!e.sub) start(e);
+                if (!e.sub)
+                    start(e);
             });
             break;
         }
         case 1:
         case 2:
         case 3: { // clients come and go
-            if (!e.sub || e.paused) break;
+            if (!e.sub || e.paused)
+                break;
             VolumeId v{1 + chance() % day.volumes};
             bool on = !e.serving.contains(v);
-            if (on && e.serving.size() >= day.served) break;
+            if (on && e.serving.size() >= day.served)
+                break;
             if (on)
                 e.serving.insert(v);
             else
@@ -397,12 +457,18 @@
             at(now + under(2 * day.lease), [this, &e] { pause(e, false); });
             break;
         }
-        case 5: restart(n, 50 * ms + under(3 * sec)), ++out.met["node restarts"]; break;
-        case 6: drain(n.id, !drain_said[n.id]); break;
+        case 5:
+            restart(n, 50 * ms + under(3 * sec)), ++out.met["node restarts"];
+            break;
+        case 6:
+            drain(n.id, !drain_said[n.id]);
+            break;
         case 7:
-            if (!day.halls) break;
+            if (!day.halls)
+                break;
             ++out.met["halls"];
-            for (std::size_t i = 0; i < nodes.size(); i += 2) restart(*nodes[i], 500 * ms + under(sec));
+            for (std::size_t i = 0; i < nodes.size(); i += 2)
+                restart(*nodes[i], 500 * ms + under(sec));
             break;
         case 8: // the connection between goes
             if (e.side.value) {
@@ -417,7 +483,8 @@
             }
             break;
         case 9: {
-            if (!day.planner_dies || !core) break;
+            if (!day.planner_dies || !core)
+                break;
             auto how = chance() % 4;
             if (how == 0) {
                 planner_die();
@@ -427,45 +494,58 @@
                 ++out.met["planner pauses"];
                 planner_paused = true, planner_wake = never;
                 at(now + under(2 * day.lease), [this] {
-                    if (!std::exchange(planner_paused, false)) return;
+                    if (!std::exchange(planner_paused, false))
+                        return;
                     auto calls = std::exchange(while_paused, {});
-                    for (auto &call : calls) planner_in(call);
+                    for (auto &call : calls)
+                        planner_in(call);
                     planner_run();
                 });
             }
             break;
         }
         }
-        if (!quiet) at(now + 1 + under(2 * day.trouble_every), [this] { trouble(); });
+        if (!quiet)
+            at(now + 1 + under(2 * day.trouble_every), [this] { trouble(); });
     }
 
     bool agreed() {
-        if (!core || planner_paused || disk.version != core->version()) return false;
+        if (!core || planner_paused || disk.version != core->version())
+            return false;
         for (auto &e : edges) {
-            if (!e->sub || e->paused) return false;
-            if (e->sub->copy().version() != core->version() || e->sub->copy().term() != core->term()) return false;
-            if (e->sub->past_lease(e->clock()) > 0) return false;
+            if (!e->sub || e->paused)
+                return false;
+            if (e->sub->copy().version() != core->version() ||
+                e->sub->copy().term() != core->term())
+                return false;
+            if (e->sub->past_lease(e->clock()) > 0)
+                return false;
         }
         // What is parted is all that can be: whoever serves a volume has its even part.
         std::map<VolumeId, std::vector<std::int64_t>> parts;
         for (auto &e : edges)
-            for (auto v : e->serving) parts[v].push_back(e->usable[v]);
+            for (auto v : e->serving)
+                parts[v].push_back(e->usable[v]);
         for (auto &[v, all] : parts)
             for (auto p : all)
-                if (p != static_cast<std::int64_t>(facts::whole_limit / all.size())) return false;
+                if (p != static_cast<std::int64_t>(facts::whole_limit / all.size()))
+                    return false;
         return true;
     }
 
     // What is not as it should be in the end, for who reads a failing seed.
     std::string why() {
-        std::string out_text = core ? "planner at version " + std::to_string(core->version().value) : "no planner";
+        std::string out_text =
+            core ? "planner at version " + std::to_string(core->version().value) : "no planner";
         for (auto &e : edges) {
             out_text += "; edge " + std::to_string(e->id.value);
-            if (!e->sub) continue;
-            out_text += " version " + std::to_string(e->sub->copy().version().value) + " past lease " +
-                        std::to_string(e->sub->past_lease(e->clock()) / ms) + "ms";
+            if (!e->sub)
+                continue;
+            out_text += " version " + std::to_string(e->sub->copy().version().value) +
+                        " past lease " + std::to_string(e->sub->past_lease(e->clock()) / ms) + "ms";
             for (auto v : e->serving)
-                out_text += " volume " + std::to_string(v.value) + ":" + std::to_string(e->usable[v]);
+                out_text +=
+                    " volume " + std::to_string(v.value) + ":" + std::to_string(e->usable[v]);
         }
         return out_text;
     }
@@ -476,7 +556,8 @@
         for (std::uint32_t i = 1; i <= day.volumes; ++i)
             wanted.volumes[VolumeId{i}] = {{"v" + std::to_string(i), 1 << 30, 512, {}}, "p", 0};
         for (std::uint32_t i = 1; i <= day.nodes; ++i)
-            wanted.nodes[NodeId{i}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "", 0};
+            wanted.nodes[NodeId{i}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
+                                       0};
         planner_start();
         for (std::uint32_t i = 0; i < day.edges; ++i) {
             // Clocks a hundredth off at most, set hours apart.
@@ -489,29 +570,36 @@
             auto *n = nodes.back().get();
             n->id = NodeId{i};
             n->reg = std::make_unique<node::Registration>(
-                node::Registration::Line{[this, n] { dial(*n); }, [this, n] { hang_up(std::exchange(n->side, SideId{0}), true); },
-                                         [this, n](std::string b) { to_planner(n->side, std::move(b)); },
-                                         [](std::string) {}},
-                n->id, ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, "n" + std::to_string(i), day.seed + i,
-                500 * ms);
-            at(now + under(sec), [this, n] { n->reg->start(now, n->life, now - 3600 * sec), run(*n); });
+                node::Registration::Line{
+                    [this, n] { dial(*n); },
+                    [this, n] { hang_up(std::exchange(n->side, SideId{0}), true); },
+                    [this, n](std::string b) { to_planner(n->side, std::move(b)); },
+                    [](std::string) {}},
+                n->id, ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, "n" + std::to_string(i),
+                day.seed + i, 500 * ms);
+            at(now + under(sec),
+               [this, n] { n->reg->start(now, n->life, now - 3600 * sec), run(*n); });
         }
         Time began = now, ends = now + day.length, last = ends + 120 * sec;
         at(now + 2 * sec, [this] { trouble(); });
         bool ended = false;
         while (now < last) {
             Time next = std::min(events.empty() ? never : events.begin()->first, planner_wake);
-            for (auto &e : edges) next = std::min(next, e->wake);
-            for (auto &n : nodes) next = std::min(next, n->wake);
+            for (auto &e : edges)
+                next = std::min(next, e->wake);
+            for (auto &n : nodes)
+                next = std::min(next, n->wake);
             if (next >= ends && !ended) {
                 ended = quiet = true, now = ends;
                 for (auto &e : edges) {
                     pause(*e, false);
-                    if (!e->sub) start(*e);
+                    if (!e->sub)
+                        start(*e);
                 }
                 continue;
             }
-            if (next == never) break;
+            if (next == never)
+                break;
             now = std::max(now, next);
             ++out.events;
             if (!events.empty() && events.begin()->first <= now) {
@@ -523,15 +611,19 @@
                 planner_run();
             } else {
                 for (auto &e : edges)
-                    if (e->wake <= now) e->wake = never, run(*e);
+                    if (e->wake <= now)
+                        e->wake = never, run(*e);
                 for (auto &n : nodes)
-                    if (n->wake <= now) n->wake = never, run(*n);
+                    if (n->wake <= now)
+                        n->wake = never, run(*n);
             }
             if (day.edges_never_lapse)
                 for (auto &e : edges)
-                    if (e->sub && e->side.value == 0) never_lapse(*e);
+                    if (e->sub && e->side.value == 0)
+                        never_lapse(*e);
             check();
-            if (out.broken.size() >= 10) break;
+            if (out.broken.size() >= 10)
+                break;
             if (ended && agreed()) {
                 out.settled_after = now - ends;
                 break;
@@ -542,7 +634,8 @@
         out.length = now - began;
         for (auto &[version, when] : durable_at) {
             auto it = reached.find(version);
-            if (it == reached.end() || it->second.size() < day.edges) continue;
+            if (it == reached.end() || it->second.size() < day.edges)
+                continue;
             auto sorted = it->second;
             std::sort(sorted.begin(), sorted.end());
             out.middle.push_back(sorted[sorted.size() / 2] - when);
@@ -553,8 +646,10 @@
     void never_lapse(EdgeHost &e) {
         for (auto v : e.serving) {
             auto part = e.sub->copy().table().parts.find(v);
-            if (part == e.sub->copy().table().parts.end()) continue;
-            e.part_told(v, static_cast<double>(facts::whole_limit) / std::max(1u, part->second.millionths));
+            if (part == e.sub->copy().table().parts.end())
+                continue;
+            e.part_told(v, static_cast<double>(facts::whole_limit) /
+                               std::max(1u, part->second.millionths));
         }
     }
 };
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-constexpr Time client_timeout = 2 * sec, window = 800 * ms, key_rest = 900 * ms, drain_grace = 250 * ms;
+constexpr Time client_timeout = 2 * sec, window = 800 * ms, key_rest = 900 * ms,
+               drain_grace = 250 * ms;
 constexpr std::uint64_t volume_size = 1 << 20, extent = 128 << 10, span = 32 << 10, unit = 16 << 10;
 // Clients work in a part of the volume, so that their ranges meet.
 constexpr std::uint64_t busy_part = 192 << 10;
@@ -108,7 +109,8 @@
     Day day;
     Time now = sec; // not zero, so that no time is mistaken for none
     std::ranlux24_base chance;
-    std::uint64_t seq = 0, next_wire = 0, next_conn = 0, next_client = 0, next_node = 0, version = 0;
+    std::uint64_t seq = 0, next_wire = 0, next_conn = 0, next_client = 0, next_node = 0,
+                  version = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
     rules::Judge judge{20 * ms};
     std::vector<std::string> discs; // by shard
@@ -121,25 +123,32 @@
     Result result;
     bool over = false;
 
-    explicit World(const Day &d) : day(d), chance(static_cast<std::uint32_t>(d.seed * 2654435761u + 1)) {}
+    explicit World(const Day &d)
+        : day(d), chance(static_cast<std::uint32_t>(d.seed * 2654435761u + 1)) {}
 
     bool small_buffers() const { return day.seed % 8 == 0; }
     // A number under n, and a time under t.
-    std::uint64_t under(std::uint64_t n) { return n <= 1 ? 0 : (std::uint64_t{chance()} << 24 | chance()) % n; }
+    std::uint64_t under(std::uint64_t n) {
+        return n <= 1 ? 0 : (std::uint64_t{chance()} << 24 | chance()) % n;
+    }
     Time time_under(Time t) { return static_cast<Time>(under(static_cast<std::uint64_t>(t))); }
-    bool lot(double p) { return static_cast<double>(chance()) < p * static_cast<double>(chance.max()); }
+    bool lot(double p) {
+        return static_cast<double>(chance()) < p * static_cast<double>(chance.max());
+    }
     void at(Time t, std::function<void()> f) { queue.emplace(std::pair{t, ++seq}, std::move(f)); }
     // Mostly well under a millisecond, at times far longer.
     Time delay() { return lot(0.01) ? time_under(40 * ms) : 50 * us + time_under(400 * us); }
 
     // Sends bytes along one direction in a few pieces; `arrive` gets each.
-    void carry(Conn &c, Pipe &p, std::string bytes, const std::function<void(std::string_view)> &arrive) {
+    void carry(Conn &c, Pipe &p, std::string bytes,
+               const std::function<void(std::string_view)> &arrive) {
         auto all = std::make_shared<std::string>(std::move(bytes));
         std::size_t pieces = lot(0.2) ? 1 + under(3) : 1;
         for (std::size_t i = 0, from = 0; i < pieces; ++i) {
             std::size_t to = i + 1 == pieces ? all->size() : from + under(all->size() - from + 1);
             p.last = std::max({p.last, now + delay(), c.held_until});
-            at(p.last, [all, from, to, arrive] { arrive(std::string_view(*all).substr(from, to - from)); });
+            at(p.last,
+               [all, from, to, arrive] { arrive(std::string_view(*all).substr(from, to - from)); });
             from = to;
         }
     }
@@ -150,7 +159,8 @@
         if (due < e.wake) {
             e.wake = due;
             at(std::max(due, now), [this, &e, due] {
-                if (e.wake == due) e.wake = never, settle(e);
+                if (e.wake == due)
+                    e.wake = never, settle(e);
             });
         }
     }
@@ -160,7 +170,8 @@
             n.wake = due;
             at(std::max(due, now), [this, id = n.id, due] {
                 auto it = nodes.find(id);
-                if (it == nodes.end() || it->second->wake != due) return;
+                if (it == nodes.end() || it->second->wake != due)
+                    return;
                 it->second->wake = never;
                 it->second->disk.tick(now);
                 stir(*it->second);
@@ -169,9 +180,11 @@
     }
 
     void tell_list(EdgeHost &e) {
-        if (!e.core->list_begins(now, version)) return;
+        if (!e.core->list_begins(now, version))
+            return;
         for (auto &[id, state] : listed) {
-            e.core->node_listed(id, std::to_string(id.value), shards[id], ZoneId{0}, state.first, state.second);
+            e.core->node_listed(id, std::to_string(id.value), shards[id], ZoneId{0}, state.first,
+                                state.second);
             judge.told(now, rules::EdgeId{e.index}, id, state.first);
         }
         e.core->list_ends();
@@ -180,13 +193,14 @@
     // Every edge hears of the list's change at a time of its own.
     void change_list() {
         ++version;
-        for (auto &e : edges) at(now + time_under(400 * ms), [this, &e] { tell_list(*e); });
+        for (auto &e : edges)
+            at(now + time_under(400 * ms), [this, &e] { tell_list(*e); });
     }
 
     NodeHost &add_node(ShardId shard) {
         NodeId id{++next_node};
-        auto &n = nodes[id] = std::make_unique<NodeHost>(*this, id, shard,
-                                                         discs[static_cast<std::size_t>(shard.value)], day.seed, now);
+        auto &n = nodes[id] = std::make_unique<NodeHost>(
+            *this, id, shard, discs[static_cast<std::size_t>(shard.value)], day.seed, now);
         shards[id] = shard;
         listed[id] = {NodeState::ready, now};
         return *n;
@@ -201,13 +215,16 @@
             bool writes = i == 1 || i == 2;
             WorkloadId id{i};
             s.add_workload(id, 300 * ms, client_timeout, writes ? 2 : 1, 0.1);
-            s.set_repeat(id, writes ? repeat : Repeat::reissuable, Group::shard, writes ? window : 0);
-            if (writes && !day.without_turns) s.set_turns(id, day.at_most_once ? client_timeout + 100 * ms : key_rest);
+            s.set_repeat(id, writes ? repeat : Repeat::reissuable, Group::shard,
+                         writes ? window : 0);
+            if (writes && !day.without_turns)
+                s.set_turns(id, day.at_most_once ? client_timeout + 100 * ms : key_rest);
             core.add_workload(id, static_cast<edge::Command>(i), ~0u, "", client_timeout,
                               writes && !day.at_most_once && !day.without_marks ? window : 0);
         }
         s.add_plan(PlanId{0}, 1, 100, 50, 1);
-        if (day.limits) s.set_limit(PlanId{0}, limit_rate, limit_burst);
+        if (day.limits)
+            s.set_limit(PlanId{0}, limit_rate, limit_burst);
         s.set_units(2, 9, 0.35, 0.08);
         s.set_shots(3, false, true);
         s.set_further_shots(0.3, 4, 2 * sec);
@@ -226,30 +243,37 @@
 
 void NodeHost::send(node::ConnId conn, std::string out) {
     auto it = peers.find(conn);
-    if (it == peers.end()) return;
+    if (it == peers.end())
+        return;
     auto &e = *w.edges[it->second.first];
     auto l = e.links.find(it->second.second);
-    if (l == e.links.end() || !l->second->conn.open) return;
+    if (l == e.links.end() || !l->second->conn.open)
+        return;
     auto link = l->second;
     auto link_id = it->second.second;
-    w.carry(link->conn, link->conn.to_edge, std::move(out), [&e, link, link_id](std::string_view b) {
-        if (!link->conn.open) return;
-        e.w.judge.bytes(e.w.now, rules::WireId{link->conn.id}, false, b);
-        e.core->link_bytes(e.w.now, link_id, b);
-        e.w.settle(e);
-    });
+    w.carry(link->conn, link->conn.to_edge, std::move(out),
+            [&e, link, link_id](std::string_view b) {
+                if (!link->conn.open)
+                    return;
+                e.w.judge.bytes(e.w.now, rules::WireId{link->conn.id}, false, b);
+                e.core->link_bytes(e.w.now, link_id, b);
+                e.w.settle(e);
+            });
 }
 void NodeHost::close(node::ConnId conn, bool reset) {
     auto it = peers.find(conn);
-    if (it == peers.end()) return;
+    if (it == peers.end())
+        return;
     auto &e = *w.edges[it->second.first];
     auto link_id = it->second.second;
     peers.erase(it);
     auto l = e.links.find(link_id);
-    if (l == e.links.end()) return;
+    if (l == e.links.end())
+        return;
     auto link = l->second;
     auto end = [&e, link, link_id] {
-        if (!link->conn.open) return;
+        if (!link->conn.open)
+            return;
         link->conn.open = false;
         e.links.erase(link_id);
         e.w.judge.closed(e.w.now, rules::WireId{link->conn.id}, false);
@@ -266,9 +290,11 @@
     link->conn.id = ++w.next_wire;
     link->node = n;
     links[id] = link;
-    if (w.day.cuts > 0 && w.lot(0.01)) return; // lost on the way: the time-out of connecting has to notice
+    if (w.day.cuts > 0 && w.lot(0.01))
+        return; // lost on the way: the time-out of connecting has to notice
     w.at(w.now + w.delay(), [this, id, link, n] {
-        if (!link->conn.open) return;
+        if (!link->conn.open)
+            return;
         auto it = w.nodes.find(n);
         if (it == w.nodes.end() || !it->second->listening) {
             links.erase(id), link->conn.open = false;
@@ -286,26 +312,31 @@
 }
 void EdgeHost::send(edge::LinkId id, std::string bytes) {
     auto it = links.find(id);
-    if (it == links.end()) return;
+    if (it == links.end())
+        return;
     auto link = it->second;
     w.judge.bytes(w.now, rules::WireId{link->conn.id}, true, bytes);
     auto size = bytes.size();
     w.carry(link->conn, link->conn.from_edge, std::move(bytes), [this, link](std::string_view b) {
         auto n = w.nodes.find(link->node);
-        // What is under way when the edge closes still arrives: that is where late copies come from.
-        if (n == w.nodes.end() || !n->second->peers.contains(link->at_node)) return;
+        // What is under way when the edge closes still arrives: that is where late copies come
+        // from.
+        if (n == w.nodes.end() || !n->second->peers.contains(link->at_node))
+            return;
         n->second->disk.bytes(w.now, link->at_node, b);
         w.stir(*n->second);
     });
     w.at(w.now, [this, id, size] {
-        if (!links.contains(id)) return;
+        if (!links.contains(id))
+            return;
         core->link_written(w.now, id, size);
         w.settle(*this);
     });
 }
 void EdgeHost::close(edge::LinkId id) {
     auto it = links.find(id);
-    if (it == links.end()) return;
+    if (it == links.end())
+        return;
     auto link = it->second;
     links.erase(it);
     link->conn.open = false;
@@ -319,13 +350,15 @@
 }
 void EdgeHost::send_client(edge::ClientId id, std::string bytes) {
     auto it = w.by_id.find(id);
-    if (it == w.by_id.end()) return;
+    if (it == w.by_id.end())
+        return;
     auto *c = it->second;
     auto conn = c->conn;
     w.judge.bytes(w.now, rules::WireId{conn->id}, true, bytes);
     auto size = bytes.size();
     w.carry(*conn, conn->to_edge, std::move(bytes), [c, conn](std::string_view b) {
-        if (c->conn != conn || !conn->open) return;
+        if (c->conn != conn || !conn->open)
+            return;
         c->session->bytes(b);
         c->flush_out();
     });
@@ -336,19 +369,23 @@
 }
 void EdgeHost::close_client(edge::ClientId id) {
     auto it = w.by_id.find(id);
-    if (it == w.by_id.end()) return;
+    if (it == w.by_id.end())
+        return;
     auto *c = it->second;
     auto conn = c->conn;
     w.by_id.erase(it);
     w.judge.closed(w.now, rules::WireId{conn->id}, true);
     conn->open = false;
-    if (!w.over) w.at(w.now + 10 * ms, [c, conn] {
-            if (c->conn == conn) c->come();
+    if (!w.over)
+        w.at(w.now + 10 * ms, [c, conn] {
+            if (c->conn == conn)
+                c->come();
         });
 }
 
 void ClientHost::come() {
-    if (w.over) return;
+    if (w.over)
+        return;
     conn = std::make_shared<Conn>();
     conn->id = ++w.next_wire;
     structured = w.lot(0.7);
@@ -361,7 +398,8 @@
     w.settle(*w.edges[edge]);
 }
 void ClientHost::leave() {
-    if (!conn || !conn->open) return;
+    if (!conn || !conn->open)
+        return;
     conn->open = false;
     auto old = conn;
     auto gone = edge::ClientId{id};
@@ -385,38 +423,47 @@
             std::string data;
             for (std::uint32_t i = 0; i < length / 512; ++i) {
                 // Each block of each write is like no other.
-                std::string stamp = std::to_string(id) + ":" + std::to_string(cookie) + ":" + std::to_string(i) + ":";
+                std::string stamp = std::to_string(id) + ":" + std::to_string(cookie) + ":" +
+                                    std::to_string(i) + ":";
                 stamp.resize(512, 'x');
                 data += stamp;
             }
-            session->ask(nbd::cmd_write, w.lot(0.1) ? nbd::cmd_flag_fua : 0, cookie, offset, length, data);
+            session->ask(nbd::cmd_write, w.lot(0.1) ? nbd::cmd_flag_fua : 0, cookie, offset, length,
+                         data);
         } else if (what < 90) {
-            session->ask(w.lot(0.5) ? nbd::cmd_trim : nbd::cmd_write_zeroes, 0, cookie, offset, length);
+            session->ask(w.lot(0.5) ? nbd::cmd_trim : nbd::cmd_write_zeroes, 0, cookie, offset,
+                         length);
         } else {
             session->ask(nbd::cmd_flush, 0, cookie, 0, 0);
         }
-        if (w.lot(0.3)) break; // the rest with the next answer
+        if (w.lot(0.3))
+            break; // the rest with the next answer
     }
     // A client without anything at work asks again after a while.
     if (session->is_open() && session->flying() == 0 && !w.over)
         w.at(w.now + w.time_under(50 * ms), [this, c = conn] {
-            if (conn == c && conn->open) pump(), flush_out();
+            if (conn == c && conn->open)
+                pump(), flush_out();
         });
 }
 void ClientHost::ended(std::uint64_t, std::uint32_t error, std::string_view) {
     // Mostly a refused client waits a little; some ask again at once.
-    if (error == 0 || w.lot(0.1)) return pump();
+    if (error == 0 || w.lot(0.1))
+        return pump();
     w.at(w.now + w.time_under(100 * ms), [this, c = conn] {
-        if (conn == c && conn->open) pump(), flush_out();
+        if (conn == c && conn->open)
+            pump(), flush_out();
     });
 }
 void ClientHost::flush_out() {
     auto out = session->take_out();
-    if (out.empty() || !conn->open) return;
+    if (out.empty() || !conn->open)
+        return;
     auto c = conn;
     auto from = edge::ClientId{id};
     w.carry(*conn, conn->from_edge, std::move(out), [this, c, from](std::string_view b) {
-        if (!w.by_id.contains(from)) return;
+        if (!w.by_id.contains(from))
+            return;
         w.judge.bytes(w.now, rules::WireId{c->id}, false, b);
         w.edges[edge]->core->client_bytes(w.now, from, b);
         w.settle(*w.edges[edge]);
@@ -425,24 +472,28 @@
 
 // Draws one trouble and makes it happen now.
 void World::trouble() {
-    static constexpr const char *names[] = {"mute", "hang", "slow", "reset", "refuse", "full",
-                                            "fail", "cut",  "garble", "late"};
+    static constexpr const char *names[] = {"mute", "hang", "slow", "reset",  "refuse",
+                                            "full", "fail", "cut",  "garble", "late"};
     auto it = nodes.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(under(nodes.size())));
     NodeHost &n = *it->second;
     double kinds[] = {day.faults, day.cuts, day.restarts, day.drains};
-    double pick = static_cast<double>(under(1000)) / 1000 * (kinds[0] + kinds[1] + kinds[2] + kinds[3]);
+    double pick =
+        static_cast<double>(under(1000)) / 1000 * (kinds[0] + kinds[1] + kinds[2] + kinds[3]);
     if (pick < kinds[0]) {
         auto kind = under(10);
         ++result.met[names[kind]];
         bool counted = kind != 1 && kind != 4 && lot(0.5);
         n.disk.fault(static_cast<node::Fault>(kind), now, now + 50 * ms + time_under(1500 * ms),
-                     counted ? 1 + under(4) : 0, kind == 2 ? 2 + static_cast<double>(under(20)) : 0.05 * static_cast<double>(under(50)));
+                     counted ? 1 + under(4) : 0,
+                     kind == 2 ? 2 + static_cast<double>(under(20))
+                               : 0.05 * static_cast<double>(under(50)));
         n.disk.tick(now);
         stir(n);
     } else if (pick < kinds[0] + kinds[1]) {
         auto &e = *edges[under(edges.size())];
-        if (e.links.empty()) return;
+        if (e.links.empty())
+            return;
         auto l = e.links.begin();
         std::advance(l, static_cast<std::ptrdiff_t>(under(e.links.size())));
         auto link = l->second;
@@ -455,7 +506,8 @@
             link->conn.open = false;
             e.links.erase(id);
             judge.closed(now, rules::WireId{link->conn.id}, false);
-            if (lot(0.5)) n.peers.erase(link->at_node);
+            if (lot(0.5))
+                n.peers.erase(link->at_node);
             e.core->link_gone(now, id);
             settle(e);
         }
@@ -463,12 +515,14 @@
         bool lose = lot(0.4);
         ++result.met[lose ? "restart with loss" : "restart"];
         judge.started(now, n.id);
-        if (lose) judge.lost(now, n.id);
+        if (lose)
+            judge.lost(now, n.id);
         n.disk.restart(now, lose);
         listed[n.id].second = now;
         change_list();
     } else {
-        if (listed[n.id].first != NodeState::ready) return;
+        if (listed[n.id].first != NodeState::ready)
+            return;
         ++result.met["drain and replacement"];
         listed[n.id].first = NodeState::draining;
         change_list();
@@ -477,7 +531,8 @@
             auto old = std::move(nodes.at(id));
             nodes.erase(id);
             auto shard = old->shard;
-            while (!old->peers.empty()) old->close(old->peers.begin()->first, true);
+            while (!old->peers.empty())
+                old->close(old->peers.begin()->first, true);
             old.reset();
             listed[id].first = NodeState::gone;
             judge.started(now, add_node(shard).id);
@@ -490,38 +545,48 @@
     for (int i = 0; i < 5; ++i) {
         bool writes = i == 1 || i == 2;
         judge.set_workload(i, client_timeout,
-                           !writes ? Repeat::reissuable : day.at_most_once ? Repeat::at_most_once : Repeat::numbered,
-                           writes ? window : 0, writes ? (day.at_most_once ? client_timeout + 100 * ms : key_rest) : 0);
+                           !writes            ? Repeat::reissuable
+                           : day.at_most_once ? Repeat::at_most_once
+                                              : Repeat::numbered,
+                           writes ? window : 0,
+                           writes ? (day.at_most_once ? client_timeout + 100 * ms : key_rest) : 0);
     }
     judge.set_cut(extent, span);
     judge.set_shots(3, false);
     judge.set_drain(drain_grace);
     judge.set_cold(2 / seconds(unit_time), 0.25, 3 * sec, sec, 4);
     // On days with small buffers shots wait for them, too, which the wires do not show.
-    if (!small_buffers()) judge.set_further(0.3, 4, 2 * sec);
+    if (!small_buffers())
+        judge.set_further(0.3, 4, 2 * sec);
     judge.set_hold(connect_time + 20 * ms);
     discs.resize(day.nodes);
-    for (std::uint32_t i = 0; i < day.nodes; ++i) add_node(ShardId{static_cast<std::int32_t>(i)});
+    for (std::uint32_t i = 0; i < day.nodes; ++i)
+        add_node(ShardId{static_cast<std::int32_t>(i)});
     std::vector<ShardId> all;
-    for (std::uint32_t i = 0; i < day.nodes; ++i) all.emplace_back(static_cast<std::int32_t>(i));
+    for (std::uint32_t i = 0; i < day.nodes; ++i)
+        all.emplace_back(static_cast<std::int32_t>(i));
     ++version;
     for (std::size_t i = 0; i < day.edges; ++i) {
         edges.push_back(std::make_unique<EdgeHost>(*this, i));
         auto &e = *edges.back();
         e.core = std::make_unique<edge::Core>(
-            e, [&](Actions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed, extent, span, unit, all);
+            e, [&](Actions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed, extent,
+            span, unit, all);
         set_up(*e.core, i);
-        if (day.limits && !small_buffers())             judge.set_limit(VolumeId{i + 1}, limit_rate, limit_burst,
-                            // Units are drawn at the first shot; where its connection never comes up, the wires
-                            // first see the second, up to that time later.
-                            limit_burst / 10 + (day.cuts > 0 ? limit_rate * seconds(connect_time) : 0));
+        if (day.limits && !small_buffers())
+            judge.set_limit(VolumeId{i + 1}, limit_rate, limit_burst,
+                            // Units are drawn at the first shot; where its connection never comes
+                            // up, the wires first see the second, up to that time later.
+                            limit_burst / 10 +
+                                (day.cuts > 0 ? limit_rate * seconds(connect_time) : 0));
         tell_list(e);
     }
     for (std::size_t i = 0; i < day.clients; ++i) {
         clients.push_back(std::make_unique<ClientHost>(*this, 0, i % day.edges));
         clients.back()->come();
     }
-    double troubles = 2 + 4 * seconds(day.length) * (day.faults + day.cuts + day.restarts + day.drains) / 4;
+    double troubles =
+        2 + 4 * seconds(day.length) * (day.faults + day.cuts + day.restarts + day.drains) / 4;
     for (int i = 0; i < static_cast<int>(troubles); ++i)
         at(now + time_under(day.length), [this] { trouble(); });
     for (int i = 0; i < 3; ++i)
@@ -538,19 +603,24 @@
     }
     judge.finish(now);
     result.broken = judge.broken();
-    result.requests = judge.requests(), result.delivered = judge.delivered(), result.shots = judge.shots();
-    static constexpr const char *rules[] = {"answers", "effects", "drains", "cold", "order", "further", "limits",
-                                            "data"};
+    result.requests = judge.requests(), result.delivered = judge.delivered(),
+    result.shots = judge.shots();
+    static constexpr const char *rules[] = {"answers", "effects", "drains", "cold",
+                                            "order",   "further", "limits", "data"};
     for (std::size_t i = 0; i < 8; ++i)
-        result.met[std::string("judged ") + rules[i]] = judge.judged(static_cast<rules::Rule>(i + 1));
+        result.met[std::string("judged ") + rules[i]] =
+            judge.judged(static_cast<rules::Rule>(i + 1));
     for (auto &e : edges)
         if (e->core->tasks() > 0)
-            result.broken.push_back("an edge still holds " + std::to_string(e->core->tasks()) + " tasks at the end");
+            result.broken.push_back("an edge still holds " + std::to_string(e->core->tasks()) +
+                                    " tasks at the end");
     return std::move(result);
 }
 
 } // namespace
 
-Result play(const Day &day) { return World(day).run(); }
+Result play(const Day &day) {
+    return World(day).run();
+}
 
 } // namespace knotvane::sim
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -1,6 +1,6 @@
-// The gateway in virtual time: the real cores of edges and nodes, clients that drive them, a network between them
-// that delays, splits and cuts, and the judge of the rules beside the edges. One thread, one seed: a day that
-// fails replays.
+// The gateway in virtual time: the real cores of edges and nodes, clients that drive them, a
+// network between them that delays, splits and cuts, and the judge of the rules beside the edges.
+// One thread, one seed: a day that fails replays.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
     std::uint64_t seed = 1;
     Time length = 4 * sec;
     std::uint32_t nodes = 3, edges = 1, clients = 3;
-    double faults = 1;       // times the usual number of node faults
-    double cuts = 1;         // connections held or reset on the way
-    double restarts = 1;     // of nodes, some losing what was not flushed
-    double drains = 1;       // nodes replaced, their list told late
+    double faults = 1;   // times the usual number of node faults
+    double cuts = 1;     // connections held or reset on the way
+    double restarts = 1; // of nodes, some losing what was not flushed
+    double drains = 1;   // nodes replaced, their list told late
     bool at_most_once = false;
     bool limits = false;
     // Guards left out on purpose, to prove that the judge would notice.
