--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -11,36 +11,45 @@
 namespace knotvane::store {
 namespace {
 
-// The medium is three lanes, piece by piece in turn: two areas for trees and journal, of which one counts, and the
-// blocks. Each may grow for ever; a file is sparse where a lane is short.
+// The medium is three lanes, piece by piece in turn: two areas for trees and journal, of which one
+// counts, and the blocks. Each may grow for ever; a file is sparse where a lane is short.
 constexpr std::uint64_t piece = 64 << 10;
 constexpr std::uint64_t magic = 0x33726f7473766e6b;
 constexpr std::size_t head_size = 64, record_head = 20;
 constexpr std::uint64_t body_at = Store::block;
-// A journal past this, and past twice what the trees take, is written anew as trees: a second or so of writes.
+// A journal past this, and past twice what the trees take, is written anew as trees: a second or so
+// of writes.
 constexpr std::uint64_t journal_most = 4 << 20;
 // Blocks let go of since the last flush; past it the store flushes by itself, as disks do. 64 MiB.
 constexpr std::size_t most_later = 16384;
-// Snapshots are refused while less than this part is free: the writes that they make copies of need it.
+// Snapshots are refused while less than this part is free: the writes that they make copies of need
+// it.
 constexpr std::uint64_t reserve_part = 10;
 
 enum Kind : char { k_write = 1, k_cut, k_drop, k_mark, k_flushed, k_closed, k_open, k_seal };
 
-template <class T> void put(std::string &to, T v) {
+template <class T>
+void put(std::string &to, T v) {
     char raw[sizeof v];
     std::memcpy(raw, &v, sizeof v);
     to.append(raw, sizeof v);
 }
 // Takes from the front; throws where it is too short.
-template <class T> T take(std::string_view &from) {
+template <class T>
+T take(std::string_view &from) {
     T v;
-    if (from.size() < sizeof v) throw std::runtime_error("store: a record is cut short");
+    if (from.size() < sizeof v)
+        throw std::runtime_error("store: a record is cut short");
     std::memcpy(&v, from.data(), sizeof v);
     from.remove_prefix(sizeof v);
     return v;
 }
-std::uint64_t lane(std::uint64_t which, std::uint64_t at) { return (at / piece * 3 + which) * piece + at % piece; }
-std::uint64_t slot_at(std::uint32_t slot) { return lane(2, std::uint64_t{slot - 1} * Store::block); }
+std::uint64_t lane(std::uint64_t which, std::uint64_t at) {
+    return (at / piece * 3 + which) * piece + at % piece;
+}
+std::uint64_t slot_at(std::uint32_t slot) {
+    return lane(2, std::uint64_t{slot - 1} * Store::block);
+}
 
 } // namespace
 
@@ -50,13 +59,16 @@
     std::vector<Ptr> kids;
 };
 
-// ---- Trees. A node with one owner all the way down is changed in place; any other is copied first.
+// ---- Trees. A node with one owner all the way down is changed in place; any other is copied
+// first.
 Store::Entry Store::find(const Branch &b, std::uint64_t at) const {
-    if (!b.root || at >> (6 * (b.levels + 1)) != 0) return {};
+    if (!b.root || at >> (6 * (b.levels + 1)) != 0)
+        return {};
     const Node *n = b.root.get();
     for (int level = b.levels; level > 0; --level) {
         n = n->kids[at >> (6 * level) & (width - 1)].get();
-        if (!n) return {};
+        if (!n)
+            return {};
     }
     return n->entries[at & (width - 1)];
 }
@@ -72,7 +84,8 @@
         p = std::make_shared<Node>(*p);
         ++nodes_;
         for (auto &e : p->entries)
-            if (e.slot) ++refs_[e.slot];
+            if (e.slot)
+                ++refs_[e.slot];
     }
     return *p;
 }
@@ -88,31 +101,41 @@
         ++b.levels;
     }
     Node *n = &own(b.root, b.levels);
-    for (int level = b.levels; level > 0; --level) n = &own(n->kids[at >> (6 * level) & (width - 1)], level - 1);
+    for (int level = b.levels; level > 0; --level)
+        n = &own(n->kids[at >> (6 * level) & (width - 1)], level - 1);
     auto &to = n->entries[at & (width - 1)];
     if (entry.slot) {
-        if (refs_.size() <= entry.slot) refs_.resize(entry.slot + 1);
-        if (refs_[entry.slot]++ == 0) ++used_;
+        if (refs_.size() <= entry.slot)
+            refs_.resize(entry.slot + 1);
+        if (refs_[entry.slot]++ == 0)
+            ++used_;
     }
-    if (to.slot) unref(to.slot);
+    if (to.slot)
+        unref(to.slot);
     to = entry;
 }
 void Store::unref(std::uint32_t slot) {
-    if (--refs_[slot] > 0) return;
+    if (--refs_[slot] > 0)
+        return;
     --used_;
-    // Guards against a block that is written over while the durable tree still has it: not before the next flush.
+    // Guards against a block that is written over while the durable tree still has it: not before
+    // the next flush.
     free_later_.push_back(slot);
 }
 std::uint32_t Store::take_slot() {
-    for (int i = 0; i < 2 && free_.empty() && refs_.size() > capacity_ && !(free_later_.empty() && free_soon_.empty()); ++i)
+    for (int i = 0; i < 2 && free_.empty() && refs_.size() > capacity_ &&
+                    !(free_later_.empty() && free_soon_.empty());
+         ++i)
         flush();
     if (!free_.empty()) {
         auto slot = free_.back();
         free_.pop_back();
         return slot;
     }
-    if (refs_.empty()) refs_.resize(1);
-    if (refs_.size() > capacity_) return 0;
+    if (refs_.empty())
+        refs_.resize(1);
+    if (refs_.size() > capacity_)
+        return 0;
     refs_.push_back(0);
     return static_cast<std::uint32_t>(refs_.size() - 1);
 }
@@ -137,9 +160,11 @@
         std::uint32_t n = std::min(block - within, length);
         Entry e = it == branches_.end() ? Entry{} : find(it->second, offset / block);
         if (n == block) {
-            if (!load(e, out)) return false;
+            if (!load(e, out))
+                return false;
         } else {
-            if (!load(e, whole)) return false;
+            if (!load(e, whole))
+                return false;
             std::memcpy(out, whole + within, n);
         }
         out += n, offset += n, length -= n;
@@ -150,7 +175,8 @@
 void Store::apply(const Changes &changes) {
     for (auto &[volume, list] : changes) {
         auto &b = branches_[volume];
-        for (auto &c : list) set(b, c.at, c.entry);
+        for (auto &c : list)
+            set(b, c.at, c.entry);
     }
 }
 void Store::log(const Changes &changes) {
@@ -158,13 +184,15 @@
     for (auto &[volume, list] : changes) {
         put(record, volume.value);
         put(record, static_cast<std::uint32_t>(list.size()));
-        for (auto &c : list) put(record, c.at), put(record, c.entry.slot), put(record, c.entry.crc);
+        for (auto &c : list)
+            put(record, c.at), put(record, c.entry.slot), put(record, c.entry.crc);
     }
     append(k_write, record);
 }
 bool Store::put_all(const Changes &changes) {
     apply(changes);
-    if (free_later_.size() <= most_later) return true;
+    if (free_later_.size() <= most_later)
+        return true;
     try {
         flush();
     } catch (const std::runtime_error &) {
@@ -185,12 +213,15 @@
 bool Store::zero_both(VolumeId of, VolumeId as, std::uint64_t offset, std::uint32_t length) {
     return change({of, as}, offset, length, nullptr);
 }
-// All blocks of a change go in one record, which is there or not; each into a block that nothing durable names.
+// All blocks of a change go in one record, which is there or not; each into a block that nothing
+// durable names.
 bool Store::change(const std::vector<VolumeId> &volumes, std::uint64_t offset, std::uint64_t length,
                    const char *bytes) {
-    if (broken_) return false;
+    if (broken_)
+        return false;
     for (auto v : volumes)
-        if (frozen(v)) return false;
+        if (frozen(v))
+            return false;
     Changes changes;
     std::vector<std::uint32_t> taken;
     auto give_back = [&] {
@@ -211,7 +242,8 @@
                 auto twin = std::find_if(done.begin(), done.end(),
                                          [&](auto &d) { return n == block || d.first == old; });
                 if (!bytes && n == block) {
-                    if (old.slot) changes[volume].push_back({at, {}});
+                    if (old.slot)
+                        changes[volume].push_back({at, {}});
                 } else if (bytes && twin != done.end()) {
                     changes[volume].push_back({at, twin->second});
                 } else if (!bytes && old.slot && twin != done.end()) {
@@ -219,12 +251,15 @@
                 } else if (bytes || old.slot) {
                     std::string_view put_in(bytes, bytes ? n : 0);
                     if (n < block) {
-                        if (!load(old, whole)) return give_back();
-                        bytes ? std::memcpy(whole + within, bytes, n) : std::memset(whole + within, 0, n);
+                        if (!load(old, whole))
+                            return give_back();
+                        bytes ? std::memcpy(whole + within, bytes, n)
+                              : std::memset(whole + within, 0, n);
                         put_in = {whole, block};
                     }
                     auto slot = take_slot();
-                    if (slot == 0) return give_back();
+                    if (slot == 0)
+                        return give_back();
                     taken.push_back(slot);
                     Entry fresh{slot, crc32c(put_in)};
                     changes[volume].push_back({at, fresh});
@@ -233,19 +268,23 @@
                 }
             }
             offset += n, length -= n;
-            if (bytes) bytes += n;
+            if (bytes)
+                bytes += n;
         }
-        if (changes.empty()) return true;
+        if (changes.empty())
+            return true;
         log(changes);
     } catch (const std::runtime_error &) {
-        // A block that could not be written is no one's; a record that could not is written over by the next.
+        // A block that could not be written is no one's; a record that could not is written over by
+        // the next.
         return give_back();
     }
     return put_all(changes);
 }
 bool Store::has_room(std::uint64_t bytes) const {
     auto blocks = bytes / block + 2; // both ends may lie in the middle of one
-    return free_.size() + free_soon_.size() + free_later_.size() + (capacity_ - std::min(capacity_, refs_.size() - 1)) >=
+    return free_.size() + free_soon_.size() + free_later_.size() +
+               (capacity_ - std::min(capacity_, refs_.size() - 1)) >=
            blocks;
 }
 
@@ -267,18 +306,21 @@
 
 // ---- Durability.
 void Store::flush() {
-    if (broken_) throw std::runtime_error("store: its medium failed to make writes durable; open it anew");
+    if (broken_)
+        throw std::runtime_error("store: its medium failed to make writes durable; open it anew");
     try {
         medium_.sync();
     } catch (...) {
         broken_ = true; // what the medium dropped can't be known
         throw;
     }
-    // One flush later than what let go of them: until the word of a flush is durable, too, an opening looks at the
-    // blocks of every record before it, and must find them as they were. Found by cutting the power.
+    // One flush later than what let go of them: until the word of a flush is durable, too, an
+    // opening looks at the blocks of every record before it, and must find them as they were. Found
+    // by cutting the power.
     free_.insert(free_.end(), free_soon_.begin(), free_soon_.end());
     free_soon_ = std::exchange(free_later_, {});
-    if (!unflushed_) return;
+    if (!unflushed_)
+        return;
     try {
         append(k_flushed, {});
     } catch (const std::runtime_error &) {
@@ -286,11 +328,13 @@
     }
     unflushed_ = false;
     flushed_at_ = journal_at_;
-    if (journal_at_ - journal_from_ > std::max(journal_most, 2 * (journal_from_ - body_at))) checkpoint();
+    if (journal_at_ - journal_from_ > std::max(journal_most, 2 * (journal_from_ - body_at)))
+        checkpoint();
 }
 
 void Store::lose() {
-    // The records since are made unreadable, first and last of them alike; their blocks were new ones.
+    // The records since are made unreadable, first and last of them alike; their blocks were new
+    // ones.
     area_write(area_, flushed_at_, std::string(record_head, '\0'));
     medium_.sync();
     open();
@@ -314,7 +358,8 @@
     record += payload;
     area_write(area_, journal_at_, record);
     journal_at_ += record.size(), ++sequence_;
-    if (kind != k_flushed && kind != k_closed) unflushed_ = true;
+    if (kind != k_flushed && kind != k_closed)
+        unflushed_ = true;
 }
 
 void Store::replay(char kind, std::string_view p, bool durable, bool &sound) {
@@ -327,7 +372,8 @@
                 Change c;
                 c.at = take<std::uint64_t>(p), c.entry.slot = take<std::uint32_t>(p);
                 c.entry.crc = take<std::uint32_t>(p);
-                if (c.entry.slot > capacity_) throw std::runtime_error("store: a record names a block past its end");
+                if (c.entry.slot > capacity_)
+                    throw std::runtime_error("store: a record names a block past its end");
                 list.push_back(c);
             }
         }
@@ -335,8 +381,10 @@
         char whole[block];
         if (!durable)
             for (auto &[volume, list] : changes)
-                for (auto &c : list) sound = sound && load(c.entry, whole);
-        if (sound) apply(changes);
+                for (auto &c : list)
+                    sound = sound && load(c.entry, whole);
+        if (sound)
+            apply(changes);
         break;
     }
     case k_cut: {
@@ -356,14 +404,17 @@
         branches_[b.of].sealed = branches_[b.of].epoch;
         break;
     }
-    case k_drop: drop_tree(VolumeId{take<std::uint64_t>(p)}); break;
+    case k_drop:
+        drop_tree(VolumeId{take<std::uint64_t>(p)});
+        break;
     case k_mark: {
         auto life = take<std::uint64_t>(p), number = take<std::uint64_t>(p);
         marks_[{life, number}] = take<Time>(p);
         forget_.emplace(marks_[{life, number}], Mark{life, number});
         break;
     }
-    default: break;
+    default:
+        break;
     }
 }
 
@@ -377,17 +428,21 @@
 }
 void Store::area_write(int area, std::uint64_t at, std::string_view bytes) {
     while (!bytes.empty()) {
-        auto n = static_cast<std::size_t>(std::min<std::uint64_t>(bytes.size(), piece - at % piece));
+        auto n =
+            static_cast<std::size_t>(std::min<std::uint64_t>(bytes.size(), piece - at % piece));
         medium_.write(lane(static_cast<std::uint64_t>(area), at), bytes.substr(0, n));
         at += n, bytes.remove_prefix(n);
     }
 }
 
-Store::Store(Medium &medium, std::uint64_t capacity) : medium_(medium), capacity_(capacity) { open(); }
+Store::Store(Medium &medium, std::uint64_t capacity) : medium_(medium), capacity_(capacity) {
+    open();
+}
 Store::~Store() = default;
 
 void Store::open() {
-    branches_.clear(), refs_.assign(1, 0), free_.clear(), free_soon_.clear(), free_later_.clear(), dying_.clear();
+    branches_.clear(), refs_.assign(1, 0), free_.clear(), free_soon_.clear(), free_later_.clear(),
+        dying_.clear();
     marks_.clear(), forget_.clear();
     used_ = nodes_ = 0, broken_ = unflushed_ = false;
     // The area of the highest generation whose header holds.
@@ -400,14 +455,17 @@
         std::string_view h = head;
         auto is = take<std::uint64_t>(h);
         any |= is != 0;
-        auto generation = take<std::uint64_t>(h), its_life = take<std::uint64_t>(h), its_length = take<std::uint64_t>(h),
-             its_sequence = take<std::uint64_t>(h);
+        auto generation = take<std::uint64_t>(h), its_life = take<std::uint64_t>(h),
+             its_length = take<std::uint64_t>(h), its_sequence = take<std::uint64_t>(h);
         auto its_sum = take<std::uint32_t>(h);
-        if (is != magic || take<std::uint32_t>(h) != crc32c(std::string_view(head).substr(0, 44)) || generation <= best)
+        if (is != magic || take<std::uint32_t>(h) != crc32c(std::string_view(head).substr(0, 44)) ||
+            generation <= best)
             continue;
-        best = generation, area_ = area, length = its_length, sequence = its_sequence, life = its_life, sum = its_sum;
+        best = generation, area_ = area, length = its_length, sequence = its_sequence,
+        life = its_life, sum = its_sum;
     }
-    if (best == 0 && any) throw std::runtime_error("store: the header does not match its checksum");
+    if (best == 0 && any)
+        throw std::runtime_error("store: the header does not match its checksum");
     generation_ = best, sequence_ = sequence, life_ = life;
     if (best == 0) {
         area_ = 1;
@@ -416,11 +474,12 @@
     }
     std::string body(length, '\0');
     area_read(area_, body_at, body.data(), body.size());
-    if (crc32c(body) != sum) throw std::runtime_error("store: its trees do not match their checksum");
+    if (crc32c(body) != sum)
+        throw std::runtime_error("store: its trees do not match their checksum");
     restore(body);
     journal_from_ = journal_at_ = flushed_at_ = body_at + length;
-    // The journal's records in their order, until one is missing. Where the last flush stood is known first: after it
-    // a record counts only with the blocks that it names.
+    // The journal's records in their order, until one is missing. Where the last flush stood is
+    // known first: after it a record counts only with the blocks that it names.
     struct Record {
         char kind;
         std::string payload;
@@ -433,7 +492,8 @@
         area_read(area_, at, head.data(), head.size());
         std::string_view h = head;
         auto crc = take<std::uint32_t>(h), size = take<std::uint32_t>(h);
-        if (take<std::uint64_t>(h) != next || size > (64u << 20)) break;
+        if (take<std::uint64_t>(h) != next || size > (64u << 20))
+            break;
         Record r{h[0], std::string(size, '\0'), at + record_head + size};
         area_read(area_, at + record_head, r.payload.data(), size);
         std::string covered;
@@ -441,23 +501,28 @@
         put(covered, next);
         covered += r.kind;
         covered += r.payload;
-        if (crc32c(covered) != crc) break;
+        if (crc32c(covered) != crc)
+            break;
         at = r.ends;
-        if (r.kind == k_flushed) durable = records.size() + 1;
+        if (r.kind == k_flushed)
+            durable = records.size() + 1;
         records.push_back(std::move(r));
     }
     bool sound = true;
     for (std::size_t i = 0; i < records.size() && sound; ++i) {
         replay(records[i].kind, records[i].payload, i < durable, sound);
-        if (sound) journal_at_ = records[i].ends, ++sequence_;
-        if (sound && i < durable) flushed_at_ = journal_at_;
-    }
-    // What came after the last flush may be gone without a trace, and who was answered must hear of it; only a store
-    // that was closed had nothing left to lose.
-    if (records.empty() || records.back().kind != k_closed) ++life_;
+        if (sound)
+            journal_at_ = records[i].ends, ++sequence_;
+        if (sound && i < durable)
+            flushed_at_ = journal_at_;
+    }
+    // What came after the last flush may be gone without a trace, and who was answered must hear of
+    // it; only a store that was closed had nothing left to lose.
+    if (records.empty() || records.back().kind != k_closed)
+        ++life_;
     count();
-    // A generation of its own, always: behind a record that was lost there may be others of this one, which would
-    // count again once something of the same length stands in its place.
+    // A generation of its own, always: behind a record that was lost there may be others of this
+    // one, which would count again once something of the same length stands in its place.
     checkpoint();
 }
 
@@ -467,17 +532,22 @@
     std::set<const Node *> seen;
     std::vector<std::pair<const Node *, int>> todo;
     for (auto &[id, b] : branches_)
-        if (b.root) todo.emplace_back(b.root.get(), b.levels);
+        if (b.root)
+            todo.emplace_back(b.root.get(), b.levels);
     while (!todo.empty()) {
         auto [n, level] = todo.back();
         todo.pop_back();
-        if (!seen.insert(n).second) continue;
+        if (!seen.insert(n).second)
+            continue;
         for (auto &e : n->entries) {
-            if (refs.size() <= e.slot) refs.resize(e.slot + 1);
-            if (e.slot) ++refs[e.slot];
+            if (refs.size() <= e.slot)
+                refs.resize(e.slot + 1);
+            if (e.slot)
+                ++refs[e.slot];
         }
         for (auto &k : n->kids)
-            if (k) todo.emplace_back(k.get(), level - 1);
+            if (k)
+                todo.emplace_back(k.get(), level - 1);
     }
     refs_ = std::move(refs);
     nodes_ = seen.size();
@@ -496,13 +566,18 @@
     std::unordered_map<const Node *, std::uint32_t> ids;
     std::string nodes;
     auto walk = [&](auto &self, const Node *n) -> std::uint32_t {
-        if (!n) return 0;
-        if (auto it = ids.find(n); it != ids.end()) return it->second;
+        if (!n)
+            return 0;
+        if (auto it = ids.find(n); it != ids.end())
+            return it->second;
         std::vector<std::uint32_t> kids;
-        for (auto &k : n->kids) kids.push_back(self(self, k.get()));
+        for (auto &k : n->kids)
+            kids.push_back(self(self, k.get()));
         put(nodes, static_cast<std::uint8_t>(n->kids.empty() ? 0 : 1));
-        for (auto k : kids) put(nodes, k);
-        for (auto &e : n->entries) put(nodes, e.slot), put(nodes, e.crc);
+        for (auto k : kids)
+            put(nodes, k);
+        for (auto &e : n->entries)
+            put(nodes, e.slot), put(nodes, e.crc);
         auto id = static_cast<std::uint32_t>(ids.size() + 1);
         return ids[n] = id;
     };
@@ -512,7 +587,8 @@
         put(branches, walk(walk, b.root.get()));
         put(branches, static_cast<std::uint32_t>(b.levels));
         put(branches, b.of.value);
-        put(branches, static_cast<std::uint8_t>((b.is_cut ? 1 : 0) | (b.frozen ? 2 : 0) | (b.open ? 4 : 0)));
+        put(branches,
+            static_cast<std::uint8_t>((b.is_cut ? 1 : 0) | (b.frozen ? 2 : 0) | (b.open ? 4 : 0)));
         put(branches, b.epoch);
         put(branches, b.sealed);
     }
@@ -521,7 +597,8 @@
     put(out, static_cast<std::uint32_t>(branches_.size()));
     out += branches;
     put(out, static_cast<std::uint32_t>(marks_.size()));
-    for (auto &[m, until] : marks_) put(out, m.first), put(out, m.second), put(out, until);
+    for (auto &[m, until] : marks_)
+        put(out, m.first), put(out, m.second), put(out, until);
     return out;
 }
 void Store::restore(std::string_view body) {
@@ -532,13 +609,15 @@
             node->entries.resize(width);
             for (auto &e : node->entries) {
                 e.slot = take<std::uint32_t>(body), e.crc = take<std::uint32_t>(body);
-                if (e.slot > capacity_) throw std::runtime_error("store: a tree names a block past its end");
+                if (e.slot > capacity_)
+                    throw std::runtime_error("store: a tree names a block past its end");
             }
         } else {
             node->kids.resize(width);
             for (auto &k : node->kids) {
                 auto id = take<std::uint32_t>(body);
-                if (id >= nodes.size()) throw std::runtime_error("store: a tree names a node that is not there");
+                if (id >= nodes.size())
+                    throw std::runtime_error("store: a tree names a node that is not there");
                 k = nodes[id];
             }
         }
@@ -547,7 +626,8 @@
     for (auto n = take<std::uint32_t>(body); n > 0; --n) {
         auto &b = branches_[VolumeId{take<std::uint64_t>(body)}];
         auto root = take<std::uint32_t>(body);
-        if (root >= nodes.size()) throw std::runtime_error("store: a volume names a node that is not there");
+        if (root >= nodes.size())
+            throw std::runtime_error("store: a volume names a node that is not there");
         b.root = nodes[root], b.levels = static_cast<int>(take<std::uint32_t>(body));
         b.of = VolumeId{take<std::uint64_t>(body)};
         auto flags = take<std::uint8_t>(body);
@@ -569,11 +649,13 @@
     try {
         area_write(other, body_at, body);
     } catch (const std::runtime_error &) {
-        if (generation_ == 0) throw;
+        if (generation_ == 0)
+            throw;
         return; // the area that counts is untouched; another time
     }
     broken_ = true; // until all of it came about: which area counts is in doubt
-    // What lies behind it is no record of this generation; the blocks that it names have to be there before it counts.
+    // What lies behind it is no record of this generation; the blocks that it names have to be
+    // there before it counts.
     medium_.sync();
     std::string head;
     put(head, magic);
@@ -601,29 +683,39 @@
 }
 Store::Cut Store::cut_tree(VolumeId of, VolumeId as, bool freeze, bool open, std::uint32_t epoch) {
     if (auto it = branches_.find(as); it != branches_.end())
-        return it->second.is_cut && it->second.of == of && it->second.frozen == freeze && it->second.open == open
+        return it->second.is_cut && it->second.of == of && it->second.frozen == freeze &&
+                       it->second.open == open
                    ? Cut::exists
                    : Cut::taken;
     auto &from = branches_[of]; // what was never written is a volume of holes
     Branch source = from;
-    if (open) from.epoch = std::max(from.epoch, epoch);
-    source.of = of, source.is_cut = true, source.frozen = freeze, source.open = open, source.epoch = source.sealed = 0;
+    if (open)
+        from.epoch = std::max(from.epoch, epoch);
+    source.of = of, source.is_cut = true, source.frozen = freeze, source.open = open,
+    source.epoch = source.sealed = 0;
     branches_[as] = std::move(source);
     return Cut::done;
 }
 Store::Cut Store::make(char kind, VolumeId of, VolumeId as, bool freeze, std::uint32_t epoch) {
     bool open = kind == k_open;
-    if (of == as) return Cut::taken;
-    if (branches_.contains(as)) return cut_tree(of, as, freeze, open);
-    if (broken_) return Cut::failed;
-    // Guards against a planner that lost count: changes of this epoch may be on both sides of the cut already.
-    if (open && epoch <= this->epoch(of)) return Cut::taken;
-    if (capacity_ - std::min(used_, capacity_) < capacity_ / reserve_part) return Cut::full;
+    if (of == as)
+        return Cut::taken;
+    if (branches_.contains(as))
+        return cut_tree(of, as, freeze, open);
+    if (broken_)
+        return Cut::failed;
+    // Guards against a planner that lost count: changes of this epoch may be on both sides of the
+    // cut already.
+    if (open && epoch <= this->epoch(of))
+        return Cut::taken;
+    if (capacity_ - std::min(used_, capacity_) < capacity_ / reserve_part)
+        return Cut::full;
     std::string record;
     put(record, of.value);
     put(record, as.value);
     put(record, static_cast<std::uint8_t>(freeze));
-    if (open) put(record, epoch);
+    if (open)
+        put(record, epoch);
     try {
         append(kind, record);
     } catch (const std::runtime_error &) {
@@ -633,13 +725,17 @@
 }
 Store::Cut Store::cut(VolumeId of, VolumeId as, bool freeze) {
     auto how = make(k_cut, of, as, freeze, 0);
-    if (how == Cut::done) flush();
+    if (how == Cut::done)
+        flush();
     return how;
 }
-Store::Cut Store::open_cut(VolumeId of, VolumeId as, std::uint32_t epoch) { return make(k_open, of, as, false, epoch); }
+Store::Cut Store::open_cut(VolumeId of, VolumeId as, std::uint32_t epoch) {
+    return make(k_open, of, as, false, epoch);
+}
 bool Store::seal(VolumeId as) {
     auto it = branches_.find(as);
-    if (broken_ || it == branches_.end()) return false;
+    if (broken_ || it == branches_.end())
+        return false;
     if (it->second.open) {
         std::string record;
         put(record, as.value);
@@ -666,23 +762,28 @@
 std::vector<VolumeId> Store::cuts() const {
     std::vector<VolumeId> out;
     for (auto &[id, b] : branches_)
-        if (b.is_cut) out.push_back(id);
+        if (b.is_cut)
+            out.push_back(id);
     return out;
 }
 std::optional<VolumeId> Store::opened(VolumeId of) const {
     // A dozen snapshots, not thousands; looked for only where a write comes late.
     for (auto &[id, b] : branches_)
-        if (b.open && b.of == of) return id;
+        if (b.open && b.of == of)
+            return id;
     return std::nullopt;
 }
 void Store::drop_tree(VolumeId volume) {
     auto it = branches_.find(volume);
-    if (it == branches_.end()) return;
-    if (it->second.root) dying_.emplace_back(std::move(it->second.root), it->second.levels);
+    if (it == branches_.end())
+        return;
+    if (it->second.root)
+        dying_.emplace_back(std::move(it->second.root), it->second.levels);
     branches_.erase(it);
 }
 bool Store::drop(VolumeId volume) {
-    if (broken_ || !branches_.contains(volume)) return false;
+    if (broken_ || !branches_.contains(volume))
+        return false;
     std::string record;
     put(record, volume.value);
     try {
@@ -698,25 +799,33 @@
     while (nodes-- > 0 && !dying_.empty()) {
         auto [n, level] = std::move(dying_.back());
         dying_.pop_back();
-        if (n.use_count() > 1) continue; // another tree's, too
+        if (n.use_count() > 1)
+            continue; // another tree's, too
         --nodes_;
         for (auto &e : n->entries)
-            if (e.slot) unref(e.slot);
+            if (e.slot)
+                unref(e.slot);
         for (auto &k : n->kids)
-            if (k) dying_.emplace_back(std::move(k), level - 1);
+            if (k)
+                dying_.emplace_back(std::move(k), level - 1);
     }
     return !dying_.empty();
 }
 bool Store::shared(VolumeId volume, std::uint64_t offset) const {
     auto it = branches_.find(volume);
-    if (it == branches_.end() || !it->second.root) return false;
+    if (it == branches_.end() || !it->second.root)
+        return false;
     std::uint64_t at = offset / block;
-    if (at >> (6 * (it->second.levels + 1)) != 0) return false;
+    if (at >> (6 * (it->second.levels + 1)) != 0)
+        return false;
     const Ptr *p = &it->second.root;
     for (int level = it->second.levels;; --level) {
-        if (!*p) return false;
-        if (p->use_count() > 1) return true;
-        if (level == 0) return false;
+        if (!*p)
+            return false;
+        if (p->use_count() > 1)
+            return true;
+        if (level == 0)
+            return false;
         p = &(*p)->kids[at >> (6 * level) & (width - 1)];
     }
 }
@@ -730,21 +839,25 @@
             out.emplace_back(at * block, block);
     };
     // Side by side; what both have as one node is not looked into.
-    auto walk = [&](auto &self, const Node *x, const Node *y, int level, std::uint64_t from) -> void {
-        if (x == y) return;
+    auto walk = [&](auto &self, const Node *x, const Node *y, int level,
+                    std::uint64_t from) -> void {
+        if (x == y)
+            return;
         for (std::size_t i = 0; i < width; ++i) {
             if (level == 0) {
                 auto e = x ? x->entries[i] : Entry{}, f = y ? y->entries[i] : Entry{};
-                if (!(e == f)) differs(from + i);
+                if (!(e == f))
+                    differs(from + i);
             } else {
-                self(self, x ? x->kids[i].get() : nullptr, y ? y->kids[i].get() : nullptr, level - 1,
-                     from + (std::uint64_t{i} << (6 * level)));
+                self(self, x ? x->kids[i].get() : nullptr, y ? y->kids[i].get() : nullptr,
+                     level - 1, from + (std::uint64_t{i} << (6 * level)));
             }
         }
     };
     auto root = [&](VolumeId id, int levels, Ptr &hold) -> const Node * {
         auto it = branches_.find(id);
-        if (it == branches_.end()) return nullptr;
+        if (it == branches_.end())
+            return nullptr;
         hold = it->second.root;
         for (int l = it->second.levels; hold && l < levels; ++l) {
             auto top = std::make_shared<Node>();
@@ -756,7 +869,8 @@
     };
     int levels = 0;
     for (auto id : {a, b})
-        if (auto it = branches_.find(id); it != branches_.end()) levels = std::max(levels, it->second.levels);
+        if (auto it = branches_.find(id); it != branches_.end())
+            levels = std::max(levels, it->second.levels);
     Ptr ha, hb;
     auto *x = root(a, levels, ha), *y = root(b, levels, hb);
     walk(walk, x, y, levels, 0);
@@ -767,13 +881,15 @@
 bool Store::was_done(std::uint64_t life, std::uint64_t number, Time now) {
     while (!forget_.empty() && forget_.begin()->first < now) {
         auto it = marks_.find(forget_.begin()->second);
-        if (it != marks_.end() && it->second < now) marks_.erase(it);
+        if (it != marks_.end() && it->second < now)
+            marks_.erase(it);
         forget_.erase(forget_.begin());
     }
     return marks_.contains({life, number});
 }
 void Store::remember(std::uint64_t life, std::uint64_t number, Time not_after, Time now) {
-    if (was_done(life, number, now)) return;
+    if (was_done(life, number, now))
+        return;
     std::string record;
     put(record, life);
     put(record, number);
@@ -781,7 +897,8 @@
     try {
         append(k_mark, record);
     } catch (const std::runtime_error &) {
-        // It stands in memory; lost with the process, a repeat after that may be done again, as after a power cut.
+        // It stands in memory; lost with the process, a repeat after that may be done again, as
+        // after a power cut.
     }
     marks_[{life, number}] = not_after;
     forget_.emplace(not_after, Mark{life, number});
@@ -791,17 +908,22 @@
 std::vector<std::string> Store::check() {
     std::vector<std::string> out;
     auto say = [&](std::string what) {
-        if (out.size() < 100) out.push_back(std::move(what));
+        if (out.size() < 100)
+            out.push_back(std::move(what));
     };
     std::vector<std::uint32_t> refs(refs_.size(), 0);
     std::set<const Node *> seen;
     std::vector<char> whole(block);
-    auto walk = [&](auto &self, const Ptr &n, int level, std::uint64_t from, const std::string &whose) -> void {
-        if (!n || !seen.insert(n.get()).second) return;
-        if ((level == 0) != n->kids.empty()) return say(whose + ": a node on a wrong level");
+    auto walk = [&](auto &self, const Ptr &n, int level, std::uint64_t from,
+                    const std::string &whose) -> void {
+        if (!n || !seen.insert(n.get()).second)
+            return;
+        if ((level == 0) != n->kids.empty())
+            return say(whose + ": a node on a wrong level");
         for (std::size_t i = 0; i < n->entries.size(); ++i) {
             auto e = n->entries[i];
-            if (!e.slot) continue;
+            if (!e.slot)
+                continue;
             if (e.slot >= refs.size()) {
                 say(whose + ": block " + std::to_string(from + i) + " lies past the store's end");
                 continue;
@@ -813,30 +935,37 @@
         for (std::size_t i = 0; i < n->kids.size(); ++i)
             self(self, n->kids[i], level - 1, from + (std::uint64_t{i} << (6 * level)), whose);
     };
-    for (auto &[id, b] : branches_) walk(walk, b.root, b.levels, 0, "volume " + std::to_string(id.value));
-    for (auto &[n, level] : dying_) walk(walk, n, level, 0, "a dropped volume");
+    for (auto &[id, b] : branches_)
+        walk(walk, b.root, b.levels, 0, "volume " + std::to_string(id.value));
+    for (auto &[n, level] : dying_)
+        walk(walk, n, level, 0, "a dropped volume");
     for (std::uint32_t slot = 1; slot < refs_.size(); ++slot)
         if (refs[slot] != refs_[slot])
-            say("block " + std::to_string(slot) + " stands in " + std::to_string(refs[slot]) + " leaves, counted " +
-                std::to_string(refs_[slot]));
+            say("block " + std::to_string(slot) + " stands in " + std::to_string(refs[slot]) +
+                " leaves, counted " + std::to_string(refs_[slot]));
     std::set<std::uint32_t> spare(free_.begin(), free_.end());
     spare.insert(free_soon_.begin(), free_soon_.end());
     spare.insert(free_later_.begin(), free_later_.end());
-    if (spare.size() != free_.size() + free_soon_.size() + free_later_.size()) say("a block is free twice");
+    if (spare.size() != free_.size() + free_soon_.size() + free_later_.size())
+        say("a block is free twice");
     for (std::uint32_t slot = 1; slot < refs_.size(); ++slot)
         if ((refs[slot] == 0) != spare.contains(slot))
-            say("block " + std::to_string(slot) + (refs[slot] ? " is in use and free" : " is lost: in no tree and not free"));
+            say("block " + std::to_string(slot) +
+                (refs[slot] ? " is in use and free" : " is lost: in no tree and not free"));
     return out;
 }
 std::size_t Store::memory() const {
     return nodes_ * (sizeof(Node) + 32 + width * 8) + refs_.capacity() * 4 +
-           (free_.capacity() + free_soon_.capacity() + free_later_.capacity()) * 4 + marks_.size() * 160;
+           (free_.capacity() + free_soon_.capacity() + free_later_.capacity()) * 4 +
+           marks_.size() * 160;
 }
 void Store::rot(VolumeId volume, std::uint64_t offset) {
     auto it = branches_.find(volume);
-    if (it == branches_.end()) return;
+    if (it == branches_.end())
+        return;
     auto e = find(it->second, offset / block);
-    if (!e.slot) return;
+    if (!e.slot)
+        return;
     std::uint64_t at = slot_at(e.slot) + offset % block;
     char byte;
     medium_.read(at, &byte, 1);
--- a/src/wire/options.hpp
+++ b/src/wire/options.hpp
@@ -13,7 +13,7 @@
 namespace knotvane::wire {
 
 class Options {
-  public:
+public:
     explicit Options(std::string_view text) {
         while (!text.empty()) {
             auto end = text.find('\n');
@@ -42,7 +42,8 @@
         if (it == values_.end())
             return absent;
         double v = 0;
-        auto [end, ec] = std::from_chars(it->second.data(), it->second.data() + it->second.size(), v);
+        auto [end, ec] =
+            std::from_chars(it->second.data(), it->second.data() + it->second.size(), v);
         if (ec != std::errc() || end != it->second.data() + it->second.size() || !std::isfinite(v))
             throw Malformed("setting " + path + ": not a number: " + it->second.substr(0, 80));
         return v;
@@ -78,7 +79,7 @@
         throw Malformed("setting " + path + ": not true or false: " + value.substr(0, 80));
     }
 
-  private:
+private:
     std::map<std::string, std::string> values_;
 };
 
--- a/src/wire/reader.hpp
+++ b/src/wire/reader.hpp
@@ -1,5 +1,5 @@
-// Reads little-endian fields out of a run of bytes. A field past the end of a record counts as absent and
-// reads as zero; one that is cut in two is malformed.
+// Reads little-endian fields out of a run of bytes. A field past the end of a record counts as
+// absent and reads as zero; one that is cut in two is malformed.
 #pragma once
 
 #include <cmath>
@@ -19,19 +19,23 @@
 };
 
 class Reader {
-  public:
+public:
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
 
     bool empty() const { return rest_.empty(); }
 
-    template <class T> T get(const char *what) {
+    template <class T>
+    T get(const char *what) {
         if (rest_.empty())
             return T{};
         return load<T>(take(sizeof(T), what));
     }
 
     // A field that may not be absent.
-    template <class T> T need(const char *what) { return load<T>(take(sizeof(T), what)); }
+    template <class T>
+    T need(const char *what) {
+        return load<T>(take(sizeof(T), what));
+    }
 
     std::string_view take(std::size_t n, const char *what) {
         if (n > rest_.size())
@@ -59,8 +63,9 @@
         return static_cast<Time>(std::llround(s * 1e6)) * us;
     }
 
-  private:
-    template <class T> static T load(std::string_view bytes) {
+private:
+    template <class T>
+    static T load(std::string_view bytes) {
         static_assert(std::is_arithmetic_v<T>);
         T v{};
         std::memcpy(&v, bytes.data(), sizeof(T));
--- a/src/wire/setup.cpp
+++ b/src/wire/setup.cpp
@@ -50,7 +50,8 @@
         std::string at = "Classes." + std::to_string(i) + ".";
         WorkloadId id{i};
         // Without a target of its own a class is in time until its deadline.
-        to.add_workload(id, o.time(at + (o.has(at + "TargetS") ? "TargetS" : "DeadlineS")), o.time(at + "DeadlineS"), o.number(at + "Points"),
+        to.add_workload(id, o.time(at + (o.has(at + "TargetS") ? "TargetS" : "DeadlineS")),
+                        o.time(at + "DeadlineS"), o.number(at + "Points"),
                         o.number(at + "LateWorth"));
         to.set_repeat(id, repeat_of(o.text(at + "Effect"), at + "Effect"),
                       group_of(o.text(at + "Group"), at + "Group"), o.time(at + "RepeatWindowS"));
@@ -60,13 +61,13 @@
     for (std::uint32_t i = 0; i < o.count("Contracts.count"); ++i) {
         std::string at = "Contracts." + std::to_string(i) + ".";
         PlanId id{i};
-        to.add_plan(id, o.number(at + "Shares", 1), o.number(at + "UsualRate"), o.number(at + "Guaranteed"),
-                    o.number(at + "Price", 1));
+        to.add_plan(id, o.number(at + "Shares", 1), o.number(at + "UsualRate"),
+                    o.number(at + "Guaranteed"), o.number(at + "Price", 1));
         if (o.number(at + "CeilingRate") > 0)
             to.set_limit(id, o.number(at + "CeilingRate"), o.number(at + "Burst"));
     }
-    to.set_units(o.number("Extra.UnitMean"), o.number("Extra.UnitsTop"), o.number("Extra.ShareWorth"),
-                 o.number("Extra.SpareWorth"));
+    to.set_units(o.number("Extra.UnitMean"), o.number("Extra.UnitsTop"),
+                 o.number("Extra.ShareWorth"), o.number("Extra.SpareWorth"));
     to.set_shots(o.count("Permissions.MaxAttempts", 1), o.flag("Permissions.ParallelTries"),
                  o.flag("Permissions.Cancel"));
     if (o.has("Rules.ResendSpanS"))
--- a/src/wire/setup.hpp
+++ b/src/wire/setup.hpp
@@ -1,4 +1,5 @@
-// Settings as the simulator's first message has them, told to the decisions; one way for all that run them.
+// Settings as the simulator's first message has them, told to the decisions; one way for all that
+// run them.
 #pragma once
 
 #include "policy.hpp"
@@ -6,7 +7,8 @@
 
 namespace knotvane::wire {
 
-// All set-up calls, in order, but for ready. Throws Malformed with the path of a setting that is wrong.
+// All set-up calls, in order, but for ready. Throws Malformed with the path of a setting that is
+// wrong.
 void set_up(Scheduler &to, const Options &options);
 
 } // namespace knotvane::wire
--- a/src/wire/writer.hpp
+++ b/src/wire/writer.hpp
@@ -11,7 +11,7 @@
 namespace knotvane::wire {
 
 class Record {
-  public:
+public:
     Record(std::string &out, std::uint16_t code) : out_(out) {
         put(code);
         at_ = out_.size();
@@ -24,7 +24,8 @@
     Record(const Record &) = delete;
     Record &operator=(const Record &) = delete;
 
-    template <class T> Record &put(T v) {
+    template <class T>
+    Record &put(T v) {
         char bytes[sizeof(T)];
         std::memcpy(bytes, &v, sizeof(T));
         out_.append(bytes, sizeof(T));
@@ -45,7 +46,7 @@
         return *this;
     }
 
-  private:
+private:
     std::string &out_;
     std::size_t at_ = 0;
 };
--- a/tests/edge/core_cuts_test.cpp
+++ b/tests/edge/core_cuts_test.cpp
@@ -50,8 +50,9 @@
         core.ready(now);
         core.list_begins(now, 1);
         for (std::uint64_t n : {1, 2})
-            core.node_listed(NodeId{n}, std::to_string(n), ShardId{static_cast<std::int32_t>(n) - 1},
-                             ZoneId{0}, NodeState::ready, 0);
+            core.node_listed(NodeId{n}, std::to_string(n),
+                             ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0}, NodeState::ready,
+                             0);
         core.list_ends();
         core.client_came(now, ClientId{1});
         settle();
@@ -59,7 +60,8 @@
     void settle() {
         for (int i = 0; i < 4; ++i) {
             core.settle(now);
-            if (auto out = client->take_out(); !out.empty()) core.client_bytes(now, ClientId{1}, out);
+            if (auto out = client->take_out(); !out.empty())
+                core.client_bytes(now, ClientId{1}, out);
         }
     }
     void write(std::uint64_t cookie, std::uint64_t offset, std::uint32_t length) {
@@ -67,9 +69,9 @@
         settle();
     }
     void node_says(std::uint64_t tag, frames::Status status, std::uint32_t epoch = 0) {
-        core.link_bytes(
-            now, link_of.at(tag),
-            frames::make(frames::Kind::answer, 0, status, tag, v, 0, 0, 0, 1, 0, 0, ShardId{0}, {}, epoch));
+        core.link_bytes(now, link_of.at(tag),
+                        frames::make(frames::Kind::answer, 0, status, tag, v, 0, 0, 0, 1, 0, 0,
+                                     ShardId{0}, {}, epoch));
         settle();
     }
     // ---- Shell
@@ -98,12 +100,14 @@
         }
         settle();
     }
-    bool frame(frames::Kind kind, std::uint8_t, frames::Status, std::uint64_t tag, VolumeId, std::uint64_t,
-               std::uint32_t, std::uint32_t units, std::uint64_t, std::uint64_t, Time, ShardId,
-               std::string_view, std::uint32_t epoch) override {
-        if (kind == frames::Kind::hello || kind == frames::Kind::call_off) return true;
+    bool frame(frames::Kind kind, std::uint8_t, frames::Status, std::uint64_t tag, VolumeId,
+               std::uint64_t, std::uint32_t, std::uint32_t units, std::uint64_t, std::uint64_t,
+               Time, ShardId, std::string_view, std::uint32_t epoch) override {
+        if (kind == frames::Kind::hello || kind == frames::Kind::call_off)
+            return true;
         link_of[tag] = reading;
-        asked.push_back(std::to_string(tag) + " " + std::to_string(epoch) + " " + std::to_string(units));
+        asked.push_back(std::to_string(tag) + " " + std::to_string(epoch) + " " +
+                        std::to_string(units));
         return true;
     }
     // ---- Replies
@@ -119,8 +123,8 @@
 } // namespace
 
 TEST_SUITE("the edge in the middle of a cut") {
-    TEST_CASE(
-        "changes are kept back and begin in the new epoch; reads go on; what began before is waited for") {
+    TEST_CASE("changes are kept back and begin in the new epoch; reads go on; what began before is "
+              "waited for") {
         Rig r;
         r.write(1, 0, 4096), r.greet();
         CHECK(r.take_asked() == Lines{"1 0 1062"});
@@ -167,7 +171,8 @@
         r.write(2, 0, 4096);
         CHECK(r.take_asked() == Lines{"3 6 1062"});
     }
-    TEST_CASE("one of several parts, of which another was sent, is errored: its parts may be on both sides") {
+    TEST_CASE("one of several parts, of which another was sent, is errored: its parts may be on "
+              "both sides") {
         Rig r;
         r.write(1, 0, 128 << 10), r.greet();
         REQUIRE(r.take_asked().size() == 2);
--- a/tests/edge/cuts_test.cpp
+++ b/tests/edge/cuts_test.cpp
@@ -20,7 +20,8 @@
 } // namespace
 
 TEST_SUITE("an edge's side of a cut") {
-    TEST_CASE("held, let go in the new epoch; drained once all of the old one are over, not before") {
+    TEST_CASE(
+        "held, let go in the new epoch; drained once all of the old one are over, not before") {
         Telling t;
         CHECK(t.cuts.begins(v) == 0);
         CHECK(t.cuts.begins(v) == 0);
@@ -38,7 +39,8 @@
         t.cuts.over(v, 0);
         CHECK(t.take() == Lines{"drained 90"});
     }
-    TEST_CASE("without changes at work it is drained at once; what is said again is answered again") {
+    TEST_CASE(
+        "without changes at work it is drained at once; what is said again is answered again") {
         Telling t;
         t.cuts.hold(0, v, a, 3, sec), t.cuts.go(ms, v, a, 3);
         CHECK(t.take() == Lines{"ready 90", "moved 90", "drained 90"});
@@ -63,8 +65,8 @@
         t.cuts.over(v, 0);
         CHECK(t.take() == Lines{"drained 91"});
     }
-    TEST_CASE(
-        "a go that comes after the hold's time says so, though nobody has looked at the clock between") {
+    TEST_CASE("a go that comes after the hold's time says so, though nobody has looked at the "
+              "clock between") {
         Telling t;
         t.cuts.hold(0, v, a, 3, 100 * ms);
         t.cuts.go(100 * ms, v, a, 3);
@@ -90,7 +92,8 @@
         t.cuts.go(ms, v, b, 4);
         CHECK(t.take() == Lines{"lapsed 91"});
     }
-    TEST_CASE("an epoch is learned from facts or a store, never unlearned; learned, a hold for it is over") {
+    TEST_CASE("an epoch is learned from facts or a store, never unlearned; learned, a hold for it "
+              "is over") {
         Telling t;
         t.cuts.learn(v, 5), t.cuts.learn(v, 4);
         CHECK(t.cuts.epoch(v) == 5);
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -14,12 +14,15 @@
 TEST_SUITE("links: every outcome comes from its event") {
     TEST_CASE("answered, error, full, and what the node proves not to have run") {
         Linked l;
-        for (std::uint64_t t = 1; t <= 6; ++t) l.shoot(t);
+        for (std::uint64_t t = 1; t <= 6; ++t)
+            l.shoot(t);
         using frames::Status;
-        Status s[] = {Status::ok, Status::error, Status::full, Status::too_late, Status::misdirected,
-                      Status::bad_checksum};
-        for (std::uint64_t i = 0; i < 6; ++i) l.links.bytes(ms, l.link, answer(2 + i, s[i], i == 0 ? "data" : ""));
-        CHECK(l.w.told == Lines{"1 answered data", "2 error ", "3 full ", "4 unsent ", "5 unsent ", "6 error "});
+        Status s[] = {Status::ok,       Status::error,       Status::full,
+                      Status::too_late, Status::misdirected, Status::bad_checksum};
+        for (std::uint64_t i = 0; i < 6; ++i)
+            l.links.bytes(ms, l.link, answer(2 + i, s[i], i == 0 ? "data" : ""));
+        CHECK(l.w.told == Lines{"1 answered data", "2 error ", "3 full ", "4 unsent ", "5 unsent ",
+                                "6 error "});
     }
     TEST_CASE("timed_out: sent and not answered in its time; a late answer is not told") {
         Linked l;
@@ -98,12 +101,14 @@
     }
     TEST_CASE("what the other side does not take waits here, and goes when there is room") {
         Linked l(true, 200);
-        for (std::uint64_t t = 1; t <= 9; ++t) l.shoot(t);
+        for (std::uint64_t t = 1; t <= 9; ++t)
+            l.shoot(t);
         auto before = l.w.sent[l.link].size();
         l.links.written(ms, l.link, before);
         CHECK(l.w.sent[l.link].size() > before);
     }
-    TEST_CASE("a node that is not listed any more keeps its connection until the last shot is over") {
+    TEST_CASE(
+        "a node that is not listed any more keeps its connection until the last shot is over") {
         Linked l;
         l.shoot(1);
         l.links.nodes({});
@@ -121,11 +126,14 @@
         l.work->kind = frames::Kind::write, l.work->not_after = 500 * ms;
         l.shoot(1);
         l.links.up(10 * ms, l.link);
-        l.links.bytes(30 * ms, l.link, welcome(1, 7 * sec)); // said 7 s at some moment between 10 and 30 ms
+        l.links.bytes(30 * ms, l.link,
+                      welcome(1, 7 * sec)); // said 7 s at some moment between 10 and 30 ms
         auto &out = l.w.sent[l.link];
         Time got = 0;
         for (int i = 7; i >= 0; --i)
-            got = got << 8 | static_cast<unsigned char>(out[out.size() - frames::header_size + 64 + static_cast<std::size_t>(i)]);
+            got = got << 8 |
+                  static_cast<unsigned char>(
+                      out[out.size() - frames::header_size + 64 + static_cast<std::size_t>(i)]);
         CHECK(got == 7 * sec + 470 * ms);
     }
     TEST_CASE("an idle connection is closed") {
@@ -139,14 +147,16 @@
 TEST_SUITE("layout and flushes") {
     TEST_CASE("every edge places alike, and shards share evenly") {
         std::vector<ShardId> shards;
-        for (int i = 0; i < 8; ++i) shards.emplace_back(i);
+        for (int i = 0; i < 8; ++i)
+            shards.emplace_back(i);
         Layout a(1 << 20, 1 << 16, shards), b(1 << 20, 1 << 16, {shards.rbegin(), shards.rend()});
         std::map<ShardId, int> count;
         for (std::uint64_t e = 0; e < 4000; ++e) {
             CHECK(a.shard_of(VolumeId{3}, e << 20) == b.shard_of(VolumeId{3}, e << 20));
             ++count[a.shard_of(VolumeId{3}, e << 20)];
         }
-        for (auto &[s, n] : count) CHECK((n > 400 && n < 600));
+        for (auto &[s, n] : count)
+            CHECK((n > 400 && n < 600));
     }
     TEST_CASE("writes that overlap have a piece with the same key") {
         CHECK(rc::check([](std::uint16_t a, std::uint16_t na, std::uint16_t b, std::uint16_t nb) {
@@ -160,8 +170,10 @@
                 }
                 return out;
             };
-            std::uint64_t x = a * 512ull, nx = (na % 300 + 1) * 512ull, y = b % 1000 * 512ull, ny = (nb % 300 + 1) * 512ull;
-            if (x >= y + ny || y >= x + nx) return;
+            std::uint64_t x = a * 512ull, nx = (na % 300 + 1) * 512ull, y = b % 1000 * 512ull,
+                          ny = (nb % 300 + 1) * 512ull;
+            if (x >= y + ny || y >= x + nx)
+                return;
             auto one = keys(x, nx), two = keys(y, ny);
             RC_ASSERT(std::any_of(one.begin(), one.end(), [&](auto k) { return two.contains(k); }));
         }));
@@ -220,12 +232,14 @@
             Lines faults;
             read_nodes("f", t, faults);
             std::string all;
-            for (auto &f : faults) all += f + "\n";
+            for (auto &f : faults)
+                all += f + "\n";
             return all;
         };
         CHECK(with("nodes = 2", "nodes = 3") == "f:3: [list] nodes = 3: the file lists 2 nodes\n");
         CHECK(with("127.0.0.1:2", "127.0.0.1:1").find("f:13:") == 0);
-        CHECK(with("state = draining", "state = dreaming").find("expected one of draining, gone, ready") != std::string::npos);
+        CHECK(with("state = draining", "state = dreaming")
+                  .find("expected one of draining, gone, ready") != std::string::npos);
         CHECK(with("[node 2]", "[node 1]").find("stands twice") != std::string::npos);
         CHECK(with("shard = 1", "shrad = 1").find("needs the key 'shard'") != std::string::npos);
     }
@@ -258,7 +272,8 @@
         check(f);
         auto faults = f.faults();
         auto has = [&](const std::string &what) {
-            bool found = std::any_of(faults.begin(), faults.end(), [&](auto &x) { return x.find(what) != std::string::npos; });
+            bool found = std::any_of(faults.begin(), faults.end(),
+                                     [&](auto &x) { return x.find(what) != std::string::npos; });
             CHECK_MESSAGE(found, what);
         };
         has("edge.ini:2: [edge] id = 1: expected below edges");
@@ -269,7 +284,8 @@
         has("edge.ini:15: [volume v] size = 1000: expected a multiple of align");
         has("edge.ini:16: [volume v] plan = q: no section [plan q]");
         has("edge.ini:19: [workload w] due = 4s: expected above 0 and at most client_timeout");
-        has("edge.ini:23: [workload w] key_rest = 1s: expected at least how long a shot may still run");
+        has("edge.ini:23: [workload w] key_rest = 1s: expected at least how long a shot may still "
+            "run");
         has("no [workload NAME] is for every read");
     }
 }
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -21,18 +21,21 @@
     void close(LinkId l) override { closed.push_back(l); }
     void shot_over(Time, TaskId t, ShotId, NodeId, Outcome how, frames::Status, std::uint64_t,
                    std::string_view payload, std::uint32_t) override {
-        static constexpr const char *names[] = {"answered", "error", "full", "timed_out", "unreachable",
-                                                "reset", "called_off", "unsent"};
-        told.push_back(std::to_string(t.value) + " " + names[static_cast<int>(how)] + " " + std::string(payload));
+        static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
+                                                "unreachable", "reset", "called_off", "unsent"};
+        told.push_back(std::to_string(t.value) + " " + names[static_cast<int>(how)] + " " +
+                       std::string(payload));
     }
     void say(std::string t) override { said.push_back(std::move(t)); }
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
-    return frames::make(frames::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0, clock, ShardId{0}, {});
+    return frames::make(frames::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0, clock,
+                        ShardId{0}, {});
 }
 inline std::string answer(std::uint64_t tag, frames::Status status, std::string_view payload = {}) {
-    return frames::make(frames::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1, 0, 0, ShardId{0}, payload);
+    return frames::make(frames::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1, 0, 0,
+                        ShardId{0}, payload);
 }
 
 // Links to node 1, greeted on one connection.
--- a/tests/edge/subscription_test.cpp
+++ b/tests/edge/subscription_test.cpp
@@ -1,4 +1,5 @@
-// The edge's word with the planner: what it goes on doing by how old its plan is, the plan on disk, coming back.
+// The edge's word with the planner: what it goes on doing by how old its plan is, the plan on disk,
+// coming back.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -25,9 +26,11 @@
     void send_planner(std::string bytes) override { sent += bytes; }
     void keep_plan(std::string bytes, bool anew) override { disk = anew ? bytes : disk + bytes; }
     void say(std::string text) override { said.push_back(std::move(text)); }
-    void plan_taken(const facts::Table &table, bool, bool, const std::map<NodeId, Time> &when) override {
+    void plan_taken(const facts::Table &table, bool, bool,
+                    const std::map<NodeId, Time> &when) override {
         nodes.clear();
-        for (auto &[id, n] : table.nodes) nodes[id] = n.state;
+        for (auto &[id, n] : table.nodes)
+            nodes[id] = n.state;
         started = when;
     }
     void part_told(VolumeId v, double h) override { hosts[v] = h; }
@@ -36,13 +39,15 @@
 std::string node(NodeState state, std::uint64_t life = 1, Time started = 0) {
     return facts::put(NodeId{1}, facts::Node{"a", ShardId{0}, ZoneId{0}, state, started, life});
 }
-std::string news(std::uint64_t version, std::uint64_t from, const std::string &what, std::uint64_t count,
-                 Time planner_now = 0, std::uint64_t term = 1, std::uint64_t instance = 1) {
-    return facts::begins(Term{term}, instance, 1, Version{version}, Version{from}, planner_now) + what +
-           facts::ends(Version{version}, count);
+std::string news(std::uint64_t version, std::uint64_t from, const std::string &what,
+                 std::uint64_t count, Time planner_now = 0, std::uint64_t term = 1,
+                 std::uint64_t instance = 1) {
+    return facts::begins(Term{term}, instance, 1, Version{version}, Version{from}, planner_now) +
+           what + facts::ends(Version{version}, count);
 }
 
-// Up since 0, with volume 7 in use, its half part told, and a lease of one second from there; fade ten.
+// Up since 0, with volume 7 in use, its half part told, and a lease of one second from there; fade
+// ten.
 struct Following {
     Dialling line;
     Subscription s{line, facts::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec};
@@ -51,7 +56,9 @@
         s.tick(0);
         s.up(0);
         s.volume_used(0, VolumeId{7}, true);
-        s.bytes(0, news(1, 0, node(NodeState::ready) + facts::put(VolumeId{7}, facts::Part{500000, 2}), 2));
+        s.bytes(0,
+                news(1, 0, node(NodeState::ready) + facts::put(VolumeId{7}, facts::Part{500000, 2}),
+                     2));
         s.bytes(0, facts::renewed(0, Term{1}, sec, 10 * sec, Version{1}));
     }
 };
@@ -59,7 +66,8 @@
 } // namespace
 
 TEST_SUITE("what an edge does by the age of its plan") {
-    TEST_CASE("no part before it is told one; all of it within the lease, a quarter past it, then none") {
+    TEST_CASE(
+        "no part before it is told one; all of it within the lease, a quarter past it, then none") {
         Following f;
         CHECK(f.line.hosts.at(VolumeId{7}) == 2);
         f.s.tick(sec);
@@ -78,7 +86,8 @@
         t.volume_used(0, VolumeId{7}, true);
         CHECK(std::isinf(fresh.hosts.at(VolumeId{7})));
     }
-    TEST_CASE("a renewal counts from when it was asked for, and not for an older plan than it is for") {
+    TEST_CASE(
+        "a renewal counts from when it was asked for, and not for an older plan than it is for") {
         Following f;
         f.s.bytes(900 * ms, facts::renewed(200 * ms, Term{1}, sec, 10 * sec, Version{1}));
         f.s.tick(1200 * ms);
@@ -109,7 +118,8 @@
 }
 
 TEST_SUITE("the plan on disk") {
-    TEST_CASE("cut at any byte: the last whole news of it is used, drains among them, and no part") {
+    TEST_CASE(
+        "cut at any byte: the last whole news of it is used, drains among them, and no part") {
         Following f;
         auto first = f.line.disk.size();
         f.s.bytes(ms, news(2, 1, node(NodeState::draining), 1));
@@ -124,9 +134,11 @@
             if (cut < first)
                 CHECK(line.nodes.empty());
             else
-                CHECK(line.nodes.at(NodeId{1}) == (cut < all.size() ? NodeState::ready : NodeState::draining));
+                CHECK(line.nodes.at(NodeId{1}) ==
+                      (cut < all.size() ? NodeState::ready : NodeState::draining));
             // What is added from here on is read at the next start.
-            if (cut < first) continue;
+            if (cut < first)
+                continue;
             s.up(sec);
             s.bytes(sec, news(9, cut < all.size() ? 1 : 2, node(NodeState::gone), 1));
             Dialling next;
@@ -148,7 +160,8 @@
 }
 
 TEST_SUITE("the connection to the planner") {
-    TEST_CASE("an older term, or a second planner under one term, is told so and left; nothing changes") {
+    TEST_CASE(
+        "an older term, or a second planner under one term, is told so and left; nothing changes") {
         for (auto [term, instance] : {std::pair{1u, 2u}, std::pair{0u, 1u}}) {
             Following f;
             f.line.sent.clear();
@@ -164,7 +177,8 @@
         f.line.sent.clear();
         f.s.bytes(ms, news(9, 5, node(NodeState::gone), 1));
         CHECK(f.line.sent == facts::ask());
-        f.s.bytes(ms, facts::begins(Term{1}, 1, 1, Version{9}, Version{0}, 0) + node(NodeState::gone));
+        f.s.bytes(ms,
+                  facts::begins(Term{1}, 1, 1, Version{9}, Version{0}, 0) + node(NodeState::gone));
         f.s.down(2 * ms);
         CHECK(f.line.nodes.at(NodeId{1}) == NodeState::ready);
     }
@@ -177,14 +191,17 @@
             s.down(0);
             first.push_back(s.next_due());
             Time now = 0;
-            for (int i = 0; i < 4; ++i) now = s.next_due(), s.tick(now), s.down(now);
+            for (int i = 0; i < 4; ++i)
+                now = s.next_due(), s.tick(now), s.down(now);
             fifth.push_back(s.next_due() - now);
         }
-        auto within = [](std::vector<Time> &v, Time width) { // the most that fall into one such span
+        auto within = [](std::vector<Time> &v,
+                         Time width) { // the most that fall into one such span
             std::sort(v.begin(), v.end());
             std::size_t most = 0;
             for (std::size_t i = 0, j = 0; j < v.size(); ++j) {
-                while (v[j] - v[i] > width) ++i;
+                while (v[j] - v[i] > width)
+                    ++i;
                 most = std::max(most, j - i + 1);
             }
             return most;
@@ -194,9 +211,11 @@
         CHECK(within(fifth, 100 * ms) < 30);
         CHECK(fifth.back() > 2 * sec);
     }
-    TEST_CASE("a planner that answers nothing is left; one that is not reached is given up in time") {
+    TEST_CASE(
+        "a planner that answers nothing is left; one that is not reached is given up in time") {
         Following f;
-        for (Time t = 0; t < 2 * sec; t += 100 * ms) f.s.tick(t);
+        for (Time t = 0; t < 2 * sec; t += 100 * ms)
+            f.s.tick(t);
         CHECK(f.line.hung_up == 1);
         auto dials = f.line.dials;
         f.s.tick(f.s.next_due());
@@ -204,10 +223,12 @@
         f.s.tick(f.s.next_due()); // nothing came of it
         CHECK(f.line.dials == dials + 2);
     }
-    TEST_CASE("a node is called out of reach after three failures over half a second, and in reach by one answer") {
+    TEST_CASE("a node is called out of reach after three failures over half a second, and in reach "
+              "by one answer") {
         Following f;
         f.line.sent.clear();
-        for (Time t : {0 * ms, 100 * ms, 200 * ms}) f.s.shot_ended(t, NodeId{1}, Outcome::unreachable);
+        for (Time t : {0 * ms, 100 * ms, 200 * ms})
+            f.s.shot_ended(t, NodeId{1}, Outcome::unreachable);
         CHECK(f.line.sent == "");
         f.s.shot_ended(600 * ms, NodeId{1}, Outcome::reset);
         f.s.shot_ended(700 * ms, NodeId{1}, Outcome::timed_out);
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any bytes from clients, nodes and discovery: nothing crashes, bounds hold, every request taken is answered once at
-// most, and a client gets only what a node's whole answer held. Built with libFuzzer, or over a fixed set.
+// Any bytes from clients, nodes and discovery: nothing crashes, bounds hold, every request taken is
+// answered once at most, and a client gets only what a node's whole answer held. Built with
+// libFuzzer, or over a fixed set.
 #include <cstdint>
 #include <cstdlib>
 
@@ -8,14 +9,17 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     using namespace knotvane;
     using namespace knotvane::platform;
-    if (size < 2) return 0;
+    if (size < 2)
+        return 0;
     std::size_t piece = 1 + data[0];
     std::string_view in(reinterpret_cast<const char *>(data + 2), size - 2);
     Front f;
     auto from = data[1] % 3 == 0 ? *f.core.client_came(f.now) : ConnId{};
     auto asked = f.client(read_of("good"));
-    if (data[1] % 3 == 1) from = f.node();
-    if (data[1] % 3 == 2) f.core.up(f.now, from = f.w.to("d1"));
+    if (data[1] % 3 == 1)
+        from = f.node();
+    if (data[1] % 3 == 2)
+        f.core.up(f.now, from = f.w.to("d1"));
     for (std::size_t at = 0; at < in.size() && !f.w.closed.contains(from); at += piece) {
         f.core.bytes(f.now, from, in.substr(at, piece));
         f.settle(ms);
@@ -23,9 +27,12 @@
     f.settle(5 * sec);
     f.settle(5 * sec);
     auto &got = f.w.sent[asked];
-    if (got.find("HTTP/1.1", 8) != got.npos) std::abort();                   // one answer
-    if (f.core.requests() != 0 || f.core.pools().attempts_out() != 0) std::abort(); // nothing held past its time
+    if (got.find("HTTP/1.1", 8) != got.npos)
+        std::abort(); // one answer
+    if (f.core.requests() != 0 || f.core.pools().attempts_out() != 0)
+        std::abort(); // nothing held past its time
     for (auto &[conn, n] : f.w.sent)
-        if (n.size() > (1 << 20)) std::abort();
+        if (n.size() > (1 << 20))
+            std::abort();
     return 0;
 }
--- a/tests/fuzz/nbd_fuzz.cpp
+++ b/tests/fuzz/nbd_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any bytes from a client: the session must not crash, must hold no more than its bounds, and must end every
-// request that it passed on at most once. Built with libFuzzer, or with a fixed corpus for the tests.
+// Any bytes from a client: the session must not crash, must hold no more than its bounds, and must
+// end every request that it passed on at most once. Built with libFuzzer, or with a fixed corpus
+// for the tests.
 #include <cstdio>
 #include <cstdlib>
 
@@ -14,10 +15,14 @@
     std::string_view in(reinterpret_cast<const char *>(data), size);
     for (std::size_t at = 1; at < size; at += piece) {
         s.bytes(in.substr(at, piece));
-        if (s.flying() > 8) std::abort();
-        if (did.ids.size() % 3 == 2) s.done(did.ids[did.ids.size() / 2]);
-        if (did.ids.size() % 5 == 4) s.fail(did.ids[did.ids.size() / 3], e_io, "fuzz");
+        if (s.flying() > 8)
+            std::abort();
+        if (did.ids.size() % 3 == 2)
+            s.done(did.ids[did.ids.size() / 2]);
+        if (did.ids.size() % 5 == 4)
+            s.fail(did.ids[did.ids.size() / 3], e_io, "fuzz");
     }
-    for (auto id : did.ids) s.fail(id, e_io, "end");
+    for (auto id : did.ids)
+        s.fail(id, e_io, "end");
     return 0;
 }
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes to a planner and to an edge's subscription: neither may crash, a planner must close what it can't read
-// with one line, and an edge's copy must not change by news that is not whole.
+// Any bytes to a planner and to an edge's subscription: neither may crash, a planner must close
+// what it can't read with one line, and an edge's copy must not change by news that is not whole.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -18,7 +18,9 @@
     void send_planner(std::string) override {}
     void keep_plan(std::string, bool) override {}
     void say(std::string) override { ++said; }
-    void plan_taken(const facts::Table &, bool, bool, const std::map<NodeId, Time> &) override { ++taken; }
+    void plan_taken(const facts::Table &, bool, bool, const std::map<NodeId, Time> &) override {
+        ++taken;
+    }
     void part_told(VolumeId, double) override {}
 };
 
@@ -27,17 +29,22 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     std::size_t piece = size > 0 ? 1 + data[0] : 1;
     std::string_view in(reinterpret_cast<const char *>(data), size);
-    if (size > 0) in.remove_prefix(1);
+    if (size > 0)
+        in.remove_prefix(1);
     planner::Planning p;
     // A snapshot is under way while the bytes come.
     p.say(0, 60, facts::ask_cut(0, "v", "first", ""));
     p.core.settle(0);
     auto lines = p.did.said.size();
-    for (std::size_t at = 0; at < in.size(); at += piece) p.say(0, 70, std::string(in.substr(at, piece)));
-    for (Time now : {Time{0}, Time{1}, 200 * ms, 20 * sec}) p.core.settle(now);
+    for (std::size_t at = 0; at < in.size(); at += piece)
+        p.say(0, 70, std::string(in.substr(at, piece)));
+    for (Time now : {Time{0}, Time{1}, 200 * ms, 20 * sec})
+        p.core.settle(now);
     auto closed = std::count(p.did.closed.begin(), p.did.closed.end(), planner::SideId{70});
-    if (closed > 1 || (closed == 1 && p.did.said.size() == lines)) std::abort();
-    if (p.core.parts().bound(VolumeId{7}) > facts::whole_limit) std::abort();
+    if (closed > 1 || (closed == 1 && p.did.said.size() == lines))
+        std::abort();
+    if (p.core.parts().bound(VolumeId{7}) > facts::whole_limit)
+        std::abort();
     Line line;
     edge::Subscription s(line, facts::EdgeId{1}, "e", 1, sec, 3600 * sec);
     s.start(0, {});
@@ -45,10 +52,12 @@
     auto before = s.copy().version();
     for (std::size_t at = 0; at < in.size(); at += piece) {
         s.bytes(0, in.substr(at, piece));
-        if (line.taken == 0 && s.copy().version() != before) std::abort();
+        if (line.taken == 0 && s.copy().version() != before)
+            std::abort();
     }
     s.tick(1);
-    if (line.hung_up > 1) std::abort();
+    if (line.hung_up > 1)
+        std::abort();
     // The same bytes as a plan on disk.
     edge::Subscription t(line, facts::EdgeId{1}, "e", 1, sec, 3600 * sec);
     t.start(0, in);
--- a/tests/gateway/door_test.cpp
+++ b/tests/gateway/door_test.cpp
@@ -1,4 +1,5 @@
-// Overload at the door: very many connections and requests keep memory under its bound, and all are answered.
+// Overload at the door: very many connections and requests keep memory under its bound, and all are
+// answered.
 #include <doctest/doctest.h>
 
 #include "day/unhearing.hpp"
@@ -40,8 +41,8 @@
 TEST_CASE("256 connections of 128 writes each stay under the stated bound, and end") {
     constexpr std::size_t most_bytes = 8 << 20, connections = 256, each = 128, size = 16384;
     Closed shell;
-    edge::Core core(shell, [](Actions &a) { return make_scheduler(a, 1); }, 0, 1, 256 << 10, 64 << 10, 64 << 10,
-                    {ShardId{0}});
+    edge::Core core(shell, [](Actions &a) { return make_scheduler(a, 1); }, 0, 1, 256 << 10,
+                    64 << 10, 64 << 10, {ShardId{0}});
     auto &s = core.scheduler();
     s.set_place(PeerId{0}, 1, ZoneId{0});
     s.set_clock(ms, 0);
@@ -71,8 +72,10 @@
         core.client_bytes(0, edge::ClientId{c}, hello + "v");
         for (std::uint64_t i = 0; i < each; ++i) {
             core.settle(0);
-            if (shell.held.contains(edge::ClientId{c})) break; // its socket is not read
-            session.ask(nbd::cmd_write, 0, i, (c * each + i) * size % (32 << 20), size, std::string(size, 'x'));
+            if (shell.held.contains(edge::ClientId{c}))
+                break; // its socket is not read
+            session.ask(nbd::cmd_write, 0, i, (c * each + i) * size % (32 << 20), size,
+                        std::string(size, 'x'));
             core.client_bytes(0, edge::ClientId{c}, session.take_out());
             most = std::max(most, core.waiting_bytes());
         }
@@ -83,22 +86,27 @@
     CHECK(most <= most_bytes + size);
     CHECK(core.tasks() * size <= most_bytes + size);
     // No node is listed: each task is given up in its time, and the door opens again.
-    for (Time t = 0; t <= 4 * sec; t += 5 * ms) core.settle(t);
+    for (Time t = 0; t <= 4 * sec; t += 5 * ms)
+        core.settle(t);
     CHECK(core.tasks() == 0);
     CHECK(shell.held.empty());
 }
 TEST_CASE("a client that leaves is told to the decisions once, however much it had at work") {
     struct Counting final : day::Unhearing {
         int left = 0, others = 0;
-        void task_withdrawn(Time, TaskId, bool by_client) override { ++(by_client ? left : others); }
+        void task_withdrawn(Time, TaskId, bool by_client) override {
+            ++(by_client ? left : others);
+        }
     };
     Closed shell;
     Counting *counted = nullptr;
-    edge::Core core(shell, [&](Actions &) {
-        auto made = std::make_unique<Counting>();
-        counted = made.get();
-        return made;
-    }, 0, 1, 256 << 10, 64 << 10, 64 << 10, {ShardId{0}});
+    edge::Core core(shell,
+                    [&](Actions &) {
+                        auto made = std::make_unique<Counting>();
+                        counted = made.get();
+                        return made;
+                    },
+                    0, 1, 256 << 10, 64 << 10, 64 << 10, {ShardId{0}});
     core.add_workload(WorkloadId{0}, edge::Command::read, ~0u, "", sec, 0);
     core.add_volume(VolumeId{1}, "v", 64 << 20, 512, PlanId{0}, 1);
     core.ready(0);
@@ -110,7 +118,8 @@
     nbd::put(hello, std::uint32_t{1});
     Quiet quiet;
     load::Session session(quiet, "v", true);
-    for (std::uint64_t i = 0; i < 9; ++i) session.ask(nbd::cmd_read, 0, i, i * 4096, 4096);
+    for (std::uint64_t i = 0; i < 9; ++i)
+        session.ask(nbd::cmd_read, 0, i, i * 4096, 4096);
     core.client_bytes(0, edge::ClientId{1}, hello + "v" + session.take_out());
     core.client_gone(ms, edge::ClientId{1});
     CHECK(counted->left == 1);
--- a/tests/gateway/helpers.hpp
+++ b/tests/gateway/helpers.hpp
@@ -19,8 +19,9 @@
                      const std::string &service = fleet::default_service()) {
         auto pattern = (std::filesystem::temp_directory_path() / "knotvane-test-XXXXXX").string();
         dir = mkdtemp(pattern.data());
-        fleet = std::make_unique<fleet::Fleet>(dir, nodes, edges, 0, scheduling, service,
-                                               [](Actions &a, std::uint64_t s) { return make_scheduler(a, s); });
+        fleet = std::make_unique<fleet::Fleet>(
+            dir, nodes, edges, 0, scheduling, service,
+            [](Actions &a, std::uint64_t s) { return make_scheduler(a, s); });
         fleet->start();
     }
     ~Gateway() {
@@ -40,7 +41,9 @@
     Client(const Client &) = delete;
     std::string read(std::uint64_t offset, std::size_t n) {
         std::string out(n, '\0');
-        return nbd_pread(h, out.data(), n, offset, 0) == 0 ? out : "error " + std::to_string(nbd_get_errno());
+        return nbd_pread(h, out.data(), n, offset, 0) == 0
+                   ? out
+                   : "error " + std::to_string(nbd_get_errno());
     }
     int write(std::uint64_t offset, const std::string &data, std::uint32_t flags = 0) {
         return nbd_pwrite(h, data.data(), data.size(), offset, flags) == 0 ? 0 : nbd_get_errno();
--- a/tests/gateway/libnbd_test.cpp
+++ b/tests/gateway/libnbd_test.cpp
@@ -18,7 +18,8 @@
             REQUIRE(nbd_connect_uri(c.h, g.uri("members").c_str()) == 0);
             CHECK(nbd_get_structured_replies_negotiated(c.h) == structured);
             std::string data;
-            for (int i = 0; data.size() < 1 << 20; ++i) data += std::to_string(i * 7 + structured) + ",";
+            for (int i = 0; data.size() < 1 << 20; ++i)
+                data += std::to_string(i * 7 + structured) + ",";
             data.resize(1 << 20);
             CHECK(c.write((300 << 10) + 512, data) == 0);
             CHECK(c.read((300 << 10) + 512, data.size()) == data);
@@ -57,16 +58,22 @@
         Gateway g;
         Client c(g.uri("members"));
         constexpr int n = 64;
-        for (int i = 0; i < n; ++i) REQUIRE(c.write(i * 70000 / 512 * 512, std::string(4096, static_cast<char>('A' + i % 50))) == 0);
+        for (int i = 0; i < n; ++i)
+            REQUIRE(c.write(i * 70000 / 512 * 512,
+                            std::string(4096, static_cast<char>('A' + i % 50))) == 0);
         std::vector<std::string> got(n, std::string(4096, '\0'));
         std::vector<std::int64_t> cookies;
         for (int i = 0; i < n; ++i)
             cookies.push_back(nbd_aio_pread(c.h, got[static_cast<std::size_t>(i)].data(), 4096,
-                                            static_cast<std::uint64_t>(i * 70000 / 512 * 512), NBD_NULL_COMPLETION, 0));
-        while (nbd_aio_in_flight(c.h) > 0 && nbd_poll(c.h, 5000) > 0) {}
+                                            static_cast<std::uint64_t>(i * 70000 / 512 * 512),
+                                            NBD_NULL_COMPLETION, 0));
+        while (nbd_aio_in_flight(c.h) > 0 && nbd_poll(c.h, 5000) > 0) {
+        }
         for (int i = 0; i < n; ++i) {
-            CHECK(nbd_aio_command_completed(c.h, static_cast<std::uint64_t>(cookies[static_cast<std::size_t>(i)])) == 1);
-            CHECK(got[static_cast<std::size_t>(i)] == std::string(4096, static_cast<char>('A' + i % 50)));
+            CHECK(nbd_aio_command_completed(
+                      c.h, static_cast<std::uint64_t>(cookies[static_cast<std::size_t>(i)])) == 1);
+            CHECK(got[static_cast<std::size_t>(i)] ==
+                  std::string(4096, static_cast<char>('A' + i % 50)));
         }
     }
     TEST_CASE("trim and zeroes read as zeroes, and the map says where data is") {
@@ -80,11 +87,12 @@
         CHECK(c.read(4096, 4096) == std::string(4096, '\0'));
         CHECK(nbd_trim(c.h, 4096, 4096, 0) == 0);
         std::vector<std::uint32_t> runs;
-        nbd_extent_callback extents{[](void *to, const char *, std::uint64_t, std::uint32_t *e, std::size_t n, int *) {
-                                        static_cast<std::vector<std::uint32_t> *>(to)->assign(e, e + n);
-                                        return 0;
-                                    },
-                                    &runs, nullptr};
+        nbd_extent_callback extents{
+            [](void *to, const char *, std::uint64_t, std::uint32_t *e, std::size_t n, int *) {
+                static_cast<std::vector<std::uint32_t> *>(to)->assign(e, e + n);
+                return 0;
+            },
+            &runs, nullptr};
         CHECK(nbd_block_status(c.h, 16384, 0, extents, 0) == 0);
         CHECK(runs == std::vector<std::uint32_t>{4096, 0, 4096, 3, 8192, 0});
     }
@@ -95,7 +103,8 @@
             std::string data(4096, 'q');
             for (std::uint64_t i = 0; i < 8; ++i)
                 nbd_aio_pwrite(c.h, data.data(), 4096, i * 262144, NBD_NULL_COMPLETION, 0);
-            if (polite) nbd_aio_disconnect(c.h, 0);
+            if (polite)
+                nbd_aio_disconnect(c.h, 0);
         }
         Client d(g.uri("members"));
         CHECK(d.read(1 << 20, 512).size() == 512);
--- a/tests/gateway/planner_test.cpp
+++ b/tests/gateway/planner_test.cpp
@@ -1,4 +1,5 @@
-// The planner's program: killed and started again, a standby, a second one, settings files that change under it.
+// The planner's program: killed and started again, a standby, a second one, settings files that
+// change under it.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -17,9 +18,12 @@
 
 namespace {
 
-void pause(Time t) { std::this_thread::sleep_for(std::chrono::nanoseconds(t)); }
+void pause(Time t) {
+    std::this_thread::sleep_for(std::chrono::nanoseconds(t));
+}
 
-// A planner's folder: its settings, a fleet of two shards with two nodes each, of which none registers.
+// A planner's folder: its settings, a fleet of two shards with two nodes each, of which none
+// registers.
 struct Folder {
     std::string path, address;
     planner::Wanted wanted;
@@ -29,14 +33,17 @@
         auto pattern = (std::filesystem::temp_directory_path() / "knotvane-plan-XXXXXX").string();
         path = mkdtemp(pattern.data());
         fleet::Worker worker;
-        worker.run([&] { address = loop::Listener(worker.loop(), "127.0.0.1:0", [](auto) {}).address(); });
-        std::ofstream(path + "/planner.ini") << "[planner]\nlisten = " << address << "\nstore = " << path
-                                             << "/store\nfleet = " << path << "/fleet.ini\n";
+        worker.run(
+            [&] { address = loop::Listener(worker.loop(), "127.0.0.1:0", [](auto) {}).address(); });
+        std::ofstream(path + "/planner.ini")
+            << "[planner]\nlisten = " << address << "\nstore = " << path
+            << "/store\nfleet = " << path << "/fleet.ini\n";
         wanted.version = 1;
         wanted.plans["p"] = {"p", 1, 100, 0, 1, 0, 0};
         wanted.volumes[VolumeId{1}] = {{"v", 1 << 20, 512, {}}, "p", 0};
         for (std::uint64_t n = 1; n <= 4; ++n)
-            wanted.nodes[NodeId{n}] = {ShardId{static_cast<std::int32_t>(n % 2)}, ZoneId{0}, false, "127.0.0.1:1", 0};
+            wanted.nodes[NodeId{n}] = {ShardId{static_cast<std::int32_t>(n % 2)}, ZoneId{0}, false,
+                                       "127.0.0.1:1", 0};
         write(planner::write_fleet(wanted));
     }
     ~Folder() {
@@ -48,7 +55,8 @@
         std::filesystem::rename(path + "/fleet.new", path + "/fleet.ini");
     }
     std::unique_ptr<fleet::Process> start(std::vector<std::string> more = {}) const {
-        auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / "knotvane-planner";
+        auto beside =
+            std::filesystem::read_symlink("/proc/self/exe").parent_path() / "knotvane-planner";
         std::vector<std::string> arguments{"--config", path + "/planner.ini", "--log", "error"};
         arguments.insert(arguments.end(), more.begin(), more.end());
         return std::make_unique<fleet::Process>(beside.string(), arguments);
@@ -67,19 +75,22 @@
     nlohmann::json settings_at(std::uint64_t version) const {
         nlohmann::json s;
         for (int i = 0; i < 300; ++i, pause(10 * ms))
-            if (s = status(); s["settings"] == version) break;
+            if (s = status(); s["settings"] == version)
+                break;
         return s;
     }
 };
 int ended(fleet::Process &p) {
-    for (int i = 0; i < 500 && p.ended() < 0; ++i) pause(10 * ms);
+    for (int i = 0; i < 500 && p.ended() < 0; ++i)
+        pause(10 * ms);
     return p.ended();
 }
 
 } // namespace
 
 TEST_SUITE("the planner's program") {
-    TEST_CASE("killed at any moment: what was said to be done is, the term is higher, no version is given twice") {
+    TEST_CASE("killed at any moment: what was said to be done is, the term is higher, no version "
+              "is given twice") {
         Folder f;
         f.process = f.start({"--new"});
         REQUIRE(f.status()["term"] == 1);
@@ -89,7 +100,8 @@
         for (int i = 0; i < 12; ++i) {
             Time until = loop::now() + static_cast<Time>(chance() % 60) * ms;
             std::thread killer([&, until] {
-                while (loop::now() < until) pause(ms);
+                while (loop::now() < until)
+                    pause(ms);
                 f.process->signal(SIGKILL);
             });
             bool unsure = false;
@@ -97,7 +109,8 @@
                 bool allowed = false, done = false;
                 try {
                     planner::ask_drain(f.address, NodeId{1}, !drains, 1, allowed, done, sec);
-                    if (done) drains = !drains;
+                    if (done)
+                        drains = !drains;
                 } catch (const std::exception &) {
                     unsure = true; // it may have been made durable and not said
                 }
@@ -109,11 +122,13 @@
             CHECK(s["version"] >= version);
             term = s["term"], version = s["version"];
             bool now = s["nodes"][0]["word"] == "drain";
-            if (!unsure) CHECK(now == drains);
+            if (!unsure)
+                CHECK(now == drains);
             drains = now;
         }
     }
-    TEST_CASE("a second one is refused the store; a standby waits for it and takes over with a higher term") {
+    TEST_CASE("a second one is refused the store; a standby waits for it and takes over with a "
+              "higher term") {
         Folder f;
         f.process = f.start({"--new"});
         REQUIRE(f.status()["term"] == 1);
@@ -131,20 +146,23 @@
         f.process.reset();
         CHECK(f.status()["term"] == 2);
     }
-    TEST_CASE("without a store it starts only where it is told that there was none, or that it is lost") {
+    TEST_CASE(
+        "without a store it starts only where it is told that there was none, or that it is lost") {
         Folder f;
         CHECK(ended(*f.start()) == 1);
         f.process = f.start({"--new"});
         f.status();
         f.process.reset();
         CHECK(ended(*f.start({"--new"})) == 1);
-        std::filesystem::resize_file(f.path + "/store", std::filesystem::file_size(f.path + "/store") / 2);
+        std::filesystem::resize_file(f.path + "/store",
+                                     std::filesystem::file_size(f.path + "/store") / 2);
         CHECK(ended(*f.start()) == 1);
         f.process = f.start({"--rebuild"});
         CHECK(f.status()["nodes"].size() == 4);
         CHECK(std::filesystem::exists(f.path + "/store.aside"));
     }
-    TEST_CASE("a settings file is taken whole or not at all: half written, contradictory, two quick changes, older") {
+    TEST_CASE("a settings file is taken whole or not at all: half written, contradictory, two "
+              "quick changes, older") {
         Folder f;
         f.process = f.start({"--new"});
         REQUIRE(f.settings_at(1)["nodes"].size() == 4);
@@ -164,7 +182,8 @@
         next.version = 4, next.nodes[NodeId{10}] = {ShardId{1}, ZoneId{0}, true, "127.0.0.1:1", 0};
         f.write(planner::write_fleet(next));
         CHECK(f.settings_at(4)["nodes"].size() == 6);
-        // A file from before, as a clock that went back may bring it; and a node in use that is left out.
+        // A file from before, as a clock that went back may bring it; and a node in use that is
+        // left out.
         f.write(text);
         pause(300 * ms);
         CHECK(f.status()["settings"] == 4);
--- a/tests/gateway/snapshot_test.cpp
+++ b/tests/gateway/snapshot_test.cpp
@@ -1,4 +1,5 @@
-// Snapshots and clones on sockets, with a real client: planner, nodes and two edges as programs run them.
+// Snapshots and clones on sockets, with a real client: planner, nodes and two edges as programs run
+// them.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -37,8 +38,10 @@
     bool ask(std::uint8_t what, const std::string &a, const std::string &b = "",
              std::string *text = nullptr) const {
         bool allowed = false, done = false;
-        auto heard = planner::ask_cut(fleet->planner_address(), what, a, b, "", allowed, done, 30 * sec);
-        if (text) *text = heard;
+        auto heard =
+            planner::ask_cut(fleet->planner_address(), what, a, b, "", allowed, done, 30 * sec);
+        if (text)
+            *text = heard;
         return done;
     }
     // Once every edge knows of it, or no longer does.
@@ -49,7 +52,8 @@
                 fleet->with_edge(e, [&](edge::Server &s) {
                     n += s.subscription()->copy().table().names.contains(name) == there;
                 });
-            if (n == fleet->edges()) return;
+            if (n == fleet->edges())
+                return;
         }
         FAIL("the edges don't hear of " << name);
     }
@@ -58,7 +62,8 @@
 } // namespace
 
 TEST_SUITE("snapshots on sockets") {
-    TEST_CASE("taken, found over NBD, read only, not touched by what comes after; cloned, written, dropped") {
+    TEST_CASE("taken, found over NBD, read only, not touched by what comes after; cloned, written, "
+              "dropped") {
         Planned p;
         Client c(p.uri("members"));
         std::string before(1 << 20, 'b'), after(1 << 20, 'a');
@@ -88,12 +93,13 @@
             nbd_set_strict_mode(s.h, 0);
             CHECK(s.write(0, "no") != 0);
             std::vector<std::uint32_t> runs;
-            nbd_extent_callback extent{
-                [](void *to, const char *, std::uint64_t, std::uint32_t *entries, std::size_t n, int *) {
-                    static_cast<std::vector<std::uint32_t> *>(to)->assign(entries, entries + n);
-                    return 0;
-                },
-                &runs, nullptr};
+            nbd_extent_callback extent{[](void *to, const char *, std::uint64_t,
+                                          std::uint32_t *entries, std::size_t n, int *) {
+                                           static_cast<std::vector<std::uint32_t> *>(to)->assign(
+                                               entries, entries + n);
+                                           return 0;
+                                       },
+                                       &runs, nullptr};
             CHECK(nbd_block_status(s.h, 256 << 10, 512 << 10, extent, 0) == 0);
             CHECK(runs == std::vector<std::uint32_t>{256 << 10, 0});
             CHECK(nbd_block_status(s.h, 256 << 10, 2 << 20, extent, 0) == 0);
@@ -122,11 +128,13 @@
         Client gone(p.uri("members@one"));
         CHECK(nbd_aio_is_ready(gone.h) == 0);
     }
-    TEST_CASE("under load through two edges: each client's writes are in up to a point, and that is one "
-              "point for all") {
+    TEST_CASE(
+        "under load through two edges: each client's writes are in up to a point, and that is one "
+        "point for all") {
         Planned p;
-        // Each client counts up, block after block; what a block holds is the count. A snapshot that has a
-        // client's n has all before n, and has every write that any client was answered before the take.
+        // Each client counts up, block after block; what a block holds is the count. A snapshot
+        // that has a client's n has all before n, and has every write that any client was answered
+        // before the take.
         constexpr int clients = 4, blocks = 64;
         std::atomic<bool> over = false;
         std::atomic<std::uint64_t> answered[clients]{};
@@ -137,8 +145,8 @@
                 for (std::uint64_t n = 1; !over; ++n) {
                     std::string data(4096, '\0');
                     std::memcpy(data.data(), &n, sizeof n);
-                    if (c.write(static_cast<std::uint64_t>(i) * (8 << 20) + n % blocks * (64 << 10), data) !=
-                        0)
+                    if (c.write(static_cast<std::uint64_t>(i) * (8 << 20) + n % blocks * (64 << 10),
+                                data) != 0)
                         return;
                     answered[i] = n;
                 }
@@ -147,14 +155,16 @@
         for (int s = 0; s < 5; ++s) {
             std::this_thread::sleep_for(std::chrono::milliseconds(60));
             auto &a = at_call.emplace_back();
-            for (int i = 0; i < clients; ++i) a[static_cast<std::size_t>(i)] = answered[i];
+            for (int i = 0; i < clients; ++i)
+                a[static_cast<std::size_t>(i)] = answered[i];
             CHECK(p.ask(0, "members", std::to_string(s)));
             auto &b = at_return.emplace_back();
             for (int i = 0; i < clients; ++i)
                 b[static_cast<std::size_t>(i)] = answered[i] + 1; // one may be under way
         }
         over = true;
-        for (auto &t : threads) t.join();
+        for (auto &t : threads)
+            t.join();
         for (std::size_t s = 0; s < 5; ++s) {
             auto name = "members@" + std::to_string(s);
             p.know(name);
@@ -168,12 +178,13 @@
                 auto last = *std::max_element(has.begin(), has.end());
                 CHECK(last >= at_call[s][i]);
                 CHECK(last <= at_return[s][i]);
-                for (std::uint64_t n = last; n > 0 && n + blocks > last; --n) CHECK(has[n % blocks] == n);
+                for (std::uint64_t n = last; n > 0 && n + blocks > last; --n)
+                    CHECK(has[n % blocks] == n);
             }
         }
     }
-    TEST_CASE(
-        "a planner killed at any moment of a take: whole, or nothing left of it, and the next one is taken") {
+    TEST_CASE("a planner killed at any moment of a take: whole, or nothing left of it, and the "
+              "next one is taken") {
         Planned p(1);
         Client c(p.uri("members"));
         std::ranlux24_base chance(3);
@@ -185,14 +196,16 @@
             });
             bool allowed = false, done = false;
             try {
-                planner::ask_cut(p.fleet->planner_address(), 0, "members", name, "", allowed, done, 5 * sec);
+                planner::ask_cut(p.fleet->planner_address(), 0, "members", name, "", allowed, done,
+                                 5 * sec);
             } catch (const std::exception &) {
             }
             CHECK(c.write(0, std::string(4096, static_cast<char>('a' + i))) == 0);
             killer.join();
             p.fleet->start_planner();
             nlohmann::json s;
-            for (int t = 0; t < 500; ++t, std::this_thread::sleep_for(std::chrono::milliseconds(10))) {
+            for (int t = 0; t < 500;
+                 ++t, std::this_thread::sleep_for(std::chrono::milliseconds(10))) {
                 try {
                     s = nlohmann::json::parse(planner::ask_status(p.fleet->planner_address(), sec));
                     if (s["cuts_undone"].empty() && s["edges"].size() == 1 &&
@@ -203,15 +216,19 @@
             }
             CHECK(s["cuts_undone"].empty());
             bool there = false;
-            for (auto &cut : s["cuts"]) there |= cut["name"] == "members@" + name;
-            if (done) CHECK(there);
+            for (auto &cut : s["cuts"])
+                there |= cut["name"] == "members@" + name;
+            if (done)
+                CHECK(there);
             for (std::size_t n = 0; n < 3; ++n)
-                p.fleet->with_node(
-                    n, [&](node::Server &node) { CHECK(node.store().cuts().size() == s["cuts"].size()); });
+                p.fleet->with_node(n, [&](node::Server &node) {
+                    CHECK(node.store().cuts().size() == s["cuts"].size());
+                });
         }
         // Nodes come back to a planner within two seconds.
         bool taken = false;
-        for (int i = 0; i < 100 && !taken; ++i, std::this_thread::sleep_for(std::chrono::milliseconds(50)))
+        for (int i = 0; i < 100 && !taken;
+             ++i, std::this_thread::sleep_for(std::chrono::milliseconds(50)))
             taken = p.ask(0, "members", "last");
         CHECK(taken);
     }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -32,8 +32,8 @@
     }
 };
 
-// One of two schedulers before two nodes, with one plain workload (0) and one plan (0); tests change what
-// they need.
+// One of two schedulers before two nodes, with one plain workload (0) and one plan (0); tests
+// change what they need.
 struct Bench {
     Written did;
     std::unique_ptr<Scheduler> s = make_scheduler(did, 7);
@@ -53,12 +53,13 @@
         s->list_ends();
     }
     void task(Time now, std::uint64_t id, int shard = 1, std::uint64_t key = 0, double units = 2) {
-        s->task_taken(now, TaskId{id}, WorkloadId{0}, VolumeId{5}, PlanId{0}, ShardId{shard}, KeyId{key},
-                      units, 2, false, false, now + 2 * sec);
+        s->task_taken(now, TaskId{id}, WorkloadId{0}, VolumeId{5}, PlanId{0}, ShardId{shard},
+                      KeyId{key}, units, 2, false, false, now + 2 * sec);
     }
-    void outcome(Time now, std::uint64_t id, Outcome how, Time took = 10 * ms, std::uint32_t shot = 0) {
-        s->shot_ended(now, TaskId{id}, ShotId{shot}, NodeId{1}, how, took, how == Outcome::answered, -1, 0,
-                      {});
+    void outcome(Time now, std::uint64_t id, Outcome how, Time took = 10 * ms,
+                 std::uint32_t shot = 0) {
+        s->shot_ended(now, TaskId{id}, ShotId{shot}, NodeId{1}, how, took, how == Outcome::answered,
+                      -1, 0, {});
     }
 };
 
--- a/tests/http/decoder_test.cpp
+++ b/tests/http/decoder_test.cpp
@@ -1,4 +1,5 @@
-// HTTP messages out of bytes: any split reads alike, bounds hold, and what two readers could take in two ways is broken.
+// HTTP messages out of bytes: any split reads alike, bounds hold, and what two readers could take
+// in two ways is broken.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -9,22 +10,28 @@
 
 namespace {
 
-std::string get(const std::string &headers) { return "GET /a?b=c HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n"; }
-Decoder read(std::string_view in, Side side = Side::requests, std::size_t head = 512, std::size_t body = 64) {
+std::string get(const std::string &headers) {
+    return "GET /a?b=c HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n";
+}
+Decoder read(std::string_view in, Side side = Side::requests, std::size_t head = 512,
+             std::size_t body = 64) {
     Decoder d(side, head, body);
-    while (!in.empty() && d.state() != State::whole && d.state() != State::broken) in.remove_prefix(d.take(in));
+    while (!in.empty() && d.state() != State::whole && d.state() != State::broken)
+        in.remove_prefix(d.take(in));
     return d;
 }
 
 } // namespace
 
 TEST_CASE("a request is read alike in whatever pieces it comes, and no further than its end") {
-    const std::string in = "PUT /w HTTP/1.1\r\nHost: x\r\nX-Trace-Id:  7 \r\nContent-Length: 5\r\n\r\nhello";
+    const std::string in =
+        "PUT /w HTTP/1.1\r\nHost: x\r\nX-Trace-Id:  7 \r\nContent-Length: 5\r\n\r\nhello";
     rc::check("pieces", [&] {
         Decoder d(Side::requests, 512, 64);
         std::string all = in + "GET / HT";
         std::size_t at = 0;
-        while (d.state() != State::whole) at += d.take(std::string_view(all).substr(at, *rc::gen::inRange<std::size_t>(1, 30)));
+        while (d.state() != State::whole)
+            at += d.take(std::string_view(all).substr(at, *rc::gen::inRange<std::size_t>(1, 30)));
         RC_ASSERT(at == in.size());
         RC_ASSERT(d.method() == "PUT");
         RC_ASSERT(d.target() == "/w");
@@ -36,11 +43,14 @@
     });
 }
 TEST_CASE("two lengths, odd lengths and odd names are broken") {
-    for (std::string h : {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "Content-Length: 3\r\nContent-Length: 3\r\n",
-                          "Content-Length: -3\r\n", "Content-Length: 3, 3\r\n", "Content-Length: 0x3\r\n", "Content-Length:\r\n",
-                          "Content-Length : 3\r\n", "Transfer-Encoding: gzip\r\n", "Transfer-Encoding: chunked, identity\r\n",
-                          "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "No colon\r\n", "Bad name: 1\r\n",
-                          "Upgrade: x\r\nConnection: upgrade\r\n", "X: a\x01z\r\n"}) {
+    for (std::string h :
+         {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+          "Content-Length: 3\r\nContent-Length: 3\r\n", "Content-Length: -3\r\n",
+          "Content-Length: 3, 3\r\n", "Content-Length: 0x3\r\n", "Content-Length:\r\n",
+          "Content-Length : 3\r\n", "Transfer-Encoding: gzip\r\n",
+          "Transfer-Encoding: chunked, identity\r\n",
+          "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "No colon\r\n",
+          "Bad name: 1\r\n", "Upgrade: x\r\nConnection: upgrade\r\n", "X: a\x01z\r\n"}) {
         CAPTURE(h);
         CHECK(read(get(h) + "abcdefgh").state() == State::broken);
     }
@@ -55,7 +65,8 @@
     CHECK(read(get("X: " + std::string(600, 'a') + "\r\n")).fault_status() == 431);
     CHECK(read("GET /" + std::string(5000, 'a')).fault_status() == 431);
     std::string many;
-    for (int i = 0; i < 65; ++i) many += "A: 1\r\n";
+    for (int i = 0; i < 65; ++i)
+        many += "A: 1\r\n";
     CHECK(read(get(many), Side::requests, 4096).fault_status() == 431);
     const std::string chunked = get("Transfer-Encoding: chunked\r\n");
     CHECK(read(chunked + "3\r\nabc\r\n0\r\n\r\n").body() == "abc");
@@ -65,19 +76,25 @@
     CHECK(read(chunked + "ffffffffffffffff1\r\n").state() == State::broken);
 }
 TEST_CASE("answers: 1xx are passed over; endless or unreadable is broken") {
-    auto d = read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    auto d = read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\nHTTP/1.1 200 "
+                  "OK\r\nContent-Length: 2\r\n\r\nok",
                   Side::answers);
     CHECK(d.state() == State::whole);
     CHECK(d.status() == 200);
     CHECK(d.body() == "ok");
     CHECK(!d.header("Link"));
-    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", Side::answers).state() == State::broken);
-    CHECK(read("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), Side::answers).state() == State::broken);
+    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", Side::answers).state() ==
+          State::broken);
+    CHECK(read("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), Side::answers).state() ==
+          State::broken);
     CHECK(read("\x01\x02 noise", Side::answers).state() == State::broken);
-    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", Side::answers).state() == State::body);
-    CHECK(!read("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Side::answers).keeps_open());
+    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", Side::answers).state() ==
+          State::body);
+    CHECK(!read("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Side::answers)
+               .keeps_open());
 }
-TEST_CASE("an answer without a length is whole at the end of its stream and not before; none else becomes whole by it") {
+TEST_CASE("an answer without a length is whole at the end of its stream and not before; none else "
+          "becomes whole by it") {
     auto end = [](const std::string &in) {
         auto d = read(in, Side::answers);
         CHECK(d.state() != State::whole);
@@ -90,7 +107,8 @@
     CHECK(!d.keeps_open());
     CHECK(end("HTTP/1.1 200 OK\r\n\r\n").state() == State::whole);
     CHECK(end("HTTP/1.1 200 OK\r\n\r\n" + std::string(65, 'b')).state() == State::broken);
-    for (auto cut : {"HTTP/1.1 200 OK\r\nX: 1\r\n", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab",
+    for (auto cut : {"HTTP/1.1 200 OK\r\nX: 1\r\n", "HTTP/1.1 2",
+                     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab",
                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"})
         CHECK(end(cut).state() == State::broken);
     CHECK(end("").state() == State::empty);
@@ -100,7 +118,8 @@
     Decoder d(Side::answers, 512, 16);
     std::string all;
     std::string in = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    for (int i = 0; i < 50; ++i) in += "8\r\n1234567\n\r\n";
+    for (int i = 0; i < 50; ++i)
+        in += "8\r\n1234567\n\r\n";
     for (std::size_t at = 0; at < in.size();) {
         at += d.take(std::string_view(in).substr(at, 13));
         REQUIRE(d.state() != State::broken);
@@ -111,7 +130,9 @@
 TEST_CASE("numbers and ids: whole or nothing") {
     CHECK(number("0.480") == 0.48);
     CHECK(number("-1") == -1);
-    for (auto s : {"", "nan", "inf", "1e9", "1x", " 1", "0x1", "--1"}) CHECK(!number(s));
+    for (auto s : {"", "nan", "inf", "1e9", "1x", " 1", "0x1", "--1"})
+        CHECK(!number(s));
     CHECK(hex16("00000003b4d60021") == 0x3b4d60021);
-    for (auto s : {"", "3b4d60021", "00000003b4d6002g", "+0000003b4d60021", "00000003b4d600211"}) CHECK(!hex16(s));
+    for (auto s : {"", "3b4d60021", "00000003b4d6002g", "+0000003b4d60021", "00000003b4d600211"})
+        CHECK(!hex16(s));
 }
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,4 +1,5 @@
-// Every test binary's main: doctest's, less the tests that scripts/test found on the list of known failures.
+// Every test binary's main: doctest's, less the tests that scripts/test found on the list of known
+// failures.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 
--- a/tests/nbd/helpers.hpp
+++ b/tests/nbd/helpers.hpp
@@ -15,8 +15,8 @@
     std::vector<RequestId> ids;
     void put(RequestId id, std::string s) { ids.push_back(id), lines.push_back(std::move(s)); }
     std::vector<std::string> exports() override { return {"first", "second"}; }
-    bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags, std::uint32_t &least,
-                  std::uint32_t &preferred, std::uint32_t &most) override {
+    bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
+                  std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) override {
         size = 1 << 20, least = 512, preferred = 4096, most = 65536;
         flags = send_flush | send_fua | send_trim | send_write_zeroes | send_df | send_cache;
         return name == "first" || name.empty();
@@ -25,16 +25,23 @@
     static std::string range(std::uint64_t o, std::uint64_t n) {
         return std::to_string(o) + "+" + std::to_string(n);
     }
-    void read(RequestId id, std::uint64_t o, std::uint32_t n, bool) override { put(id, "read " + range(o, n)); }
+    void read(RequestId id, std::uint64_t o, std::uint32_t n, bool) override {
+        put(id, "read " + range(o, n));
+    }
     void write(RequestId id, std::uint64_t o, std::string_view d, bool fua) override {
-        put(id, "write " + range(o, d.size()) + (fua ? " fua " : " ") + std::string(d.substr(0, 4)));
+        put(id,
+            "write " + range(o, d.size()) + (fua ? " fua " : " ") + std::string(d.substr(0, 4)));
     }
     void zero(RequestId id, std::uint64_t o, std::uint32_t n, bool, bool no_hole, bool) override {
         put(id, "zero " + range(o, n) + (no_hole ? " no hole" : ""));
     }
-    void trim(RequestId id, std::uint64_t o, std::uint32_t n, bool) override { put(id, "trim " + range(o, n)); }
+    void trim(RequestId id, std::uint64_t o, std::uint32_t n, bool) override {
+        put(id, "trim " + range(o, n));
+    }
     void flush(RequestId id) override { put(id, "flush"); }
-    void cache(RequestId id, std::uint64_t o, std::uint32_t n) override { put(id, "cache " + range(o, n)); }
+    void cache(RequestId id, std::uint64_t o, std::uint32_t n) override {
+        put(id, "cache " + range(o, n));
+    }
     void status(RequestId id, std::uint64_t o, std::uint32_t n, bool) override {
         put(id, "status " + range(o, n));
     }
@@ -70,7 +77,8 @@
     return option(code, d);
 }
 inline std::string request(std::uint16_t command, std::uint64_t cookie, std::uint64_t offset,
-                           std::uint32_t length, std::string_view payload = "", std::uint16_t flags = 0) {
+                           std::uint32_t length, std::string_view payload = "",
+                           std::uint16_t flags = 0) {
     std::string s;
     put(s, request_magic);
     put(s, flags);
@@ -87,9 +95,10 @@
     Session session;
     explicit Opened(bool structured = true, std::uint32_t most_flying = 16)
         : session(did, most_flying, 65536) {
-        session.bytes(client_flags() + (structured ? option(opt_structured_reply) : "") +
-                      (structured ? context("first", "base:allocation", opt_set_meta_context) : "") +
-                      go("first"));
+        session.bytes(
+            client_flags() + (structured ? option(opt_structured_reply) : "") +
+            (structured ? context("first", "base:allocation", opt_set_meta_context) : "") +
+            go("first"));
         session.take_out();
         did.lines.clear();
     }
--- a/tests/nbd/server_test.cpp
+++ b/tests/nbd/server_test.cpp
@@ -1,4 +1,5 @@
-// The NBD session: the handshake's option paths, requests that must be refused and live, and answers.
+// The NBD session: the handshake's option paths, requests that must be refused and live, and
+// answers.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -7,7 +8,9 @@
 using namespace knotvane::nbd;
 
 namespace {
-std::uint32_t reply_type(const std::string &out, std::size_t at = 0) { return get<std::uint32_t>(out, at + 12); }
+std::uint32_t reply_type(const std::string &out, std::size_t at = 0) {
+    return get<std::uint32_t>(out, at + 12);
+}
 } // namespace
 
 TEST_SUITE("nbd handshake") {
@@ -73,7 +76,8 @@
         s.take_out();
         s.bytes(context("first", "base:allocation", opt_set_meta_context));
         CHECK(reply_type(s.take_out()) == rep_err_invalid);
-        s.bytes(option(opt_structured_reply) + context("first", "base:allocation", opt_set_meta_context));
+        s.bytes(option(opt_structured_reply) +
+                context("first", "base:allocation", opt_set_meta_context));
         CHECK(s.take_out().find("base:allocation") != std::string::npos);
         s.bytes(option(opt_export_name, "") + request(cmd_block_status, 1, 0, 512));
         CHECK(did.lines.back() == "opened ");
@@ -93,13 +97,14 @@
 TEST_SUITE("nbd requests") {
     TEST_CASE("each kind of request becomes its call") {
         Opened o;
-        o.session.bytes(request(cmd_read, 1, 512, 1024) + request(cmd_write, 2, 0, 512, std::string(512, 'w'), 1) +
-                        request(cmd_trim, 3, 512, 512) + request(cmd_write_zeroes, 4, 0, 512, "", 2) +
-                        request(cmd_flush, 5, 0, 0) + request(cmd_cache, 6, 0, 512) +
-                        request(cmd_block_status, 7, 0, 4096));
-        CHECK(o.did.lines == std::vector<std::string>{"read 512+1024", "write 0+512 fua wwww", "trim 512+512",
-                                                      "zero 0+512 no hole", "flush", "cache 0+512",
-                                                      "status 0+4096"});
+        o.session.bytes(request(cmd_read, 1, 512, 1024) +
+                        request(cmd_write, 2, 0, 512, std::string(512, 'w'), 1) +
+                        request(cmd_trim, 3, 512, 512) +
+                        request(cmd_write_zeroes, 4, 0, 512, "", 2) + request(cmd_flush, 5, 0, 0) +
+                        request(cmd_cache, 6, 0, 512) + request(cmd_block_status, 7, 0, 4096));
+        CHECK(o.did.lines == std::vector<std::string>{"read 512+1024", "write 0+512 fua wwww",
+                                                      "trim 512+512", "zero 0+512 no hole", "flush",
+                                                      "cache 0+512", "status 0+4096"});
     }
     TEST_CASE("what can't be done gets its error and the session lives") {
         struct {
@@ -136,7 +141,8 @@
     }
     TEST_CASE("past the most requests in flight input is kept until one ends") {
         Opened o(true, 2);
-        for (std::uint64_t i = 0; i < 5; ++i) o.session.bytes(request(cmd_read, i, 0, 512));
+        for (std::uint64_t i = 0; i < 5; ++i)
+            o.session.bytes(request(cmd_read, i, 0, 512));
         CHECK(o.did.lines.size() == 2);
         CHECK(o.session.choked());
         o.session.done(o.did.ids[0]);
@@ -162,7 +168,8 @@
     }
     TEST_CASE("a good-bye is taken when all that is at work has ended") {
         Opened o;
-        o.session.bytes(request(cmd_read, 1, 0, 512) + request(cmd_disc, 2, 0, 0) + request(cmd_read, 3, 0, 512));
+        o.session.bytes(request(cmd_read, 1, 0, 512) + request(cmd_disc, 2, 0, 0) +
+                        request(cmd_read, 3, 0, 512));
         CHECK_FALSE(o.session.over());
         o.session.done(o.did.ids[0]);
         CHECK(o.session.over());
@@ -182,8 +189,9 @@
         auto whole = client_flags() + option(99) + option(opt_structured_reply) + option(opt_list) +
                      go("first", opt_info) + go("first") + request(cmd_read, 1, 0, 512) +
                      request(cmd_write, 2, 0, 131072, std::string(131072, 'x')) +
-                     request(cmd_write, 3, 512, 1024, std::string(1024, 'y'), 1) + request(cmd_read, 4, 3, 5) +
-                     request(cmd_flush, 5, 0, 0) + request(cmd_disc, 6, 0, 0) + "beyond";
+                     request(cmd_write, 3, 512, 1024, std::string(1024, 'y'), 1) +
+                     request(cmd_read, 4, 3, 5) + request(cmd_flush, 5, 0, 0) +
+                     request(cmd_disc, 6, 0, 0) + "beyond";
         Written once;
         Session all(once, 16, 65536);
         all.bytes(whole);
--- a/tests/node/cuts_test.cpp
+++ b/tests/node/cuts_test.cpp
@@ -1,5 +1,5 @@
-// A node in the middle of a cut: whose late changes go into both, who waits, who is told of the epoch; and
-// what it does of an evening with space to reclaim.
+// A node in the middle of a cut: whose late changes go into both, who waits, who is told of the
+// epoch; and what it does of an evening with space to reclaim.
 #include <doctest/doctest.h>
 
 #include "helpers.hpp"
@@ -17,8 +17,8 @@
                 std::uint64_t number = 0, frames::Kind kind = frames::Kind::write) {
         bool zero = kind == frames::Kind::zero;
         disk.bytes(0, a,
-                   frames::make(kind, number > 0 ? frames::flag_numbered : std::uint8_t{0}, {}, tag, v, 0,
-                                4096, 1000, life, number, sec, ShardId{0},
+                   frames::make(kind, number > 0 ? frames::flag_numbered : std::uint8_t{0}, {}, tag,
+                                v, 0, 4096, 1000, life, number, sec, ShardId{0},
                                 zero ? "" : std::string(4096, fill), epoch));
     }
     std::string holds(VolumeId id) {
@@ -31,8 +31,8 @@
 } // namespace
 
 TEST_SUITE("a node in the middle of a cut") {
-    TEST_CASE(
-        "late changes of who has stopped go into both, new ones into the volume alone, until it is sealed") {
+    TEST_CASE("late changes of who has stopped go into both, new ones into the volume alone, until "
+              "it is sealed") {
         Cutting r;
         r.change(1, 11, 0, 'a');
         CHECK(r.disk.open_cut(v, snap, 4, {EdgeLife{11}}) == Store::Cut::done);
@@ -49,9 +49,10 @@
         CHECK(r.last() == "5 7 ");
         CHECK(r.holds(v) == std::string(2, '\0'));
     }
-    // Found in virtual time: an edge that restarted from an old plan wrote into the cut under its former
-    // life's name.
-    TEST_CASE("whoever has not stopped, another process of the same edge too, waits while the cut is open") {
+    // Found in virtual time: an edge that restarted from an old plan wrote into the cut under its
+    // former life's name.
+    TEST_CASE("whoever has not stopped, another process of the same edge too, waits while the cut "
+              "is open") {
         Cutting r;
         r.disk.open_cut(v, snap, 4, {EdgeLife{11}});
         r.change(1, 12, 0, 'x');
@@ -64,7 +65,8 @@
         CHECK(r.last() == "3 0 ");
         CHECK(r.holds(snap) == std::string(2, '\0'));
     }
-    // Found in virtual time: the first part had run before cut 4, the second came in the middle of cut 5.
+    // Found in virtual time: the first part had run before cut 4, the second came in the middle of
+    // cut 5.
     TEST_CASE("what is of before a sealed cut is refused, also of who is late in the next one") {
         Cutting r;
         r.disk.open_cut(v, snap, 4, {}), r.disk.seal(v, snap);
@@ -90,7 +92,8 @@
         CHECK(r.holds(v) == "bb");
         CHECK(r.holds(snap) == "aa");
     }
-    TEST_CASE("a cut that is undone lets who was late go on; a restarted node knows nobody who was") {
+    TEST_CASE(
+        "a cut that is undone lets who was late go on; a restarted node knows nobody who was") {
         Cutting r;
         r.disk.open_cut(v, snap, 4, {EdgeLife{11}});
         CHECK(r.disk.drop(snap));
@@ -101,9 +104,9 @@
         CHECK(r.last() == "2 7 ");
         r.disk.restart(0, false);
         r.disk.came(0, r.a);
-        r.disk.bytes(
-            0, r.a,
-            frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0, ShardId{0}, {}));
+        r.disk.bytes(0, r.a,
+                     frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                                  ShardId{0}, {}));
         r.change(3, 11, 0, 'a');
         CHECK(r.last() == "3 7 ");
     }
@@ -122,8 +125,8 @@
         Cutting r;
         r.disk.open_cut(v, snap, 4, {}), r.disk.seal(v, snap), r.disk.drop(snap);
         r.disk.bytes(0, r.a,
-                     frames::make(frames::Kind::read, frames::flag_cut, {}, 1, snap, 0, 512, 1000, 0, 0, 0,
-                                  ShardId{0}, {}));
+                     frames::make(frames::Kind::read, frames::flag_cut, {}, 1, snap, 0, 512, 1000,
+                                  0, 0, 0, ShardId{0}, {}));
         CHECK(r.last() == "1 1 ");
     }
     TEST_CASE("a full store says so, and the change is not done") {
@@ -134,8 +137,9 @@
         Disk disk(NodeId{1}, ShardId{0}, small, told, 7, 0);
         ConnId a{1};
         disk.came(0, a);
-        disk.bytes(
-            0, a, frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0, ShardId{0}, {}));
+        disk.bytes(0, a,
+                   frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                                ShardId{0}, {}));
         for (std::uint64_t i = 1; i <= 12; ++i)
             disk.bytes(0, a,
                        frames::make(frames::Kind::write, 0, {}, i, v, i * 4096, 4096, 1000, 1, 0, 0,
@@ -162,9 +166,11 @@
     TEST_CASE("space of a dropped snapshot comes back on a node that is never idle") {
         Cutting r;
         r.disk.set_speed(ms, 1, 2, 100);
-        for (std::uint64_t i = 0; i < 300; ++i) r.store.write(v, i * 64 * 4096, std::string(4096, 'x'));
+        for (std::uint64_t i = 0; i < 300; ++i)
+            r.store.write(v, i * 64 * 4096, std::string(4096, 'x'));
         r.store.cut(v, snap, true);
-        for (std::uint64_t i = 0; i < 300; ++i) r.store.write(v, i * 64 * 4096, std::string(4096, 'y'));
+        for (std::uint64_t i = 0; i < 300; ++i)
+            r.store.write(v, i * 64 * 4096, std::string(4096, 'y'));
         CHECK(r.store.blocks_used() == 600);
         r.disk.drop(snap);
         Time now = 0;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -9,7 +9,8 @@
 using Lines = std::vector<std::string>;
 
 TEST_SUITE("node and late copies") {
-    TEST_CASE("within the window the mark drops a first copy that comes after its twin and a later write") {
+    TEST_CASE("within the window the mark drops a first copy that comes after its twin and a later "
+              "write") {
         Rig r;
         r.write(1 * sec, r.b, 2, 77, 3 * sec, 'x'); // the second copy, on another connection
         r.write(1 * sec, r.b, 3, 78, 3 * sec, 'y'); // the later write
@@ -30,10 +31,12 @@
         r.disk.set_speed(100 * ms, 1, 1, 10);
         r.write(0, r.a, 1, 1, 10 * sec, 'a');
         r.write(0, r.a, 2, 2, 150 * ms, 'b');
-        for (Time t = 0; t < sec; t += 10 * ms) r.disk.tick(t);
+        for (Time t = 0; t < sec; t += 10 * ms)
+            r.disk.tick(t);
         CHECK(r.told.answers == Lines{"1 0 ", "2 3 "});
     }
-    TEST_CASE("after a restart the marks still drop a copy; nothing comes from connections of before") {
+    TEST_CASE(
+        "after a restart the marks still drop a copy; nothing comes from connections of before") {
         Rig r;
         r.write(1 * sec, r.b, 2, 77, 9 * sec, 'x');
         r.write(1 * sec, r.b, 3, 78, 9 * sec, 'y');
@@ -41,7 +44,8 @@
         r.write(2 * sec, r.a, 1, 77, 9 * sec, 'x'); // a connection of the life before: not heard
         r.disk.came(2 * sec, ConnId{3});
         r.disk.bytes(2 * sec, ConnId{3},
-                     frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0, ShardId{0}, {}));
+                     frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                                  ShardId{0}, {}));
         r.write(3 * sec, ConnId{3}, 5, 77, 9 * sec, 'x');
         r.read(3 * sec, ConnId{3}, 6);
         CHECK(r.told.answers == Lines{"2 0 ", "3 0 ", "5 0 ", "6 0 yyyy"});
@@ -52,9 +56,11 @@
     TEST_CASE("it serves some at once, queues others, and turns away what finds no room") {
         Rig r;
         r.disk.set_speed(10 * ms, 1, 1, 2);
-        for (std::uint64_t tag = 1; tag <= 4; ++tag) r.read(0, r.a, tag);
+        for (std::uint64_t tag = 1; tag <= 4; ++tag)
+            r.read(0, r.a, tag);
         CHECK(r.told.answers == Lines{"4 2 "});
-        for (Time t = 0; t <= 30 * ms; t += ms) r.disk.tick(t);
+        for (Time t = 0; t <= 30 * ms; t += ms)
+            r.disk.tick(t);
         CHECK(r.told.answers.size() == 4);
         CHECK(r.disk.served() == 3);
     }
@@ -67,7 +73,8 @@
         CHECK(r.told.answers.empty());
         r.disk.tick(40 * ms);
         CHECK(r.told.answers.size() == 1);
-        for (std::uint64_t tag = 2; tag <= 70; ++tag) r.read(50 * ms, r.a, tag);
+        for (std::uint64_t tag = 2; tag <= 70; ++tag)
+            r.read(50 * ms, r.a, tag);
         CHECK(r.disk.fallen());
         CHECK_FALSE(r.told.open);
         CHECK(r.told.said.back().find("fell over") != std::string::npos);
@@ -78,10 +85,12 @@
         r.read(0, r.a, 1);
         r.read(0, r.a, 2);
         r.ask(0, frames::Kind::call_off, 2);
-        for (Time t = 0; t <= 30 * ms; t += ms) r.disk.tick(t);
+        for (Time t = 0; t <= 30 * ms; t += ms)
+            r.disk.tick(t);
         CHECK(r.told.answers == Lines{"2 6 ", std::string("1 0 ") + std::string(4, '\0')});
     }
-    TEST_CASE("an ask for another shard is answered as misdirected, one before the hello ends the connection") {
+    TEST_CASE("an ask for another shard is answered as misdirected, one before the hello ends the "
+              "connection") {
         Rig r;
         r.ask(0, frames::Kind::read, 1, ShardId{3});
         CHECK(r.told.answers == Lines{"1 5 "});
@@ -139,8 +148,8 @@
     TEST_CASE("bytes that are no frames end their connection with a reason") {
         CHECK(rc::check([](std::uint16_t at, std::uint8_t bit) {
             Rig r;
-            auto f = frames::make(frames::Kind::write, 0, {}, 1, VolumeId{5}, 0, 512, 1000, 0, 0, 0, ShardId{0},
-                                  std::string(512, 'x'));
+            auto f = frames::make(frames::Kind::write, 0, {}, 1, VolumeId{5}, 0, 512, 1000, 0, 0, 0,
+                                  ShardId{0}, std::string(512, 'x'));
             f[at % f.size()] ^= static_cast<char>(1 << (bit % 8));
             r.disk.bytes(0, r.a, f);
             RC_ASSERT(r.told.answers.empty());
--- a/tests/planner/cuts_test.cpp
+++ b/tests/planner/cuts_test.cpp
@@ -13,14 +13,18 @@
 struct Ordered final : Cuts::Orders {
     Lines did;
     static std::string t(auto id) { return std::to_string(id.value); }
-    void hold(EdgeId e, VolumeId, VolumeId, std::uint32_t, Time) override { did.push_back("hold " + t(e)); }
+    void hold(EdgeId e, VolumeId, VolumeId, std::uint32_t, Time) override {
+        did.push_back("hold " + t(e));
+    }
     void go(EdgeId e, VolumeId, VolumeId, std::uint32_t epoch) override {
         did.push_back("go " + t(e) + " " + std::to_string(epoch));
     }
     void release(EdgeId e, VolumeId, VolumeId) override { did.push_back("release " + t(e)); }
-    void open(NodeId n, VolumeId, VolumeId, std::uint32_t, const std::vector<EdgeLife> &late) override {
+    void open(NodeId n, VolumeId, VolumeId, std::uint32_t,
+              const std::vector<EdgeLife> &late) override {
         std::string line = "open " + t(n) + " late";
-        for (auto l : late) line += " " + t(l);
+        for (auto l : late)
+            line += " " + t(l);
         did.push_back(line);
     }
     void seal(NodeId n, VolumeId, VolumeId) override { did.push_back("seal " + t(n)); }
@@ -49,8 +53,10 @@
     }
     // Until edges go on.
     void opened() {
-        for (std::uint64_t e : {1, 2}) edge(ms, e, CutStep::ready);
-        for (std::uint64_t n : {1, 2}) node(2 * ms, n, CutStep::opened);
+        for (std::uint64_t e : {1, 2})
+            edge(ms, e, CutStep::ready);
+        for (std::uint64_t n : {1, 2})
+            node(2 * ms, n, CutStep::opened);
         o.take();
     }
 };
@@ -58,7 +64,8 @@
 } // namespace
 
 TEST_SUITE("a cut's steps") {
-    TEST_CASE("edges stop, nodes cut, edges go on, what began before ends, nodes seal; nothing goes before "
+    TEST_CASE("edges stop, nodes cut, edges go on, what began before ends, nodes seal; nothing "
+              "goes before "
               "its time") {
         Cutting c;
         CHECK(c.o.take() == Lines{"hold 1", "hold 2"});
@@ -96,12 +103,14 @@
         CHECK(c.o.take().empty());
         c.cuts.tick(100 * ms, {});
         CHECK(c.o.take() == Lines{"release 2", "open 1 late 10", "open 2 late 10"});
-        c.edge(101 * ms, 2, CutStep::ready); // its word was late: it holds changes back, and need not
+        c.edge(101 * ms, 2,
+               CutStep::ready); // its word was late: it holds changes back, and need not
         CHECK(c.o.take() == Lines{"release 2"});
         c.node(102 * ms, 1, CutStep::opened), c.node(102 * ms, 2, CutStep::opened);
         CHECK(c.o.take() == Lines{"go 1 5"});
     }
-    TEST_CASE("an edge lost before nodes cut is left out; lost while its changes count, it ends the cut") {
+    TEST_CASE("an edge lost before nodes cut is left out; lost while its changes count, it ends "
+              "the cut") {
         Cutting c;
         c.edge(ms, 1, CutStep::ready), c.o.take();
         c.cuts.edge_gone(2 * ms, EdgeId{1});
@@ -128,10 +137,12 @@
         CHECK(c.o.take() == Lines{"failed again: edge 2 held its changes back for too long"});
         CHECK(c.cuts.next_due() > 1000 * sec);
     }
-    TEST_CASE("a node lost at any step ends it: what it cut was not durable, who is late it forgot") {
+    TEST_CASE(
+        "a node lost at any step ends it: what it cut was not durable, who is late it forgot") {
         for (int step = 0; step < 3; ++step) {
             Cutting c;
-            if (step > 0) c.opened();
+            if (step > 0)
+                c.opened();
             if (step > 1)
                 for (std::uint64_t e : {1, 2})
                     c.edge(3 * ms, e, CutStep::moved), c.edge(3 * ms, e, CutStep::drained);
@@ -144,12 +155,13 @@
         Cutting c;
         c.edge(ms, 1, CutStep::ready), c.edge(ms, 2, CutStep::ready), c.o.take();
         c.node(2 * ms, 1, CutStep::opened, 3);
-        CHECK(c.o.take() ==
-              Lines{"release 1", "release 2", "failed: node 1: less than a tenth of its store is free"});
+        CHECK(c.o.take() == Lines{"release 1", "release 2",
+                                  "failed: node 1: less than a tenth of its store is free"});
     }
     TEST_CASE("each step has an end: nodes to cut, edges to go on, changes to end, nodes to seal") {
         Cutting c;
-        for (std::uint64_t e : {1, 2}) c.edge(ms, e, CutStep::ready);
+        for (std::uint64_t e : {1, 2})
+            c.edge(ms, e, CutStep::ready);
         c.cuts.tick(c.cuts.next_due(), {});
         CHECK(c.o.take().back() == "failed again: waited too long for nodes to cut: node 1, 2");
         Cutting d;
@@ -172,7 +184,8 @@
         c.edge(ms, 2, CutStep::ready);
         CHECK(c.o.take().size() == 2);
     }
-    TEST_CASE("what is undone is taken back at every shard, again and again until all have said so") {
+    TEST_CASE(
+        "what is undone is taken back at every shard, again and again until all have said so") {
         Ordered o;
         Cuts cuts(o);
         cuts.undo(as, {ShardId{0}, ShardId{1}});
@@ -202,7 +215,8 @@
         facts::Reader reader;
         std::vector<std::string> answers, heard;
         std::uint8_t how = 0;
-        void cut_open(VolumeId, VolumeId a, std::uint32_t epoch, const std::vector<EdgeLife> &) override {
+        void cut_open(VolumeId, VolumeId a, std::uint32_t epoch,
+                      const std::vector<EdgeLife> &) override {
             heard.push_back("open " + std::to_string(epoch));
             answers.push_back(facts::tell_cut(a, CutStep::opened, how));
         }
@@ -222,13 +236,15 @@
     // All messages of nodes, until they are silent.
     void run(Time now) {
         for (std::uint64_t n : {1, 2})
-            if (seen.contains(100 + n + 1000)) say(now, 100 + n + 1000, facts::node_renew());
+            if (seen.contains(100 + n + 1000))
+                say(now, 100 + n + 1000, facts::node_renew());
         for (int i = 0; i < 12; ++i) {
             core.settle(now);
             for (std::uint64_t n : {1, 2}) {
                 auto side = 100 + n + 1000;
                 nodes[n].reader.bytes(std::exchange(did.sent[SideId{side}], {}), nodes[n]);
-                for (auto &a : std::exchange(nodes[n].answers, {})) say(now, side, a);
+                for (auto &a : std::exchange(nodes[n].answers, {}))
+                    say(now, side, a);
             }
         }
     }
@@ -245,7 +261,8 @@
 } // namespace
 
 TEST_SUITE("snapshots by an operator's word") {
-    TEST_CASE("one that is whole is a volume of its source's place and share, durable with its epoch before "
+    TEST_CASE("one that is whole is a volume of its source's place and share, durable with its "
+              "epoch before "
               "it is said") {
         Snapshots p;
         auto heard = p.ask(sec, 0, "v", "a");
@@ -267,12 +284,14 @@
         CHECK(!p.ask(sec, 0, "v", "a@b").allowed);
         CHECK(!p.ask(sec, 0, "v", "").allowed);
         p.ask(sec, 0, "v", "a");
-        CHECK(p.ask(sec, 0, "v@a", "b").effect_text == "v@a is a snapshot, which does not change: clone it");
+        CHECK(p.ask(sec, 0, "v@a", "b").effect_text ==
+              "v@a is a snapshot, which does not change: clone it");
         CHECK(p.ask(sec, 2, "v", "c").effect_text == "v is no snapshot: take one and clone that");
         CHECK(p.ask(sec, 2, "v@a", "c", "q").effect_text == "there is no plan q");
         CHECK(p.ask(sec, 1, "v").effect_text == "there is no snapshot or clone v");
         p.core.gone(sec, SideId{1102}); // node 2
-        CHECK(p.ask(sec, 0, "v", "b").effect_text == "no node of shard 1 is connected to the planner");
+        CHECK(p.ask(sec, 0, "v", "b").effect_text ==
+              "no node of shard 1 is connected to the planner");
     }
     TEST_CASE("a clone pays from its source's part, or has a plan that has no reserve") {
         Snapshots p;
@@ -298,7 +317,8 @@
         CHECK(faults.size() == 5); // v left out: three cuts; plan test; the name c
         CHECK(t.volumes.contains(VolumeId{7}));
     }
-    TEST_CASE("one that fails leaves nothing: it is taken back, tried again, and the operator hears why") {
+    TEST_CASE("one that fails leaves nothing: it is taken back, tried again, and the operator "
+              "hears why") {
         Snapshots p;
         p.nodes[2].how = 3;
         auto heard = p.ask(sec, 0, "v", "a");
@@ -307,9 +327,11 @@
               "v@a: node 2: less than a tenth of its store is free; nothing is left of it");
         CHECK(p.nodes[1].heard == Lines{"open 1", "drop"});
         CHECK(p.core.state().table().names.size() == 1);
-        for (auto &[key, row] : p.did.rows) CHECK(std::get<0>(key) != Keeper::Row::undo);
+        for (auto &[key, row] : p.did.rows)
+            CHECK(std::get<0>(key) != Keeper::Row::undo);
     }
-    TEST_CASE("a planner that comes back takes back what was not whole, and gives its epoch to nobody") {
+    TEST_CASE(
+        "a planner that comes back takes back what was not whole, and gives its epoch to nobody") {
         Written did;
         Core core(did, did, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec);
         core.restore(Keeper::Row::plan, 0, 0, Version{1},
@@ -334,17 +356,19 @@
         p.run(sec + 600 * ms);
         CHECK(p.nodes[1].heard.size() == orders + 1);
     }
-    TEST_CASE("a second take is refused while the first is not yet begun, or waits to be tried again") {
+    TEST_CASE(
+        "a second take is refused while the first is not yet begun, or waits to be tried again") {
         Snapshots p;
-        p.say(sec, 61, facts::ask_cut(0, "v", "b", "")), p.say(sec, 62, facts::ask_cut(0, "v", "c", ""));
+        p.say(sec, 61, facts::ask_cut(0, "v", "b", "")),
+            p.say(sec, 62, facts::ask_cut(0, "v", "c", ""));
         p.run(sec);
         EdgeSide heard;
         heard.reader.bytes(p.did.sent[SideId{62}], heard);
         CHECK(heard.effect_text == "another snapshot of v is under way");
         CHECK(p.core.state().table().names.contains("v@b"));
     }
-    TEST_CASE(
-        "dropping one that a client has open is refused with who; else it goes at once, at the nodes later") {
+    TEST_CASE("dropping one that a client has open is refused with who; else it goes at once, at "
+              "the nodes later") {
         Snapshots p;
         p.ask(sec, 0, "v", "a");
         auto id = p.core.state().table().names.at("v@a");
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -1,4 +1,5 @@
-// What the planner's tests share: a shell and a keeper written down, and an edge's side of a connection.
+// What the planner's tests share: a shell and a keeper written down, and an edge's side of a
+// connection.
 #pragma once
 
 #include <map>
@@ -28,7 +29,8 @@
     void drop(Row row, std::uint64_t a, std::uint64_t b) override { rows.erase({row, a, b}); }
     bool commit(Term, std::uint64_t, Version v, Version, std::uint64_t) override {
         commits += durable;
-        if (durable) version = v;
+        if (durable)
+            version = v;
         return durable;
     }
 };
@@ -52,7 +54,8 @@
     std::vector<Version> renewals;
     std::string status_text, effect_text;
     bool allowed = false, done = false;
-    void begins(facts::Term t, std::uint64_t i, std::uint64_t l, Version v, Version from, Time) override {
+    void begins(facts::Term t, std::uint64_t i, std::uint64_t l, Version v, Version from,
+                Time) override {
         copy.begins(t, i, l, v, from);
     }
     void node(NodeId id, facts::Node n) override { copy.put(id, std::move(n)); }
@@ -63,7 +66,9 @@
     void no_volume(VolumeId id) override { copy.drop_volume(id); }
     void no_part(VolumeId id) override { copy.drop_part(id); }
     void ends(Version v, std::uint64_t count) override { last = copy.ends(v, count); }
-    void renewed(Time, facts::Term, Time, Time, Version least) override { renewals.push_back(least); }
+    void renewed(Time, facts::Term, Time, Time, Version least) override {
+        renewals.push_back(least);
+    }
     void status(const std::string &json) override { status_text = json; }
     void effect(bool may, bool was, const std::string &text) override {
         allowed = may, done = was, effect_text = text;
@@ -86,17 +91,20 @@
     }
     void node(Time now, std::uint64_t id, std::uint64_t life = 1, Time age = 3600 * sec) {
         say(now, 100 + id + 1000 * life,
-            facts::node_hello(NodeId{id}, ShardId{static_cast<std::int32_t>(id) - 1}, ZoneId{0}, "n", life, age));
+            facts::node_hello(NodeId{id}, ShardId{static_cast<std::int32_t>(id) - 1}, ZoneId{0},
+                              "n", life, age));
     }
     void say(Time now, std::uint64_t side, const std::string &bytes) {
-        if (seen.insert(side).second) core.came(now, SideId{side});
+        if (seen.insert(side).second)
+            core.came(now, SideId{side});
         core.bytes(now, SideId{side}, bytes);
     }
     // An edge comes, with what it holds; its side has its own number.
     void hello(Time now, std::uint64_t edge, std::vector<VolumeId> serving = {}) {
         auto &c = edges[edge].copy;
         say(now, edge,
-            facts::edge_hello(EdgeId{edge}, "e", c.term(), c.instance(), c.lineage(), c.version(), {}, serving));
+            facts::edge_hello(EdgeId{edge}, "e", c.term(), c.instance(), c.lineage(), c.version(),
+                              {}, serving));
         core.settle(now);
         read(edge);
     }
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -1,5 +1,5 @@
-// The planner's decisions: parts of limits in every order of events, leases, nodes' presence, drains, settings,
-// other planners, and what an edge's copy takes.
+// The planner's decisions: parts of limits in every order of events, leases, nodes' presence,
+// drains, settings, other planners, and what an edge's copy takes.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -35,9 +35,11 @@
         p.renew(1101 * ms, 2);
         p.renew(1102 * ms, 2);
         CHECK(p.part(2) == 750000);
-        for (Time t = 2 * sec; t < 11 * sec; t += sec) p.renew(t, 2);
+        for (Time t = 2 * sec; t < 11 * sec; t += sec)
+            p.renew(t, 2);
         CHECK(p.part(2) == 750000);
-        for (Time t = 11101 * ms; t < 11105 * ms; t += ms) p.renew(t, 2);
+        for (Time t = 11101 * ms; t < 11105 * ms; t += ms)
+            p.renew(t, 2);
         CHECK(p.part(2) == 1000000);
     }
     TEST_CASE("an edge that comes back has no right before it goes by what was lowered meanwhile") {
@@ -54,7 +56,8 @@
         p.renew(1301 * ms, 1);
         CHECK(p.edges[1].renewals.size() == before + 1);
     }
-    // Edges hold what they were last delivered, in any order, some of it never; and they fade on their own.
+    // Edges hold what they were last delivered, in any order, some of it never; and they fade on
+    // their own.
     TEST_CASE("in any order of joins, leaves, news and lapses no more is held than the whole") {
         CHECK(rc::check([] {
             Parts parts;
@@ -66,25 +69,32 @@
                 int stage = 0; // 0 held, 1 a piece, 2 none
             };
             std::map<std::uint64_t, Edge> edges;
-            std::map<std::uint64_t, std::vector<std::pair<Version, std::uint32_t>>> mail; // never lost, any order
+            std::map<std::uint64_t, std::vector<std::pair<Version, std::uint32_t>>>
+                mail; // never lost, any order
             for (int i = 0, n = *rc::gen::inRange(1, 120); i < n; ++i) {
                 auto id = *rc::gen::inRange<std::uint64_t>(0, 4);
                 auto &e = edges[id];
                 EdgeId edge{id};
                 switch (*rc::gen::inRange(0, 7)) {
-                case 0: parts.serve(v, edge, true); break;
-                case 1: parts.serve(v, edge, false); break;
+                case 0:
+                    parts.serve(v, edge, true);
+                    break;
+                case 1:
+                    parts.serve(v, edge, false);
+                    break;
                 case 2: // an edge takes one of its letters; older ones are dropped
                 case 3:
                     if (!mail[id].empty()) {
                         auto at = *rc::gen::inRange<std::size_t>(0, mail[id].size());
                         auto [ver, part] = mail[id][at];
-                        if (ver > e.at) e.at = ver, e.part = part;
+                        if (ver > e.at)
+                            e.at = ver, e.part = part;
                     }
                     break;
                 case 4: // its word comes in, perhaps an old one
                     parts.acked(edge, e.at);
-                    if (e.at >= e.least && e.stage < 2) e.stage = 0, parts.back(edge);
+                    if (e.at >= e.least && e.stage < 2)
+                        e.stage = 0, parts.back(edge);
                     break;
                 case 5:
                     if (e.stage == 0) {
@@ -94,7 +104,8 @@
                     break;
                 case 6:
                     // It has faded out, or comes back with nothing.
-                    if (e.stage == 1) parts.forgotten(edge), mail[id].clear(), e = {0, Version{version}, {}, 0};
+                    if (e.stage == 1)
+                        parts.forgotten(edge), mail[id].clear(), e = {0, Version{version}, {}, 0};
                     break;
                 }
                 ++version;
@@ -105,7 +116,8 @@
                     },
                     [](VolumeId, EdgeId, const Parts::Hold *) {});
                 std::uint64_t sum = 0;
-                for (auto &[_, x] : edges) sum += x.stage == 0 ? x.part : facts::usable(x.part, 1, 1);
+                for (auto &[_, x] : edges)
+                    sum += x.stage == 0 ? x.part : facts::usable(x.part, 1, 1);
                 RC_ASSERT(sum <= facts::whole_limit);
                 RC_ASSERT(parts.bound(v) <= facts::whole_limit);
             }
@@ -116,9 +128,11 @@
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
         CHECK(p.part(1) == 0);
-        for (Time t = 0; t <= 2200 * ms; t += 100 * ms) p.renew(t, 1);
+        for (Time t = 0; t <= 2200 * ms; t += 100 * ms)
+            p.renew(t, 1);
         CHECK(p.part(1) == 750000);
-        for (Time t = 2200 * ms; t <= 13 * sec; t += 100 * ms) p.renew(t, 1);
+        for (Time t = 2200 * ms; t <= 13 * sec; t += 100 * ms)
+            p.renew(t, 1);
         CHECK(p.part(1) == 1000000);
     }
 }
@@ -131,7 +145,8 @@
         int asked = 0;
         for (Time t = 0; t < 10 * sec; t += 100 * ms) {
             CHECK(n.in(t, 3));
-            if (n.to_ask(t)) ++asked, n.witness(EdgeId{1}, true);
+            if (n.to_ask(t))
+                ++asked, n.witness(EdgeId{1}, true);
         }
         CHECK(asked == 10);
     }
@@ -161,7 +176,8 @@
             CHECK(n.in(t, 1));
         }
     }
-    TEST_CASE("another life is in at once; the same has to be steady, the longer the more often it went") {
+    TEST_CASE("another life is in at once; the same has to be steady, the longer the more often it "
+              "went") {
         auto n = node();
         n.heard(0, "a", 1, 0);
         n.in(0, 0), n.in(sec, 0);
@@ -186,7 +202,8 @@
 }
 
 TEST_SUITE("drains and settings") {
-    TEST_CASE("a drain says what it would do, needs force where nothing else serves, is durable before it is told") {
+    TEST_CASE("a drain says what it would do, needs force where nothing else serves, is durable "
+              "before it is told") {
         Planning p;
         p.hello(0, 1);
         p.renew(0, 1);
@@ -194,7 +211,8 @@
         p.core.settle(0);
         p.read(50);
         CHECK_FALSE(p.edges[50].done);
-        CHECK(p.edges[50].effect_text.find("no other ready node holds its shard") != std::string::npos);
+        CHECK(p.edges[50].effect_text.find("no other ready node holds its shard") !=
+              std::string::npos);
         p.did.durable = false;
         p.say(ms, 50, facts::ask_drain(NodeId{1}, true, 2));
         p.core.settle(ms);
@@ -227,10 +245,12 @@
         std::vector<std::pair<int, std::string>> faults;
         p.core.want(now, w, faults);
         std::string all;
-        for (auto &[line, what] : faults) all += std::to_string(line) + ":" + what + ";";
+        for (auto &[line, what] : faults)
+            all += std::to_string(line) + ":" + what + ";";
         return all;
     };
-    TEST_CASE("a node in use can't be left out before its drain was known long enough; then it can") {
+    TEST_CASE(
+        "a node in use can't be left out before its drain was known long enough; then it can") {
         Planning p;
         auto less = wanted(2);
         less.nodes.erase(NodeId{1});
@@ -245,7 +265,8 @@
         CHECK(refusals(p, less, 1000 * ms) == "");
         CHECK_FALSE(p.core.state().table().nodes.contains(NodeId{1}));
     }
-    TEST_CASE("an older version, a shard that changes, a volume that shrinks or has clients: refused whole") {
+    TEST_CASE("an older version, a shard that changes, a volume that shrinks or has clients: "
+              "refused whole") {
         Planning p;
         p.hello(0, 1, {VolumeId{7}});
         auto w = wanted(3);
@@ -263,7 +284,8 @@
         CHECK(refusals(p, wanted(3)) == "");
         CHECK(refusals(p, wanted(2)).find("older than the one in use, 3") != std::string::npos);
     }
-    TEST_CASE("the fleet's file: what is written is read; cut short anywhere it is refused, with a line") {
+    TEST_CASE("the fleet's file: what is written is read; cut short anywhere it is refused, with a "
+              "line") {
         auto text = write_fleet(wanted());
         std::vector<std::string> faults;
         auto back = read_fleet("f", text, faults);
@@ -276,10 +298,14 @@
             CHECK_FALSE(faults.empty());
         }
         faults.clear();
-        read_fleet("f", "[fleet]\nversion = 1\nnodes = 0\nplans = 1\nvolumes = 1\n[plan p]\nweight = 0\nreserve = 5\n"
-                        "[volume v]\nsize = 4KiB\nplan = p\n[end]\nversion = 1\n", faults);
+        read_fleet("f",
+                   "[fleet]\nversion = 1\nnodes = 0\nplans = 1\nvolumes = 1\n[plan p]\nweight = "
+                   "0\nreserve = 5\n"
+                   "[volume v]\nsize = 4KiB\nplan = p\n[end]\nversion = 1\n",
+                   faults);
         REQUIRE(faults.size() == 1);
-        CHECK(faults[0] == "f:7: [plan p] weight = 0: a plan with a reserve can't weigh nothing: its reserve would not be met");
+        CHECK(faults[0] == "f:7: [plan p] weight = 0: a plan with a reserve can't weigh nothing: "
+                           "its reserve would not be met");
     }
 }
 
@@ -299,20 +325,24 @@
         q.say(0, 1, facts::edge_hello(EdgeId{1}, "e", Term{2}, 9, 5, Version{900}, {}, {}));
         CHECK(q.did.has_retired);
     }
-    TEST_CASE("a store made anew goes above the term it meets, and holds the drains that edges know of") {
+    TEST_CASE(
+        "a store made anew goes above the term it meets, and holds the drains that edges know of") {
         Planning p(Term{1}, true);
-        p.say(0, 1, facts::edge_hello(EdgeId{1}, "e", Term{8}, 9, 77, Version{30}, {NodeId{2}}, {}));
+        p.say(0, 1,
+              facts::edge_hello(EdgeId{1}, "e", Term{8}, 9, 77, Version{30}, {NodeId{2}}, {}));
         p.core.settle(0);
         CHECK_FALSE(p.did.has_retired);
         CHECK(p.core.term() == Term{9});
         CHECK(p.core.state().table().nodes.at(NodeId{2}).state == NodeState::draining);
     }
-    TEST_CASE("changes are told once each, however often they changed; what is not answered is told again") {
+    TEST_CASE("changes are told once each, however often they changed; what is not answered is "
+              "told again") {
         Planning p;
         p.hello(0, 1);
         p.renew(0, 1);
         CHECK(p.edges[1].last == facts::Taken::whole);
-        for (std::uint64_t life = 2; life < 9; ++life) p.node(ms, 1, life, 0), p.core.settle(ms);
+        for (std::uint64_t life = 2; life < 9; ++life)
+            p.node(ms, 1, life, 0), p.core.settle(ms);
         p.read(1);
         CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).life == 2);
         p.renew(2 * ms, 1);
@@ -334,12 +364,14 @@
         CHECK(p.did.closed.size() == 2);
         CHECK(p.did.said.back().find("a message of") != std::string::npos);
     }
-    TEST_CASE("an edge's copy: a gap, a broken count, an older term, another instance change nothing") {
+    TEST_CASE(
+        "an edge's copy: a gap, a broken count, an older term, another instance change nothing") {
         facts::Copy c;
-        auto news = [&](std::uint64_t term, std::uint64_t instance, std::uint64_t version, std::uint64_t from,
-                        std::uint64_t count = 1) {
+        auto news = [&](std::uint64_t term, std::uint64_t instance, std::uint64_t version,
+                        std::uint64_t from, std::uint64_t count = 1) {
             c.begins(Term{term}, instance, 1, Version{version}, Version{from});
-            c.put(VolumeId{version}, facts::Volume{"v" + std::to_string(version), 512, 512, PlanId{0}});
+            c.put(VolumeId{version},
+                  facts::Volume{"v" + std::to_string(version), 512, 512, PlanId{0}});
             return c.ends(Version{version}, count);
         };
         CHECK(news(2, 1, 5, 0) == facts::Taken::whole);
--- a/tests/planner/store_test.cpp
+++ b/tests/planner/store_test.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-// SQLite's own file layer, but writing stops for good at a chosen call, halfway through it: what a kill or a full
-// disk leaves. Every change of a file counts: writes, cuts, syncs and removals.
+// SQLite's own file layer, but writing stops for good at a chosen call, halfway through it: what a
+// kill or a full disk leaves. Every change of a file counts: writes, cuts, syncs and removals.
 struct Cutting {
     static inline sqlite3_vfs *real = nullptr;
     static inline int left = -1, calls = 0;
@@ -32,19 +32,26 @@
         return left >= 0 && left-- <= 0 && (left = 0, true);
     }
     static int write(sqlite3_file *f, const void *from, int n, sqlite3_int64 at) {
-        if (!dead()) return of.at(f)->xWrite(f, from, n, at);
+        if (!dead())
+            return of.at(f)->xWrite(f, from, n, at);
         static bool half = true;
-        if ((half = !half)) of.at(f)->xWrite(f, from, n / 2, at);
+        if ((half = !half))
+            of.at(f)->xWrite(f, from, n / 2, at);
         return SQLITE_IOERR_WRITE;
     }
-    static int truncate(sqlite3_file *f, sqlite3_int64 n) { return dead() ? SQLITE_IOERR : of.at(f)->xTruncate(f, n); }
-    static int sync(sqlite3_file *f, int flags) { return dead() ? SQLITE_IOERR : of.at(f)->xSync(f, flags); }
+    static int truncate(sqlite3_file *f, sqlite3_int64 n) {
+        return dead() ? SQLITE_IOERR : of.at(f)->xTruncate(f, n);
+    }
+    static int sync(sqlite3_file *f, int flags) {
+        return dead() ? SQLITE_IOERR : of.at(f)->xSync(f, flags);
+    }
     static int remove(sqlite3_vfs *, const char *name, int dir) {
         return dead() ? SQLITE_IOERR_DELETE : real->xDelete(real, name, dir);
     }
     static int open(sqlite3_vfs *, const char *name, sqlite3_file *f, int flags, int *out) {
         int got = real->xOpen(real, name, f, flags, out);
-        if (got != SQLITE_OK) return got;
+        if (got != SQLITE_OK)
+            return got;
         of[f] = f->pMethods;
         auto &mine = ours[f->pMethods];
         mine = *f->pMethods;
@@ -65,7 +72,8 @@
 };
 
 struct Folder {
-    std::string path = std::filesystem::temp_directory_path() / ("knotvane-store-" + std::to_string(::getpid()));
+    std::string path =
+        std::filesystem::temp_directory_path() / ("knotvane-store-" + std::to_string(::getpid()));
     Folder() {
         std::filesystem::remove_all(path);
         std::filesystem::create_directories(path);
@@ -75,16 +83,20 @@
 };
 
 std::string all_rows(const Store &s) {
-    std::string out = std::to_string(s.term().value) + "/" + std::to_string(s.version().value) + ":";
-    s.rows([&](Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string_view body) {
-        out += std::to_string(static_cast<int>(row)) + "," + std::to_string(a) + "," + std::to_string(b) + "," +
-               std::to_string(stamp.value) + "," + std::string(body) + ";";
+    std::string out =
+        std::to_string(s.term().value) + "/" + std::to_string(s.version().value) + ":";
+    s.rows([&](Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+               std::string_view body) {
+        out += std::to_string(static_cast<int>(row)) + "," + std::to_string(a) + "," +
+               std::to_string(b) + "," + std::to_string(stamp.value) + "," + std::string(body) +
+               ";";
     });
     return out;
 }
 void change(Store &s, std::uint64_t version) {
     for (std::uint64_t i = 0; i < 40; ++i)
-        s.keep(Keeper::Row::hold, i, version % 7, Version{version}, std::string(200, static_cast<char>('a' + version % 26)));
+        s.keep(Keeper::Row::hold, i, version % 7, Version{version},
+               std::string(200, static_cast<char>('a' + version % 26)));
     s.drop(Keeper::Row::hold, version % 40, (version + 3) % 7);
 }
 std::string opened(const std::string &path) {
@@ -99,7 +111,8 @@
 } // namespace
 
 TEST_SUITE("the planner's store") {
-    TEST_CASE("killed at every write it makes: what was committed is there, and nothing of what was not") {
+    TEST_CASE("killed at every write it makes: what was committed is there, and nothing of what "
+              "was not") {
         Folder folder;
         int tried = 0, kept = 0;
         for (int at = 0;; ++at) {
@@ -118,7 +131,8 @@
                 Cutting::left = at, Cutting::calls = 0;
                 change(s, 2);
                 well = s.commit(Term{1}, 5, Version{2}, Version{0}, 1);
-                if (well) after = all_rows(s);
+                if (well)
+                    after = all_rows(s);
                 // What would still be written when the process ends is not.
                 Cutting::left = 0;
             }
@@ -129,12 +143,14 @@
             else
                 CHECK((now == before || now.starts_with("1/2:")));
             kept += now == before, ++tried;
-            if (well) break;
+            if (well)
+                break;
         }
         CHECK(tried > 10);
         CHECK(kept > 3);
     }
-    TEST_CASE("cut short at any byte, or with a byte changed: refused in one line, never half read") {
+    TEST_CASE(
+        "cut short at any byte, or with a byte changed: refused in one line, never half read") {
         Folder folder;
         auto path = folder.file("s");
         {
@@ -163,12 +179,13 @@
             auto other = bytes;
             other[at] = static_cast<char>(other[at] ^ 0x41);
             auto got = with(other);
-            // Bytes that nothing is kept in may change; what is read is what was written, or nothing.
+            // Bytes that nothing is kept in may change; what is read is what was written, or
+            // nothing.
             CHECK((got == good || got.starts_with("! ")));
             (got == good ? same : changed)++;
         }
         CHECK(changed > 10);
-        CHECK(with("") .starts_with("0/0:"));
+        CHECK(with("").starts_with("0/0:"));
     }
     TEST_CASE("one planner has it at a time; when it is gone the next one may") {
         Folder folder;
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -1,4 +1,5 @@
-// The front in one: requests, attempts, answers, what clients and nodes may do wrong, discovery, stopping.
+// The front in one: requests, attempts, answers, what clients and nodes may do wrong, discovery,
+// stopping.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -35,7 +36,8 @@
         CHECK(has(sent, "Idempotency-Key: k1\r\n"));
         CHECK(sent.ends_with("Content-Length: 3\r\n\r\n" + std::string("a\0b", 3)));
     }
-    TEST_CASE("a node's no before it ran is attempted again; after it may have run, a write fails and a read goes again") {
+    TEST_CASE("a node's no before it ran is attempted again; after it may have run, a write fails "
+              "and a read goes again") {
         for (bool writes : {false, true}) {
             Front f;
             auto c = f.client(writes ? write_of("t1", "x") : read_of("t1"));
@@ -87,19 +89,23 @@
 
 TEST_SUITE("nodes that do wrong") {
     TEST_CASE("spoilt answers, in any pieces, never reach a client and cost their connection") {
-        for (std::string bad : {std::string("\x01noise\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'a'),
-                                std::string("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"),
-                                std::string("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc"),
-                                std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
-                                std::string("HTTP/1.1 200 OK\r\n\r\n") + std::string((1 << 20) + 1, 'a'),
-                            std::string("HTTP/1.1 2OO OK\r\n\r\n")})
-            for (std::size_t piece : {bad.size() > 10'000 ? std::size_t{997} : std::size_t{1}, std::size_t{7}, bad.size()}) {
-                if (bad.size() / piece > 10'000) continue; // the same bytes in fewer pieces do
+        for (std::string bad :
+             {std::string("\x01noise\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'a'),
+              std::string("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"),
+              std::string("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc"),
+              std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
+              std::string("HTTP/1.1 200 OK\r\n\r\n") + std::string((1 << 20) + 1, 'a'),
+              std::string("HTTP/1.1 2OO OK\r\n\r\n")})
+            for (std::size_t piece : {bad.size() > 10'000 ? std::size_t{997} : std::size_t{1},
+                                      std::size_t{7}, bad.size()}) {
+                if (bad.size() / piece > 10'000)
+                    continue; // the same bytes in fewer pieces do
                 CAPTURE(bad.substr(0, 60));
                 Front f;
                 auto c = f.client(write_of("t1", "x"));
                 auto n = f.node();
-                for (std::size_t at = 0; at < bad.size(); at += piece) f.core.bytes(f.now, n, bad.substr(at, piece));
+                for (std::size_t at = 0; at < bad.size(); at += piece)
+                    f.core.bytes(f.now, n, bad.substr(at, piece));
                 f.settle();
                 CHECK(f.w.closed.contains(n));
                 CHECK(!has(f.w.sent[c], " 200 "));
@@ -121,7 +127,8 @@
         f.answer(n, reply(200, "one"));
         CHECK(f.w.closed.contains(n));
     }
-    TEST_CASE("an answer that stops short ends soon; one past the protocol's 64 KiB is still good") {
+    TEST_CASE(
+        "an answer that stops short ends soon; one past the protocol's 64 KiB is still good") {
         Front f;
         auto c = f.client(read_of("t1"));
         auto n = f.node();
@@ -155,18 +162,22 @@
             auto s = good;
             return s.replace(s.find(a), a.size(), b);
         };
-        for (auto bad : {std::string("\x16\x03\x01 noise\r\n\r\n"), with("/read", "/none"), with("gold", "tin"),
-                         with("1.000", "soon"), with("1.000", "-1"), with("1.000", "1e300"), with("X-Trace-Id: t1\r\n", ""),
-                         with("X-Trace-Id: t1", "X-Trace-Id: t1\r\nX-Trace-Id: t2"), with("units=2", "units=-2"),
-                         with("units=2", "units=nan"), with("hosts=3", "hosts=0"), with("volume=0", "volume=x"),
-                         with("shard=5,", ""), with("object=7", "object=z"), with("GET", "DELETE"),
-                         with("Host: s", "Host: s\r\nContent-Length: 60000000"),
-                         with("Host: s", "Host: s\r\nContent-Length: 3\r\nTransfer-Encoding: chunked"),
-                         with("Host: s", "Host: s\r\nContent-Length: 2") + "xx", with("Host: s", "Host: " + std::string(9000, 's'))}) {
+        for (auto bad :
+             {std::string("\x16\x03\x01 noise\r\n\r\n"), with("/read", "/none"),
+              with("gold", "tin"), with("1.000", "soon"), with("1.000", "-1"),
+              with("1.000", "1e300"), with("X-Trace-Id: t1\r\n", ""),
+              with("X-Trace-Id: t1", "X-Trace-Id: t1\r\nX-Trace-Id: t2"),
+              with("units=2", "units=-2"), with("units=2", "units=nan"), with("hosts=3", "hosts=0"),
+              with("volume=0", "volume=x"), with("shard=5,", ""), with("object=7", "object=z"),
+              with("GET", "DELETE"), with("Host: s", "Host: s\r\nContent-Length: 60000000"),
+              with("Host: s", "Host: s\r\nContent-Length: 3\r\nTransfer-Encoding: chunked"),
+              with("Host: s", "Host: s\r\nContent-Length: 2") + "xx",
+              with("Host: s", "Host: " + std::string(9000, 's'))}) {
             CAPTURE(bad.substr(0, 200));
             Front f;
             auto c = f.client(bad);
-            CHECK((f.w.sent[c].starts_with("HTTP/1.1 4") || f.w.sent[c].starts_with("HTTP/1.1 501")));
+            CHECK(
+                (f.w.sent[c].starts_with("HTTP/1.1 4") || f.w.sent[c].starts_with("HTTP/1.1 501")));
             CHECK(f.w.closed.contains(c));
             CHECK(f.core.requests() == 0);
             CHECK(f.core.clients().open() == 0);
@@ -181,9 +192,11 @@
     }
     TEST_CASE("who says nothing, or does not come to an end, is closed within its time") {
         Front f;
-        auto silent = f.client(""), half = f.client("GET /read HTTP/1.1\r\nHost"), body = f.client(write_of("t1", "xyz").substr(0, write_of("t1", "xyz").size() - 1));
+        auto silent = f.client(""), half = f.client("GET /read HTTP/1.1\r\nHost"),
+             body = f.client(write_of("t1", "xyz").substr(0, write_of("t1", "xyz").size() - 1));
         auto full = f.client(read_of("t2"));
-        for (auto later : {sec, sec - ms}) f.settle(later);
+        for (auto later : {sec, sec - ms})
+            f.settle(later);
         CHECK(!f.w.closed.contains(silent));
         f.settle(ms);
         CHECK(f.w.closed.contains(silent));
@@ -196,7 +209,8 @@
         CHECK(f.w.sent[full].starts_with("HTTP/1.1 503 "));
     }
     // Two slow requests of a short zone day were cut off after 2 s.
-    TEST_CASE("who says something late has no more time than who does at once; who was answered before has longer") {
+    TEST_CASE("who says something late has no more time than who does at once; who was answered "
+              "before has longer") {
         Front f;
         auto late = f.client("");
         auto slow = f.client("GET /healthz HTTP/1.1\r\n\r\n");
@@ -230,16 +244,20 @@
         f.serve("one");
         CHECK(f.core.requests() == 1);
         f.serve("two");
-        CHECK(f.w.sent[c] == "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo"
+        CHECK(f.w.sent[c] == "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 "
+                             "OK\r\nContent-Length: 3\r\n\r\ntwo"
                              "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
-    // Reading used to stop at a bound: from then on its leaving was not seen, and its requests were sent on.
-    TEST_CASE("who sends far ahead is read on, so that its leaving shows; what is past the bound is not kept") {
+    // Reading used to stop at a bound: from then on its leaving was not seen, and its requests were
+    // sent on.
+    TEST_CASE("who sends far ahead is read on, so that its leaving shows; what is past the bound "
+              "is not kept") {
         for (bool leaves : {false, true}) {
             Front f;
             auto c = f.client(read_of("t1"));
             auto n = f.node();
-            for (int i = 0; i < 100; ++i) f.core.bytes(f.now, c, std::string(20000, 'x'));
+            for (int i = 0; i < 100; ++i)
+                f.core.bytes(f.now, c, std::string(20000, 'x'));
             if (leaves) {
                 f.gone(c);
                 CHECK(f.w.closed.contains(n));
@@ -256,20 +274,25 @@
         auto c = f.client(read_of("t1"));
         auto n = f.node();
         std::string ahead;
-        for (int i = 0; ahead.size() < 70'000; ++i) ahead += read_of("a" + std::to_string(i));
+        for (int i = 0; ahead.size() < 70'000; ++i)
+            ahead += read_of("a" + std::to_string(i));
         f.core.bytes(f.now, c, ahead);
-        f.core.bytes(f.now, c, read_of("cut") + std::string(4000, 'x') + "\r\n\r\n" + read_of("late"));
+        f.core.bytes(f.now, c,
+                     read_of("cut") + std::string(4000, 'x') + "\r\n\r\n" + read_of("late"));
         f.core.bytes(f.now, c, read_of("later"));
         f.answer(n, reply(200, "x"), 100 * us);
-        for (int i = 0; i < 400 && !f.w.closed.contains(c); ++i) f.serve("x", 100 * us);
+        for (int i = 0; i < 400 && !f.w.closed.contains(c); ++i)
+            f.serve("x", 100 * us);
         CHECK(f.w.closed.contains(c));
         for (auto &[conn, sent] : f.w.sent) {
-            if (!f.w.at(conn).starts_with('n')) continue;
+            if (!f.w.at(conn).starts_with('n'))
+                continue;
             CHECK(!has(sent, "X-Trace-Id: late"));
             CHECK(!has(sent, "X-Trace-Id: cut"));
         }
     }
-    TEST_CASE("past that bound, a request that was cut is refused at once, not when its time is up") {
+    TEST_CASE(
+        "past that bound, a request that was cut is refused at once, not when its time is up") {
         Front f;
         auto c = f.client(read_of("t1"));
         auto n = f.node();
@@ -280,20 +303,26 @@
         CHECK(has(f.w.sent[c], "HTTP/1.1 413 "));
         CHECK(f.w.shutting.contains(c));
     }
-    TEST_CASE("past its bound an idle connection goes before one that just came, whose request may wait unread") {
+    TEST_CASE("past its bound an idle connection goes before one that just came, whose request may "
+              "wait unread") {
         Front f;
         std::vector<ConnId> idle;
-        for (int i = 0; i < 140; ++i) idle.push_back(f.client("GET /healthz HTTP/1.1\r\n\r\n"));
+        for (int i = 0; i < 140; ++i)
+            idle.push_back(f.client("GET /healthz HTTP/1.1\r\n\r\n"));
         std::vector<ConnId> fresh;
-        for (int i = 0; i < 60; ++i) fresh.push_back(*f.core.client_came(f.now += us));
-        for (auto c : fresh) CHECK(!f.w.closed.contains(c));
+        for (int i = 0; i < 60; ++i)
+            fresh.push_back(*f.core.client_came(f.now += us));
+        for (auto c : fresh)
+            CHECK(!f.w.closed.contains(c));
         CHECK(f.w.closed.contains(idle.front()));
     }
-    TEST_CASE("past its bound of connections the silent go first; one with an open request never does") {
+    TEST_CASE(
+        "past its bound of connections the silent go first; one with an open request never does") {
         Front f;
         auto asks = f.client(read_of("t1"));
         std::vector<ConnId> silent;
-        for (int i = 0; i < 400; ++i) silent.push_back(*f.core.client_came(f.now += us));
+        for (int i = 0; i < 400; ++i)
+            silent.push_back(*f.core.client_came(f.now += us));
         auto late = f.client(read_of("t2"));
         CHECK(f.core.clients().open() < 200);
         CHECK(!f.w.closed.contains(asks));
@@ -305,7 +334,8 @@
 
 TEST_SUITE("discovery") {
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    TEST_CASE("watches from the list as last had; a change counts; silence and an end make it watch again") {
+    TEST_CASE("watches from the list as last had; a change counts; silence and an end make it "
+              "watch again") {
         Front f;
         auto d = f.w.to("d1");
         CHECK(has(f.w.sent[d], "GET /v1/servers?stream=1&index=41 "));
@@ -370,7 +400,8 @@
 }
 
 TEST_SUITE("life") {
-    TEST_CASE("a stop serves on until just before it may be killed: the longest client timeout and 0.7 s later") {
+    TEST_CASE("a stop serves on until just before it may be killed: the longest client timeout and "
+              "0.7 s later") {
         Front f; // the longest client timeout is 1.5 s: killed 2.2 s after the stop at the soonest
         auto idle = f.client("GET /healthz HTTP/1.1\r\n\r\n");
         auto told = f.now;
@@ -385,18 +416,21 @@
         f.answer(n, reply(200, "two"));
         CHECK(!f.w.closed.contains(c)); // there is no other way in until this one is back
         f.settle(100 * ms);
-        f.core.bytes(f.now, c, read_of("t3", "", "1.400")); // may be answered until this ends, no later
+        f.core.bytes(f.now, c,
+                     read_of("t3", "", "1.400")); // may be answered until this ends, no later
         while (f.now < told + 1700 * ms) {
             CHECK(!f.w.closed.contains(idle)); // a request may be on its way on it
             f.settle(5 * ms);
         }
-        // Then it ends, in order: a request that crosses its end is read and neither taken nor reset.
+        // Then it ends, in order: a request that crosses its end is read and neither taken nor
+        // reset.
         CHECK(f.w.shutting.contains(idle));
         f.core.bytes(f.now, idle, read_of("t4"));
         f.settle(ms);
         CHECK(!has(f.w.sent[n], "t4"));
         CHECK(f.w.shutting.contains(idle));
-        while (!f.core.over() && f.now < told + 2200 * ms) f.settle(5 * ms);
+        while (!f.core.over() && f.now < told + 2200 * ms)
+            f.settle(5 * ms);
         CHECK(f.w.sent[c].find("Connection: close\r\n") != std::string::npos);
         CHECK(f.w.closed.contains(c));
         CHECK(f.now <= told + 2000 * ms);
@@ -417,29 +451,39 @@
 
 TEST_CASE("a trace tells where what was counted and what was open differ, and what it can't read") {
     Trace t;
-    for (auto line : {"[1] info trace attempt request=1 attempt=0 node=2 conn=3 how=0 at=5 connected=100 written=120 first=900 over=950",
-                      "trace attempt request=2 attempt=0 node=2 conn=3 how=5 at=5 connected=- written=- first=- over=70",
-                      "trace told request=1 attempt=0 late=40", "trace late us=2500", "trace node id=2 counted=3 open=1",
-                      "trace node id=2 counted=1 open=1", "serves address=x", "trace attempt how=x", "trace node counted=-"})
+    for (auto line : {"[1] info trace attempt request=1 attempt=0 node=2 conn=3 how=0 at=5 "
+                      "connected=100 written=120 first=900 over=950",
+                      "trace attempt request=2 attempt=0 node=2 conn=3 how=5 at=5 connected=- "
+                      "written=- first=- over=70",
+                      "trace told request=1 attempt=0 late=40", "trace late us=2500",
+                      "trace node id=2 counted=3 open=1", "trace node id=2 counted=1 open=1",
+                      "serves address=x", "trace attempt how=x", "trace node counted=-"})
         t.line(line);
     auto r = t.report();
-    for (auto part : {"answered: 1, us 950 in", "begun to be answered: 1; first byte to end: 1, us 50", "reset: 1, us 70",
-                      "new connections: 1, us 100", "looks at a node: 2", "less open connections 2: 1", "could not be read: 2"}) {
+    for (auto part :
+         {"answered: 1, us 950 in", "begun to be answered: 1; first byte to end: 1, us 50",
+          "reset: 1, us 70", "new connections: 1, us 100", "looks at a node: 2",
+          "less open connections 2: 1", "could not be read: 2"}) {
         CAPTURE(part);
         CHECK(has(r, part));
     }
 }
-// A class without a deadline was taken with one of 0 s: a stop ended at once. Without a connect timeout none came up.
-TEST_CASE("settings: what a site may leave out has no bound, what it may not is told with its path") {
+// A class without a deadline was taken with one of 0 s: a stop ended at once. Without a connect
+// timeout none came up.
+TEST_CASE(
+    "settings: what a site may leave out has no bound, what it may not is told with its path") {
     Front f("Permissions.ConnectTimeoutS=0\nPermissions.ConnIdleS=0\n");
     auto c = f.client(read_of("t1"));
     auto n = f.node(100 * ms);
     f.answer(n, reply(200, "one"));
     CHECK(f.w.sent[c].ends_with("one"));
-    for (int i = 0; i < 20; ++i) f.settle(sec), f.blank();
+    for (int i = 0; i < 20; ++i)
+        f.settle(sec), f.blank();
     CHECK(!f.w.closed.contains(n));
-    for (std::string wrong : {"Classes.1.DeadlineS=0", "Classes.1.DeadlineS=-1", "Permissions.ConnIdleS=-1"})
-        CHECK_THROWS_WITH_AS(Front{wrong + "\n"}, doctest::Contains(wrong.substr(0, wrong.find('=')).c_str()),
+    for (std::string wrong :
+         {"Classes.1.DeadlineS=0", "Classes.1.DeadlineS=-1", "Permissions.ConnIdleS=-1"})
+        CHECK_THROWS_WITH_AS(Front{wrong + "\n"},
+                             doctest::Contains(wrong.substr(0, wrong.find('=')).c_str()),
                              wire::Malformed);
     auto usual = settings_text();
     const std::string target = "Classes.0.TargetS=0.15\n";
@@ -449,12 +493,15 @@
     g.answer(g.node(), reply(200, "one"), 200 * ms); // in time until its deadline
     CHECK(g.w.sent[c].ends_with("one"));
     std::vector<ConnId> wait;
-    for (int i = 0; i < 8; ++i) wait.push_back(g.client(read_of("w" + std::to_string(i))));
+    for (int i = 0; i < 8; ++i)
+        wait.push_back(g.client(read_of("w" + std::to_string(i))));
     g.settle(20 * ms);
     CHECK(g.core.requests() == wait.size()); // none is late yet
 }
-TEST_CASE("configuration: settings at the simulator's paths, names in order, a fault names its field") {
-    std::string good = R"({"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+TEST_CASE(
+    "configuration: settings at the simulator's paths, names in order, a fault names its field") {
+    std::string good =
+        R"({"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
         "limits":{"sockets":256},"settings":{"Classes":[{"Name":"a b","TargetS":0.15},{"Name":"c"}],"Report":{"Columns":[]},
         "Extra":{"Writes":[false,true]},"Contracts":[],"Zones":["z1","z2"]}})";
     Config c(good);
--- a/tests/platform/crossings_test.cpp
+++ b/tests/platform/crossings_test.cpp
@@ -1,5 +1,6 @@
-// Where two events cross, forced by hand on the core: clients, attempts and connections. Each case guards against the
-// fault that its comment names. What needs real sockets is in loopback_test.cpp, discovery's in discovery_test.cpp.
+// Where two events cross, forced by hand on the core: clients, attempts and connections. Each case
+// guards against the fault that its comment names. What needs real sockets is in loopback_test.cpp,
+// discovery's in discovery_test.cpp.
 #include <doctest/doctest.h>
 
 #include "helpers.hpp"
@@ -11,18 +12,23 @@
 
 std::size_t count_of(const std::string &s, const std::string &part) {
     std::size_t n = 0;
-    for (auto at = s.find(part); at != s.npos; at = s.find(part, at + part.size())) ++n;
+    for (auto at = s.find(part); at != s.npos; at = s.find(part, at + part.size()))
+        ++n;
     return n;
 }
 // Its first byte left only with a connection that came up.
-bool asked(Front &f, ConnId node, const std::string &trace) { return has(f.w.sent[node], "X-Trace-Id: " + trace + "\r\n"); }
+bool asked(Front &f, ConnId node, const std::string &trace) {
+    return has(f.w.sent[node], "X-Trace-Id: " + trace + "\r\n");
+}
 const std::string no_cancel = "Permissions.Cancel=false\n";
 
 } // namespace
 
 TEST_SUITE("the client's close") {
-    // Attempts begun 0.22 s after the close, where they may not be called off: the connection came up late.
-    TEST_CASE("while its attempt connects: nothing is sent, also where attempts may not be called off") {
+    // Attempts begun 0.22 s after the close, where they may not be called off: the connection came
+    // up late.
+    TEST_CASE(
+        "while its attempt connects: nothing is sent, also where attempts may not be called off") {
         for (auto &settings : {std::string(), no_cancel}) {
             Front f(settings);
             auto c = f.client(read_of("t1"));
@@ -58,7 +64,8 @@
         f.settle();
         CHECK(f.core.requests() == 0);
     }
-    TEST_CASE("after its request was written: where that may not be called off it goes on, and is counted out") {
+    TEST_CASE("after its request was written: where that may not be called off it goes on, and is "
+              "counted out") {
         Front f(no_cancel);
         auto c = f.client(read_of("t1"));
         auto n = f.node();
@@ -81,28 +88,34 @@
         CHECK(f.w.to("n1") == n);
         Front g;
         std::vector<ConnId> clients;
-        for (int i = 0; i < 12; ++i) clients.push_back(g.client(read_of("w" + std::to_string(i))));
+        for (int i = 0; i < 12; ++i)
+            clients.push_back(g.client(read_of("w" + std::to_string(i))));
         auto before = g.w.connected.size();
-        for (auto waiting : clients) g.core.gone(g.now, waiting, Gone::ended);
+        for (auto waiting : clients)
+            g.core.gone(g.now, waiting, Gone::ended);
         g.settle(50 * ms);
         CHECK(g.w.connected.size() == before);
         CHECK(g.core.requests() == 0);
     }
-    TEST_CASE("in the turn in which its answer came: nothing is written to it, and nothing is left") {
+    TEST_CASE(
+        "in the turn in which its answer came: nothing is written to it, and nothing is left") {
         for (bool answer_first : {false, true}) {
             Front f;
             auto c = f.client(read_of("t1"));
             auto n = f.node();
-            if (answer_first) f.core.bytes(f.now, n, reply(200, "one"));
+            if (answer_first)
+                f.core.bytes(f.now, n, reply(200, "one"));
             f.core.gone(f.now, c, Gone::ended);
-            if (!answer_first) f.core.bytes(f.now, n, reply(200, "one"));
+            if (!answer_first)
+                f.core.bytes(f.now, n, reply(200, "one"));
             f.settle();
             CHECK(f.w.sent[c].empty());
             CHECK(f.core.requests() == 0);
             CHECK(f.core.clients().held() == 0);
         }
     }
-    // A request that waited behind another one was given its whole time anew: nodes were told more than was left.
+    // A request that waited behind another one was given its whole time anew: nodes were told more
+    // than was left.
     TEST_CASE("a request's time starts when its bytes came, not when its turn came") {
         Front f;
         auto c = f.client(read_of("t1"));
@@ -116,8 +129,10 @@
 }
 
 TEST_SUITE("the repeat window's end") {
-    // A further attempt was decided within the window, and its connection came up after it: the effect happened twice.
-    TEST_CASE("while a further attempt connects: it is not made, and the request fails, as its first may have run") {
+    // A further attempt was decided within the window, and its connection came up after it: the
+    // effect happened twice.
+    TEST_CASE("while a further attempt connects: it is not made, and the request fails, as its "
+              "first may have run") {
         for (bool late : {false, true}) {
             Front f("Classes.1.RepeatWindowS=0.2\nClasses.1.TargetS=0.8\n");
             auto c = f.client(write_of("t1", "x"));
@@ -130,18 +145,25 @@
             f.core.up(f.now += late ? 80 * ms : 50 * ms, again);
             f.settle();
             CHECK(asked(f, again, "t1") == !late);
-            if (late) CHECK(f.w.sent[c].starts_with("HTTP/1.1 502 "));
+            if (late)
+                CHECK(f.w.sent[c].starts_with("HTTP/1.1 502 "));
         }
     }
-    TEST_CASE("every effect and group, every outcome, inside and past the window: a further attempt only where harmless") {
+    TEST_CASE("every effect and group, every outcome, inside and past the window: a further "
+              "attempt only where harmless") {
         struct {
             std::string effect, group;
-        } effects[] = {{"idempotent", "all"}, {"deduplicated", "all"}, {"deduplicated", "zone"}, {"deduplicated", "cell"},
+        } effects[] = {{"idempotent", "all"},
+                       {"deduplicated", "all"},
+                       {"deduplicated", "zone"},
+                       {"deduplicated", "cell"},
                        {"at_most_once", "all"}};
         for (auto &e : effects)
-            for (std::string outcome : {"500", "503", "never ran", "reset", "before its last byte", "connect refused"})
+            for (std::string outcome :
+                 {"500", "503", "never ran", "reset", "before its last byte", "connect refused"})
                 for (bool past : {false, true}) {
-                    CAPTURE(e.effect + " " + e.group + ", " + outcome + (past ? ", past" : ", inside"));
+                    CAPTURE(e.effect + " " + e.group + ", " + outcome +
+                            (past ? ", past" : ", inside"));
                     Front f("Classes.1.Effect=" + e.effect + "\nClasses.1.Group=" + e.group +
                             "\nClasses.1.RepeatWindowS=0.2\nClasses.1.TargetS=0.8\n");
                     auto c = f.client(write_of("t1", std::string(1000, 'x')));
@@ -157,24 +179,32 @@
                         if (outcome == "reset" || outcome == "before its last byte")
                             f.core.gone(f.now, n, Gone::broken);
                         else
-                            f.core.bytes(f.now, n, reply(outcome == "500" ? 500 : 503, "",
-                                                         outcome == "never ran" ? "X-Never-Ran: 1\r\n" : ""));
+                            f.core.bytes(f.now, n,
+                                         reply(outcome == "500" ? 500 : 503, "",
+                                               outcome == "never ran" ? "X-Never-Ran: 1\r\n" : ""));
                     }
                     f.settle();
                     f.settle(60 * ms); // a full node is held for a moment
-                    if (f.w.to("n1") != n) f.core.up(f.now, f.w.to("n1")), f.settle();
+                    if (f.w.to("n1") != n)
+                        f.core.up(f.now, f.w.to("n1")), f.settle();
                     std::size_t attempts = count_of(f.w.sent[n], "X-Trace-Id: t1\r\n");
-                    if (f.w.to("n1") != n) attempts += count_of(f.w.sent[f.w.to("n1")], "X-Trace-Id: t1\r\n");
-                    bool never = outcome == "never ran" || outcome == "before its last byte" || outcome == "connect refused";
+                    if (f.w.to("n1") != n)
+                        attempts += count_of(f.w.sent[f.w.to("n1")], "X-Trace-Id: t1\r\n");
+                    bool never = outcome == "never ran" || outcome == "before its last byte" ||
+                                 outcome == "connect refused";
                     std::size_t made = outcome == "connect refused" ? 0 : 1;
-                    bool again = never || e.effect == "idempotent" || (e.effect == "deduplicated" && !past);
+                    bool again =
+                        never || e.effect == "idempotent" || (e.effect == "deduplicated" && !past);
                     CHECK(attempts <= made + again);
-                    if (!again) CHECK(attempts == made);
+                    if (!again)
+                        CHECK(attempts == made);
                     f.settle(2 * sec);
                     // A refusal says that trying again is harmless.
                     bool harmless = attempts == 0 || e.effect == "idempotent" || e.group == "all";
-                    if (e.effect == "at_most_once") harmless = never && attempts == made;
-                    if (!harmless) CHECK(!has(f.w.sent[c], "HTTP/1.1 503 "));
+                    if (e.effect == "at_most_once")
+                        harmless = never && attempts == made;
+                    if (!harmless)
+                        CHECK(!has(f.w.sent[c], "HTTP/1.1 503 "));
                     CHECK(f.core.requests() == 0);
                 }
     }
@@ -182,7 +212,8 @@
 
 TEST_SUITE("the end of a client's connection") {
     // A close over unread bytes resets the connection and takes the answer along.
-    TEST_CASE("our side ends first; what comes after is thrown away and never sent on; then its end, or a short bound") {
+    TEST_CASE("our side ends first; what comes after is thrown away and never sent on; then its "
+              "end, or a short bound") {
         for (bool client_ends : {true, false}) {
             Front f;
             auto c = f.client(read_of("t1", "Connection: close\r\n"));
@@ -207,7 +238,8 @@
             CHECK(f.core.clients().held() == 0);
         }
     }
-    TEST_CASE("a client that reads its last answer slowly has time for it; the wait for its end begins after that") {
+    TEST_CASE("a client that reads its last answer slowly has time for it; the wait for its end "
+              "begins after that") {
         Front f;
         auto c = f.client(read_of("t1", "Connection: close\r\n"));
         auto n = f.node();
@@ -229,7 +261,8 @@
         auto c = f.client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n");
         CHECK(f.w.sent[c].starts_with("HTTP/1.1 404 "));
         CHECK(f.w.shutting.contains(c));
-        for (int i = 0; i < 17; ++i) f.core.bytes(f.now, c, std::string(65536, 'x'));
+        for (int i = 0; i < 17; ++i)
+            f.core.bytes(f.now, c, std::string(65536, 'x'));
         CHECK(!f.w.shutting.contains(c));
         CHECK(f.core.clients().held() == 0);
     }
@@ -243,7 +276,8 @@
         CHECK(f.core.requests() == 0);
     }
     // One more would take a descriptor from the nodes and from discovery.
-    TEST_CASE("where every client has a request open, one more is not taken; those that only end go first") {
+    TEST_CASE("where every client has a request open, one more is not taken; those that only end "
+              "go first") {
         Front f;
         std::vector<ConnId> open;
         for (int i = 0; i < 400; ++i)
@@ -254,7 +288,8 @@
         CHECK(f.core.clients().held() == open.size());
         CHECK(open.size() < 256 - 256 / 3);
         CHECK(!f.core.client_came(f.now));
-        for (auto c : open) CHECK(!f.w.closed.contains(c));
+        for (auto c : open)
+            CHECK(!f.w.closed.contains(c));
         f.settle();
         f.settle(200 * ms); // some are answered, and stay
         f.core.bytes(f.now, open[0], "noise\r\n\r\n");
@@ -265,12 +300,15 @@
 }
 
 TEST_SUITE("the stop") {
-    Time stopped_until(Front &f, Time at) { // steps on
-        while (f.now < at) f.settle(std::min<Time>(5 * ms, at - f.now));
+    Time stopped_until(Front & f, Time at) { // steps on
+        while (f.now < at)
+            f.settle(std::min<Time>(5 * ms, at - f.now));
         return f.now;
     }
-    TEST_CASE("twice is once; a request in two pieces around it is answered; requests sent at once are all answered") {
-        Front f; // killed 2.2 s after the stop at the soonest, resting connections end 1.7 s after it
+    TEST_CASE("twice is once; a request in two pieces around it is answered; requests sent at once "
+              "are all answered") {
+        Front
+            f; // killed 2.2 s after the stop at the soonest, resting connections end 1.7 s after it
         auto two = read_of("two");
         auto c = f.client(two.substr(0, 60)), many = f.client("");
         auto told = f.now;
@@ -293,14 +331,16 @@
         stopped_until(f, told + 2000 * ms);
         CHECK(f.core.over());
     }
-    TEST_CASE("a node that hangs, a connection that does not come up: both answered before it may be killed") {
+    TEST_CASE("a node that hangs, a connection that does not come up: both answered before it may "
+              "be killed") {
         for (bool up : {false, true}) {
             Front f;
             auto told = f.now;
             f.core.stop(f.now);
             stopped_until(f, told + 1200 * ms);
             auto c = f.client(write_of("t1", "x"));
-            if (up) f.node();
+            if (up)
+                f.node();
             stopped_until(f, told + 2000 * ms);
             CHECK(f.w.sent[c].starts_with(up ? "HTTP/1.1 50" : "HTTP/1.1 503"));
             CHECK(f.core.over());
@@ -327,7 +367,8 @@
 }
 
 TEST_SUITE("the node's close") {
-    TEST_CASE("an answer without a length: whole at the end in order, never by a reset, and not before") {
+    TEST_CASE(
+        "an answer without a length: whole at the end in order, never by a reset, and not before") {
         for (Gone how : {Gone::ended, Gone::broken}) {
             Front f;
             auto c = f.client(read_of("t1"));
@@ -342,7 +383,8 @@
             else
                 CHECK(!has(f.w.sent[c], "the bo"));
         }
-        // A write that was reset in its answer may have run, and its repeat is dropped there: a further attempt, or failed.
+        // A write that was reset in its answer may have run, and its repeat is dropped there: a
+        // further attempt, or failed.
         Front f;
         auto c = f.client(write_of("t1", "x"));
         auto n = f.node();
@@ -363,7 +405,8 @@
             CHECK(!has(f.w.sent[c], "the bo"));
         }
     }
-    TEST_CASE("before the request's last byte: proved not run, so that a write goes again at once") {
+    TEST_CASE(
+        "before the request's last byte: proved not run, so that a write goes again at once") {
         Front f;
         f.client(write_of("t1", std::string(60'000, 'b')));
         auto n = f.w.to("n1");
@@ -374,7 +417,8 @@
         f.settle(ms);
         CHECK(f.w.to("n1") != n);
     }
-    TEST_CASE("of a resting connection: in the turn in which it would be handed the next attempt, a new one is made") {
+    TEST_CASE("of a resting connection: in the turn in which it would be handed the next attempt, "
+              "a new one is made") {
         Front f;
         auto c = f.client(read_of("t1"));
         auto n = f.node();
@@ -388,7 +432,8 @@
         CHECK(asked(f, f.node(), "t2"));
     }
     // It would have been read as the next request's answer.
-    TEST_CASE("a second answer some milliseconds behind the first: the next attempt goes elsewhere meanwhile") {
+    TEST_CASE("a second answer some milliseconds behind the first: the next attempt goes elsewhere "
+              "meanwhile") {
         Front f;
         auto c = f.client(read_of("t1"));
         auto n = f.node();
@@ -408,7 +453,8 @@
         f.settle();
         CHECK(asked(f, other, "t3"));
     }
-    TEST_CASE("half a line on a resting connection, in that turn: it is not read as the next one's answer") {
+    TEST_CASE("half a line on a resting connection, in that turn: it is not read as the next one's "
+              "answer") {
         Front f;
         auto c = f.client(read_of("t1"));
         auto n = f.node();
@@ -424,15 +470,18 @@
 }
 
 TEST_SUITE("the list's change") {
-    // Draining nodes were never told to the pools: their idle connections stayed, and attempts on the way were sent.
-    TEST_CASE("drain, leaving, replacement or another address while an attempt connects: it is not sent there") {
+    // Draining nodes were never told to the pools: their idle connections stayed, and attempts on
+    // the way were sent.
+    TEST_CASE("drain, leaving, replacement or another address while an attempt connects: it is not "
+              "sent there") {
         struct {
             std::string list;
             std::string to;
-        } cases[] = {{node_entry("s1", "n1", 5, "leaving"), ""},
-                     {node_entry("s1", "n1", 5, "left"), ""},
-                     {node_entry("s1", "n9", 5), "n9"},
-                     {node_entry("s1", "n1", 5, "leaving") + "," + node_entry("s2", "n2", 5), "n2"}};
+        } cases[] = {
+            {node_entry("s1", "n1", 5, "leaving"), ""},
+            {node_entry("s1", "n1", 5, "left"), ""},
+            {node_entry("s1", "n9", 5), "n9"},
+            {node_entry("s1", "n1", 5, "leaving") + "," + node_entry("s2", "n2", 5), "n2"}};
         for (auto &[list, to] : cases) {
             CAPTURE(list);
             Front f;
