--- a/tests/platform/discovery_test.cpp
+++ b/tests/platform/discovery_test.cpp
@@ -1,4 +1,5 @@
-// The watch and its crossings, by hand on the core: silence, resets, refused calls, lists in any form, moves, restarts.
+// The watch and its crossings, by hand on the core: silence, resets, refused calls, lists in any
+// form, moves, restarts.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -15,8 +16,12 @@
     f.client(read_of(trace));
     return f.w.to(address).value != 0;
 }
-std::string leaving() { return node_entry("s1", "n1", 5, "leaving"); }
-std::string moved() { return list_of(42, node_entry("s1", "n9", 5), false); }
+std::string leaving() {
+    return node_entry("s1", "n1", 5, "leaving");
+}
+std::string moved() {
+    return list_of(42, node_entry("s1", "n9", 5), false);
+}
 // An agent that answers on the connection made last.
 void speaks(Front &f, const std::string &address, const std::string &bytes) {
     auto d = f.w.to(address);
@@ -28,7 +33,8 @@
 // Steps on as the loop does; the watch made last never comes up. Tells when one more was made.
 Time until_dialled(Front &f, Time most) {
     auto begun = f.now, d = static_cast<Time>(f.w.connected.size());
-    while (f.w.connected.size() == static_cast<std::size_t>(d) && f.now < begun + most) f.settle(5 * ms);
+    while (f.w.connected.size() == static_cast<std::size_t>(d) && f.now < begun + most)
+        f.settle(5 * ms);
     return f.now - begun;
 }
 
@@ -41,13 +47,16 @@
         for (std::size_t at = 0; at < in.size(); at += piece)
             for (auto bite = in.substr(at, piece); !bite.empty();) {
                 bite.remove_prefix(s.take(bite));
-                if (auto o = s.object()) out.push_back(*o);
-                if (*s.fault()) return out;
+                if (auto o = s.object())
+                    out.push_back(*o);
+                if (*s.fault())
+                    return out;
             }
         return out;
     }
     TEST_CASE("any split, on one line or many, with braces and quotes in texts: the same objects") {
-        const std::string a = R"({"a":"x}\"{\\","b":[{"c":-12.5e3},[]]})", b = "{\n  \"a\": {\r\n\t\"b\": [1,\n2]\n }\n}", c = "{}";
+        const std::string a = R"({"a":"x}\"{\\","b":[{"c":-12.5e3},[]]})",
+                          b = "{\n  \"a\": {\r\n\t\"b\": [1,\n2]\n }\n}", c = "{}";
         const std::string in = a + "\n\n" + b + "\r\n" + c + c + "\n";
         for (std::size_t piece = 1; piece <= in.size(); ++piece)
             REQUIRE(objects(in, piece) == std::vector<std::string>{a, b, c, c});
@@ -79,11 +88,14 @@
 }
 
 TEST_SUITE("lists in all their forms") {
-    // An indented list was "not a JSON object": the watch was dropped, and nothing was ever learned.
+    // An indented list was "not a JSON object": the watch was dropped, and nothing was ever
+    // learned.
     TEST_CASE("indented, cut anywhere, in a number or an escape too: it counts once it is whole") {
-        const std::string list = "{\n  \"generation\": 42,\n  \"reset\": false,\n  \"instances\": [\n    {\n      \"instanceId\": "
-                                 "\"s1\",\n \"hostPort\": \"n\\u0039\", \"zone\": \"a\", \"cell\": 5,\n \"lifecycle\": "
-                                 "\"active\", \"startedAtMs\": 0\n    }\n  ]\n}\n";
+        const std::string list =
+            "{\n  \"generation\": 42,\n  \"reset\": false,\n  \"instances\": [\n    {\n      "
+            "\"instanceId\": "
+            "\"s1\",\n \"hostPort\": \"n\\u0039\", \"zone\": \"a\", \"cell\": 5,\n \"lifecycle\": "
+            "\"active\", \"startedAtMs\": 0\n    }\n  ]\n}\n";
         const std::string in = Front::chunk(list.substr(0, 18)) + Front::chunk(list.substr(18));
         for (std::size_t cut = 1; cut < in.size(); cut += 3) {
             Front f;
@@ -96,18 +108,21 @@
             REQUIRE(goes_to(f, "t1", "n9"));
         }
     }
-    TEST_CASE("a whole answer instead of a stream, with a length or none, counts; the watch is opened again") {
+    TEST_CASE("a whole answer instead of a stream, with a length or none, counts; the watch is "
+              "opened again") {
         for (bool length : {true, false}) {
             Front f;
             f.core.gone(f.now, f.w.to("d1"), Gone::broken);
             f.settle(60 * ms);
             f.settle();
             speaks(f, "d1", length ? reply(200, moved()) : "HTTP/1.1 200 OK\r\n\r\n" + moved());
-            if (!length) f.gone(f.w.to("d1"));
+            if (!length)
+                f.gone(f.w.to("d1"));
             CHECK(goes_to(f, "t1", "n9"));
         }
     }
-    TEST_CASE("a node that a late whole list leaves out is gone; one of an older generation changes nothing") {
+    TEST_CASE("a node that a late whole list leaves out is gone; one of an older generation "
+              "changes nothing") {
         Front f;
         f.list(list_of(42, node_entry("s2", "n2", 6)));
         auto c = f.client(read_of("t1"));
@@ -120,8 +135,10 @@
 }
 
 TEST_SUITE("a watch that breaks") {
-    // What a silent watch misses counts as told 6 s after it fell silent, and the drain's grace ends 250 ms later.
-    TEST_CASE("silent: a new one beside it within 3 s, and again while calls fail or bring nothing, inside the 6 s") {
+    // What a silent watch misses counts as told 6 s after it fell silent, and the drain's grace
+    // ends 250 ms later.
+    TEST_CASE("silent: a new one beside it within 3 s, and again while calls fail or bring "
+              "nothing, inside the 6 s") {
         for (bool up : {false, true}) {
             CAPTURE(up);
             Front f; // the last blank line came just now
@@ -129,7 +146,8 @@
             until_dialled(f, 10 * sec);
             CHECK(f.now - silent <= 3005 * ms);
             for (int fails = 0; fails < 3; ++fails) {
-                if (up) f.core.up(f.now, f.w.to("d1"));
+                if (up)
+                    f.core.up(f.now, f.w.to("d1"));
                 until_dialled(f, 10 * sec);
             }
             CHECK(f.now - silent < 5500 * ms);
@@ -140,7 +158,8 @@
             CHECK(f.w.sent[n].starts_with("HTTP/1.1 503 "));
         }
     }
-    TEST_CASE("silent, then it speaks before the new one does: it tells on, and the new one is let go") {
+    TEST_CASE(
+        "silent, then it speaks before the new one does: it tells on, and the new one is let go") {
         Front f;
         auto first = f.w.to("d1");
         until_dialled(f, 10 * sec);
@@ -154,7 +173,8 @@
         until_dialled(f, 10 * sec);
         CHECK(f.now - since <= 3005 * ms);
     }
-    TEST_CASE("bytes that bring nothing to an end are no life: an object that trickles, or a head without a body") {
+    TEST_CASE("bytes that bring nothing to an end are no life: an object that trickles, or a head "
+              "without a body") {
         Front f;
         auto d = f.w.to("d1"), begun = d;
         Time since = f.now;
@@ -165,7 +185,8 @@
         }
         CHECK(f.now - since <= 3200 * ms);
     }
-    TEST_CASE("reset, ended, refused, no 200, noise, endless: asked again at once, in time for a drain") {
+    TEST_CASE(
+        "reset, ended, refused, no 200, noise, endless: asked again at once, in time for a drain") {
         for (std::string how : {"reset", "ended", "refused", "429", "302", "noise", "endless"}) {
             CAPTURE(how);
             Front f;
@@ -184,17 +205,21 @@
                         f.core.gone(f.now, again, how == "ended" ? Gone::ended : Gone::broken);
                     else
                         f.core.bytes(f.now, again,
-                                     how == "noise"     ? "\x01\x02\r\n\r\n"
-                                     : how == "endless" ? watch_head + Front::chunk("{\"a\":\"" + std::string(5 << 20, 'a'))
-                                                        : reply(std::stoi(how), ""));
+                                     how == "noise" ? "\x01\x02\r\n\r\n"
+                                     : how == "endless"
+                                         ? watch_head +
+                                               Front::chunk("{\"a\":\"" + std::string(5 << 20, 'a'))
+                                         : reply(std::stoi(how), ""));
                 }
                 f.settle();
             }
             CHECK(f.now - since < sec);
         }
     }
-    // Thirteen of thirty-two schedulers that came back within 50 ms were refused by a shared discovery all day.
-    TEST_CASE("where all share one service: refused calls come back later each time, the first is spread, waits are borne") {
+    // Thirteen of thirty-two schedulers that came back within 50 ms were refused by a shared
+    // discovery all day.
+    TEST_CASE("where all share one service: refused calls come back later each time, the first is "
+              "spread, waits are borne") {
         const std::string shared = "RegistryMode=on_request\nRules.AskWithinS=10\n";
         Front f(shared);
         auto d = f.w.to("d1");
@@ -217,8 +242,10 @@
         std::set<Time> firsts;
         for (std::uint64_t seed = 0; seed < 8; ++seed) {
             Written w;
-            Core core(w, [](Actions &a) { return make_scheduler(a, 7); }, wire::Options(settings_text() + shared),
-                      {"read", "write"}, {"gold"}, {"a", "b"}, seed, 256);
+            Core core(
+                w, [](Actions &a) { return make_scheduler(a, 7); },
+                wire::Options(settings_text() + shared), {"read", "write"}, {"gold"}, {"a", "b"},
+                seed, 256);
             core.start(1000 * sec, list_of(41, node_entry("s1", "n1", 5)), "d1");
             CHECK(w.connected.empty());
             firsts.insert(core.next_due());
@@ -230,7 +257,8 @@
 }
 
 TEST_SUITE("discovery moves") {
-    TEST_CASE("while a list is half read: the old watch's rest counts, the new one takes over once it speaks") {
+    TEST_CASE("while a list is half read: the old watch's rest counts, the new one takes over once "
+              "it speaks") {
         Front f;
         auto old = f.w.to("d1");
         auto list = moved() + "\n";
@@ -250,14 +278,17 @@
             f.core.discovery_at(f.now, "d2");
             f.core.up(f.now, f.w.to("d2"));
             auto drain = Front::chunk(list_of(42, leaving(), false) + "\n");
-            if (old_first) f.core.bytes(f.now, old, drain);
+            if (old_first)
+                f.core.bytes(f.now, old, drain);
             f.core.bytes(f.now, f.w.to("d2"), watch_head + drain);
-            if (!old_first) f.core.bytes(f.now, old, drain); // it is let go already
+            if (!old_first)
+                f.core.bytes(f.now, old, drain); // it is let go already
             f.settle();
             CHECK(!goes_to(f, "t1", "n1"));
         }
     }
-    TEST_CASE("the same address, twice, back again, one that is not up: the standing watch tells until another speaks") {
+    TEST_CASE("the same address, twice, back again, one that is not up: the standing watch tells "
+              "until another speaks") {
         Front f;
         auto d = f.w.to("d1");
         f.core.discovery_at(f.now, "d1");
@@ -287,7 +318,8 @@
         speaks(f, "d2", watch_head + Front::chunk(moved() + "\n"));
         CHECK(goes_to(f, "t1", "n9"));
     }
-    TEST_CASE("an agent that is behind is passed over; one that stays behind for 12 s was made anew and counts") {
+    TEST_CASE("an agent that is behind is passed over; one that stays behind for 12 s was made "
+              "anew and counts") {
         Front f;
         f.list(list_of(42, leaving(), false));
         f.core.discovery_at(f.now, "d2");
@@ -312,8 +344,9 @@
         Time now = 1000 * sec;
         Core core;
         explicit Fresh(const std::string &known)
-            : core(w, [](Actions &a) { return make_scheduler(a, 7); }, wire::Options(settings_text()), {"read", "write"},
-                   {"gold"}, {"a", "b"}, 1, 256) {
+            : core(
+                  w, [](Actions &a) { return make_scheduler(a, 7); },
+                  wire::Options(settings_text()), {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
             core.start(now, known, "d1");
             core.settle(now);
         }
@@ -331,7 +364,8 @@
     };
     const std::string known = list_of(41, node_entry("s1", "n1", 5));
     // What the agent has counts as told from the first moment; the list that was given may be old.
-    TEST_CASE("it goes by no list before the agent's first word, which counts together with the list it was given") {
+    TEST_CASE("it goes by no list before the agent's first word, which counts together with the "
+              "list it was given") {
         Fresh f(known);
         CHECK(!f.ready());
         auto c = *f.core.client_came(f.now);
@@ -356,14 +390,17 @@
         CHECK(h.w.to("n1").value == 0);
         CHECK(h.w.to("n2").value != 0);
     }
-    TEST_CASE("while discovery is down it is ready after 2 s, by the list it was given, and asks on") {
+    TEST_CASE(
+        "while discovery is down it is ready after 2 s, by the list it was given, and asks on") {
         Fresh f(known);
-        for (int i = 0; i < 399; ++i) f.core.settle(f.now += 5 * ms);
+        for (int i = 0; i < 399; ++i)
+            f.core.settle(f.now += 5 * ms);
         CHECK(!f.ready());
         f.core.settle(f.now += 5 * ms);
         CHECK(f.ready());
         CHECK(f.w.connected.size() > 5);
-        for (auto calls = f.w.connected.size(); f.w.connected.size() == calls;) f.core.settle(f.now += 5 * ms);
+        for (auto calls = f.w.connected.size(); f.w.connected.size() == calls;)
+            f.core.settle(f.now += 5 * ms);
         f.hears(list_of(42, node_entry("s1", "n9", 5), false));
         auto c = *f.core.client_came(f.now);
         f.core.bytes(f.now, c, read_of("t1"));
--- a/tests/platform/helpers.hpp
+++ b/tests/platform/helpers.hpp
@@ -1,5 +1,5 @@
-// What the front's tests share: a shell written down, requests and answers spelled out, a front set up by hand, and one
-// on loopback sockets between scripted peers.
+// What the front's tests share: a shell written down, requests and answers spelled out, a front set
+// up by hand, and one on loopback sockets between scripted peers.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,22 +28,27 @@
 
 namespace knotvane::platform {
 
-inline bool has(const std::string &s, const std::string &part) { return s.find(part) != s.npos; }
+inline bool has(const std::string &s, const std::string &part) {
+    return s.find(part) != s.npos;
+}
 
 struct Written final : Wires {
     std::vector<std::pair<ConnId, std::string>> connected;
     std::map<ConnId, std::string> sent;
     std::map<ConnId, std::size_t> unwritten;
-    std::set<ConnId> closed, shutting; // closed: our side has ended, whether or not the other one may still be read
+    std::set<ConnId> closed,
+        shutting; // closed: our side has ended, whether or not the other one may still be read
     std::vector<std::string> said;
     void connect(ConnId c, const std::string &a) override { connected.push_back({c, a}); }
     void send(ConnId c, std::string b) override {
         unwritten[c] += b.size(), sent[c] += b;
-        if (at(c).starts_with('n')) asked = c;
+        if (at(c).starts_with('n'))
+            asked = c;
     }
     std::string at(ConnId c) const {
         for (auto &[conn, address] : connected)
-            if (conn == c) return address;
+            if (conn == c)
+                return address;
         return "";
     }
     ConnId asked{}; // the connection to a node that was sent something last
@@ -54,42 +59,55 @@
     ConnId to(const std::string &address) const {
         ConnId last{};
         for (auto &[c, a] : connected)
-            if (a == address) last = c;
+            if (a == address)
+                last = c;
         return last;
     }
 };
 
 inline std::string reply(int status, const std::string &body, const std::string &headers = "") {
-    return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
-           "\r\n\r\n" + body;
+    return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
+           "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-inline std::string read_of(const std::string &trace, const std::string &headers = "", const std::string &wait = "1.000") {
-    return "GET /read/x?y=1 HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace + "\r\nX-Storage-Class: gold\r\n" +
+inline std::string read_of(const std::string &trace, const std::string &headers = "",
+                           const std::string &wait = "1.000") {
+    return "GET /read/x?y=1 HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace +
+           "\r\nX-Storage-Class: gold\r\n" +
            "Cookie: object=7f3a9c21e0b4d655\r\nX-Expires-In: " + wait +
            "\r\nX-Extent: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n" + headers + "\r\n";
 }
 inline std::string write_of(const std::string &trace, const std::string &body) {
-    return "PUT /write HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace + "\r\nX-Storage-Class: gold\r\nX-Expires-In: 1.5\r\n" +
-           "Idempotency-Key: k1\r\nX-Extent: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\nContent-Length: " +
+    return "PUT /write HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace +
+           "\r\nX-Storage-Class: gold\r\nX-Expires-In: 1.5\r\n" +
+           "Idempotency-Key: k1\r\nX-Extent: "
+           "volume=00000003b4d60021,units=2,shard=5,hosts=3\r\nContent-Length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 inline std::string settings_text() {
-    return "Balancers=2\nIndex=0\nStepS=0.002\nClasses.count=2\nClasses.0.TargetS=0.15\nClasses.0.DeadlineS=1\n"
-           "Classes.0.Points=2\nClasses.0.Effect=idempotent\nClasses.0.Group=all\nClasses.1.TargetS=0.25\n"
-           "Classes.1.DeadlineS=1.5\nClasses.1.Points=3\nClasses.1.Effect=deduplicated\nClasses.1.Group=cell\n"
-           "Classes.1.RepeatWindowS=2.5\nContracts.count=1\nContracts.0.Shares=1\nContracts.0.UsualRate=5\n"
-           "Extra.UnitMean=2\nExtra.UnitsTop=8\nExtra.ColdUnits=72\nExtra.ShareWorth=0.3\nPermissions.MaxAttempts=3\n"
+    return "Balancers=2\nIndex=0\nStepS=0.002\nClasses.count=2\nClasses.0.TargetS=0.15\nClasses.0."
+           "DeadlineS=1\n"
+           "Classes.0.Points=2\nClasses.0.Effect=idempotent\nClasses.0.Group=all\nClasses.1."
+           "TargetS=0.25\n"
+           "Classes.1.DeadlineS=1.5\nClasses.1.Points=3\nClasses.1.Effect=deduplicated\nClasses.1."
+           "Group=cell\n"
+           "Classes.1.RepeatWindowS=2.5\nContracts.count=1\nContracts.0.Shares=1\nContracts.0."
+           "UsualRate=5\n"
+           "Extra.UnitMean=2\nExtra.UnitsTop=8\nExtra.ColdUnits=72\nExtra.ShareWorth=0."
+           "3\nPermissions.MaxAttempts=3\n"
            "Permissions.Cancel=true\nPermissions.RetryAfter=true\nPermissions.MaxRetryAfterS=2\n"
-           "Permissions.ConnIdleS=15\nPermissions.ConnectTimeoutS=0.25\nRules.DrainGraceS=0.25\nRules.FallS=2\n"
+           "Permissions.ConnIdleS=15\nPermissions.ConnectTimeoutS=0.25\nRules.DrainGraceS=0."
+           "25\nRules.FallS=2\n"
            "Rules.WarmAfterS=18\nRules.StartCapacity=0.24\n";
 }
-inline std::string node_entry(const std::string &id, const std::string &address, int shard, const std::string &state = "active") {
-    return R"({"instanceId":")" + id + R"(","hostPort":")" + address + R"(","zone":"a","machineType":"m","cell":)" +
-           std::to_string(shard) + R"(,"lifecycle":")" + state + R"(","weight":1.0,"startedAtMs":0})";
+inline std::string node_entry(const std::string &id, const std::string &address, int shard,
+                              const std::string &state = "active") {
+    return R"({"instanceId":")" + id + R"(","hostPort":")" + address +
+           R"(","zone":"a","machineType":"m","cell":)" + std::to_string(shard) +
+           R"(,"lifecycle":")" + state + R"(","weight":1.0,"startedAtMs":0})";
 }
 inline std::string list_of(int generation, const std::string &entries, bool whole = true) {
-    return R"({"generation":)" + std::to_string(generation) + R"(,"reset":)" + (whole ? "true" : "false") +
-           R"(,"instances":[)" + entries + "]}";
+    return R"({"generation":)" + std::to_string(generation) + R"(,"reset":)" +
+           (whole ? "true" : "false") + R"(,"instances":[)" + entries + "]}";
 }
 
 inline const std::string watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -101,10 +119,13 @@
     Core core;
     // `more`: lines of settings, which count over the usual ones.
     explicit Front(const std::string &more = "", const std::string &usual = settings_text())
-        : core(w, [](Actions &a) { return make_scheduler(a, 7); }, wire::Options(usual + more),
-               {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
+        : core(
+              w, [](Actions &a) { return make_scheduler(a, 7); }, wire::Options(usual + more),
+              {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
         core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
-        if (w.to("d1").value == 0) settle(sec); // where lists are asked for, the first call comes by chance within a second
+        if (w.to("d1").value == 0)
+            settle(
+                sec); // where lists are asked for, the first call comes by chance within a second
         core.up(now, w.to("d1"));
         core.bytes(now, w.to("d1"), watch_head + chunk("\n"));
         for (int i = 0; i < 3; ++i) { // past the time in which a new scheduler spares cold nodes
@@ -124,7 +145,8 @@
     void settle(Time later = 0) {
         now += later;
         core.settle(now);
-        for (auto &[c, n] : std::exchange(w.unwritten, {})) core.written(now, c, n);
+        for (auto &[c, n] : std::exchange(w.unwritten, {}))
+            core.written(now, c, n);
         core.settle(now);
     }
     ConnId client(const std::string &request) {
@@ -145,9 +167,11 @@
         settle();
         return c;
     }
-    // Answers the attempt that is out, wherever it is: a connection that has just answered is not used for a moment.
+    // Answers the attempt that is out, wherever it is: a connection that has just answered is not
+    // used for a moment.
     void serve(const std::string &body, Time later = 5 * ms) {
-        if (auto made = w.to("n1"); made != up_last) core.up(now, up_last = made), settle();
+        if (auto made = w.to("n1"); made != up_last)
+            core.up(now, up_last = made), settle();
         answer(w.asked, reply(200, body), later);
     }
     ConnId up_last{};
@@ -160,7 +184,7 @@
 
 // A socket of a scripted peer: a client, a node or discovery. Every wait ends by itself.
 class Peer {
-  public:
+public:
     enum class End { none, ended, broken };
     explicit Peer(int fd = -1) : fd_(fd) {}
     ~Peer() { close(); }
@@ -175,7 +199,8 @@
         int on = 1;
         ::setsockopt(p.fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
         auto a = parse(at);
-        if (::bind(p.fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0 || ::listen(p.fd_, 64) != 0)
+        if (::bind(p.fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0 ||
+            ::listen(p.fd_, 64) != 0)
             throw std::runtime_error("a scripted peer can't listen");
         return p;
     }
@@ -188,7 +213,8 @@
     void connect(const std::string &address) {
         auto a = parse(address);
         int on = 1;
-        if (::connect(fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0) throw std::runtime_error("can't connect");
+        if (::connect(fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0)
+            throw std::runtime_error("can't connect");
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
     std::string address() const {
@@ -202,21 +228,25 @@
         return ::poll(&p, 1, wait_ms) == 1;
     }
     Peer accept(int wait_ms = 3000) {
-        if (!comes(wait_ms)) throw std::runtime_error("nobody came");
+        if (!comes(wait_ms))
+            throw std::runtime_error("nobody came");
         return Peer(::accept(fd_, nullptr, nullptr));
     }
     // False where the other side has broken the connection.
     bool send(std::string_view bytes) {
         while (!bytes.empty()) {
             auto n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-            if (n <= 0) return false;
+            if (n <= 0)
+                return false;
             bytes.remove_prefix(static_cast<std::size_t>(n));
         }
         return true;
     }
-    // What came, up to and with `last`; less if nothing more comes for a while or the connection ends.
+    // What came, up to and with `last`; less if nothing more comes for a while or the connection
+    // ends.
     std::string until(const std::string &last, int wait_ms = 3000) {
-        while (got_.find(last) == got_.npos && read_some(wait_ms) == End::none && !idle_) {}
+        while (got_.find(last) == got_.npos && read_some(wait_ms) == End::none && !idle_) {
+        }
         auto end = got_.find(last);
         auto out = got_.substr(0, end == got_.npos ? got_.npos : end + last.size());
         got_.erase(0, out.size());
@@ -225,7 +255,8 @@
     // Reads on to its end and tells which; what came is in `rest`.
     End end(std::string &rest, int wait_ms = 3000) {
         End how = End::none;
-        while ((how = read_some(wait_ms)) == End::none && !idle_) {}
+        while ((how = read_some(wait_ms)) == End::none && !idle_) {
+        }
         rest = std::exchange(got_, {});
         return how;
     }
@@ -235,7 +266,8 @@
     }
     void shut() { ::shutdown(fd_, SHUT_WR); }
     void close() {
-        if (fd_ >= 0) ::close(std::exchange(fd_, -1));
+        if (fd_ >= 0)
+            ::close(std::exchange(fd_, -1));
     }
     void reset() {
         linger on{1, 0};
@@ -243,7 +275,7 @@
         close();
     }
 
-  private:
+private:
     static sockaddr_in parse(const std::string &address) {
         sockaddr_in a{};
         a.sin_family = AF_INET;
@@ -254,10 +286,12 @@
     }
     End read_some(int wait_ms) {
         idle_ = !comes(wait_ms);
-        if (idle_) return End::none;
+        if (idle_)
+            return End::none;
         char buffer[16384];
         auto n = ::recv(fd_, buffer, sizeof buffer, 0);
-        if (n > 0) got_.append(buffer, static_cast<std::size_t>(n));
+        if (n > 0)
+            got_.append(buffer, static_cast<std::size_t>(n));
         return n > 0 ? End::none : n == 0 ? End::ended : End::broken;
     }
     int fd_;
@@ -272,11 +306,14 @@
     for (std::string line; std::getline(lines, line);) {
         auto eq = line.find('=');
         auto path = line.substr(0, eq), value = line.substr(eq + 1);
-        if (path.ends_with(".count")) continue;
+        if (path.ends_with(".count"))
+            continue;
         for (auto &c : path)
-            if (c == '.') c = '/';
+            if (c == '.')
+                c = '/';
         auto parsed = nlohmann::json::parse(value, nullptr, false);
-        out[nlohmann::json::json_pointer("/" + path)] = parsed.is_discarded() ? nlohmann::json(value) : parsed;
+        out[nlohmann::json::json_pointer("/" + path)] =
+            parsed.is_discarded() ? nlohmann::json(value) : parsed;
     }
     out["Classes"][0]["Name"] = "read", out["Classes"][1]["Name"] = "write";
     out["Contracts"][0]["Name"] = "gold", out["Zones"] = {"a", "b"};
@@ -301,7 +338,8 @@
         std::ifstream in(path);
         Config config(std::string(std::istreambuf_iterator<char>(in), {}));
         server = std::make_unique<Server>(
-            loop, path, config, [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, false);
+            loop, path, config,
+            [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, false);
         thread = std::thread([this] {
             loop.run();
             over = true;
@@ -313,16 +351,23 @@
     ~Running() { end(); }
     // As a kill does: at once, with whatever is open.
     void end() {
-        if (!thread.joinable()) return;
+        if (!thread.joinable())
+            return;
         loop.stop();
         thread.join();
         server.reset();
         std::remove(path.c_str());
     }
-    void write(const std::string &discovery_at, const std::string &more = "", const std::string &listen = "127.0.0.1:0") {
-        nlohmann::json config{{"name", "n0"}, {"listen", listen}, {"discovery", discovery_at}, {"seed", "1"},
-                              {"limits", {{"sockets", 256}}}, {"settings", settings_json(more)},
-                              {"known", nlohmann::json::parse(list_of(41, node_entry("s1", node.address(), 5)))}};
+    void write(const std::string &discovery_at, const std::string &more = "",
+               const std::string &listen = "127.0.0.1:0") {
+        nlohmann::json config{
+            {"name", "n0"},
+            {"listen", listen},
+            {"discovery", discovery_at},
+            {"seed", "1"},
+            {"limits", {{"sockets", 256}}},
+            {"settings", settings_json(more)},
+            {"known", nlohmann::json::parse(list_of(41, node_entry("s1", node.address(), 5)))}};
         std::ofstream(path) << config.dump();
     }
     void stop() {
@@ -333,7 +378,8 @@
     }
     // Stops by itself within so long.
     bool stops(int within_ms = 4000) {
-        for (int i = 0; i < within_ms / 10 && !over; ++i) ::usleep(10'000);
+        for (int i = 0; i < within_ms / 10 && !over; ++i)
+            ::usleep(10'000);
         return over;
     }
     Peer client(const std::string &request = "") {
--- a/tests/platform/loopback_test.cpp
+++ b/tests/platform/loopback_test.cpp
@@ -1,4 +1,5 @@
-// The front between scripted clients, nodes and discovery on loopback sockets: crossings that need a real connection.
+// The front between scripted clients, nodes and discovery on loopback sockets: crossings that need
+// a real connection.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
@@ -10,7 +11,8 @@
 namespace {
 
 using End = Peer::End;
-// The longest client timeout is 0.3 s there: a stop ends resting connections after 0.8 s, and itself after 1 s.
+// The longest client timeout is 0.3 s there: a stop ends resting connections after 0.8 s, and
+// itself after 1 s.
 const std::string brief = "Classes.0.DeadlineS=0.3\nClasses.1.DeadlineS=0.3\n";
 double cpu_seconds() {
     rusage u{};
@@ -22,7 +24,8 @@
 } // namespace
 
 TEST_SUITE("the stop on sockets") {
-    // Exits over unread bytes reset the connection; a request that is read after our end and sent on is lost.
+    // Exits over unread bytes reset the connection; a request that is read after our end and sent
+    // on is lost.
     TEST_CASE("a request on a resting connection that crosses its end: not reset, not sent on") {
         Running r(brief);
         auto rests = r.client("GET /healthz HTTP/1.1\r\n\r\n");
@@ -38,7 +41,8 @@
         rests.close();
         CHECK(r.stops());
     }
-    TEST_CASE("stopped twice and reloaded meanwhile, a request in pieces around it and a node that hangs: all answered") {
+    TEST_CASE("stopped twice and reloaded meanwhile, a request in pieces around it and a node that "
+              "hangs: all answered") {
         Running r(brief);
         auto request = read_of("t1", "", "0.300");
         auto c = r.client(request.substr(0, 50)), hung = r.client();
@@ -68,7 +72,8 @@
         CHECK(got.ends_with(body));
         CHECK(r.stops());
     }
-    TEST_CASE("killed just after it accepted, started again at once on its address: who comes again is served") {
+    TEST_CASE("killed just after it accepted, started again at once on its address: who comes "
+              "again is served") {
         std::string address;
         Peer crossed;
         {
@@ -88,7 +93,8 @@
 }
 
 TEST_SUITE("closes on sockets") {
-    // A close over what a bad client still sends would reset the connection and take the error along.
+    // A close over what a bad client still sends would reset the connection and take the error
+    // along.
     TEST_CASE("a client that sends on behind its mistake reads its error whole") {
         Running r;
         auto c = r.client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n" + std::string(300'000, 'x'));
@@ -118,7 +124,8 @@
                 CHECK(got == "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\nhalf and half");
         }
     }
-    TEST_CASE("a client that leaves while its attempt is out: the node's connection ends, nothing more is sent") {
+    TEST_CASE("a client that leaves while its attempt is out: the node's connection ends, nothing "
+              "more is sent") {
         Running r;
         auto c = r.client(read_of("t1"));
         auto n = r.node.accept();
@@ -127,10 +134,12 @@
         CHECK(n.end() != End::none);
         CHECK(!r.node.comes(300));
     }
-    TEST_CASE("a client that sends far ahead and leaves: its leaving shows, and nothing of it is sent on") {
+    TEST_CASE("a client that sends far ahead and leaves: its leaving shows, and nothing of it is "
+              "sent on") {
         Running r;
         std::string ahead;
-        for (int i = 0; i < 400; ++i) ahead += read_of("a" + std::to_string(i));
+        for (int i = 0; i < 400; ++i)
+            ahead += read_of("a" + std::to_string(i));
         auto c = r.client(ahead);
         auto n = r.node.accept();
         n.until("\r\n\r\n");
@@ -144,7 +153,8 @@
 }
 
 TEST_SUITE("discovery on sockets") {
-    TEST_CASE("a watch that is reset is open again at once, and what changed meanwhile keeps attempts away") {
+    TEST_CASE("a watch that is reset is open again at once, and what changed meanwhile keeps "
+              "attempts away") {
         Running r;
         auto c = r.client(read_of("t1"));
         auto n = r.node.accept();
@@ -154,13 +164,17 @@
         r.watch.reset();
         auto again = r.discovery.accept(500);
         CHECK(again.until("\r\n\r\n").find("index=41 ") != std::string::npos);
-        again.send(watch_head + Front::chunk(list_of(42, node_entry("s1", r.node.address(), 5, "leaving"), false) + "\n"));
+        again.send(
+            watch_head +
+            Front::chunk(list_of(42, node_entry("s1", r.node.address(), 5, "leaving"), false) +
+                         "\n"));
         CHECK(n.end(500) != End::none); // resting connections to a node that drains end
         c.send(read_of("t2"));
         CHECK(!r.node.comes(200));
         CHECK(c.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
     }
-    TEST_CASE("reloaded with a file that has a fault nothing changes; with a good one the watch moves, twice in a row too") {
+    TEST_CASE("reloaded with a file that has a fault nothing changes; with a good one the watch "
+              "moves, twice in a row too") {
         Running r;
         auto second = Peer::listens(), third = Peer::listens();
         std::ofstream(r.path) << "{\"name\":";
@@ -180,7 +194,8 @@
         w3.send(watch_head + Front::chunk(list_of(42, "", false) + "\n"));
         CHECK(r.watch.end() != End::none);
     }
-    // Nothing may spin on a descriptor that it can't have, and all is back with the first free ones.
+    // Nothing may spin on a descriptor that it can't have, and all is back with the first free
+    // ones.
     TEST_CASE("every descriptor used up x accept, the watch's reset, an attempt's connect") {
         Running r;
         auto client = r.client("GET /healthz HTTP/1.1\r\n\r\n"), late = Peer::unconnected();
@@ -191,18 +206,22 @@
         setrlimit(RLIMIT_NOFILE, &few);
         std::vector<int> filler;
         auto fill = [&] {
-            for (int fd; (fd = ::dup(0)) >= 0;) filler.push_back(fd);
+            for (int fd; (fd = ::dup(0)) >= 0;)
+                filler.push_back(fd);
         };
         fill();
         double cpu = cpu_seconds();
         late.connect(r.server->address());
-        CHECK(late.end() != End::none);         // no descriptor for it: closed, not left to wait
-        client.send(read_of("t1"));             // nor for a connection to the node: turned away, with when to come back
+        CHECK(late.end() != End::none); // no descriptor for it: closed, not left to wait
+        client.send(
+            read_of("t1")); // nor for a connection to the node: turned away, with when to come back
         CHECK(client.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
         r.watch.reset();
-        for (int i = 0; i < 10; ++i) fill(), ::usleep(30'000);
+        for (int i = 0; i < 10; ++i)
+            fill(), ::usleep(30'000);
         cpu = cpu_seconds() - cpu;
-        for (int fd : filler) ::close(fd);
+        for (int fd : filler)
+            ::close(fd);
         setrlimit(RLIMIT_NOFILE, &was);
         CHECK(cpu < 0.3);
         auto again = r.discovery.accept(1000);
--- a/tests/platform/server_test.cpp
+++ b/tests/platform/server_test.cpp
@@ -28,7 +28,8 @@
             server->send("x");
             server->flush();
         }
-        if (loop::now() - begun > 5 * sec) loop.stop();
+        if (loop::now() - begun > 5 * sec)
+            loop.stop();
         return loop::now() + 10 * ms;
     });
     loop.run();
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -8,7 +8,9 @@
 using namespace knotvane;
 
 namespace {
-Volumes::Rank rank(std::uint64_t id) { return {0, static_cast<Time>(id) * ms, TaskId{id}}; }
+Volumes::Rank rank(std::uint64_t id) {
+    return {0, static_cast<Time>(id) * ms, TaskId{id}};
+}
 constexpr VolumeId a{1}, b{2};
 } // namespace
 
@@ -67,8 +69,8 @@
         v.sent(rank(1), 6, 6);
         CHECK_FALSE(v.fits(3));
     }
-    TEST_CASE(
-        "budgets: exhaustion quadruples, timeout and shots out double, else an eighth of the maximum off") {
+    TEST_CASE("budgets: exhaustion quadruples, timeout and shots out double, else an eighth of the "
+              "maximum off") {
         Volumes v(1); // new at half of a maximum that is still one largest task: 1
         v.add(a, 1, rank(1));
         v.add(a, 1, rank(2));
@@ -203,12 +205,14 @@
         CHECK(cold_allows(8, 8, 16, 8, 0, 1));
         CHECK_FALSE(cold_allows(8, 9, 16, 8, 0, 0));
     }
-    TEST_CASE("4: a part below the largest task goes by lot, one task a span, and is met in the mean") {
+    TEST_CASE(
+        "4: a part below the largest task goes by lot, one task a span, and is met in the mean") {
         CHECK(cold_allows(0, 8, 1, 8, 4, 0.25));
         CHECK_FALSE(cold_allows(0, 8, 1, 8, 4, 0.26));
         CHECK_FALSE(cold_allows(1, 1, 1, 8, 4, 0));
     }
-    TEST_CASE("4: a scheduler just started sends nothing to a cold node, having forgotten what it sent") {
+    TEST_CASE(
+        "4: a scheduler just started sends nothing to a cold node, having forgotten what it sent") {
         Bench t;
         t.s->ready(100 * sec);
         t.list(100 * sec, NodeState::ready, 99 * sec);
@@ -252,7 +256,8 @@
         p.sent(10);
         CHECK(p.take(30 * sec, 10, 2));
     }
-    TEST_CASE("7: a part that is handed over grows again, and fills only from then on, at what it was") {
+    TEST_CASE(
+        "7: a part that is handed over grows again, and fills only from then on, at what it was") {
         LimitPart p(10, 20, 0);
         p.hand(0, 2);
         CHECK(p.take(sec, 5, 7)); // told by the planner, not with the task
@@ -264,7 +269,8 @@
         p.sent(5);
         CHECK(p.take(4 * sec, 10, 1));
     }
-    TEST_CASE("7: no part yet is waited for; what its limit was before it is known does not come in") {
+    TEST_CASE(
+        "7: no part yet is waited for; what its limit was before it is known does not come in") {
         LimitPart p(0, 0, 0);
         p.hand(0, std::numeric_limits<double>::infinity());
         p.limit(5 * sec, 10, 20);
@@ -313,7 +319,8 @@
         t.s->settle(901 * ms);
         CHECK(t.did.count("shoot") == 5); // two, then a window of two and one more
     }
-    TEST_CASE("old answers tell of no wait, so that a node is not shunned for good by what it was") {
+    TEST_CASE(
+        "old answers tell of no wait, so that a node is not shunned for good by what it was") {
         Node n(NodeId{1}, 80, 8);
         n.answers.add({0, 2, 0.9});
         n.reckon(100 * ms, 0.01);
@@ -408,8 +415,8 @@
         for (std::uint64_t i = 1; i < 12; ++i)
             t.task(0, i);
         for (std::uint64_t i = 20; i < 24; ++i) // another volume's
-            t.s->task_taken(0, TaskId{i}, WorkloadId{0}, VolumeId{6}, PlanId{0}, ShardId{1}, no_key, 2, 2, false, false,
-                            2 * sec);
+            t.s->task_taken(0, TaskId{i}, WorkloadId{0}, VolumeId{6}, PlanId{0}, ShardId{1}, no_key,
+                            2, 2, false, false, 2 * sec);
         t.s->settle(0);
         for (std::uint64_t i = 1; i < 12; ++i)
             t.s->task_withdrawn(ms, TaskId{i}, true);
@@ -426,14 +433,17 @@
                     t.s->settle(0);
                     t.outcome(20 * ms, i, Outcome::answered);
                 }
-            for (std::uint64_t i = 1; i < 15; ++i) t.task(20 * ms, i);
+            for (std::uint64_t i = 1; i < 15; ++i)
+                t.task(20 * ms, i);
             t.s->settle(20 * ms);
-            for (std::uint64_t i = 3; i < 12; ++i) t.s->task_withdrawn(22 * ms, TaskId{i}, true);
+            for (std::uint64_t i = 3; i < 12; ++i)
+                t.s->task_withdrawn(22 * ms, TaskId{i}, true);
             t.s->settle(23 * ms);
             CHECK(t.did.count("deny") == (others_stay ? 0 : 3));
         }
     }
-    TEST_CASE("4: a cold node gets our part of the stated units and of half the margin within the span, and no more") {
+    TEST_CASE("4: a cold node gets our part of the stated units and of half the margin within the "
+              "span, and no more") {
         Bench t;
         t.list(0, NodeState::ready, 5 * sec);
         for (std::uint64_t i = 1; i < 40; ++i) {
@@ -441,13 +451,22 @@
             t.s->settle(5 * sec);
             t.outcome(5 * sec, i, Outcome::answered, ms);
         }
-        CHECK(t.did.count("shoot") == 5); // 32 units and 2 x (4 + 1) for two schedulers: 21 in shots of 4
+        CHECK(t.did.count("shoot") ==
+              5); // 32 units and 2 x (4 + 1) for two schedulers: 21 in shots of 4
     }
-    // The parts of three schedulers added up to twice what the node bears; by lot the sum had its mean at the bound.
-    TEST_CASE("4: what all schedulers together send a cold node stays within N + 2 root N + 2, at 3, 30 and 300") {
+    // The parts of three schedulers added up to twice what the node bears; by lot the sum had its
+    // mean at the bound.
+    TEST_CASE("4: what all schedulers together send a cold node stays within N + 2 root N + 2, at "
+              "3, 30 and 300") {
         constexpr Time span = 2 * sec, look = 20 * ms, end = 18 * sec;
         constexpr double units = 72, mean = 2, warm = 18, start = 0.24;
-        for (auto [n, seed] : {std::pair{3u, 1u}, {30u, 1u}, {30u, 2u}, {30u, 3u}, {300u, 1u}, {300u, 2u}, {300u, 3u},
+        for (auto [n, seed] : {std::pair{3u, 1u},
+                               {30u, 1u},
+                               {30u, 2u},
+                               {30u, 3u},
+                               {300u, 1u},
+                               {300u, 2u},
+                               {300u, 3u},
                                {300u, 4u}}) {
             CAPTURE(n);
             std::vector<Bench> all(n);
@@ -457,16 +476,19 @@
                 s.set_place(PeerId{i}, n, ZoneId{0}), s.set_units(mean, 8, 0.3, 0.05);
                 s.set_cold(units, span, static_cast<Time>(warm) * sec, start);
                 s.ready(0);
-                all[i].list(0, NodeState::ready, 3 * sec); // past what a scheduler spares of its own start
+                all[i].list(0, NodeState::ready,
+                            3 * sec); // past what a scheduler spares of its own start
             }
             std::vector<std::pair<Time, double>> sent;
             std::uint64_t id = 0;
             std::vector<std::size_t> read(n);
             std::map<std::uint64_t, double> asked;
             for (Time now = 3 * sec; now < end; now += look) {
-                // Two hundred tasks a second, eleven times what it bears at first: half of them through a third of us.
+                // Two hundred tasks a second, eleven times what it bears at first: half of them
+                // through a third of us.
                 for (int k = 0; k < 4; ++k) {
-                    auto i = static_cast<std::uint32_t>(chance() % 2 ? chance() % n : chance() % (n / 3 + 1));
+                    auto i = static_cast<std::uint32_t>(chance() % 2 ? chance() % n
+                                                                     : chance() % (n / 3 + 1));
                     double u = chance() % 4 == 0 ? 4 : chance() % 8 == 0 ? 8 : 1; // 2.3 in the mean
                     asked[++id] = u;
                     all[i].task(now, id, 1, 0, u);
@@ -475,7 +497,8 @@
                     all[i].s->settle(now);
                     auto &lines = all[i].did.lines;
                     for (; read[i] < lines.size(); ++read[i]) {
-                        if (!lines[read[i]].starts_with("shoot ")) continue;
+                        if (!lines[read[i]].starts_with("shoot "))
+                            continue;
                         auto task = std::stoull(lines[read[i]].substr(6));
                         sent.push_back({now, asked[task]});
                         all[i].outcome(now, task, Outcome::answered, 15 * ms);
@@ -485,7 +508,8 @@
             double most = -1e9, served = 0;
             for (std::size_t from = 0; from < sent.size(); ++from) {
                 double sum = 0;
-                for (auto k = from; k < sent.size() && sent[k].first <= sent[from].first + span; ++k) {
+                for (auto k = from; k < sent.size() && sent[k].first <= sent[from].first + span;
+                     ++k) {
                     sum += sent[k].second / mean;
                     double age = seconds(sent[k].first - 3 * sec) / warm;
                     double bears = units / mean * (1 + age * (1 - start) / start);
@@ -494,10 +518,12 @@
                 served += sent[from].second / mean;
             }
             CHECK(most <= 0);
-            CHECK(served > 0.4 * units / mean * seconds(end - 3 * sec) / seconds(span)); // and it is not left idle
+            CHECK(served > 0.4 * units / mean * seconds(end - 3 * sec) /
+                               seconds(span)); // and it is not left idle
         }
     }
-    // Where connections come up late or never, two that were lost together made a node that answered pass for new.
+    // Where connections come up late or never, two that were lost together made a node that
+    // answered pass for new.
     TEST_CASE("connections lost while the node answers others do not make it pass for new") {
         for (bool answers : {true, false}) {
             Bench t;
@@ -507,12 +533,16 @@
                 t.s->settle(3 * sec);
                 t.outcome(3 * sec + ms, i, Outcome::answered, ms);
             }
-            for (std::uint64_t i = 40; i < 43; ++i) t.task(4 * sec, i);
+            for (std::uint64_t i = 40; i < 43; ++i)
+                t.task(4 * sec, i);
             t.s->settle(4 * sec);
             REQUIRE(t.did.count("shoot 42") == 1);
-            if (answers) t.outcome(4 * sec + 50 * ms, 42, Outcome::answered, 50 * ms);
-            for (std::uint64_t i = 40; i < 42; ++i) t.outcome(4 * sec + 100 * ms, i, Outcome::unreachable, 100 * ms);
-            if (!answers) t.outcome(4 * sec + 150 * ms, 42, Outcome::answered, 150 * ms);
+            if (answers)
+                t.outcome(4 * sec + 50 * ms, 42, Outcome::answered, 50 * ms);
+            for (std::uint64_t i = 40; i < 42; ++i)
+                t.outcome(4 * sec + 100 * ms, i, Outcome::unreachable, 100 * ms);
+            if (!answers)
+                t.outcome(4 * sec + 150 * ms, 42, Outcome::answered, 150 * ms);
             for (std::uint64_t i = 50; i < 70; ++i) {
                 t.task(5 * sec, i, 1, 0, 4);
                 t.s->settle(5 * sec);
@@ -542,7 +572,8 @@
             CHECK((t.did.count("shoot") >= 20) == (lost == 1));
         }
     }
-    TEST_CASE("a task that ends on other grounds than its client's leaving says nothing of patience") {
+    TEST_CASE(
+        "a task that ends on other grounds than its client's leaving says nothing of patience") {
         Bench t;
         t.list(0);
         for (std::uint64_t i = 1; i < 15; ++i)
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -39,7 +39,8 @@
         j.bytes(0, client, false, std::string("\0\0\0\3", 4));
         j.bytes(0, client, true, std::string(18, 'x'));
     }
-    void ask(Time at, std::uint16_t command, std::uint64_t cookie, std::uint64_t offset, char fill = 'x') {
+    void ask(Time at, std::uint16_t command, std::uint64_t cookie, std::uint64_t offset,
+             char fill = 'x') {
         Quiet q;
         load::Session s(q, "v", false);
         s.take_out();
@@ -47,23 +48,28 @@
               command == nbd::cmd_write ? std::string(512, fill) : "");
         j.bytes(at, client, false, s.take_out());
     }
-    void reply(Time at, std::uint64_t cookie, std::uint32_t error = 0, const std::string &data = "") {
+    void reply(Time at, std::uint64_t cookie, std::uint32_t error = 0,
+               const std::string &data = "") {
         std::string r;
         nbd::put(r, nbd::simple_reply_magic);
         nbd::put(r, error);
         nbd::put(r, cookie);
         j.bytes(at, client, true, r + data);
     }
-    std::uint64_t shot(Time at, frames::Kind kind, std::uint64_t task, std::uint64_t offset, WireId wire = WireId{2},
-                       int shard = 0, std::uint32_t units = 1000, char fill = 'x') {
+    std::uint64_t shot(Time at, frames::Kind kind, std::uint64_t task, std::uint64_t offset,
+                       WireId wire = WireId{2}, int shard = 0, std::uint32_t units = 1000,
+                       char fill = 'x') {
         j.bytes(at, wire, true,
-                frames::make(kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0, ShardId{shard},
+                frames::make(kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0,
+                             ShardId{shard},
                              kind == frames::Kind::write ? std::string(512, fill) : ""));
         return tag;
     }
-    void answer(Time at, std::uint64_t t, frames::Status status = frames::Status::ok, WireId wire = WireId{2}) {
+    void answer(Time at, std::uint64_t t, frames::Status status = frames::Status::ok,
+                WireId wire = WireId{2}) {
         j.bytes(at, wire, false,
-                frames::make(frames::Kind::answer, 0, status, t, VolumeId{5}, 0, 512, 0, 1, 0, 0, ShardId{0}, {}));
+                frames::make(frames::Kind::answer, 0, status, t, VolumeId{5}, 0, 512, 0, 1, 0, 0,
+                             ShardId{0}, {}));
     }
     std::uint64_t broken(Rule rule) {
         j.finish(100 * sec);
@@ -114,7 +120,8 @@
 }
 TEST_CASE("rule 2: side by side, past the window, elsewhere, a denial that misleads, too many") {
     Scene side, past, elsewhere, misled, many;
-    for (auto *s : {&side, &past, &elsewhere, &misled, &many}) s->ask(sec, nbd::cmd_write, 1, 0);
+    for (auto *s : {&side, &past, &elsewhere, &misled, &many})
+        s->ask(sec, nbd::cmd_write, 1, 0);
     side.shot(sec + 1, Kind::write, 1, 0);
     side.shot(sec + 2, Kind::write, 1, 0);
     CHECK(side.broken(Rule::effects) == 1);
@@ -127,7 +134,8 @@
     misled.shot(sec + 1, Kind::write, 1, 0);
     misled.reply(sec + 2, 1, nbd::e_nomem);
     CHECK(misled.broken(Rule::effects) == 1);
-    for (Time i = 0; i < 4; ++i) many.answer(sec + 2 * i + 1, many.shot(sec + 2 * i, Kind::write, 1, 0), Status::full);
+    for (Time i = 0; i < 4; ++i)
+        many.answer(sec + 2 * i + 1, many.shot(sec + 2 * i, Kind::write, 1, 0), Status::full);
     CHECK(many.broken(Rule::effects) == 1);
 }
 TEST_CASE("two writes over the same range at once: what is written tells whose a shot is") {
@@ -141,7 +149,8 @@
 }
 TEST_CASE("rule 3: a shot later than the grace after the edge was told") {
     Scene s, t;
-    for (auto *x : {&s, &t}) x->j.told(sec, EdgeId{0}, NodeId{1}, NodeState::draining);
+    for (auto *x : {&s, &t})
+        x->j.told(sec, EdgeId{0}, NodeId{1}, NodeState::draining);
     s.shot(sec + 250 * ms, Kind::read, 1, 0);
     t.shot(sec + 251 * ms, Kind::read, 1, 0);
     CHECK(s.broken(Rule::drains) == 0);
@@ -151,7 +160,8 @@
     Scene s;
     s.j.set_cold(100, 0.25, 10 * sec, sec, 2);
     s.j.started(sec, NodeId{1});
-    for (std::uint64_t i = 1; i <= 58; ++i) s.shot(sec + 1, Kind::read, i, 0);
+    for (std::uint64_t i = 1; i <= 58; ++i)
+        s.shot(sec + 1, Kind::read, i, 0);
     CHECK(s.j.breaches(Rule::cold) == 0);
     s.shot(sec + 1, Kind::read, 99, 0);
     CHECK(s.broken(Rule::cold) == 1);
@@ -179,13 +189,15 @@
     Scene s;
     s.j.set_further(0, 1, sec);
     s.ask(sec, nbd::cmd_read, 1, 0);
-    for (Time i = 0; i < 3; ++i) s.answer(sec + 2 * i + 1, s.shot(sec + 2 * i, Kind::read, 1, 0), Status::full);
+    for (Time i = 0; i < 3; ++i)
+        s.answer(sec + 2 * i + 1, s.shot(sec + 2 * i, Kind::read, 1, 0), Status::full);
     CHECK(s.broken(Rule::further) == 1);
 }
 TEST_CASE("rule 7: past a volume's limit") {
     Scene s;
     s.j.set_limit(VolumeId{5}, 10, 20, 2);
-    for (std::uint64_t i = 1; i <= 22; ++i) s.shot(sec, Kind::read, i, 0);
+    for (std::uint64_t i = 1; i <= 22; ++i)
+        s.shot(sec, Kind::read, i, 0);
     CHECK(s.j.breaches(Rule::limits) == 0);
     s.shot(sec, Kind::read, 23, 0);
     CHECK(s.broken(Rule::limits) == 1);
@@ -227,7 +239,8 @@
         return record::read(path, [](auto...) {});
     };
     CHECK(read(text) == "");
-    for (std::size_t n = 0; n < text.size(); ++n) CHECK(read(text.substr(0, n)) != "");
+    for (std::size_t n = 0; n < text.size(); ++n)
+        CHECK(read(text.substr(0, n)) != "");
     for (std::size_t n = 0; n < text.size(); ++n) {
         auto t = text;
         t[n] ^= 1;
--- a/tests/sim/sim_test.cpp
+++ b/tests/sim/sim_test.cpp
@@ -1,5 +1,6 @@
-// Short days in virtual time, from seeds, with every kind of trouble: the rules and the data must hold. A day that
-// fails names its seed; KNOTVANE_SEED=n plays that one alone, KNOTVANE_DAYS=n plays more.
+// Short days in virtual time, from seeds, with every kind of trouble: the rules and the data must
+// hold. A day that fails names its seed; KNOTVANE_SEED=n plays that one alone, KNOTVANE_DAYS=n
+// plays more.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -17,9 +18,12 @@
     d.at_most_once = seed % 5 == 4;
     d.limits = seed % 7 == 3;
     // Some days hold one kind of trouble alone: its effects show without the others'.
-    if (seed % 4 == 1) d.restarts = d.drains = d.cuts = 0;
-    if (seed % 4 == 2) d.restarts = d.drains = d.faults = 0;
-    if (seed % 4 == 3) d.cuts = d.faults = 0;
+    if (seed % 4 == 1)
+        d.restarts = d.drains = d.cuts = 0;
+    if (seed % 4 == 2)
+        d.restarts = d.drains = d.faults = 0;
+    if (seed % 4 == 3)
+        d.cuts = d.faults = 0;
     return d;
 }
 std::uint64_t number_from(const char *name, std::uint64_t otherwise) {
@@ -41,10 +45,13 @@
         }
         bad += !r.broken.empty();
         requests += r.requests, delivered += r.delivered;
-        for (auto &[name, n] : r.met) met[name] += n;
+        for (auto &[name, n] : r.met)
+            met[name] += n;
     }
-    std::cout << days << " days, " << requests << " requests, " << delivered << " delivered, " << bad << " bad days\n";
-    for (auto &[name, n] : met) std::cout << "  " << name << ": " << n << "\n";
+    std::cout << days << " days, " << requests << " requests, " << delivered << " delivered, "
+              << bad << " bad days\n";
+    for (auto &[name, n] : met)
+        std::cout << "  " << name << ": " << n << "\n";
     CHECK(delivered > requests / 10); // clients that ask again at once count each time
 }
 
@@ -55,7 +62,8 @@
             auto d = day_of(4 * seed + 2); // connections held back: copies that come late
             d.at_most_once = false;
             leave_out(d);
-            for (auto &b : sim::play(d).broken) all += b + "\n";
+            for (auto &b : sim::play(d).broken)
+                all += b + "\n";
         }
         return all;
     };
--- a/tests/store/helpers.hpp
+++ b/tests/store/helpers.hpp
@@ -10,8 +10,9 @@
 
 namespace knotvane::store {
 
-// A disk with a cache: what is written is seen at once and durable at a sync. It stops for good at a chosen call, and
-// its durable bytes are then those of the last sync with any of the sectors written since, in any mix.
+// A disk with a cache: what is written is seen at once and durable at a sync. It stops for good at
+// a chosen call, and its durable bytes are then those of the last sync with any of the sectors
+// written since, in any mix.
 struct Cutting final : Medium {
     struct Cut : std::runtime_error {
         Cut() : std::runtime_error("the power is gone") {}
@@ -29,22 +30,26 @@
             left = 0;
             throw Cut();
         }
-        if (fails >= 0 && fails-- == 0) throw std::runtime_error("no space left on the medium");
+        if (fails >= 0 && fails-- == 0)
+            throw std::runtime_error("no space left on the medium");
     }
     void read(std::uint64_t at, char *to, std::size_t size) override {
         std::fill_n(to, size, '\0');
-        if (at < seen.size()) seen.copy(to, size, at);
+        if (at < seen.size())
+            seen.copy(to, size, at);
     }
     void write(std::uint64_t at, std::string_view bytes) override {
         step();
-        if (seen.size() < at + bytes.size()) seen.resize(at + bytes.size());
+        if (seen.size() < at + bytes.size())
+            seen.resize(at + bytes.size());
         seen.replace(at, bytes.size(), bytes);
         since.emplace_back(at, std::string(bytes));
     }
     void sync() override {
         step();
         for (auto &[at, bytes] : since) {
-            if (durable.size() < at + bytes.size()) durable.resize(at + bytes.size());
+            if (durable.size() < at + bytes.size())
+                durable.resize(at + bytes.size());
             durable.replace(at, bytes.size(), bytes);
         }
         since.clear();
@@ -56,7 +61,8 @@
             for (std::size_t i = 0; i < bytes.size();) {
                 auto n = std::min(sector - (at + i) % sector, bytes.size() - i);
                 if (chance() % 2 == 0) {
-                    if (out.size() < at + i + n) out.resize(at + i + n);
+                    if (out.size() < at + i + n)
+                        out.resize(at + i + n);
                     out.replace(at + i, n, bytes, i, n);
                 }
                 i += n;
@@ -65,7 +71,8 @@
     }
 };
 
-// Volumes as arrays of sectors, a letter each, since what is written is one letter all over; a copy is a snapshot.
+// Volumes as arrays of sectors, a letter each, since what is written is one letter all over; a copy
+// is a snapshot.
 using Model = std::map<VolumeId, std::string>;
 constexpr std::size_t volume_size = 80 * Store::block, sectors = volume_size / 512;
 
@@ -74,9 +81,13 @@
     for (std::uint64_t v = 1; v <= volumes; ++v) {
         std::string got;
         auto &to = out[VolumeId{v}];
-        if (!s.read(VolumeId{v}, 0, volume_size, got)) to = "damaged";
+        if (!s.read(VolumeId{v}, 0, volume_size, got))
+            to = "damaged";
         for (std::size_t at = 0; at < got.size(); at += 512)
-            to += std::string_view(got).substr(at, 512).find_first_not_of(got[at]) != std::string::npos ? '?' : got[at];
+            to += std::string_view(got).substr(at, 512).find_first_not_of(got[at]) !=
+                          std::string::npos
+                      ? '?'
+                      : got[at];
     }
     return out;
 }
@@ -89,61 +100,84 @@
     std::ranlux24_base &chance;
 
     Driven(Store &store, std::ranlux24_base &c) : s(store), chance(c) {
-        for (std::uint64_t v = 1; v <= volumes; ++v) m[VolumeId{v}] = std::string(sectors, '\0');
+        for (std::uint64_t v = 1; v <= volumes; ++v)
+            m[VolumeId{v}] = std::string(sectors, '\0');
     }
     // Gives whether all before it is durable now.
     bool step() {
         VolumeId v{1 + chance() % volumes}, w{1 + chance() % volumes};
-        std::uint64_t at = chance() % sectors, n = std::min<std::uint64_t>(1 + chance() % 40, sectors - at);
+        std::uint64_t at = chance() % sectors,
+                      n = std::min<std::uint64_t>(1 + chance() % 40, sectors - at);
         switch (chance() % 16) {
         case 0:
-            if (s.frozen(v)) return false;
+            if (s.frozen(v))
+                return false;
             (maybe = m)[v].replace(at, n, n, '\0');
-            if (s.zero(v, at * 512, static_cast<std::uint32_t>(n * 512))) m[v].replace(at, n, n, '\0');
+            if (s.zero(v, at * 512, static_cast<std::uint32_t>(n * 512)))
+                m[v].replace(at, n, n, '\0');
             return false;
         case 1: {
             bool freeze = chance() % 2;
             maybe = m;
-            if (!s.has(w) && v != w) maybe[w] = m[v];
+            if (!s.has(w) && v != w)
+                maybe[w] = m[v];
             auto how = s.cut(v, w, freeze);
-            if (how == Store::Cut::done) m[w] = m[v];
+            if (how == Store::Cut::done)
+                m[w] = m[v];
             return how == Store::Cut::done;
         }
         case 2:
         case 3:
             (maybe = m)[v].assign(sectors, '\0');
-            if (!s.drop(v)) return false;
+            if (!s.drop(v))
+                return false;
             m[v].assign(sectors, '\0');
             return true;
         case 12: { // a cut in two steps
             maybe = m;
-            if (!s.has(w) && v != w) maybe[w] = m[v];
-            if (s.open_cut(v, w, s.epoch(v) + 1) == Store::Cut::done) m[w] = m[v];
+            if (!s.has(w) && v != w)
+                maybe[w] = m[v];
+            if (s.open_cut(v, w, s.epoch(v) + 1) == Store::Cut::done)
+                m[w] = m[v];
             return false;
         }
-        case 13: maybe = m; return s.seal(v);
+        case 13:
+            maybe = m;
+            return s.seal(v);
         case 14:
         case 15: { // what comes late goes into both
             auto as = s.opened(v);
             maybe = m;
-            if (!as) return false;
+            if (!as)
+                return false;
             auto letter = static_cast<char>('A' + chance() % 26);
             bool zeroes = chance() % 4 == 0;
-            if (zeroes) letter = '\0';
+            if (zeroes)
+                letter = '\0';
             for (auto id : {v, *as})
-                if (!s.frozen(v)) maybe[id].replace(at, n, n, letter);
+                if (!s.frozen(v))
+                    maybe[id].replace(at, n, n, letter);
             bool well = zeroes ? s.zero_both(v, *as, at * 512, static_cast<std::uint32_t>(n * 512))
                                : s.write_both(v, *as, at * 512, std::string(n * 512, letter));
-            if (well) m = maybe;
+            if (well)
+                m = maybe;
             return false;
         }
-        case 4: maybe = m; s.flush(); return true;
-        case 5: maybe = m; s.reclaim(1 + chance() % 4); return false;
+        case 4:
+            maybe = m;
+            s.flush();
+            return true;
+        case 5:
+            maybe = m;
+            s.reclaim(1 + chance() % 4);
+            return false;
         default: {
             auto letter = static_cast<char>('a' + chance() % 26);
             maybe = m;
-            if (!s.frozen(v)) maybe[v].replace(at, n, n, letter);
-            if (s.write(v, at * 512, std::string(n * 512, letter))) m[v].replace(at, n, n, letter);
+            if (!s.frozen(v))
+                maybe[v].replace(at, n, n, letter);
+            if (s.write(v, at * 512, std::string(n * 512, letter)))
+                m[v].replace(at, n, n, letter);
             return false;
         }
         }
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -1,4 +1,5 @@
-// The store: arrays, snapshots and clones, power cut anywhere, errors anywhere, marks, what a check finds.
+// The store: arrays, snapshots and clones, power cut anywhere, errors anywhere, marks, what a check
+// finds.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -25,8 +26,10 @@
         try {
             for (int i = 0; i < 60; ++i) {
                 bool durable = d.step();
-                if (medium.left == 0) throw Cutting::Cut();
-                if (durable) since.clear();
+                if (medium.left == 0)
+                    throw Cutting::Cut();
+                if (durable)
+                    since.clear();
                 since.push_back(d.m);
             }
         } catch (const std::runtime_error &) {
@@ -43,15 +46,21 @@
         auto now = held(s, Driven::volumes);
         bool found = false;
         std::size_t at = 0;
-        for (; at < since.size() && !found; ++at) found = now == since[at];
+        for (; at < since.size() && !found; ++at)
+            found = now == since[at];
         kept_more += found && at > 1;
-        if (!found) return "seed " + std::to_string(seed) + ": what is there is no state since the last flush";
-        for (auto &f : s.check()) return "seed " + std::to_string(seed) + ": " + f;
+        if (!found)
+            return "seed " + std::to_string(seed) +
+                   ": what is there is no state since the last flush";
+        for (auto &f : s.check())
+            return "seed " + std::to_string(seed) + ": " + f;
         // And it goes on well from there.
         Driven d(s, chance);
         d.m = now;
-        for (int i = 0; i < 20; ++i) d.step();
-        if (held(s, Driven::volumes) != d.m) return "seed " + std::to_string(seed) + ": it does not go on well";
+        for (int i = 0; i < 20; ++i)
+            d.step();
+        if (held(s, Driven::volumes) != d.m)
+            return "seed " + std::to_string(seed) + ": it does not go on well";
     } catch (const std::exception &e) {
         return "seed " + std::to_string(seed) + ": " + e.what();
     }
@@ -61,23 +70,27 @@
 } // namespace
 
 TEST_SUITE("store") {
-    TEST_CASE("any writes, snapshots, clones and drops read back as arrays would hold them, also opened again") {
+    TEST_CASE("any writes, snapshots, clones and drops read back as arrays would hold them, also "
+              "opened again") {
         CHECK(rc::check([](std::uint16_t seed) {
             std::ranlux24_base chance(seed);
             std::string bytes;
             auto medium = memory_medium(bytes);
             Store s(*medium, 3000);
             Driven d(s, chance);
-            for (int i = 0; i < 80; ++i) d.step();
+            for (int i = 0; i < 80; ++i)
+                d.step();
             RC_ASSERT(held(s, Driven::volumes) == d.m);
             RC_ASSERT(s.check().empty());
             Store again(*medium, 3000);
             RC_ASSERT(held(again, Driven::volumes) == d.m);
-            while (s.reclaim(8)) {}
+            while (s.reclaim(8)) {
+            }
             RC_ASSERT(s.check().empty());
         }));
     }
-    TEST_CASE("the power cut at any call: all that was flushed, then a whole number of changes, no count wrong") {
+    TEST_CASE("the power cut at any call: all that was flushed, then a whole number of changes, no "
+              "count wrong") {
         std::uint64_t more = 0;
         auto *days = std::getenv("KNOTVANE_CUTS");
         std::uint64_t n = days ? std::strtoull(days, nullptr, 10) : 400;
@@ -85,9 +98,11 @@
             auto wrong = cut_once(seed, more);
             REQUIRE_MESSAGE(wrong.empty(), wrong);
         }
-        CHECK(more > n / 20); // unflushed changes are kept at times, so the check sees more than flushed ones
+        CHECK(more > n / 20); // unflushed changes are kept at times, so the check sees more than
+                              // flushed ones
     }
-    TEST_CASE("an error at any call leaves what was there before, or all of the change, and no count wrong") {
+    TEST_CASE("an error at any call leaves what was there before, or all of the change, and no "
+              "count wrong") {
         for (std::uint64_t seed = 1; seed <= 300; ++seed) {
             std::ranlux24_base chance(static_cast<std::ranlux24_base::result_type>(seed));
             Cutting medium;
@@ -96,9 +111,12 @@
             medium.fails = static_cast<long>(chance() % 200);
             std::string wrong;
             try {
-                for (int i = 0; i < 50; ++i) d.step();
-                if (held(s, Driven::volumes) != d.m) wrong = "it holds something else";
-                for (auto &f : s.check()) wrong = f;
+                for (int i = 0; i < 50; ++i)
+                    d.step();
+                if (held(s, Driven::volumes) != d.m)
+                    wrong = "it holds something else";
+                for (auto &f : s.check())
+                    wrong = f;
             } catch (const std::runtime_error &) {
                 // A flush that failed says so, and nothing is served after it.
                 CHECK_FALSE(s.write(VolumeId{1}, 0, std::string(512, 'x')));
@@ -116,7 +134,8 @@
         CHECK(s.read(VolumeId{1}, 0, 4096, got));
         CHECK_FALSE(s.read(VolumeId{1}, 4096, 512, got));
         CHECK_FALSE(s.write(VolumeId{1}, 4096, std::string(512, 'y'))); // the rest would be blessed
-        CHECK(s.check() == std::vector<std::string>{"volume 1: block 1 does not match its checksum"});
+        CHECK(s.check() ==
+              std::vector<std::string>{"volume 1: block 1 does not match its checksum"});
         CHECK(s.write(VolumeId{1}, 4096, std::string(4096, 'y')));
         CHECK(s.check().empty());
     }
@@ -184,7 +203,8 @@
         CHECK_FALSE(again.was_done(1, 7, 5 * sec + 1));
         CHECK(again.marks() == 0);
     }
-    TEST_CASE("a header or a tree that was changed is refused by name; one area's harm is not the other's") {
+    TEST_CASE("a header or a tree that was changed is refused by name; one area's harm is not the "
+              "other's") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         {
@@ -226,7 +246,8 @@
             CHECK(s.write(VolumeId{v}, from * Store::block, std::string(blocks * Store::block, c)));
         }
     };
-    TEST_CASE("a resend is harmless, an id that is another's is refused, a snapshot is not written") {
+    TEST_CASE(
+        "a resend is harmless, an id that is another's is refused, a snapshot is not written") {
         Held h;
         h.fill(1, 'a');
         CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::done);
@@ -238,14 +259,16 @@
         CHECK(h.s.cut(VolumeId{1}, VolumeId{1}, true) == Store::Cut::taken);
         CHECK_FALSE(h.s.write(VolumeId{2}, 0, "x"));
         CHECK_FALSE(h.s.zero(VolumeId{2}, 0, 512));
-        CHECK(h.s.cut(VolumeId{2}, VolumeId{4}, false) == Store::Cut::done); // a clone of a snapshot
+        CHECK(h.s.cut(VolumeId{2}, VolumeId{4}, false) ==
+              Store::Cut::done); // a clone of a snapshot
         h.fill(4, 'c');
         CHECK(h.at(2) == 'a');
         CHECK(h.at(4) == 'c');
         CHECK(h.s.drop(VolumeId{2}));
         CHECK_FALSE(h.s.drop(VolumeId{2}));
     }
-    TEST_CASE("what is unchanged is shared; space of a dropped snapshot comes back, so much at a time") {
+    TEST_CASE(
+        "what is unchanged is shared; space of a dropped snapshot comes back, so much at a time") {
         Held h;
         h.fill(1, 'a', 500);
         CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::done);
@@ -258,7 +281,8 @@
         h.s.drop(VolumeId{2});
         CHECK(h.s.blocks_used() == 600);
         int steps = 1;
-        while (h.s.reclaim(1)) ++steps;
+        while (h.s.reclaim(1))
+            ++steps;
         CHECK(steps > 1);
         CHECK(h.s.blocks_used() == 500);
         CHECK(h.s.check().empty());
@@ -273,10 +297,12 @@
         h.s.write(VolumeId{1}, 5000 * Store::block, std::string(Store::block, 'z'));
         std::uint64_t b = Store::block;
         CHECK(h.s.diff(VolumeId{2}, VolumeId{1}) ==
-              std::vector<std::pair<std::uint64_t, std::uint64_t>>{{5 * b, 2 * b}, {100 * b, b}, {190 * b, b}, {5000 * b, b}});
+              std::vector<std::pair<std::uint64_t, std::uint64_t>>{
+                  {5 * b, 2 * b}, {100 * b, b}, {190 * b, b}, {5000 * b, b}});
         CHECK(h.s.diff(VolumeId{2}, VolumeId{2}).empty());
     }
-    TEST_CASE("a full store: snapshots are refused first, writes next, nothing is harmed, a drop makes room") {
+    TEST_CASE("a full store: snapshots are refused first, writes next, nothing is harmed, a drop "
+              "makes room") {
         Held h(500);
         h.fill(1, 'a', 300);
         CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::done);
@@ -288,7 +314,8 @@
         CHECK(h.at(2) == 'a');
         CHECK(h.s.check().empty());
         h.s.drop(VolumeId{2});
-        while (h.s.reclaim(100)) {}
+        while (h.s.reclaim(100)) {
+        }
         h.fill(1, 'd', 2);
         CHECK(h.s.cut(VolumeId{1}, VolumeId{3}, true) == Store::Cut::done);
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -21,7 +21,8 @@
     return f;
 }
 
-std::string boot(std::uint32_t instance, const std::string &settings = "Balancers=1\nClasses.count=0\n") {
+std::string boot(std::uint32_t instance,
+                 const std::string &settings = "Balancers=1\nClasses.count=0\n") {
     std::string r;
     Record(r, 267).put(instance);
     Record boot(r, 256);
