--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -4,21 +4,21 @@
 
 #include <deque>
 
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 using namespace knotvane;
 
 namespace {
 
-struct Sink final : Actions {
-    std::deque<std::pair<TaskId, NodeId>> out;
+struct Sink final : SchedulerActions {
+    std::deque<std::pair<RequestId, NodeId>> out;
     std::uint64_t ended = 0;
-    void shoot(TaskId t, NodeId n, Time) override { out.emplace_back(t, n); }
-    void call_off(TaskId, ShotId) override {}
-    void deny(TaskId, Time) override { ++ended; }
-    void error(TaskId) override { ++ended; }
-    void set_alarm(AlarmId, Time) override {}
-    void follow_list() override {}
+    void start_attempt(RequestId t, NodeId n, Time) override { out.emplace_back(t, n); }
+    void cancel_attempt(RequestId, AttemptId) override {}
+    void reject(RequestId, Time) override { ++ended; }
+    void error(RequestId) override { ++ended; }
+    void set_timer(TimerId, Time) override {}
+    void watch_endpoints() override {}
     void ask_list() override {}
     void probe(NodeId) override {}
     void tell_all(std::string_view) override {}
@@ -40,16 +40,16 @@
     s->set_list(false, 0, 250 * ms);
     s->set_cold(0, 0, 0, 1);
     s->ready(0);
-    s->list_begins(0, ListKind::whole);
+    s->endpoint_list_begin(0, EndpointListKind::full);
     for (std::uint64_t n = 0; n < 4; ++n)
-        s->node_listed(NodeId{n + 1}, ShardId{static_cast<std::int32_t>(n)}, ZoneId{0},
+        s->endpoint_listed(NodeId{n + 1}, ShardId{static_cast<std::int32_t>(n)}, ZoneId{0},
                        NodeState::ready, 0);
-    s->list_ends();
+    s->endpoint_list_end();
     Time now = sec;
     std::uint64_t id = 0;
     auto take = [&] {
         ++id;
-        s->task_taken(now, TaskId{id}, WorkloadId{0}, VolumeId{id % 100},
+        s->request_received(now, RequestId{id}, WorkloadId{0}, VolumeId{id % 100},
                       PlanId{static_cast<std::uint32_t>(id % 2)},
                       ShardId{static_cast<std::int32_t>(id % 4)}, KeyId{id},
                       1 + static_cast<double>(id % 4), 1, false, false, now + 200000 * sec);
@@ -63,7 +63,7 @@
         if (!did.out.empty()) {
             auto [task, node] = did.out.front();
             did.out.pop_front();
-            s->shot_ended(now, task, ShotId{0}, node, Outcome::answered, 5 * ms, true, -1, 0, {});
+            s->attempt_completed(now, task, AttemptId{0}, node, AttemptOutcome::answered, 5 * ms, true, -1, 0, {});
         }
         s->settle(now);
     }
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "fleet/fleet.hpp"
-#include "frames/frames.hpp"
+#include "node_protocol/frame.hpp"
 #include "load/driver.hpp"
 
 using namespace knotvane;
@@ -17,10 +17,10 @@
 namespace {
 
 // Reads straight from a node, a number in flight, for a while.
-struct Direct final : frames::Sink {
+struct Direct final : node_protocol::Sink {
     loop::Loop &loop;
     std::shared_ptr<loop::Socket> socket;
-    frames::Reader reader;
+    node_protocol::Reader reader;
     std::map<std::uint64_t, Time> out;
     std::vector<Time> took;
     std::uint64_t tag = 0;
@@ -37,7 +37,7 @@
         };
         socket->connect(address, [this, length](bool) {
             ends = loop::now() + length;
-            socket->send(frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+            socket->send(node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
                                       shard, {}));
             socket->flush();
         });
@@ -45,13 +45,13 @@
     ~Direct() { socket->close(true); }
     void ask() {
         out[++tag] = loop::now();
-        socket->send(frames::make(frames::Kind::read, 0, {}, tag, VolumeId{1}, tag * 7 % 64 * 4096,
+        socket->send(node_protocol::make(node_protocol::Kind::read, 0, {}, tag, VolumeId{1}, tag * 7 % 64 * 4096,
                                   4096, 1000, 0, 0, 0, shard, {}));
     }
-    bool frame(frames::Kind kind, std::uint8_t, frames::Status, std::uint64_t t, VolumeId,
+    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t t, VolumeId,
                std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t, std::uint64_t, Time,
                ShardId, std::string_view, std::uint32_t) override {
-        if (kind == frames::Kind::welcome) {
+        if (kind == node_protocol::Kind::welcome) {
             for (std::size_t i = 0; i < flying; ++i)
                 ask();
             return true;
@@ -90,7 +90,7 @@
         constexpr Time length = 700 * ms;
         constexpr int rounds = 5;
         fleet::Fleet fleet(dir, nodes, 1, 0, fleet::default_scheduling(), fleet::default_service(),
-                           [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
+                           [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
         fleet.start();
         fleet::Worker worker;
         for (std::size_t flying : {std::size_t{1}, std::size_t{64}}) {
--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -9,8 +9,8 @@
 #include <filesystem>
 
 #include "../tests/planner/helpers.hpp"
-#include "edge/planfile.hpp"
-#include "edge/subscription.hpp"
+#include "edge/plan_cache_file.hpp"
+#include "edge/planner_client.hpp"
 #include "sim/planning.hpp"
 
 namespace {
@@ -33,23 +33,23 @@
     std::string path = (std::filesystem::temp_directory_path() / "knotvane-plan-bench").string();
     ~Line() override { std::filesystem::remove(path); }
     void say(std::string) override {}
-    void plan_taken(const facts::Table &, bool, bool, const std::map<NodeId, Time> &) override {}
-    void part_told(VolumeId, double) override {}
+    void plan_taken(const control::ClusterState &, bool, bool, const std::map<NodeId, Time> &) override {}
+    void quota_share_changed(VolumeId, double) override {}
 };
 
 std::string whole(std::uint64_t volumes, std::uint64_t version) {
     std::string out =
-        facts::begins(facts::Term{1}, 1, 1, facts::Version{version}, facts::Version{0}, 0) +
-        facts::put(PlanId{0}, facts::Plan{"p"});
+        control::begins(control::Term{1}, 1, 1, control::Version{version}, control::Version{0}, 0) +
+        control::put(PlanId{0}, control::Plan{"p"});
     for (std::uint64_t v = 0; v < volumes; ++v)
-        out += facts::put(VolumeId{v},
-                          facts::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
-    return out + facts::ends(facts::Version{version}, volumes + 1);
+        out += control::put(VolumeId{v},
+                          control::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
+    return out + control::ends(control::Version{version}, volumes + 1);
 }
 
 void edge_moments(std::uint64_t volumes) {
     Line line;
-    edge::Subscription s(line, facts::EdgeId{1}, "e", 1, sec, sec);
+    edge::Subscription s(line, control::EdgeId{1}, "e", 1, sec, sec);
     s.start(0, {});
     s.up(0);
     double longest[2] = {}, total[2] = {};
@@ -71,10 +71,10 @@
     for (std::uint64_t i = 0; i < 200; ++i) {
         auto v = 3 + i;
         auto news =
-            facts::begins(facts::Term{1}, 1, 1, facts::Version{v}, facts::Version{v - 1}, 0) +
-            facts::put(VolumeId{i},
-                       facts::Volume{"volume-" + std::to_string(i), 1 << 30, 4096, PlanId{0}}) +
-            facts::ends(facts::Version{v}, 1);
+            control::begins(control::Term{1}, 1, 1, control::Version{v}, control::Version{v - 1}, 0) +
+            control::put(VolumeId{i},
+                       control::Volume{"volume-" + std::to_string(i), 1 << 30, 4096, PlanId{0}}) +
+            control::ends(control::Version{v}, 1);
         auto t = Clock::now();
         s.bytes(3 * sec, news);
         change = std::max(change, us_since(t));
@@ -83,7 +83,7 @@
                 "another %7.0f of %7.0f; "
                 "a change %5.1f us at most%s\n",
                 static_cast<unsigned long long>(volumes), longest[0], total[0], longest[1],
-                total[1], change, s.copy().version() == facts::Version{202} ? "" : "  (NOT TAKEN)");
+                total[1], change, s.copy().version() == control::Version{202} ? "" : "  (NOT TAKEN)");
 }
 
 void planner_change(std::uint64_t edges, std::uint64_t nodes) {
--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -12,32 +12,32 @@
 
 add_library(knotvane_nbd src/nbd/server.cpp)
 target_include_directories(knotvane_nbd PUBLIC src)
-add_library(knotvane_frames src/frames/frames.cpp)
-target_link_libraries(knotvane_frames PUBLIC knotvane_policy PkgConfig::isal)
-add_library(knotvane_facts src/facts/table.cpp src/facts/messages.cpp)
-target_link_libraries(knotvane_facts PUBLIC knotvane_frames)
+add_library(knotvane_node_protocol src/node_protocol/frame.cpp)
+target_link_libraries(knotvane_node_protocol PUBLIC knotvane_scheduling PkgConfig::isal)
+add_library(knotvane_control src/control/cluster_state.cpp src/control/messages.cpp)
+target_link_libraries(knotvane_control PUBLIC knotvane_node_protocol)
 add_library(
   knotvane_planner
-  src/planner/parts.cpp
-  src/planner/members.cpp
-  src/planner/state.cpp
+  src/planner/quota_allocation.cpp
+  src/planner/membership.cpp
+  src/planner/versioned_state.cpp
   src/planner/core.cpp
-  src/planner/core_cuts.cpp
-  src/planner/cuts.cpp)
-target_link_libraries(knotvane_planner PUBLIC knotvane_facts PRIVATE nlohmann_json::nlohmann_json)
+  src/planner/core_snapshots.cpp
+  src/planner/snapshot_coordinator.cpp)
+target_link_libraries(knotvane_planner PUBLIC knotvane_control PRIVATE nlohmann_json::nlohmann_json)
 add_library(knotvane_store src/store/medium.cpp src/store/store.cpp)
-target_link_libraries(knotvane_store PUBLIC knotvane_frames)
+target_link_libraries(knotvane_store PUBLIC knotvane_node_protocol)
 add_library(knotvane_node src/node/disk.cpp src/node/registration.cpp)
-target_link_libraries(knotvane_node PUBLIC knotvane_facts knotvane_store)
+target_link_libraries(knotvane_node PUBLIC knotvane_control knotvane_store)
 add_library(knotvane_settings src/settings/ini.cpp src/settings/fleet_sections.cpp)
 target_include_directories(knotvane_settings PUBLIC src)
 target_link_libraries(knotvane_settings PRIVATE PkgConfig::inih PkgConfig::xxhash)
-add_library(knotvane_edge src/edge/layout.cpp src/edge/links.cpp src/edge/core.cpp src/edge/subscription.cpp)
-target_link_libraries(knotvane_edge PUBLIC knotvane_facts knotvane_nbd PRIVATE PkgConfig::xxhash)
+add_library(knotvane_edge src/edge/layout.cpp src/edge/node_connections.cpp src/edge/core.cpp src/edge/planner_client.cpp)
+target_link_libraries(knotvane_edge PUBLIC knotvane_control knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_load src/load/session.cpp)
 target_link_libraries(knotvane_load PUBLIC knotvane_nbd)
 add_library(knotvane_rules src/rules/judge.cpp src/rules/history.cpp)
-target_link_libraries(knotvane_rules PUBLIC knotvane_frames knotvane_nbd PRIVATE PkgConfig::xxhash)
+target_link_libraries(knotvane_rules PUBLIC knotvane_node_protocol knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_sim src/sim/world.cpp)
 target_link_libraries(knotvane_sim PUBLIC knotvane_edge knotvane_node knotvane_load knotvane_rules)
 add_library(knotvane_sim_planning src/sim/planning.cpp)
@@ -52,19 +52,19 @@
 add_library(knotvane_loop src/loop/loop.cpp src/loop/dialled.cpp)
 target_include_directories(knotvane_loop PUBLIC src)
 target_link_libraries(knotvane_loop PUBLIC PkgConfig::uv Threads::Threads)
-add_library(knotvane_edge_settings src/edge/settings.cpp src/edge/nodelist.cpp src/edge/planfile.cpp)
+add_library(knotvane_edge_settings src/edge/settings.cpp src/edge/endpoint_file.cpp src/edge/plan_cache_file.cpp)
 target_link_libraries(knotvane_edge_settings PUBLIC knotvane_edge knotvane_settings PRIVATE PkgConfig::xxhash)
 add_library(knotvane_servers src/edge/server.cpp src/node/server.cpp)
 target_link_libraries(
   knotvane_servers
   PUBLIC knotvane_edge_settings knotvane_node knotvane_loop
   PRIVATE knotvane_log)
-add_library(knotvane_planner_store src/planner/store.cpp)
+add_library(knotvane_planner_store src/planner/sqlite_state_store.cpp)
 target_link_libraries(
   knotvane_planner_store
   PUBLIC knotvane_planner
   PRIVATE PkgConfig::sqlite PkgConfig::xxhash)
-add_library(knotvane_planner_server src/planner/files.cpp src/planner/server.cpp src/planner/visitor.cpp)
+add_library(knotvane_planner_server src/planner/desired_state_files.cpp src/planner/server.cpp src/planner/admin_client.cpp)
 target_link_libraries(
   knotvane_planner_server
   PUBLIC knotvane_planner_store knotvane_settings knotvane_loop
@@ -74,7 +74,7 @@
 add_library(knotvane_driver src/load/driver.cpp)
 target_link_libraries(knotvane_driver PUBLIC knotvane_load knotvane_loop)
 add_library(knotvane_record src/record/recording.cpp)
-target_link_libraries(knotvane_record PUBLIC knotvane_frames)
+target_link_libraries(knotvane_record PUBLIC knotvane_node_protocol)
 add_library(knotvane_figures src/rules/figures.cpp)
 target_link_libraries(
   knotvane_figures
@@ -91,21 +91,21 @@
 target_include_directories(knotvane_http PUBLIC src)
 target_link_libraries(knotvane_http PRIVATE ${http_parser_lib})
 add_library(
-  knotvane_platform
-  src/platform/clients.cpp
-  src/platform/config.cpp
-  src/platform/core.cpp
-  src/platform/discovery.cpp
-  src/platform/pools.cpp
-  src/platform/trace.cpp)
+  knotvane_http_gateway
+  src/http_gateway/client_connections.cpp
+  src/http_gateway/config.cpp
+  src/http_gateway/core.cpp
+  src/http_gateway/discovery.cpp
+  src/http_gateway/connection_pool.cpp
+  src/http_gateway/trace.cpp)
 target_link_libraries(
-  knotvane_platform
-  PUBLIC knotvane_setup knotvane_http
+  knotvane_http_gateway
+  PUBLIC knotvane_scheduler_setup knotvane_http
   PRIVATE nlohmann_json::nlohmann_json)
-add_library(knotvane_platform_server src/platform/server.cpp)
+add_library(knotvane_http_gateway_server src/http_gateway/server.cpp)
 target_link_libraries(
-  knotvane_platform_server
-  PUBLIC knotvane_platform knotvane_loop knotvane_settings
+  knotvane_http_gateway_server
+  PUBLIC knotvane_http_gateway knotvane_loop knotvane_settings
   PRIVATE knotvane_log)
 add_executable(
   knotvane
@@ -119,11 +119,11 @@
   src/cli/trace.cpp)
 target_link_libraries(
   knotvane
-  PRIVATE knotvane_platform knotvane_day knotvane_log CLI11::CLI11 nlohmann_json::nlohmann_json)
+  PRIVATE knotvane_http_gateway knotvane_day knotvane_log CLI11::CLI11 nlohmann_json::nlohmann_json)
 add_executable(knotvane-edge src/cli/edge_main.cpp src/cli/platform.cpp)
 target_link_libraries(
   knotvane-edge
-  PRIVATE knotvane_servers knotvane_platform_server knotvane_log CLI11::CLI11)
+  PRIVATE knotvane_servers knotvane_http_gateway_server knotvane_log CLI11::CLI11)
 add_executable(knotvane-planner src/cli/planner_main.cpp)
 target_link_libraries(knotvane-planner PRIVATE knotvane_planner_server knotvane_log CLI11::CLI11)
 # It starts a planner beside itself.
@@ -135,7 +135,7 @@
 find_package(benchmark QUIET)
 if(benchmark_FOUND AND NOT KNOTVANE_TESTS)
   add_executable(module_bench bench/module_bench.cpp)
-  target_link_libraries(module_bench PRIVATE knotvane_policy benchmark::benchmark)
+  target_link_libraries(module_bench PRIVATE knotvane_scheduling benchmark::benchmark)
   add_executable(path_bench bench/path_bench.cpp)
   target_link_libraries(path_bench PRIVATE knotvane_fleet knotvane_driver)
   add_executable(store_bench bench/store_bench.cpp)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -1,14 +1,14 @@
 find_package(doctest REQUIRED)
 add_executable(
-  knotvane_tests
+  decisions_tests
   tests/main.cpp
-  tests/policy_test.cpp
-  tests/wire_test.cpp
-  src/drill/host.cpp
-  src/wire/setup.cpp)
-target_include_directories(knotvane_tests PRIVATE src)
-target_link_libraries(knotvane_tests PRIVATE doctest::doctest)
-add_test(NAME decisions COMMAND knotvane_tests)
+  tests/scheduling/scheduler_test.cpp
+  tests/simulator_adapter/adapter_test.cpp
+  src/simulator_adapter/adapter.cpp
+  src/scheduler_setup/setup.cpp)
+target_include_directories(decisions_tests PRIVATE src)
+target_link_libraries(decisions_tests PRIVATE doctest::doctest)
+add_test(NAME decisions COMMAND decisions_tests)
 add_test(NAME known_red COMMAND ${CMAKE_SOURCE_DIR}/tests/known_red_test)
 
 # The lists of packages and the check of the deploy build itself.
@@ -64,21 +64,21 @@
   SOURCES tests/http/decoder_test.cpp
   LIBS knotvane_http)
 package_tests(
-  platform
+  http_gateway
   SOURCES
-    tests/platform/core_test.cpp
-    tests/platform/crossings_test.cpp
-    tests/platform/discovery_test.cpp
-    tests/platform/loopback_test.cpp
-    tests/platform/server_test.cpp
-  LIBS knotvane_platform_server)
+    tests/http_gateway/core_test.cpp
+    tests/http_gateway/connection_races_test.cpp
+    tests/http_gateway/discovery_test.cpp
+    tests/http_gateway/loopback_test.cpp
+    tests/http_gateway/server_test.cpp
+  LIBS knotvane_http_gateway_server)
 package_tests(
   store
   SOURCES tests/store/store_test.cpp
   LIBS knotvane_store)
 package_tests(
   node
-  SOURCES tests/node/node_test.cpp tests/node/cuts_test.cpp
+  SOURCES tests/node/node_test.cpp tests/node/snapshot_test.cpp
   LIBS knotvane_node)
 package_tests(
   sim
@@ -94,7 +94,7 @@
   LIBS knotvane_sim_cutting)
 package_tests(
   planner
-  SOURCES tests/planner/planner_test.cpp tests/planner/store_test.cpp tests/planner/cuts_test.cpp
+  SOURCES tests/planner/core_test.cpp tests/planner/sqlite_state_store_test.cpp tests/planner/snapshot_coordinator_test.cpp
   LIBS knotvane_planner_server PkgConfig::sqlite)
 package_tests(
   gateway
@@ -110,10 +110,10 @@
 package_tests(
   edge
   SOURCES
-    tests/edge/edge_test.cpp
-    tests/edge/subscription_test.cpp
-    tests/edge/cuts_test.cpp
-    tests/edge/core_cuts_test.cpp
+    tests/edge/core_test.cpp
+    tests/edge/planner_client_test.cpp
+    tests/edge/snapshot_participant_test.cpp
+    tests/edge/core_snapshots_test.cpp
   LIBS knotvane_edge_settings knotvane_load)
 package_tests(
   rules
@@ -131,4 +131,4 @@
 fixed_fuzz(
   http
   SOURCES tests/fuzz/http_fuzz.cpp tests/fuzz/run_http_fixed.cpp
-  LIBS knotvane_platform)
+  LIBS knotvane_http_gateway)
--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -47,7 +47,7 @@
     pthread_sigmask(SIG_BLOCK, &ends, nullptr);
     fleet::Fleet fleet(
         folder.path, nodes, edges, port, fleet::default_scheduling(), fleet::default_service(),
-        [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, planner);
+        [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, planner);
     fleet.start();
     if (planner)
         std::printf("planner %s\n", fleet.planner_address().c_str());
--- a/src/cli/node_main.cpp
+++ b/src/cli/node_main.cpp
@@ -1,5 +1,5 @@
 // knotvane-node: a stand-in for a storage node.
-#include "cli/part.hpp"
+#include "cli/run_program.hpp"
 #include "node/server.hpp"
 
 int main(int argc, char **argv) {
--- a/src/cli/planner.cpp
+++ b/src/cli/planner.cpp
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 
 #include "cli/operators.hpp"
-#include "planner/visitor.hpp"
+#include "planner/admin_client.hpp"
 
 namespace knotvane::cli {
 namespace {
--- a/src/cli/planner_main.cpp
+++ b/src/cli/planner_main.cpp
@@ -1,7 +1,7 @@
 // knotvane-planner: says who is in the fleet, what drains, and which part of each limit an edge
 // has.
-#include "cli/part.hpp"
-#include "planner/files.hpp"
+#include "cli/run_program.hpp"
+#include "planner/desired_state_files.hpp"
 #include "planner/server.hpp"
 
 namespace {
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -9,7 +9,7 @@
 #include <CLI/CLI.hpp>
 
 #include "log/log.hpp"
-#include "platform/server.hpp"
+#include "http_gateway/server.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::cli {
@@ -45,11 +45,11 @@
     log::start(level, json);
     int code = 0;
     try {
-        platform::Config first(text);
+        http_gateway::Config first(text);
         loop::Loop loop;
-        auto server = std::make_unique<platform::Server>(
+        auto server = std::make_unique<http_gateway::Server>(
             loop, config, first,
-            [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, trace);
+            [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, trace);
         uv_signal_t signals[3];
         for (int i = 0; i < 3; ++i) {
             uv_signal_init(loop.raw(), &signals[i]);
@@ -57,7 +57,7 @@
             uv_signal_start(
                 &signals[i],
                 [](uv_signal_t *s, int number) {
-                    auto &to = *static_cast<platform::Server *>(s->data);
+                    auto &to = *static_cast<http_gateway::Server *>(s->data);
                     number == SIGHUP ? to.reload() : to.stop();
                 },
                 i == 0   ? SIGTERM
@@ -67,7 +67,7 @@
         log::line(log::info, "serves", {{"address", server->address()}, {"name", first.name()}});
         loop.run();
         server.reset();
-    } catch (const wire::Malformed &e) {
+    } catch (const scheduler_setup::Malformed &e) {
         std::fprintf(stderr, "%s: %s\n", config.c_str(), e.what());
         code = 2;
     } catch (const std::exception &e) {
--- a/src/cli/snapshots.cpp
+++ b/src/cli/snapshots.cpp
@@ -9,8 +9,8 @@
 #include <nlohmann/json.hpp>
 
 #include "cli/operators.hpp"
-#include "core/time.hpp"
-#include "planner/visitor.hpp"
+#include "common/time.hpp"
+#include "planner/admin_client.hpp"
 
 namespace knotvane::cli {
 namespace {
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -9,7 +9,7 @@
 
 #include <CLI/CLI.hpp>
 
-#include "platform/trace.hpp"
+#include "http_gateway/trace.hpp"
 
 namespace knotvane::cli {
 
@@ -23,7 +23,7 @@
     cmd->footer(
         "Exit codes: 0 good, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
     cmd->callback([paths, &code] {
-        platform::Trace trace;
+        http_gateway::Trace trace;
         for (auto &path : *paths) {
             std::ifstream file(path == "-" ? "/dev/stdin" : path);
             if (!file) {
--- a/src/core/ids.hpp
+++ b/src/common/ids.hpp
@@ -14,7 +14,7 @@
     auto operator<=>(const Id &) const = default;
 };
 
-using TaskId = Id<struct TaskKind, std::uint64_t>;
+using RequestId = Id<struct RequestKind, std::uint64_t>;
 using KeyId = Id<struct KeyKind, std::uint64_t>;
 using VolumeId = Id<struct VolumeKind, std::uint64_t>;
 using NodeId = Id<struct NodeKind, std::uint64_t>;
@@ -23,8 +23,8 @@
 using WorkloadId = Id<struct WorkloadKind, std::uint32_t>;
 using PlanId = Id<struct PlanKind, std::uint32_t>;
 using PeerId = Id<struct PeerKind, std::uint32_t>;
-using ShotId = Id<struct ShotKind, std::uint32_t>;
-using AlarmId = Id<struct AlarmKind, std::uint32_t>;
+using AttemptId = Id<struct AttemptKind, std::uint32_t>;
+using TimerId = Id<struct TimerKind, std::uint32_t>;
 
 // The shard of an object that no node holds yet.
 inline constexpr ShardId no_shard{-1};
--- a/src/core/redial.hpp
+++ b/src/common/reconnect_backoff.hpp
@@ -7,14 +7,14 @@
 #include <limits>
 #include <random>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane {
 
-class Redial {
+class ReconnectBackoff {
 public:
     // The first try after a loss comes within `first`; each failure doubles that, up to `longest`.
-    Redial(Time first, Time longest, std::uint64_t seed)
+    ReconnectBackoff(Time first, Time longest, std::uint64_t seed)
         : first_(first), longest_(longest),
           chance_(static_cast<std::ranlux24_base::result_type>(seed)) {}
     // Tried from `now` on: up, or taken for failed after `give_up`.
--- a/src/facts/table.cpp
+++ b/src/control/cluster_state.cpp
@@ -1,8 +1,8 @@
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 
 #include <utility>
 
-namespace knotvane::facts {
+namespace knotvane::control {
 namespace {
 
 // A quarter: enough that a volume whose edge lost its planner is served on, little enough that
@@ -24,7 +24,7 @@
     return past_lease <= 0 ? millionths : past_lease <= fade ? millionths / faded_part : 0;
 }
 
-void Table::put(VolumeId id, Volume v) {
+void ClusterState::put(VolumeId id, Volume v) {
     auto &to = volumes[id];
     if (to.name != v.name) {
         if (auto it = names.find(to.name); it != names.end() && it->second == id)
@@ -33,7 +33,7 @@
     }
     to = std::move(v);
 }
-void Table::drop_volume(VolumeId id) {
+void ClusterState::drop_volume(VolumeId id) {
     auto it = volumes.find(id);
     if (it == volumes.end())
         return;
@@ -42,7 +42,7 @@
     volumes.erase(it);
 }
 
-void Copy::begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
+void ClusterStateReplica::begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
                   Version from) {
     // What was begun and not ended is dropped: its end was lost, or never sent.
     if (!fresh_.volumes.empty() || !fresh_.nodes.empty())
@@ -53,21 +53,21 @@
     open_ = true, whole_ = from == Version{0};
 }
 
-Taken Copy::ends(Version version, std::uint64_t count) {
+UpdateResult ClusterStateReplica::ends(Version version, std::uint64_t count) {
     if (!std::exchange(open_, false))
-        return Taken::broken;
+        return UpdateResult::broken;
     if (version != next_version_ || count != told_)
-        return Taken::broken;
+        return UpdateResult::broken;
     if (next_term_ < term_ || (next_term_ == term_ && next_instance_ != instance_))
-        return Taken::alien;
+        return UpdateResult::alien;
     bool known = term_ != Term{0} && next_lineage_ == lineage_;
     // Versions go on counting from one term to the next; only another store's begin anew.
     if (known && next_version_ < version_)
-        return Taken::old;
+        return UpdateResult::old;
     if (known && next_term_ == term_ && next_version_ == version_)
-        return Taken::old;
+        return UpdateResult::old;
     if (!whole_ && (!known || from_ != version_))
-        return Taken::gap;
+        return UpdateResult::gap;
     if (whole_) {
         nodes_changed_ = fresh_.nodes != now_.nodes;
         plans_changed_ = fresh_.plans != now_.plans;
@@ -82,10 +82,10 @@
     }
     term_ = next_term_, instance_ = next_instance_, lineage_ = next_lineage_,
     version_ = next_version_;
-    return whole_ ? Taken::whole : Taken::changes;
+    return whole_ ? UpdateResult::whole : UpdateResult::changes;
 }
 
-bool Copy::clear_away() {
+bool ClusterStateReplica::clear_away() {
     if (past_.empty())
         return false;
     auto &t = past_.back();
@@ -94,4 +94,4 @@
     return !past_.empty();
 }
 
-} // namespace knotvane::facts
+} // namespace knotvane::control
--- a/src/facts/table.hpp
+++ b/src/control/cluster_state.hpp
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/node.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "scheduling/node_record.hpp"
+#include "common/time.hpp"
 
-namespace knotvane::facts {
+namespace knotvane::control {
 
 using EdgeId = Id<struct EdgeKind, std::uint64_t>;
 // Of an edge's process: what nodes know it by.
-using EdgeLife = Id<struct EdgeLifeKind, std::uint64_t>;
+using EdgeIncarnation = Id<struct EdgeIncarnationKind, std::uint64_t>;
 // Counts a planner's lives; a later one outranks all before it.
 using Term = Id<struct TermKind, std::uint64_t>;
 using Version = Id<struct VersionKind, std::uint64_t>;
@@ -29,9 +29,9 @@
     std::string address;
     ShardId shard;
     ZoneId zone;
-    NodeState state = NodeState::gone;
+    NodeState state = NodeState::removed;
     Time started = 0;       // by the planner's clock
-    std::uint64_t life = 0; // of its process
+    std::uint64_t incarnation = 0; // of its process
     bool operator==(const Node &) const = default;
 };
 struct Plan {
@@ -54,11 +54,11 @@
 
     VolumeId lies_as(VolumeId self) const { return place.value ? place : self; }
     VolumeId charged_to(VolumeId self) const { return charge.value ? charge : self; }
-    bool is_cut() const { return of.value != 0; }
+    bool is_snapshot() const { return of.value != 0; }
 };
 // How far a cut has come: at an edge, which holds back new changes, goes by the new epoch, has
 // ended all of the old one, or stopped waiting; and at a node.
-enum class CutStep : std::uint8_t {
+enum class SnapshotStep : std::uint8_t {
     ready,
     moved,
     drained,
@@ -75,7 +75,7 @@
 };
 
 // As one edge sees it.
-struct Table {
+struct ClusterState {
     std::map<NodeId, Node> nodes;
     std::map<PlanId, Plan> plans;
     std::map<VolumeId, Volume> volumes;
@@ -95,9 +95,9 @@
 // How news was taken: `old` and `alien` change nothing; after a `gap` or `broken` the whole has to
 // be asked for. Alien is news of a planner that is not the one followed: an older life, or a second
 // one under the same term.
-enum class Taken { whole, changes, old, alien, gap, broken };
+enum class UpdateResult { whole, changes, old, alien, gap, broken };
 
-class Copy {
+class ClusterStateReplica {
 public:
     // News of a planner's life: `instance` tells two by mistake under one term apart. `from`: the
     // version that these are changes to; 0 where they are the whole. `lineage`: of the planner's
@@ -112,25 +112,25 @@
         if (whole_)
             fresh_.put(id, std::move(fact));
         else
-            changes_.push_back([id, f = std::move(fact)](Table &t) { t.put(id, f); });
+            changes_.push_back([id, f = std::move(fact)](ClusterState &t) { t.put(id, f); });
     }
     void drop(NodeId id) {
-        change([id](Table &t) { t.drop(id); });
+        change([id](ClusterState &t) { t.drop(id); });
     }
     void drop(PlanId id) {
-        change([id](Table &t) { t.drop(id); });
+        change([id](ClusterState &t) { t.drop(id); });
     }
     void drop_volume(VolumeId id) {
-        change([id](Table &t) { t.drop_volume(id); });
+        change([id](ClusterState &t) { t.drop_volume(id); });
     }
     void drop_part(VolumeId id) {
-        change([id](Table &t) { t.drop_part(id); });
+        change([id](ClusterState &t) { t.drop_part(id); });
     }
     // The news is complete: `count` entries were told. A whole list is taken in the time of a few
     // changes, however long it is.
-    Taken ends(Version version, std::uint64_t count);
+    UpdateResult ends(Version version, std::uint64_t count);
 
-    const Table &table() const { return now_; }
+    const ClusterState &table() const { return now_; }
     Term term() const { return term_; }
     std::uint64_t instance() const { return instance_; }
     std::uint64_t lineage() const { return lineage_; }
@@ -142,15 +142,15 @@
     bool clear_away();
 
 private:
-    using Change = std::function<void(Table &)>;
+    using Change = std::function<void(ClusterState &)>;
     void change(Change c) {
         if (!open_)
             return;
         ++told_;
         changes_.push_back(std::move(c));
     }
-    Table now_, fresh_;
-    std::vector<Table> past_;
+    ClusterState now_, fresh_;
+    std::vector<ClusterState> past_;
     std::vector<Change> changes_;
     Term term_, next_term_;
     Version version_, next_version_, from_;
@@ -163,4 +163,4 @@
 // which parts out the rest.
 std::uint32_t usable(std::uint32_t millionths, Time past_lease, Time fade);
 
-} // namespace knotvane::facts
+} // namespace knotvane::control
--- a/src/facts/messages.cpp
+++ b/src/control/messages.cpp
@@ -1,4 +1,4 @@
-#include "facts/messages.hpp"
+#include "control/messages.hpp"
 
 #include <cmath>
 #include <cstring>
@@ -9,9 +9,9 @@
 
 #include <msgpack.hpp>
 
-#include "frames/crc.hpp"
+#include "node_protocol/crc.hpp"
 
-namespace knotvane::facts {
+namespace knotvane::control {
 namespace {
 
 // A status of some hundred edges is the longest message; a length past this is no length.
@@ -67,7 +67,7 @@
 void pack(Packer &to, const Id<K, R> &id) {
     to.pack(id.value);
 }
-void pack(Packer &to, CutStep s) {
+void pack(Packer &to, SnapshotStep s) {
     to.pack(static_cast<std::uint8_t>(s));
 }
 void pack(Packer &to, NodeState s) {
@@ -117,7 +117,7 @@
         if constexpr (std::is_same_v<T, Node>) {
             Node n;
             n.address = take<std::string>(), n.shard = take<ShardId>(), n.zone = take<ZoneId>();
-            n.state = take<NodeState>(), n.started = take<Time>(), n.life = take<std::uint64_t>();
+            n.state = take<NodeState>(), n.started = take<Time>(), n.incarnation = take<std::uint64_t>();
             return n;
         } else if constexpr (std::is_same_v<T, Plan>) {
             Plan p;
@@ -167,11 +167,11 @@
             if (v > static_cast<std::uint8_t>(NodeState::ready))
                 throw std::runtime_error("expected a state, 0 to 2");
             return static_cast<NodeState>(v);
-        } else if constexpr (std::is_same_v<T, CutStep>) {
+        } else if constexpr (std::is_same_v<T, SnapshotStep>) {
             auto v = f.as<std::uint8_t>();
-            if (v > static_cast<std::uint8_t>(CutStep::cloned))
+            if (v > static_cast<std::uint8_t>(SnapshotStep::cloned))
                 throw std::runtime_error("expected a step, 0 to 7");
-            return static_cast<CutStep>(v);
+            return static_cast<SnapshotStep>(v);
         } else if constexpr (std::is_same_v<T, double>) {
             auto v = f.as<double>();
             if (!std::isfinite(v))
@@ -187,7 +187,7 @@
 // All of a message's fields, in the order and kinds of what hears it; `check` looks at them before
 // it does.
 template <class... A, class Check>
-void hear(Fields &f, Heard &to, void (Heard::*what)(A...), Check check) {
+void hear(Fields &f, MessageHandler &to, void (MessageHandler::*what)(A...), Check check) {
     std::tuple<std::decay_t<A>...> fields{
         f.take<std::decay_t<A>>()...}; // braces: one after the other
     f.done();
@@ -195,7 +195,7 @@
     std::apply([&](auto &...field) { (to.*what)(std::move(field)...); }, fields);
 }
 template <class... A>
-void hear(Fields &f, Heard &to, void (Heard::*what)(A...)) {
+void hear(Fields &f, MessageHandler &to, void (MessageHandler::*what)(A...)) {
     hear(f, to, what, [](auto &...) {});
 }
 void expect_protocol(Fields &f) {
@@ -204,100 +204,100 @@
                                  std::to_string(protocol));
 }
 
-void decode(Fields &f, Heard &to) {
+void decode(Fields &f, MessageHandler &to) {
     auto kind = f.take<std::uint8_t>();
     switch (static_cast<Kind>(kind)) {
     case Kind::edge_hello:
         expect_protocol(f);
-        return hear(f, to, &Heard::edge_hello);
+        return hear(f, to, &MessageHandler::edge_hello);
     case Kind::renew:
-        return hear(f, to, &Heard::renew);
+        return hear(f, to, &MessageHandler::renew);
     case Kind::ask:
-        return hear(f, to, &Heard::ask);
+        return hear(f, to, &MessageHandler::ask);
     case Kind::serve:
-        return hear(f, to, &Heard::serve);
+        return hear(f, to, &MessageHandler::serve);
     case Kind::witness:
-        return hear(f, to, &Heard::witness);
+        return hear(f, to, &MessageHandler::witness);
     case Kind::superseded:
-        return hear(f, to, &Heard::superseded);
+        return hear(f, to, &MessageHandler::superseded);
     case Kind::node_hello:
         expect_protocol(f);
-        return hear(f, to, &Heard::node_hello,
+        return hear(f, to, &MessageHandler::node_hello,
                     [](auto &, auto &, auto &, auto &, auto &, Time age) {
                         if (age < 0)
                             throw std::runtime_error("expected an age of 0 or more");
                     });
     case Kind::node_renew:
-        return hear(f, to, &Heard::node_renew);
+        return hear(f, to, &MessageHandler::node_renew);
     case Kind::ask_status:
-        return hear(f, to, &Heard::status_asked);
+        return hear(f, to, &MessageHandler::status_asked);
     case Kind::ask_drain:
-        return hear(f, to, &Heard::drain_asked, [](auto &, auto &, std::uint8_t how) {
+        return hear(f, to, &MessageHandler::drain_asked, [](auto &, auto &, std::uint8_t how) {
             if (how > 2)
                 throw std::runtime_error("expected a drain asked, done or forced, 0 to 2");
         });
     case Kind::ask_cut:
-        return hear(f, to, &Heard::cut_asked, [](std::uint8_t what, auto &, auto &, auto &) {
+        return hear(f, to, &MessageHandler::cut_asked, [](std::uint8_t what, auto &, auto &, auto &) {
             if (what > 3)
                 throw std::runtime_error(
                     "expected a snapshot taken, dropped, cloned or compared, 0 to 3");
         });
     case Kind::tell_cut:
-        return hear(f, to, &Heard::cut_told, [](auto &, auto &, std::uint8_t how, auto &) {
+        return hear(f, to, &MessageHandler::cut_told, [](auto &, auto &, std::uint8_t how, auto &) {
             if (how > 4)
                 throw std::runtime_error("expected how a cut went, 0 to 4");
         });
     case Kind::tell_diff:
-        return hear(f, to, &Heard::diff_told, [](auto &, auto &ranges, auto &) {
+        return hear(f, to, &MessageHandler::diff_told, [](auto &, auto &ranges, auto &) {
             if (ranges.size() % 2 != 0)
                 throw std::runtime_error("expected offsets and lengths in turn");
         });
     case Kind::cut_hold:
-        return hear(f, to, &Heard::cut_hold);
+        return hear(f, to, &MessageHandler::cut_hold);
     case Kind::cut_go:
-        return hear(f, to, &Heard::cut_go);
+        return hear(f, to, &MessageHandler::cut_go);
     case Kind::cut_release:
-        return hear(f, to, &Heard::cut_release);
+        return hear(f, to, &MessageHandler::cut_release);
     case Kind::cut_open:
-        return hear(f, to, &Heard::cut_open);
+        return hear(f, to, &MessageHandler::cut_open);
     case Kind::cut_seal:
-        return hear(f, to, &Heard::cut_seal);
+        return hear(f, to, &MessageHandler::cut_seal);
     case Kind::cut_drop:
-        return hear(f, to, &Heard::cut_drop);
+        return hear(f, to, &MessageHandler::cut_drop);
     case Kind::cut_clone:
-        return hear(f, to, &Heard::cut_clone);
+        return hear(f, to, &MessageHandler::cut_clone);
     case Kind::ask_diff:
-        return hear(f, to, &Heard::diff_asked);
+        return hear(f, to, &MessageHandler::diff_asked);
     case Kind::begins:
-        return hear(f, to, &Heard::begins);
+        return hear(f, to, &MessageHandler::begins);
     case Kind::node:
-        return hear(f, to, &Heard::node);
+        return hear(f, to, &MessageHandler::node);
     case Kind::plan:
-        return hear(f, to, &Heard::plan);
+        return hear(f, to, &MessageHandler::plan);
     case Kind::volume:
-        return hear(f, to, &Heard::volume);
+        return hear(f, to, &MessageHandler::volume);
     case Kind::part:
-        return hear(f, to, &Heard::part);
+        return hear(f, to, &MessageHandler::part);
     case Kind::no_node:
-        return hear(f, to, &Heard::no_node);
+        return hear(f, to, &MessageHandler::no_node);
     case Kind::no_plan:
-        return hear(f, to, &Heard::no_plan);
+        return hear(f, to, &MessageHandler::no_plan);
     case Kind::no_volume:
-        return hear(f, to, &Heard::no_volume);
+        return hear(f, to, &MessageHandler::no_volume);
     case Kind::no_part:
-        return hear(f, to, &Heard::no_part);
+        return hear(f, to, &MessageHandler::no_part);
     case Kind::ends:
-        return hear(f, to, &Heard::ends);
+        return hear(f, to, &MessageHandler::ends);
     case Kind::renewed:
-        return hear(f, to, &Heard::renewed);
+        return hear(f, to, &MessageHandler::renewed);
     case Kind::node_told:
-        return hear(f, to, &Heard::node_told);
+        return hear(f, to, &MessageHandler::node_told);
     case Kind::ask_witness:
-        return hear(f, to, &Heard::witness_asked);
+        return hear(f, to, &MessageHandler::witness_asked);
     case Kind::status:
-        return hear(f, to, &Heard::status);
+        return hear(f, to, &MessageHandler::status);
     case Kind::effect:
-        return hear(f, to, &Heard::effect);
+        return hear(f, to, &MessageHandler::effect);
     }
     throw std::runtime_error("kind " + std::to_string(kind) + " is not known");
 }
@@ -326,8 +326,8 @@
     return message(Kind::superseded, term);
 }
 std::string node_hello(NodeId node, ShardId shard, ZoneId zone, const std::string &address,
-                       std::uint64_t life, Time age) {
-    return message(Kind::node_hello, protocol, node, shard, zone, address, life, age);
+                       std::uint64_t incarnation, Time age) {
+    return message(Kind::node_hello, protocol, node, shard, zone, address, incarnation, age);
 }
 std::string node_renew() {
     return message(Kind::node_renew);
@@ -342,8 +342,8 @@
                     const std::string &plan) {
     return message(Kind::ask_cut, what, name, as, plan);
 }
-std::string tell_cut(VolumeId as, CutStep step, std::uint8_t how, EdgeLife life) {
-    return message(Kind::tell_cut, as, step, how, life);
+std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how, EdgeIncarnation incarnation) {
+    return message(Kind::tell_cut, as, step, how, incarnation);
 }
 std::string tell_diff(std::uint64_t question, const std::vector<std::uint64_t> &ranges, bool more) {
     return message(Kind::tell_diff, question, ranges, more);
@@ -358,7 +358,7 @@
     return message(Kind::cut_release, of, as);
 }
 std::string cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
-                     const std::vector<EdgeLife> &late) {
+                     const std::vector<EdgeIncarnation> &late) {
     return message(Kind::cut_open, of, as, epoch, late);
 }
 std::string cut_seal(VolumeId of, VolumeId as) {
@@ -378,7 +378,7 @@
     return message(Kind::begins, term, instance, lineage, version, from, now);
 }
 std::string put(NodeId id, const Node &n) {
-    return message(Kind::node, id, n.address, n.shard, n.zone, n.state, n.started, n.life);
+    return message(Kind::node, id, n.address, n.shard, n.zone, n.state, n.started, n.incarnation);
 }
 std::string put(PlanId id, const Plan &p) {
     return message(Kind::plan, id, p.name, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
@@ -421,7 +421,7 @@
     return message(Kind::effect, allowed, done, text);
 }
 
-std::string Reader::bytes(std::string_view in, Heard &to) {
+std::string Reader::bytes(std::string_view in, MessageHandler &to) {
     if (!fault_.empty())
         return fault_;
     rest_.append(in);
@@ -452,4 +452,4 @@
     return {};
 }
 
-} // namespace knotvane::facts
+} // namespace knotvane::control
--- a/src/facts/messages.hpp
+++ b/src/control/messages.hpp
@@ -8,16 +8,16 @@
 #include <string_view>
 #include <vector>
 
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 
-namespace knotvane::facts {
+namespace knotvane::control {
 
 inline constexpr std::uint32_t protocol = 2;
 
 // What a side may hear; what it doesn't expect says so and the connection is closed.
-class Heard {
+class MessageHandler {
 public:
-    virtual ~Heard() = default;
+    virtual ~MessageHandler() = default;
     // ---- To the planner. Times: nanoseconds.
     // `draining`: nodes that the edge holds as draining; `serving`: volumes with a client at it.
     virtual void edge_hello(EdgeId, const std::string & /*listen*/, Term,
@@ -52,7 +52,7 @@
     }
     // An edge's or a node's step of a cut. `how`, of a node: as store::Store::Cut counts; `life`:
     // of an edge.
-    virtual void cut_told(VolumeId /*as*/, CutStep, std::uint8_t /*how*/, EdgeLife) {
+    virtual void cut_told(VolumeId /*as*/, SnapshotStep, std::uint8_t /*how*/, EdgeIncarnation) {
         unexpected("a step of a cut");
     }
     // Offsets and lengths, in turn; `more`: they go on past the last.
@@ -93,7 +93,7 @@
     virtual void cut_release(VolumeId /*of*/, VolumeId /*as*/) { unexpected("a cut"); }
     // To nodes: see node::Disk.
     virtual void cut_open(VolumeId /*of*/, VolumeId /*as*/, std::uint32_t /*epoch*/,
-                          const std::vector<EdgeLife> & /*late*/) {
+                          const std::vector<EdgeIncarnation> & /*late*/) {
         unexpected("a cut");
     }
     virtual void cut_seal(VolumeId /*of*/, VolumeId /*as*/) { unexpected("a cut"); }
@@ -121,19 +121,19 @@
 std::string witness(NodeId node, bool reached);
 std::string superseded(Term term);
 std::string node_hello(NodeId node, ShardId shard, ZoneId zone, const std::string &address,
-                       std::uint64_t life, Time age);
+                       std::uint64_t incarnation, Time age);
 std::string node_renew();
 std::string ask_status();
 std::string ask_drain(NodeId node, bool draining, std::uint8_t how);
 std::string ask_cut(std::uint8_t what, const std::string &name, const std::string &as,
                     const std::string &plan);
-std::string tell_cut(VolumeId as, CutStep step, std::uint8_t how, EdgeLife life = {});
+std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how, EdgeIncarnation incarnation = {});
 std::string tell_diff(std::uint64_t question, const std::vector<std::uint64_t> &ranges, bool more);
 std::string cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest);
 std::string cut_go(VolumeId of, VolumeId as, std::uint32_t epoch);
 std::string cut_release(VolumeId of, VolumeId as);
 std::string cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
-                     const std::vector<EdgeLife> &late);
+                     const std::vector<EdgeIncarnation> &late);
 std::string cut_seal(VolumeId of, VolumeId as);
 std::string cut_drop(VolumeId as);
 std::string cut_clone(VolumeId of, VolumeId as);
@@ -159,10 +159,10 @@
 public:
     // Calls for each whole message. An empty answer is good; else the bytes are no message, which
     // and why, and nothing after them is read.
-    std::string bytes(std::string_view in, Heard &to);
+    std::string bytes(std::string_view in, MessageHandler &to);
 
 private:
     std::string rest_, fault_;
 };
 
-} // namespace knotvane::facts
+} // namespace knotvane::control
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -11,7 +11,7 @@
 #include "edge/settings.hpp"
 #include "log/log.hpp"
 #include "nbd/wire.hpp"
-#include "planner/visitor.hpp"
+#include "planner/admin_client.hpp"
 #include "record/recording.hpp"
 #include "relay/relay.hpp"
 #include "rules/figures.hpp"
@@ -299,7 +299,7 @@
         tell(~std::size_t{0});
         at(until, [this, node = t.node, id] {
             on_relay([&] { relay->block(id); });
-            fleet.list_as(id, NodeState::gone, 0);
+            fleet.list_as(id, NodeState::removed, 0);
             fleet.replace(node);
             on_relay([&] { relay->put(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             tell(~std::size_t{0});
--- a/src/day/passthrough.hpp
+++ b/src/day/passthrough.hpp
@@ -4,10 +4,10 @@
 
 #include <memory>
 
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::day {
 
-std::unique_ptr<Scheduler> make_passthrough(Actions &actions);
+std::unique_ptr<Scheduler> make_passthrough(SchedulerActions &actions);
 
 } // namespace knotvane::day
--- a/src/day/unhearing.hpp
+++ b/src/day/unhearing.hpp
@@ -2,7 +2,7 @@
 // what it needs.
 #pragma once
 
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::day {
 
@@ -11,7 +11,7 @@
     void set_place(PeerId, std::uint32_t, ZoneId) override {}
     void set_clock(Time, Time) override {}
     void add_workload(WorkloadId, Time, Time, double, double) override {}
-    void set_repeat(WorkloadId, Repeat, Group, Time) override {}
+    void set_repeat(WorkloadId, Idempotency, DeduplicationScope, Time) override {}
     void set_turns(WorkloadId, Time) override {}
     void add_plan(PlanId, double, double, double, double) override {}
     void set_limit(PlanId, double, double) override {}
@@ -23,16 +23,16 @@
     void set_list(bool, Time, Time) override {}
     void set_cold(double, Time, Time, double) override {}
     void ready(Time) override {}
-    void list_begins(Time, ListKind) override {}
-    void node_listed(NodeId, ShardId, ZoneId, NodeState, Time) override {}
-    void list_ends() override {}
-    void list_failed(Time) override {}
-    void task_taken(Time, TaskId, WorkloadId, VolumeId, PlanId, ShardId, KeyId, double, double,
+    void endpoint_list_begin(Time, EndpointListKind) override {}
+    void endpoint_listed(NodeId, ShardId, ZoneId, NodeState, Time) override {}
+    void endpoint_list_end() override {}
+    void endpoint_list_failed(Time) override {}
+    void request_received(Time, RequestId, WorkloadId, VolumeId, PlanId, ShardId, KeyId, double, double,
                     bool, bool, Time) override {}
-    void shot_ended(Time, TaskId, ShotId, NodeId, Outcome, Time, bool, double, double,
+    void attempt_completed(Time, RequestId, AttemptId, NodeId, AttemptOutcome, Time, bool, double, double,
                     std::span<const float>) override {}
-    void task_withdrawn(Time, TaskId, bool) override {}
-    void alarm(Time, AlarmId) override {}
+    void request_canceled(Time, RequestId, bool) override {}
+    void alarm(Time, TimerId) override {}
     void settle(Time) override {}
 };
 
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -15,12 +15,12 @@
 
 // The decisions' actions, kept until the call in which they came is over: an answer may free a
 // client's next request, which must not reach the decisions in the middle of a decision.
-struct Core::Deeds final : Actions {
-    enum class Kind { shoot, call_off, deny, error };
+struct Core::Deeds final : SchedulerActions {
+    enum class Kind { start_attempt, cancel_attempt, reject, error };
     struct Deed {
         Kind kind;
-        TaskId task;
-        ShotId shot;
+        RequestId task;
+        AttemptId shot;
         NodeId node;
         Time time;
     };
@@ -28,23 +28,23 @@
     std::deque<Deed> waiting;
 
     explicit Deeds(Core &c) : core(c) {}
-    void shoot(TaskId id, NodeId n, Time time_out) override {
+    void start_attempt(RequestId id, NodeId n, Time timeout) override {
         // Counted from here on: should the task end before the shot goes, its outcome is still
         // owed.
         auto &t = core.tasks_.at(id);
-        ShotId shot{static_cast<std::uint32_t>(t.shots.size())};
+        AttemptId shot{static_cast<std::uint32_t>(t.shots.size())};
         t.shots.push_back(n), t.sent.push_back(core.now_), ++t.out;
-        waiting.push_back({Kind::shoot, id, shot, n, time_out});
+        waiting.push_back({Kind::start_attempt, id, shot, n, timeout});
     }
-    void call_off(TaskId t, ShotId s) override { waiting.push_back({Kind::call_off, t, s, {}, 0}); }
-    void deny(TaskId t, Time come_back) override {
-        waiting.push_back({Kind::deny, t, {}, {}, come_back});
+    void cancel_attempt(RequestId t, AttemptId s) override { waiting.push_back({Kind::cancel_attempt, t, s, {}, 0}); }
+    void reject(RequestId t, Time come_back) override {
+        waiting.push_back({Kind::reject, t, {}, {}, come_back});
     }
-    void error(TaskId t) override { waiting.push_back({Kind::error, t, {}, {}, 0}); }
-    void set_alarm(AlarmId a, Time wait) override { core.alarms_[a] = core.now_ + wait; }
+    void error(RequestId t) override { waiting.push_back({Kind::error, t, {}, {}, 0}); }
+    void set_timer(TimerId a, Time wait) override { core.alarms_[a] = core.now_ + wait; }
     // The list is pushed to the edge; there is nobody to ask. Told as settings, so that none of
     // these comes.
-    void follow_list() override {}
+    void watch_endpoints() override {}
     void ask_list() override {}
     void probe(NodeId) override {}
     void tell_all(std::string_view) override {}
@@ -58,7 +58,7 @@
     ClientId id;
     nbd::Session session;
     Volume *volume = nullptr; // once it has chosen one
-    std::set<RequestNo> requests;
+    std::set<ClientRequestId> requests;
     std::uint64_t seen_losses = 0;
     std::size_t out = 0; // handed to the shell and not yet written
     bool held = false, gone = false;
@@ -77,7 +77,7 @@
         // The first by name; never a snapshot or a clone, which come and go.
         if (name.empty())
             it = std::find_if(names.begin(), names.end(),
-                              [&](auto &n) { return !core.table_->volumes.at(n.second).is_cut(); });
+                              [&](auto &n) { return !core.table_->volumes.at(n.second).is_snapshot(); });
         if (it == names.end())
             return std::nullopt;
         return it->second;
@@ -105,13 +105,13 @@
         volume = &core.open_volume(*find(name));
         seen_losses = volume->unflushed.losses();
     }
-    void read(nbd::RequestId r, std::uint64_t offset, std::uint32_t length, bool) override {
+    void read(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool) override {
         core.read(*this, r, offset, length);
     }
-    void write(nbd::RequestId r, std::uint64_t offset, std::string_view data, bool fua) override {
+    void write(nbd::Cookie r, std::uint64_t offset, std::string_view data, bool fua) override {
         core.change(*this, r, offset, static_cast<std::uint32_t>(data.size()), data, false, fua);
     }
-    void zero(nbd::RequestId r, std::uint64_t offset, std::uint32_t length, bool fua, bool no_hole,
+    void zero(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool fua, bool no_hole,
               bool) override {
         // Without holes the zeroes are written out, so that the space is there.
         if (no_hole && length <= core.request_)
@@ -119,14 +119,14 @@
         else
             core.change(*this, r, offset, length, {}, true, fua);
     }
-    void trim(nbd::RequestId r, std::uint64_t offset, std::uint32_t length, bool fua) override {
+    void trim(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool fua) override {
         core.change(*this, r, offset, length, {}, true, fua);
     }
-    void flush(nbd::RequestId r) override { core.flush(*this, r); }
-    void cache(nbd::RequestId r, std::uint64_t, std::uint32_t) override {
+    void flush(nbd::Cookie r) override { core.flush(*this, r); }
+    void cache(nbd::Cookie r, std::uint64_t, std::uint32_t) override {
         session.done(r);
     } // only advice
-    void status(nbd::RequestId r, std::uint64_t offset, std::uint32_t length, bool) override {
+    void status(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool) override {
         core.status(*this, r, offset, length);
     }
     void left(std::string_view fault) override {
@@ -136,22 +136,22 @@
     }
 };
 
-Core::Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t life,
+Core::Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t incarnation,
            std::uint64_t extent, std::uint64_t span, std::uint64_t unit,
            std::vector<ShardId> shards)
     : shell_(shell), deeds_(std::make_unique<Deeds>(*this)), scheduler_(make(*deeds_)),
       layout_(extent, span, std::move(shards)), id_(id),
       // Marks are told apart by this: with the start alone, two edges started at once would share
       // their marks, and a node would drop one's writes as repeats of the other's.
-      life_(mix(id, life)), unit_(unit), cuts_([this](VolumeId as, facts::CutStep step) {
-          shell_.cut_told(as, step, facts::EdgeLife{life_});
+      incarnation_(mix(id, incarnation)), unit_(unit), cuts_([this](VolumeId as, control::SnapshotStep step) {
+          shell_.cut_told(as, step, control::EdgeIncarnation{incarnation_});
       }) {
     set_links(1, sec, sec, 60 * sec, 1 << 20);
 }
 Core::~Core() = default;
 
 void Core::set_links(std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out) {
-    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, life_, each, connect,
+    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, incarnation_, each, connect,
                                      stall, idle, most_out);
 }
 void Core::set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks,
@@ -160,10 +160,10 @@
 }
 void Core::add_volume(VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
                       PlanId plan, std::uint32_t hosts) {
-    facts::Volume v;
+    control::Volume v;
     v.name = name, v.size = size, v.least = least, v.plan = plan;
     own_.put(id, std::move(v));
-    own_.put(id, facts::Part{facts::whole_limit / hosts, hosts});
+    own_.put(id, control::Part{control::whole_limit / hosts, hosts});
 }
 Core::Volume &Core::open_volume(VolumeId id) {
     auto &v = opened_[id];
@@ -192,13 +192,13 @@
     if (auto it = table_->volumes.find(v.id); it != table_->volumes.end()) {
         auto &f = it->second;
         v.plan = f.plan, v.place = f.lies_as(v.id), v.charge = f.charged_to(v.id);
-        v.is_cut = f.is_cut(), v.frozen = f.frozen, v.gone = false;
+        v.is_snapshot = f.is_snapshot(), v.frozen = f.frozen, v.gone = false;
         // One whose source pays goes by the source's plan as it is now: one volume is of one plan.
         if (auto pays = table_->volumes.find(v.charge); pays != table_->volumes.end())
             v.plan = pays->second.plan;
         cuts_.learn(v.id, f.epoch);
     } else {
-        v.gone = v.is_cut;
+        v.gone = v.is_snapshot;
     }
     if (auto it = table_->parts.find(v.charge); it != table_->parts.end())
         v.hosts = std::max(1u, it->second.hosts);
@@ -215,9 +215,9 @@
     scheduler_->set_limit(id, rate, burst);
     stirred_ = true;
 }
-void Core::part_told(Time now, VolumeId volume, double hosts) {
+void Core::quota_share_changed(Time now, VolumeId volume, double hosts) {
     now_ = now;
-    scheduler_->part_told(now, volume, hosts);
+    scheduler_->quota_share_changed(now, volume, hosts);
     stirred_ = true;
 }
 void Core::add_workload(WorkloadId id, Command command, std::uint32_t up_to,
@@ -231,22 +231,22 @@
 }
 
 // ---- The list of nodes.
-bool Core::list_begins(Time now, std::uint64_t version) {
+bool Core::endpoint_list_begin(Time now, std::uint64_t version) {
     if (version <= version_)
         return false;
     now_ = now, version_ = version;
     addresses_.clear();
-    scheduler_->list_begins(now, ListKind::whole);
+    scheduler_->endpoint_list_begin(now, EndpointListKind::full);
     return true;
 }
-void Core::node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+void Core::endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
                        NodeState state, Time started) {
-    if (state != NodeState::gone)
+    if (state != NodeState::removed)
         addresses_[node] = address;
-    scheduler_->node_listed(node, shard, zone, state, started);
+    scheduler_->endpoint_listed(node, shard, zone, state, started);
 }
-void Core::list_ends() {
-    scheduler_->list_ends();
+void Core::endpoint_list_end() {
+    scheduler_->endpoint_list_end();
     links_->nodes(std::move(addresses_));
     stirred_ = true;
 }
@@ -296,10 +296,10 @@
     // waited. Told of each of its tasks, the decisions would take one program that ends for a crowd
     // that runs out of patience.
     bool told = false;
-    for (auto no : std::set<RequestNo>(it->second->requests)) {
-        for (auto task : std::set<TaskId>(requests_.at(no).tasks)) {
+    for (auto no : std::set<ClientRequestId>(it->second->requests)) {
+        for (auto task : std::set<RequestId>(requests_.at(no).tasks)) {
             auto &t = tasks_.at(task);
-            scheduler_->task_withdrawn(now_, task, !std::exchange(told, true));
+            scheduler_->request_canceled(now_, task, !std::exchange(told, true));
             stirred_ = true;
             end_task(task, t);
         }
@@ -332,15 +332,15 @@
 }
 
 // ---- Requests become tasks.
-RequestNo Core::open(Client &c, nbd::RequestId id, Command command, std::size_t bytes) {
-    RequestNo no{++next_request_};
+ClientRequestId Core::open(Client &c, nbd::Cookie id, Command command, std::size_t bytes) {
+    ClientRequestId no{++next_request_};
     requests_[no] = {c.id, id, command, bytes, false, {}};
     c.requests.insert(no);
     bytes_ += bytes;
     return no;
 }
 
-void Core::take(RequestNo no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
+void Core::take(ClientRequestId no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
                 Time came) {
     auto is_for = [&](const std::string &volume) {
         auto it = table_->names.find(volume);
@@ -353,35 +353,35 @@
         fail_request(no, nbd::e_io, "errored: no workload is for this request", work->offset);
         return;
     }
-    TaskId id{++next_task_};
+    RequestId id{++next_task_};
     bool writes = command == Command::write || command == Command::zero;
     work->number = id.value;
-    work->numbered = writes && w->window > 0;
+    work->deduplicated = writes && w->window > 0;
     Time until = came + w->client_timeout;
-    work->cut = c.volume->is_cut;
+    work->cut = c.volume->is_snapshot;
     requests_.at(no).tasks.insert(id);
     auto shard = work->shard;
     auto units = work->units;
     tasks_[id] = {no, false, std::move(work), until, w->window, {}, {}, 0};
-    scheduler_->task_taken(now_, id, w->id, c.volume->charge, c.volume->plan, shard, key, units,
+    scheduler_->request_received(now_, id, w->id, c.volume->charge, c.volume->plan, shard, key, units,
                            c.volume->hosts, writes, false, until);
     stirred_ = true;
 }
 
-bool Core::is_gone(Client &c, nbd::RequestId id) {
+bool Core::is_gone(Client &c, nbd::Cookie id) {
     if (c.volume->gone)
         c.session.fail(id, nbd::e_shutdown, "denied: the snapshot or clone was dropped");
     return c.volume->gone;
 }
 
-void Core::read(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length) {
+void Core::read(Client &c, nbd::Cookie id, std::uint64_t offset, std::uint32_t length) {
     if (is_gone(c, id))
         return;
     auto no = open(c, id, Command::read, length);
     while (length > 0 && requests_.contains(no)) {
         auto n = layout_.cut(offset, length, false);
         take(no, c, Command::read,
-             std::make_shared<Work>(Work{frames::Kind::read,
+             std::make_shared<Work>(Work{node_protocol::Kind::read,
                                          c.volume->id,
                                          layout_.shard_of(c.volume->place, offset),
                                          offset,
@@ -397,7 +397,7 @@
     }
 }
 
-void Core::change(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length,
+void Core::change(Client &c, nbd::Cookie id, std::uint64_t offset, std::uint32_t length,
                   std::string_view data, bool zeroes, bool fua) {
     if (is_gone(c, id))
         return;
@@ -407,7 +407,7 @@
     else
         begin_change(no, c, offset, length, data, zeroes, fua, now_);
 }
-void Core::begin_change(RequestNo no, Client &c, std::uint64_t offset, std::uint32_t length,
+void Core::begin_change(ClientRequestId no, Client &c, std::uint64_t offset, std::uint32_t length,
                         std::string_view data, bool zeroes, bool fua, Time came) {
     auto command = zeroes ? Command::zero : Command::write;
     auto &v = *c.volume;
@@ -422,7 +422,7 @@
         auto n = layout_.cut(offset, length, true);
         // Zeroes cost a node little, whatever their length.
         double units = zeroes ? 1 : 1 + static_cast<double>(n) / static_cast<double>(unit_);
-        if (copy_ > 0 && (epoch > 0 || v.is_cut)) {
+        if (copy_ > 0 && (epoch > 0 || v.is_snapshot)) {
             auto span = layout_.span_of(offset);
             if (v.own.size() <= span)
                 v.own.resize(span + 1);
@@ -430,7 +430,7 @@
                 v.own[span] = true, units += copy_;
         }
         auto work =
-            std::make_shared<Work>(Work{zeroes ? frames::Kind::zero : frames::Kind::write, v.id,
+            std::make_shared<Work>(Work{zeroes ? node_protocol::Kind::zero : node_protocol::Kind::write, v.id,
                                         layout_.shard_of(v.place, offset), offset, n, units, fua, 0,
                                         false, 0, std::string(data.substr(0, zeroes ? 0 : n))});
         work->epoch = epoch;
@@ -441,7 +441,7 @@
     }
 }
 
-void Core::flush(Client &c, nbd::RequestId id) {
+void Core::flush(Client &c, nbd::Cookie id) {
     if (is_gone(c, id))
         return;
     auto no = open(c, id, Command::flush, 0);
@@ -454,18 +454,18 @@
         if (requests_.contains(no))
             take(no, c, Command::flush,
                  std::make_shared<Work>(Work{
-                     frames::Kind::flush, c.volume->id, shard, 0, 0, 1, false, 0, false, 0, {}}),
+                     node_protocol::Kind::flush, c.volume->id, shard, 0, 0, 1, false, 0, false, 0, {}}),
                  no_key, now_);
 }
 
-void Core::status(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length) {
+void Core::status(Client &c, nbd::Cookie id, std::uint64_t offset, std::uint32_t length) {
     if (is_gone(c, id))
         return;
     // An answer may be shorter than what was asked: the first extent's part is told.
     auto n = layout_.cut(offset, length, false);
     auto no = open(c, id, Command::status, 0);
     take(no, c, Command::status,
-         std::make_shared<Work>(Work{frames::Kind::status,
+         std::make_shared<Work>(Work{node_protocol::Kind::status,
                                      c.volume->id,
                                      layout_.shard_of(c.volume->place, offset),
                                      offset,
@@ -547,31 +547,31 @@
 }
 
 // ---- Outcomes and ends.
-void Core::shot_over(Time, TaskId task, ShotId shot, NodeId node, Outcome how,
-                     frames::Status status, std::uint64_t life, std::string_view payload,
+void Core::shot_over(Time, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how,
+                     node_protocol::Status status, std::uint64_t incarnation, std::string_view payload,
                      std::uint32_t epoch) {
-    overs_.push_back({task, shot, node, how, status, life, std::string(payload), epoch});
+    overs_.push_back({task, shot, node, how, status, incarnation, std::string(payload), epoch});
 }
 void Core::say(std::string text) {
     shell_.say(std::move(text));
 }
 
-void Core::do_shot(TaskId id, ShotId shot, Time time_out) {
+void Core::do_shot(RequestId id, AttemptId shot, Time timeout) {
     auto &t = tasks_.at(id);
     auto node = t.shots[shot.value];
     if (t.ended) { // by another part of its request, in the same moment
-        overs_.push_back({id, shot, node, Outcome::unsent, {}, 0, {}, 0});
+        overs_.push_back({id, shot, node, AttemptOutcome::not_sent, {}, 0, {}, 0});
         return;
     }
-    Time until = time_out > 0 ? std::min(now_ + time_out, t.client_timeout) : t.client_timeout;
-    if (shot == ShotId{0} && frames::changes(t.work->kind))
+    Time until = timeout > 0 ? std::min(now_ + timeout, t.client_timeout) : t.client_timeout;
+    if (shot == AttemptId{0} && node_protocol::changes(t.work->kind))
         // One moment for all its shots: past it no copy is done, and until it the node remembers
         // the mark. So there is no time at which a late copy meets neither.
         t.work->not_after = t.window > 0 ? now_ + t.window : t.client_timeout;
-    links_->shoot(now_, id, shot, node, t.work, until);
+    links_->start_attempt(now_, id, shot, node, t.work, until);
 }
 
-void Core::end_task(TaskId id, Task &t) {
+void Core::end_task(RequestId id, Task &t) {
     if (t.ended)
         return;
     t.ended = true;
@@ -579,12 +579,12 @@
         r->second.tasks.erase(id);
     forget_if_done(id);
 }
-void Core::forget_if_done(TaskId id) {
+void Core::forget_if_done(RequestId id) {
     auto it = tasks_.find(id);
     if (it != tasks_.end() && it->second.ended && it->second.out == 0)
         tasks_.erase(it);
 }
-void Core::close_request(RequestNo no) {
+void Core::close_request(ClientRequestId no) {
     auto it = requests_.find(no);
     bytes_ -= std::min(it->second.bytes, bytes_);
     if (it->second.begun)
@@ -597,15 +597,15 @@
 }
 
 // The request ends now, once; its other tasks are withdrawn.
-void Core::fail_request(RequestNo no, std::uint32_t error, const std::string &why,
+void Core::fail_request(ClientRequestId no, std::uint32_t error, const std::string &why,
                         std::optional<std::uint64_t> where) {
     auto it = requests_.find(no);
     if (it == requests_.end())
         return;
-    for (auto task : std::set<TaskId>(it->second.tasks)) {
+    for (auto task : std::set<RequestId>(it->second.tasks)) {
         // Not by its client: taken for impatience, a few large requests that fail would make all
         // tasks look late.
-        scheduler_->task_withdrawn(now_, task, false);
+        scheduler_->request_canceled(now_, task, false);
         stirred_ = true;
         end_task(task, tasks_.at(task));
     }
@@ -616,7 +616,7 @@
         c->second->session.fail(id, error, why, where);
 }
 
-void Core::finish_flush(RequestNo no, Request &r) {
+void Core::finish_flush(ClientRequestId no, Request &r) {
     auto &c = *clients_.at(r.client);
     auto id = r.id;
     close_request(no);
@@ -641,10 +641,10 @@
         break;
     case Command::write:
     case Command::zero:
-        c.volume->unflushed.written(w.shard, over.life);
+        c.volume->unflushed.written(w.shard, over.incarnation);
         break;
     case Command::flush:
-        c.volume->unflushed.flushed(w.shard, over.life, r.mark);
+        c.volume->unflushed.flushed(w.shard, over.incarnation, r.mark);
         break;
     case Command::status: {
         std::vector<std::pair<std::uint32_t, std::uint32_t>> runs;
@@ -674,13 +674,13 @@
             deeds.pop_front();
             auto it = tasks_.find(d.task);
             switch (d.kind) {
-            case Deeds::Kind::shoot:
+            case Deeds::Kind::start_attempt:
                 do_shot(d.task, d.shot, d.time);
                 break;
-            case Deeds::Kind::call_off:
-                links_->call_off(now_, d.task, d.shot);
+            case Deeds::Kind::cancel_attempt:
+                links_->cancel_attempt(now_, d.task, d.shot);
                 break;
-            case Deeds::Kind::deny:
+            case Deeds::Kind::reject:
             case Deeds::Kind::error: {
                 if (it == tasks_.end() || it->second.ended)
                     break; // withdrawn in the same moment
@@ -690,15 +690,15 @@
                 bool changes = r.command == Command::write || r.command == Command::zero;
                 // A denial says that trying again is harmless, of the whole request: not where
                 // another part of it was done or may have been.
-                bool deny = d.kind == Deeds::Kind::deny && !(changes && r.some_done);
+                bool reject = d.kind == Deeds::Kind::reject && !(changes && r.some_done);
                 for (auto other : r.tasks)
-                    deny = deny && (!changes || other == d.task || tasks_.at(other).shots.empty());
-                ++(deny ? denied_ : errored_);
+                    reject = reject && (!changes || other == d.task || tasks_.at(other).shots.empty());
+                ++(reject ? denied_ : errored_);
                 std::uint64_t where = t.work->offset;
                 end_task(d.task, t);
                 auto ms_after = (d.time + ms - 1) / ms;
-                fail_request(no, deny ? nbd::e_nomem : nbd::e_io,
-                             deny ? "denied: nothing was done; try again after " +
+                fail_request(no, reject ? nbd::e_nomem : nbd::e_io,
+                             reject ? "denied: nothing was done; try again after " +
                                         std::to_string(ms_after) + " ms"
                                   : "errored: it may have been done or not",
                              where);
@@ -715,22 +715,22 @@
             continue;
         Task &t = it->second;
         --t.out;
-        bool well = over.how == Outcome::answered;
+        bool well = over.how == AttemptOutcome::answered;
         Time took = now_ - t.sent[over.shot.value];
-        shell_.shot_ended(over.task, over.node, over.how, took);
+        shell_.attempt_completed(over.task, over.node, over.how, took);
         bool was_ended = t.ended;
         // Final words of a node on a change that was not done, and of which another shot would hear
         // the same.
         const char *refused = nullptr;
         std::uint32_t error = nbd::e_io;
-        if (!was_ended && over.status == frames::Status::stale && !outdated(t, over))
+        if (!was_ended && over.status == node_protocol::Status::stale && !outdated(t, over))
             refused =
                 "errored: a snapshot was taken in the middle of it; a part may have been done";
-        if (!was_ended && over.status == frames::Status::no_space)
+        if (!was_ended && over.status == node_protocol::Status::no_space)
             refused = "errored: no space is left at its storage node", error = nbd::e_nospc;
         // The decisions hear of the outcome before the answer leaves: what leaves may bring the
         // next request.
-        scheduler_->shot_ended(now_, over.task, over.shot, over.node, over.how, took,
+        scheduler_->attempt_completed(now_, over.task, over.shot, over.node, over.how, took,
                                was_ended || well || refused, -1, 0, {});
         stirred_ = true;
         if (refused) {
@@ -754,9 +754,9 @@
                     clients_.at(client)->session.done(id);
                 }
             }
-        } else if (well && frames::changes(t.work->kind)) {
+        } else if (well && node_protocol::changes(t.work->kind)) {
             // Written though its client was told otherwise: a flush later must still cover it.
-            opened_.at(t.work->volume).unflushed.written(t.work->shard, over.life);
+            opened_.at(t.work->volume).unflushed.written(t.work->shard, over.incarnation);
         }
         forget_if_done(over.task);
     }
--- a/src/edge/core.hpp
+++ b/src/edge/core.hpp
@@ -17,19 +17,19 @@
 #include <string_view>
 #include <vector>
 
-#include "edge/cuts.hpp"
+#include "edge/snapshot_participant.hpp"
 #include "edge/ids.hpp"
 #include "edge/layout.hpp"
-#include "edge/links.hpp"
+#include "edge/node_connections.hpp"
 #include "edge/unflushed.hpp"
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 #include "nbd/server.hpp"
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::edge {
 
 // What the edge asks of its shell; closing is final, nothing more is told of what was closed.
-class Shell : public Wires {
+class Shell : public Transport {
 public:
     virtual void send_client(ClientId client, std::string bytes) = 0;
     virtual void close_client(ClientId client) = 0;
@@ -38,11 +38,11 @@
     // For the log: what happened to the fleet or to a connection.
     virtual void say(std::string text) = 0;
     // A shot has ended, for the log and for who asks whether nodes are reached.
-    virtual void shot_ended(TaskId task, NodeId node, Outcome how, Time took) = 0;
+    virtual void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) = 0;
     // A volume has its first client here, or lost its last.
     virtual void volume_used(VolumeId, bool) {}
     // A step of a cut, for the planner.
-    virtual void cut_told(VolumeId /*as*/, facts::CutStep, facts::EdgeLife) {}
+    virtual void cut_told(VolumeId /*as*/, control::SnapshotStep, control::EdgeIncarnation) {}
 };
 
 // The kinds of command that a workload can be for.
@@ -50,10 +50,10 @@
 
 class Core final : Told {
 public:
-    using MakeScheduler = std::function<std::unique_ptr<Scheduler>(Actions &)>;
+    using MakeScheduler = std::function<std::unique_ptr<Scheduler>(SchedulerActions &)>;
     // `id`, `life`: of this edge, the life another one each time it starts. `extent`, `span`:
     // layout, bytes. `unit`: bytes that count as one unit, beyond the one that each task counts.
-    Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t life,
+    Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t incarnation,
          std::uint64_t extent, std::uint64_t span, std::uint64_t unit, std::vector<ShardId> shards);
     ~Core() override;
 
@@ -78,13 +78,13 @@
 
     // Volumes come from this table from now on, which the caller changes as it likes and says so
     // after it: then what is open here follows. Time by the volumes open, not by those there are.
-    void follow(const facts::Table &table) { table_ = &table; }
+    void follow(const control::ClusterState &table) { table_ = &table; }
     void facts_changed(Time now);
     // A plan as it is from now on; a rate of 0 is no limit.
     void plan_told(PlanId id, double weight, double usual, double reserve, double price,
                    double rate, double burst);
     // This edge's part of a volume's limit is one over `hosts`; endless for none.
-    void part_told(Time now, VolumeId volume, double hosts);
+    void quota_share_changed(Time now, VolumeId volume, double hosts);
 
     // The planner's word on a cut: see Cuts.
     void cut_hold(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest);
@@ -94,10 +94,10 @@
 
     // The list of nodes, as a whole: begin, a call for each node, end. A version that is not above
     // the last one is not taken (false).
-    bool list_begins(Time now, std::uint64_t version);
-    void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+    bool endpoint_list_begin(Time now, std::uint64_t version);
+    void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
                      NodeState state, Time started);
-    void list_ends();
+    void endpoint_list_end();
 
     void client_came(Time now, ClientId client);
     void client_bytes(Time now, ClientId client, std::string_view in);
@@ -125,7 +125,7 @@
     std::uint64_t denied() const { return denied_; }
     std::uint64_t errored() const { return errored_; }
     std::uint64_t version() const { return version_; }
-    std::uint64_t life() const { return life_; } // as nodes know it
+    std::uint64_t incarnation() const { return incarnation_; } // as nodes know it
 
 private:
     struct Client;
@@ -138,7 +138,7 @@
         std::size_t clients = 0;
         Unflushed unflushed;
         VolumeId place, charge; // where its bytes lie, whose share its tasks are of
-        bool is_cut = false, frozen = false, gone = false;
+        bool is_snapshot = false, frozen = false, gone = false;
         // Spans written in this epoch: their blocks are its own.
         std::vector<bool> own{};
         std::uint32_t own_epoch = 0;
@@ -152,11 +152,11 @@
     };
     struct Request {
         ClientId client;
-        nbd::RequestId id;
+        nbd::Cookie id;
         Command command;
         std::size_t bytes;
         bool some_done = false;
-        std::set<TaskId> tasks; // not ended yet
+        std::set<RequestId> tasks; // not ended yet
         std::uint64_t mark = 0; // of a flush
         // Of a change that has begun: its epoch.
         bool begun = false;
@@ -165,7 +165,7 @@
     };
     // A change that came while none may begin.
     struct Kept {
-        RequestNo no;
+        ClientRequestId no;
         std::uint64_t offset;
         std::uint32_t length;
         std::string data;
@@ -173,7 +173,7 @@
         Time came;
     };
     struct Task {
-        RequestNo request;
+        ClientRequestId request;
         bool ended = false;
         std::shared_ptr<Work> work;
         Time client_timeout, window;
@@ -182,45 +182,45 @@
         std::size_t out = 0;
     };
     struct ShotOver {
-        TaskId task;
-        ShotId shot;
+        RequestId task;
+        AttemptId shot;
         NodeId node;
-        Outcome how;
-        frames::Status status;
-        std::uint64_t life;
+        AttemptOutcome how;
+        node_protocol::Status status;
+        std::uint64_t incarnation;
         std::string payload;
         std::uint32_t epoch;
     };
 
     // From sessions.
-    void read(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length);
-    void change(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length,
+    void read(Client &c, nbd::Cookie id, std::uint64_t offset, std::uint32_t length);
+    void change(Client &c, nbd::Cookie id, std::uint64_t offset, std::uint32_t length,
                 std::string_view data, bool zeroes, bool fua);
-    void begin_change(RequestNo no, Client &c, std::uint64_t offset, std::uint32_t length,
+    void begin_change(ClientRequestId no, Client &c, std::uint64_t offset, std::uint32_t length,
                       std::string_view data, bool zeroes, bool fua, Time came);
     void let_go();
-    bool is_gone(Client &c, nbd::RequestId id);
-    void flush(Client &c, nbd::RequestId id);
-    void status(Client &c, nbd::RequestId id, std::uint64_t offset, std::uint32_t length);
-    RequestNo open(Client &c, nbd::RequestId id, Command command, std::size_t bytes);
-    void take(RequestNo no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
+    bool is_gone(Client &c, nbd::Cookie id);
+    void flush(Client &c, nbd::Cookie id);
+    void status(Client &c, nbd::Cookie id, std::uint64_t offset, std::uint32_t length);
+    ClientRequestId open(Client &c, nbd::Cookie id, Command command, std::size_t bytes);
+    void take(ClientRequestId no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
               Time came);
     bool outdated(Task &t, const ShotOver &over);
     void use(VolumeId id, bool on);
     // From links.
-    void shot_over(Time now, TaskId task, ShotId shot, NodeId node, Outcome how,
-                   frames::Status status, std::uint64_t life, std::string_view payload,
+    void shot_over(Time now, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how,
+                   node_protocol::Status status, std::uint64_t incarnation, std::string_view payload,
                    std::uint32_t epoch) override;
     void say(std::string text) override;
 
-    void do_shot(TaskId task, ShotId shot, Time time_out);
-    void end_task(TaskId id, Task &t);
+    void do_shot(RequestId task, AttemptId shot, Time timeout);
+    void end_task(RequestId id, Task &t);
     void delivered(Task &t, const ShotOver &over);
-    void fail_request(RequestNo no, std::uint32_t error, const std::string &why,
+    void fail_request(ClientRequestId no, std::uint32_t error, const std::string &why,
                       std::optional<std::uint64_t> where);
-    void close_request(RequestNo no);
-    void finish_flush(RequestNo no, Request &r);
-    void forget_if_done(TaskId id);
+    void close_request(ClientRequestId no);
+    void finish_flush(ClientRequestId no, Request &r);
+    void forget_if_done(RequestId id);
     void drop_client(ClientId id);
     Volume &open_volume(VolumeId id);
     void follow_facts(Volume &v);
@@ -232,15 +232,15 @@
     std::unique_ptr<Scheduler> scheduler_;
     std::unique_ptr<Links> links_;
     Layout layout_;
-    std::uint64_t id_, life_, unit_;
+    std::uint64_t id_, incarnation_, unit_;
     std::uint32_t flying_ = 128, request_ = 4u << 20;
     std::size_t most_tasks_ = 1 << 16, most_bytes_ = 1 << 30, bytes_ = 0;
     bool held_ = false;
     Time now_ = 0;
     std::uint64_t version_ = 0, next_request_ = 0, next_task_ = 0;
     std::uint64_t delivered_ = 0, denied_ = 0, errored_ = 0;
-    facts::Table own_; // of settings; unused where a planner tells
-    const facts::Table *table_ = &own_;
+    control::ClusterState own_; // of settings; unused where a planner tells
+    const control::ClusterState *table_ = &own_;
     std::map<VolumeId, Volume> opened_;
     std::map<VolumeId, std::size_t>
         used_; // by clients, of the volume itself or of what its share pays for
@@ -249,9 +249,9 @@
     double copy_ = 0;
     std::vector<WorkloadFor> workloads_;
     std::map<ClientId, std::unique_ptr<Client>> clients_;
-    std::map<RequestNo, Request> requests_;
-    std::map<TaskId, Task> tasks_;
-    std::map<AlarmId, Time> alarms_;
+    std::map<ClientRequestId, Request> requests_;
+    std::map<RequestId, Task> tasks_;
+    std::map<TimerId, Time> alarms_;
     std::map<NodeId, std::string> addresses_; // of the list being told
     std::deque<ShotOver> overs_;
     std::set<ClientId> touched_; // with something to send
--- a/src/edge/nodelist.cpp
+++ b/src/edge/endpoint_file.cpp
@@ -1,4 +1,4 @@
-#include "edge/nodelist.hpp"
+#include "edge/endpoint_file.hpp"
 
 #include <limits>
 #include <map>
@@ -33,7 +33,7 @@
         n.state = static_cast<NodeState>(s->choice("state", {"draining", "gone", "ready"}, 2));
         n.started =
             static_cast<Time>(s->count("started", 0, std::numeric_limits<std::int64_t>::max(), 0));
-        if (n.state != NodeState::gone)
+        if (n.state != NodeState::removed)
             if (auto [it, is_new] = addresses.try_emplace(n.address, s->line()); !is_new)
                 s->fault("address",
                          "the node in line " + std::to_string(it->second) + " has it, too");
--- a/src/edge/nodelist.hpp
+++ b/src/edge/endpoint_file.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/node.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "scheduling/node_record.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::edge {
 
--- a/src/edge/ids.hpp
+++ b/src/edge/ids.hpp
@@ -1,13 +1,13 @@
 // The edge's own ids.
 #pragma once
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 
 namespace knotvane::edge {
 
 using ClientId = Id<struct ClientKind, std::uint64_t>;
 using LinkId = Id<struct LinkKind, std::uint64_t>;
 // A client's request, which may be several tasks.
-using RequestNo = Id<struct RequestNoKind, std::uint64_t>;
+using ClientRequestId = Id<struct ClientRequestKind, std::uint64_t>;
 
 } // namespace knotvane::edge
--- a/src/edge/layout.hpp
+++ b/src/edge/layout.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 
 namespace knotvane::edge {
 
--- a/src/edge/links.cpp
+++ b/src/edge/node_connections.cpp
@@ -1,4 +1,4 @@
-#include "edge/links.hpp"
+#include "edge/node_connections.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -11,7 +11,7 @@
 
 } // namespace
 
-struct Links::Link final : frames::Sink {
+struct Links::Link final : node_protocol::Sink {
     Links &links;
     LinkId id;
     NodeId node;
@@ -23,14 +23,14 @@
     std::size_t out_bytes = 0, shots = 0;
     std::deque<std::uint64_t> pending;
     std::set<std::uint64_t> tags;
-    frames::Reader reader;
+    node_protocol::Reader reader;
     std::string fault;
 
     Link(Links &l, LinkId i, NodeId n, Time t) : links(l), id(i), node(n), since(t), heard(t) {}
-    bool frame(frames::Kind kind, std::uint8_t, frames::Status status, std::uint64_t tag, VolumeId,
-               std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t store_life, std::uint64_t,
+    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status, std::uint64_t tag, VolumeId,
+               std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t store_incarnation, std::uint64_t,
                Time clock, ShardId, std::string_view payload, std::uint32_t epoch) override {
-        if (kind == frames::Kind::welcome && stage == Stage::greeting) {
+        if (kind == node_protocol::Kind::welcome && stage == Stage::greeting) {
             if (NodeId{tag} != node) {
                 fault = "node " + std::to_string(tag) + " answers where node " +
                         std::to_string(node.value) + " is listed";
@@ -42,27 +42,27 @@
             clock_ahead = clock - now;
             return true;
         }
-        if (kind != frames::Kind::answer || stage != Stage::up) {
+        if (kind != node_protocol::Kind::answer || stage != Stage::up) {
             fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(kind));
             return false;
         }
         if (!tags.contains(tag))
             return true; // its shot timed out or was called off
-        Outcome how = status == frames::Status::ok           ? Outcome::answered
-                      : status == frames::Status::full       ? Outcome::full
-                      : status == frames::Status::called_off ? Outcome::called_off
-                      : status == frames::Status::too_late || status == frames::Status::stale ||
-                              status == frames::Status::misdirected
-                          ? Outcome::unsent // the node proves that it did not run and never will
-                          : Outcome::error;
-        links.end(now, tag, how, status, store_life, payload, epoch);
+        AttemptOutcome how = status == node_protocol::Status::ok           ? AttemptOutcome::answered
+                      : status == node_protocol::Status::full       ? AttemptOutcome::overloaded
+                      : status == node_protocol::Status::called_off ? AttemptOutcome::canceled
+                      : status == node_protocol::Status::too_late || status == node_protocol::Status::stale ||
+                              status == node_protocol::Status::misdirected
+                          ? AttemptOutcome::not_sent // the node proves that it did not run and never will
+                          : AttemptOutcome::error;
+        links.end(now, tag, how, status, store_incarnation, payload, epoch);
         return true;
     }
 };
 
-Links::Links(Wires &wires, Told &told, std::uint64_t edge, std::uint64_t life, std::size_t each,
+Links::Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation, std::size_t each,
              Time connect, Time stall, Time idle, std::size_t most_out)
-    : wires_(wires), told_(told), edge_(edge), life_(life), each_(std::max<std::size_t>(1, each)),
+    : transport_(transport), told_(told), edge_(edge), incarnation_(incarnation), each_(std::max<std::size_t>(1, each)),
       connect_(connect), stall_(stall), idle_(idle), most_out_(most_out) {}
 
 void Links::nodes(std::map<NodeId, std::string> addresses) {
@@ -112,11 +112,11 @@
     it->second.links.push_back(id);
     link->watched = now + connect_;
     watch_.insert({link->watched, id});
-    wires_.connect(id, it->second.address);
+    transport_.connect(id, it->second.address);
     return links_.contains(id) ? links_.at(id).get() : nullptr;
 }
 
-void Links::shoot(Time now, TaskId task, ShotId shot, NodeId node, std::shared_ptr<const Work> work,
+void Links::start_attempt(Time now, RequestId task, AttemptId shot, NodeId node, std::shared_ptr<const Work> work,
                   Time until) {
     auto tag = ++next_tag_;
     tags_[{task, shot}] = tag;
@@ -139,19 +139,19 @@
         link.pending.pop_front();
         Shot &s = shots_.at(tag);
         const Work &w = *s.work;
-        auto flags = (w.durable ? frames::flag_durable : 0) |
-                     (w.numbered ? frames::flag_numbered : 0) | (w.cut ? frames::flag_cut : 0);
-        auto bytes = frames::make(
+        auto flags = (w.durable ? node_protocol::flag_durable : 0) |
+                     (w.deduplicated ? node_protocol::flag_numbered : 0) | (w.cut ? node_protocol::flag_cut : 0);
+        auto bytes = node_protocol::make(
             w.kind, static_cast<std::uint8_t>(flags), {}, tag, w.volume, w.offset, w.length,
-            static_cast<std::uint32_t>(w.units * 1000), life_, w.number,
+            static_cast<std::uint32_t>(w.units * 1000), incarnation_, w.number,
             w.not_after > 0 ? w.not_after + link.clock_ahead : 0, w.shard, w.payload, w.epoch);
         link.out_bytes += bytes.size();
         s.out = true, s.sent = now;
-        wires_.send(link.id, std::move(bytes));
+        transport_.send(link.id, std::move(bytes));
     }
 }
 
-void Links::end(Time now, std::uint64_t tag, Outcome how, frames::Status status, std::uint64_t life,
+void Links::end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status, std::uint64_t incarnation,
                 std::string_view payload, std::uint32_t epoch) {
     auto it = shots_.find(tag);
     if (it == shots_.end())
@@ -170,10 +170,10 @@
             watch_.insert({0, s.link});
         }
     }
-    told_.shot_over(now, s.task, s.shot, s.node, how, status, life, payload, epoch);
+    told_.shot_over(now, s.task, s.shot, s.node, how, status, incarnation, payload, epoch);
 }
 
-void Links::close(Time now, LinkId id, Outcome sent, Outcome unsent, bool tell_wires) {
+void Links::close(Time now, LinkId id, AttemptOutcome sent, AttemptOutcome unsent, bool tell_transport) {
     auto it = links_.find(id);
     if (it == links_.end())
         return;
@@ -184,27 +184,27 @@
         if (p->second.links.empty() && p->second.address.empty())
             peers_.erase(p);
     }
-    if (tell_wires)
-        wires_.close(id);
+    if (tell_transport)
+        transport_.close(id);
     for (auto tag : link->tags)
         end(now, tag, shots_.at(tag).out ? sent : unsent, {}, 0, {});
 }
 
-void Links::call_off(Time now, TaskId task, ShotId shot) {
+void Links::cancel_attempt(Time now, RequestId task, AttemptId shot) {
     auto it = tags_.find({task, shot});
     if (it == tags_.end())
         return;
     auto tag = it->second;
     Shot &s = shots_.at(tag);
     if (!s.out)
-        return end(now, tag, Outcome::unsent, {}, 0, {}); // nothing went out: that is proof
+        return end(now, tag, AttemptOutcome::not_sent, {}, 0, {}); // nothing went out: that is proof
     if (auto l = links_.find(s.link); l != links_.end()) {
-        auto bytes = frames::make(frames::Kind::call_off, 0, {}, tag, s.work->volume, 0, 0, 0, 0, 0,
+        auto bytes = node_protocol::make(node_protocol::Kind::cancel_attempt, 0, {}, tag, s.work->volume, 0, 0, 0, 0, 0,
                                   0, s.work->shard, {});
         l->second->out_bytes += bytes.size();
-        wires_.send(s.link, std::move(bytes));
+        transport_.send(s.link, std::move(bytes));
     }
-    end(now, tag, Outcome::called_off, {}, 0, {});
+    end(now, tag, AttemptOutcome::canceled, {}, 0, {});
 }
 
 void Links::up(Time now, LinkId id) {
@@ -213,14 +213,14 @@
         return;
     it->second->stage = Stage::greeting;
     it->second->heard = now;
-    auto hello = frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0, life_, 0, 0,
+    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0, incarnation_, 0, 0,
                               no_shard, {});
     it->second->out_bytes += hello.size();
-    wires_.send(id, std::move(hello));
+    transport_.send(id, std::move(hello));
 }
 
 void Links::failed(Time now, LinkId id) {
-    close(now, id, Outcome::unreachable, Outcome::unreachable, false);
+    close(now, id, AttemptOutcome::unreachable, AttemptOutcome::unreachable, false);
 }
 
 void Links::bytes(Time now, LinkId id, std::string_view in) {
@@ -235,7 +235,7 @@
     if (!fault.empty()) {
         told_.say("node " + std::to_string(link.node.value) + ": " + fault +
                   "; the connection is closed");
-        return close(now, id, Outcome::reset, Outcome::unsent, true);
+        return close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
     }
     // In the middle of a frame it is looked at sooner.
     if (link.reader.held() > 0 && link.watched > now + stall_) {
@@ -248,7 +248,7 @@
 void Links::gone(Time now, LinkId id) {
     // Before the node's welcome nothing of a shot has gone out: `reset` would claim that it may
     // have run.
-    close(now, id, Outcome::reset, Outcome::unsent, false);
+    close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, false);
 }
 
 void Links::written(Time now, LinkId id, std::size_t bytes) {
@@ -270,7 +270,7 @@
 
 void Links::tick(Time now) {
     for (auto tag : std::exchange(nowhere_, {}))
-        end(now, tag, Outcome::unreachable, {}, 0, {});
+        end(now, tag, AttemptOutcome::unreachable, {}, 0, {});
     while (!until_.empty() && until_.begin()->first <= now) {
         auto tag = until_.begin()->second;
         Shot &s = shots_.at(tag);
@@ -281,7 +281,7 @@
             l->second->watched = 0;
             watch_.insert({0, s.link});
         }
-        end(now, tag, s.out ? Outcome::timed_out : Outcome::unsent, {}, 0, {});
+        end(now, tag, s.out ? AttemptOutcome::timed_out : AttemptOutcome::not_sent, {}, 0, {});
     }
     while (!watch_.empty() && watch_.begin()->first <= now) {
         auto [at, id] = *watch_.begin();
@@ -292,7 +292,7 @@
         Link &link = *it->second;
         if (link.stage != Stage::up && now >= link.since + connect_) {
             // Not one byte of a shot has gone out.
-            auto how = link.stage == Stage::connecting ? Outcome::unreachable : Outcome::unsent;
+            auto how = link.stage == Stage::connecting ? AttemptOutcome::unreachable : AttemptOutcome::not_sent;
             close(now, id, how, how, true);
         } else if (link.reader.held() > 0 && now >= link.heard + stall_) {
             // Guards against a node that falls silent in the middle of an answer: all behind it on
@@ -300,9 +300,9 @@
             // though it is not.
             told_.say("node " + std::to_string(link.node.value) +
                       ": silent in the middle of a frame; the connection is closed");
-            close(now, id, Outcome::reset, Outcome::unsent, true);
+            close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
         } else if (link.shots == 0 && (link.leaving || now >= link.heard + idle_)) {
-            close(now, id, Outcome::reset, Outcome::unsent, true);
+            close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
         } else {
             link.watched = link.stage != Stage::up  ? link.since + connect_
                            : link.reader.held() > 0 ? link.heard + stall_
--- a/src/edge/links.hpp
+++ b/src/edge/node_connections.hpp
@@ -11,17 +11,17 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
 #include "edge/ids.hpp"
-#include "frames/frames.hpp"
-#include "policy.hpp"
+#include "node_protocol/frame.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::edge {
 
 // What is asked of a node; the same for each shot of a task.
 struct Work {
-    frames::Kind kind;
+    node_protocol::Kind kind;
     VolumeId volume;
     ShardId shard;
     std::uint64_t offset;
@@ -29,7 +29,7 @@
     double units;
     bool durable;
     std::uint64_t number; // the task's
-    bool numbered;        // the number is a mark: repeats are dropped
+    bool deduplicated;        // the number is a mark: repeats are dropped
     Time not_after;       // not to be done later, by the edge's clock; 0: whenever
     std::string payload;
     std::uint32_t epoch = 0; // of the volume, when its request began
@@ -37,9 +37,9 @@
 };
 
 // What links ask of the shell.
-class Wires {
+class Transport {
 public:
-    virtual ~Wires() = default;
+    virtual ~Transport() = default;
     virtual void connect(LinkId link, const std::string &address) = 0;
     virtual void send(LinkId link, std::string bytes) = 0;
     virtual void close(LinkId link) = 0;
@@ -49,8 +49,8 @@
 class Told {
 public:
     virtual ~Told() = default;
-    virtual void shot_over(Time now, TaskId task, ShotId shot, NodeId node, Outcome how,
-                           frames::Status status, std::uint64_t life, std::string_view payload,
+    virtual void shot_over(Time now, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how,
+                           node_protocol::Status status, std::uint64_t incarnation, std::string_view payload,
                            std::uint32_t epoch) = 0;
     virtual void say(std::string text) = 0;
 };
@@ -60,7 +60,7 @@
     // `each`: connections a node at most. A connection that takes longer than `connect` failed; one
     // that stops for `stall` in the middle of a frame is given up; one that is idle for `idle` is
     // closed. Past `most_out` bytes handed over and not yet written, shots wait here.
-    Links(Wires &wires, Told &told, std::uint64_t edge, std::uint64_t life, std::size_t each,
+    Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation, std::size_t each,
           Time connect, Time stall, Time idle, std::size_t most_out);
     ~Links();
 
@@ -68,9 +68,9 @@
     // over.
     void nodes(std::map<NodeId, std::string> addresses);
     // Until `until` the outcome may come; then it is timed_out, or unsent where nothing went out.
-    void shoot(Time now, TaskId task, ShotId shot, NodeId node, std::shared_ptr<const Work> work,
+    void start_attempt(Time now, RequestId task, AttemptId shot, NodeId node, std::shared_ptr<const Work> work,
                Time until);
-    void call_off(Time now, TaskId task, ShotId shot);
+    void cancel_attempt(Time now, RequestId task, AttemptId shot);
 
     // What happened to a connection.
     void up(Time now, LinkId link);
@@ -86,8 +86,8 @@
 
 private:
     struct Shot {
-        TaskId task;
-        ShotId shot;
+        RequestId task;
+        AttemptId shot;
         NodeId node;
         LinkId link;
         std::shared_ptr<const Work> work;
@@ -104,13 +104,13 @@
 
     Link *choose(Time now, NodeId node);
     void pump(Time now, Link &link);
-    void end(Time now, std::uint64_t tag, Outcome how, frames::Status status, std::uint64_t life,
+    void end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status, std::uint64_t incarnation,
              std::string_view payload, std::uint32_t epoch = 0);
-    void close(Time now, LinkId link, Outcome sent, Outcome unsent, bool tell_wires);
+    void close(Time now, LinkId link, AttemptOutcome sent, AttemptOutcome unsent, bool tell_transport);
 
-    Wires &wires_;
+    Transport &transport_;
     Told &told_;
-    std::uint64_t edge_, life_;
+    std::uint64_t edge_, incarnation_;
     std::size_t each_;
     Time connect_, stall_, idle_;
     std::size_t most_out_;
@@ -118,7 +118,7 @@
     std::map<NodeId, Peer> peers_;
     std::map<LinkId, std::unique_ptr<Link>> links_;
     std::map<std::uint64_t, Shot> shots_; // by tag
-    std::map<std::pair<TaskId, ShotId>, std::uint64_t> tags_;
+    std::map<std::pair<RequestId, AttemptId>, std::uint64_t> tags_;
     std::set<std::pair<Time, std::uint64_t>> until_;
     std::set<std::pair<Time, LinkId>> watch_; // when to look at a link again
     std::vector<std::uint64_t> nowhere_;      // shots at nodes that are not listed
--- a/src/edge/planfile.cpp
+++ b/src/edge/plan_cache_file.cpp
@@ -1,4 +1,4 @@
-#include "edge/planfile.hpp"
+#include "edge/plan_cache_file.hpp"
 
 #include <cstdio>
 #include <fstream>
--- a/src/edge/subscription.cpp
+++ b/src/edge/planner_client.cpp
@@ -1,4 +1,4 @@
-#include "edge/subscription.hpp"
+#include "edge/planner_client.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -32,15 +32,15 @@
 
 } // namespace
 
-Subscription::Subscription(Line &line, facts::EdgeId edge, std::string listen, std::uint64_t seed,
+Subscription::Subscription(Line &line, control::EdgeId edge, std::string listen, std::uint64_t seed,
                            Time renew_every, Time trust)
     : line_(line), edge_(edge), listen_(std::move(listen)),
-      redial_(first_wait, longest_wait, seed * 7919 + edge.value + 1), renew_every_(renew_every),
+      reconnect_backoff_(first_wait, longest_wait, seed * 7919 + edge.value + 1), renew_every_(renew_every),
       trust_(trust) {}
 
 void Subscription::start(Time now, std::string_view disk) {
     now_ = now;
-    redial_.at_once(now);
+    reconnect_backoff_.at_once(now);
     if (disk.empty())
         return;
     from_disk_ = true;
@@ -50,7 +50,7 @@
     reader_ = {};
     fault_.clear();
     auto age = now - planner_now_;
-    if (copy_.term() == facts::Term{0}) {
+    if (copy_.term() == control::Term{0}) {
         line_.say("the plan on disk is not used: it holds nothing whole");
     } else if (age > trust_ || age < -clock_slack) {
         line_.say("the plan on disk is not used: it is " + std::to_string(age / sec) +
@@ -63,17 +63,17 @@
                   "s old");
         // Written anew: what is added after a piece that was cut short would never be read.
         auto &t = copy_.table();
-        std::string all = facts::begins(copy_.term(), copy_.instance(), copy_.lineage(),
-                                        copy_.version(), facts::Version{0}, planner_now_);
+        std::string all = control::begins(copy_.term(), copy_.instance(), copy_.lineage(),
+                                        copy_.version(), control::Version{0}, planner_now_);
         for (auto &[id, p] : t.plans)
-            all += facts::put(id, p);
+            all += control::put(id, p);
         for (auto &[id, v] : t.volumes)
-            all += facts::put(id, v);
+            all += control::put(id, v);
         for (auto &[id, n] : t.nodes)
-            all += facts::put(id, n);
+            all += control::put(id, n);
         for (auto &[id, p] : t.parts)
-            all += facts::put(id, p);
-        all += facts::ends(copy_.version(),
+            all += control::put(id, p);
+        all += control::ends(copy_.version(),
                            t.plans.size() + t.volumes.size() + t.nodes.size() + t.parts.size());
         on_disk_ = all.size();
         line_.keep_plan(std::move(all), true);
@@ -86,31 +86,31 @@
 void Subscription::up(Time now) {
     now_ = heard_ = now;
     up_ = true;
-    redial_.up();
+    reconnect_backoff_.up();
     reader_ = {}, unread_.clear(), read_ = 0;
     fault_.clear();
     std::vector<NodeId> draining;
     for (auto &[id, n] : copy_.table().nodes)
         if (n.state == NodeState::draining)
             draining.push_back(id);
-    send(facts::edge_hello(edge_, listen_, copy_.term(), copy_.instance(), copy_.lineage(),
+    send(control::edge_hello(edge_, listen_, copy_.term(), copy_.instance(), copy_.lineage(),
                            copy_.version(), draining, {used_.begin(), used_.end()}));
     for (auto &[id, r] : reach_)
         if (r.unreached)
-            send(facts::witness(id, false));
+            send(control::witness(id, false));
     send_renewal();
 }
 void Subscription::down(Time now) {
     now_ = now;
     up_ = false, renew_at_ = never;
-    redial_.lost(now);
+    reconnect_backoff_.lost(now);
     line_.planner_lost();
 }
 void Subscription::leave(const std::string &why) {
     line_.say("planner: connection closed: " + why);
     line_.hang_up();
     up_ = false, renew_at_ = never;
-    redial_.lost(now_, left);
+    reconnect_backoff_.lost(now_, left);
     line_.planner_lost();
 }
 void Subscription::send(std::string bytes) {
@@ -122,11 +122,11 @@
     auto &parts = copy_.table().parts;
     for (auto v : used_)
         if (!parts.contains(v))
-            send(facts::serve(v, true));
+            send(control::serve(v, true));
     for (auto &[v, p] : parts)
         if (!used_.contains(v))
-            send(facts::serve(v, false));
-    send(facts::renew(now_, copy_.term(), copy_.version()));
+            send(control::serve(v, false));
+    send(control::renew(now_, copy_.term(), copy_.version()));
     renew_at_ = now_ + renew_every_;
 }
 
@@ -155,41 +155,41 @@
 }
 
 // ---- News.
-void Subscription::begins(facts::Term term, std::uint64_t instance, std::uint64_t lineage,
-                          facts::Version version, facts::Version from, Time planner_now) {
-    raw_ = facts::begins(term, instance, lineage, version, from, planner_now);
+void Subscription::begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
+                          control::Version version, control::Version from, Time planner_now) {
+    raw_ = control::begins(term, instance, lineage, version, from, planner_now);
     planner_now_ = planner_now;
     copy_.begins(term, instance, lineage, version, from);
 }
-void Subscription::ends(facts::Version version, std::uint64_t count) {
-    raw_ += facts::ends(version, count);
+void Subscription::ends(control::Version version, std::uint64_t count) {
+    raw_ += control::ends(version, count);
     auto how = copy_.ends(version, count);
     auto raw = std::exchange(raw_, {});
     if (from_disk_)
         return;
     switch (how) {
-    case facts::Taken::old:
+    case control::UpdateResult::old:
         break;
-    case facts::Taken::alien:
-        send(facts::superseded(copy_.term()));
+    case control::UpdateResult::alien:
+        send(control::superseded(copy_.term()));
         if (fault_.empty())
             fault_ = "it plans with an older term, or twice under one; term " +
                      std::to_string(copy_.term().value) + " is followed";
         return;
-    case facts::Taken::gap:
-    case facts::Taken::broken:
-        send(facts::ask());
+    case control::UpdateResult::gap:
+    case control::UpdateResult::broken:
+        send(control::ask());
         return;
-    case facts::Taken::whole:
+    case control::UpdateResult::whole:
         on_disk_ = raw.size();
         line_.keep_plan(std::move(raw), true);
         taken(copy_.nodes_changed(), copy_.plans_changed());
         break;
-    case facts::Taken::changes:
+    case control::UpdateResult::changes:
         on_disk_ += raw.size();
         line_.keep_plan(std::move(raw), false);
         if (on_disk_ >= most_on_disk)
-            send(facts::ask()), on_disk_ = 0;
+            send(control::ask()), on_disk_ = 0;
         taken(copy_.nodes_changed(), copy_.plans_changed());
         break;
     }
@@ -201,9 +201,9 @@
         // One life of a node keeps the start that was first worked out here: told again it would
         // differ by what the message took. Late news makes a node younger, and so colder, never
         // warmer.
-        auto [it, is_new] = started_.try_emplace(id, n.life, 0);
-        if (is_new || it->second.first != n.life)
-            it->second = {n.life, now_ - (planner_now_ - n.started)};
+        auto [it, is_new] = started_.try_emplace(id, n.incarnation, 0);
+        if (is_new || it->second.first != n.incarnation)
+            it->second = {n.incarnation, now_ - (planner_now_ - n.started)};
         started[id] = it->second.second;
     }
     std::erase_if(started_, [&](auto &s) { return !copy_.table().nodes.contains(s.first); });
@@ -214,7 +214,7 @@
 }
 
 // ---- Rights.
-void Subscription::renewed(Time at, facts::Term term, Time lease, Time fade, facts::Version least) {
+void Subscription::renewed(Time at, control::Term term, Time lease, Time fade, control::Version least) {
     // Of a version that this edge does not go by yet, it would prolong parts that have been lowered
     // since.
     if (from_disk_ || term != copy_.term() || copy_.version() < least)
@@ -228,12 +228,12 @@
     for (auto v : used_) {
         auto it = copy_.table().parts.find(v);
         auto millionths = it == copy_.table().parts.end() ? 0 : it->second.millionths;
-        auto now_usable = facts::usable(millionths, past_lease(now_), fade_);
+        auto now_usable = control::usable(millionths, past_lease(now_), fade_);
         auto [told, is_new] = told_.try_emplace(v, now_usable);
         if (!is_new && std::exchange(told->second, now_usable) == now_usable)
             continue;
-        line_.part_told(v, now_usable == 0 ? std::numeric_limits<double>::infinity()
-                                           : static_cast<double>(facts::whole_limit) / now_usable);
+        line_.quota_share_changed(v, now_usable == 0 ? std::numeric_limits<double>::infinity()
+                                           : static_cast<double>(control::whole_limit) / now_usable);
     }
 }
 void Subscription::volume_used(Time now, VolumeId volume, bool on) {
@@ -245,27 +245,27 @@
         // Nothing may come in meanwhile: the part may be another's when the next client of the
         // volume comes.
         used_.erase(volume), told_.erase(volume);
-        line_.part_told(volume, std::numeric_limits<double>::infinity());
+        line_.quota_share_changed(volume, std::numeric_limits<double>::infinity());
     }
-    send(facts::serve(volume, on));
+    send(control::serve(volume, on));
 }
 
 // ---- Witness.
-void Subscription::shot_ended(Time now, NodeId node, Outcome how) {
+void Subscription::attempt_completed(Time now, NodeId node, AttemptOutcome how) {
     now_ = now;
     auto &r = reach_[node];
-    bool met = how == Outcome::answered || how == Outcome::error || how == Outcome::full;
-    bool lost = how == Outcome::unreachable || how == Outcome::reset || how == Outcome::timed_out;
+    bool met = how == AttemptOutcome::answered || how == AttemptOutcome::error || how == AttemptOutcome::overloaded;
+    bool lost = how == AttemptOutcome::unreachable || how == AttemptOutcome::reset || how == AttemptOutcome::timed_out;
     if (met) {
         r.failures = 0, r.met = now;
         if (std::exchange(r.unreached, false))
-            send(facts::witness(node, true));
+            send(control::witness(node, true));
     } else if (lost) {
         if (r.failures++ == 0)
             r.first = now;
         if (r.failures >= failures_enough && now - r.first >= failing_for &&
             !std::exchange(r.unreached, true))
-            send(facts::witness(node, false));
+            send(control::witness(node, false));
     }
 }
 
@@ -274,14 +274,14 @@
     if (it == reach_.end())
         return;
     if (it->second.unreached)
-        send(facts::witness(node, false));
+        send(control::witness(node, false));
     else if (now_ - it->second.met <= vouch_for)
-        send(facts::witness(node, true));
+        send(control::witness(node, true));
 }
 
 // ---- Time.
 Time Subscription::next_due() const {
-    Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_) : redial_.due();
+    Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_) : reconnect_backoff_.due();
     // The right runs out at a moment of its own, told before anything is done in it.
     if (stage_ < 2)
         due = std::min(due, lease_until_ + (stage_ == 0 ? 0 : fade_) + 1);
@@ -307,11 +307,11 @@
         return leave("it has answered nothing for long");
     if (up_ && now >= renew_at_)
         send_renewal();
-    if (up_ || now < redial_.due())
+    if (up_ || now < reconnect_backoff_.due())
         return;
-    if (redial_.trying())
+    if (reconnect_backoff_.trying())
         line_.hang_up();
-    redial_.trying(now, dial_time);
+    reconnect_backoff_.trying(now, dial_time);
     line_.dial();
 }
 
--- a/src/edge/subscription.hpp
+++ b/src/edge/planner_client.hpp
@@ -19,9 +19,9 @@
 #include <string_view>
 #include <vector>
 
-#include "core/redial.hpp"
-#include "facts/messages.hpp"
-#include "policy.hpp"
+#include "common/reconnect_backoff.hpp"
+#include "control/messages.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::edge {
 
@@ -36,9 +36,9 @@
     virtual void keep_plan(std::string bytes, bool anew) = 0;
     virtual void say(std::string text) = 0;
     // News was taken: what in it changed. `started`: of nodes, by this edge's clock.
-    virtual void plan_taken(const facts::Table &table, bool nodes, bool plans,
+    virtual void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
                             const std::map<NodeId, Time> &started) = 0;
-    virtual void part_told(VolumeId volume, double hosts) = 0;
+    virtual void quota_share_changed(VolumeId volume, double hosts) = 0;
     // Of a cut: see Cuts. Lost: nobody will end a hold.
     virtual void cut_hold(VolumeId, VolumeId, std::uint32_t, Time) {}
     virtual void cut_go(VolumeId, VolumeId, std::uint32_t) {}
@@ -46,11 +46,11 @@
     virtual void planner_lost() {}
 };
 
-class Subscription final : facts::Heard {
+class Subscription final : control::MessageHandler {
 public:
     // `renew_every`: a third of the planner's lease or less. `trust`: how old a plan from the disk
     // may be.
-    Subscription(Line &line, facts::EdgeId edge, std::string listen, std::uint64_t seed,
+    Subscription(Line &line, control::EdgeId edge, std::string listen, std::uint64_t seed,
                  Time renew_every, Time trust);
 
     // `disk`: what keep_plan kept, or nothing. Calls plan_taken where it holds a plan that may be
@@ -61,10 +61,10 @@
     void down(Time now);
     void bytes(Time now, std::string_view in);
     void volume_used(Time now, VolumeId volume, bool on);
-    void shot_ended(Time now, NodeId node, Outcome how);
+    void attempt_completed(Time now, NodeId node, AttemptOutcome how);
     // A step of a cut, told on.
-    void cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife life) {
-        send(facts::tell_cut(as, step, 0, life));
+    void cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) {
+        send(control::tell_cut(as, step, 0, incarnation));
     }
 
     Time next_due() const;
@@ -72,7 +72,7 @@
     // used.
     void tick(Time now);
 
-    const facts::Copy &copy() const { return copy_; }
+    const control::ClusterStateReplica &copy() const { return copy_; }
     bool connected() const { return up_; }
     // How long the right to parts has run out, at most 0 while it holds.
     Time past_lease(Time now) const { return now - lease_until_; }
@@ -85,24 +85,24 @@
         bool unreached = false;
     };
 
-    void begins(facts::Term term, std::uint64_t instance, std::uint64_t lineage,
-                facts::Version version, facts::Version from, Time now) override;
-    void node(NodeId id, facts::Node n) override {
-        note(facts::put(id, n)), copy_.put(id, std::move(n));
+    void begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
+                control::Version version, control::Version from, Time now) override;
+    void node(NodeId id, control::Node n) override {
+        note(control::put(id, n)), copy_.put(id, std::move(n));
     }
-    void plan(PlanId id, facts::Plan p) override {
-        note(facts::put(id, p)), copy_.put(id, std::move(p));
+    void plan(PlanId id, control::Plan p) override {
+        note(control::put(id, p)), copy_.put(id, std::move(p));
     }
-    void volume(VolumeId id, facts::Volume v) override {
-        note(facts::put(id, v)), copy_.put(id, std::move(v));
+    void volume(VolumeId id, control::Volume v) override {
+        note(control::put(id, v)), copy_.put(id, std::move(v));
     }
-    void part(VolumeId id, facts::Part p) override { note(facts::put(id, p)), copy_.put(id, p); }
-    void no_node(NodeId id) override { note(facts::drop(id)), copy_.drop(id); }
-    void no_plan(PlanId id) override { note(facts::drop(id)), copy_.drop(id); }
-    void no_volume(VolumeId id) override { note(facts::drop_volume(id)), copy_.drop_volume(id); }
-    void no_part(VolumeId id) override { note(facts::drop_part(id)), copy_.drop_part(id); }
-    void ends(facts::Version version, std::uint64_t count) override;
-    void renewed(Time at, facts::Term term, Time lease, Time fade, facts::Version least) override;
+    void part(VolumeId id, control::Part p) override { note(control::put(id, p)), copy_.put(id, p); }
+    void no_node(NodeId id) override { note(control::drop(id)), copy_.drop(id); }
+    void no_plan(PlanId id) override { note(control::drop(id)), copy_.drop(id); }
+    void no_volume(VolumeId id) override { note(control::drop_volume(id)), copy_.drop_volume(id); }
+    void no_part(VolumeId id) override { note(control::drop_part(id)), copy_.drop_part(id); }
+    void ends(control::Version version, std::uint64_t count) override;
+    void renewed(Time at, control::Term term, Time lease, Time fade, control::Version least) override;
     void witness_asked(NodeId node) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override {
         if (!from_disk_)
@@ -128,12 +128,12 @@
     int stage() const { return past_lease(now_) <= 0 ? 0 : past_lease(now_) <= fade_ ? 1 : 2; }
 
     Line &line_;
-    facts::EdgeId edge_;
+    control::EdgeId edge_;
     std::string listen_;
-    Redial redial_;
+    ReconnectBackoff reconnect_backoff_;
     Time renew_every_, trust_;
-    facts::Reader reader_;
-    facts::Copy copy_;
+    control::Reader reader_;
+    control::ClusterStateReplica copy_;
     std::string raw_, fault_; // of the news being told, for the disk
     std::string unread_;
     std::size_t read_ = 0; // of unread_
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "edge/planfile.hpp"
+#include "edge/plan_cache_file.hpp"
 #include "edge/settings.hpp"
 #include "log/log.hpp"
 
 namespace knotvane::edge {
 
 Server::Server(loop::Loop &loop, settings::File &file,
-               const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t)> &scheduler)
+               const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler)
     : loop_(loop) {
     std::string listen;
     std::uint64_t seed = 0;
@@ -19,7 +19,7 @@
     read_layout(file, [&](std::uint64_t extent, std::uint64_t span, std::uint64_t unit,
                           std::vector<ShardId> shards) {
         core_ = std::make_unique<Core>(
-            *this, [&](Actions &a) { return scheduler(a, seed + id_); }, id_,
+            *this, [&](SchedulerActions &a) { return scheduler(a, seed + id_); }, id_,
             static_cast<std::uint64_t>(loop::now()), extent, span, unit, std::move(shards));
     });
     read_service(file, core_.get());
@@ -62,7 +62,7 @@
     if (planner.empty())
         return;
     planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-    subscription_ = std::make_unique<Subscription>(*this, facts::EdgeId{id_}, listener_->address(),
+    subscription_ = std::make_unique<Subscription>(*this, control::EdgeId{id_}, listener_->address(),
                                                    seed, renew_every, trust);
     planner_->on_up = [this] { subscription_->up(loop::now()); };
     planner_->on_down = [this] { subscription_->down(loop::now()); };
@@ -76,9 +76,9 @@
     if (subscription_)
         subscription_->volume_used(loop::now(), volume, on);
 }
-void Server::cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife life) {
+void Server::cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) {
     if (subscription_)
-        subscription_->cut_told(as, step, life);
+        subscription_->cut_told(as, step, incarnation);
 }
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     core_->cut_hold(loop::now(), of, as, epoch, longest);
@@ -92,10 +92,10 @@
 void Server::planner_lost() {
     core_->planner_lost(loop::now());
 }
-void Server::part_told(VolumeId volume, double hosts) {
-    core_->part_told(loop::now(), volume, hosts);
+void Server::quota_share_changed(VolumeId volume, double hosts) {
+    core_->quota_share_changed(loop::now(), volume, hosts);
 }
-void Server::plan_taken(const facts::Table &table, bool nodes, bool plans,
+void Server::plan_taken(const control::ClusterState &table, bool nodes, bool plans,
                         const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[id, p] : table.plans)
@@ -143,12 +143,12 @@
     take_list(list);
 }
 void Server::take_list(const NodeList &list) {
-    if (!core_->list_begins(loop::now(), list.version))
+    if (!core_->endpoint_list_begin(loop::now(), list.version))
         return;
     for (auto &n : list.nodes)
-        core_->node_listed(n.id, on_the_way ? on_the_way(n.id, n.address) : n.address, n.shard,
+        core_->endpoint_listed(n.id, on_the_way ? on_the_way(n.id, n.address) : n.address, n.shard,
                            n.zone, n.state, n.started);
-    core_->list_ends();
+    core_->endpoint_list_end();
     log::line(log::info, "node list taken",
               {{"edge", std::to_string(id_)},
                {"version", std::to_string(list.version)},
@@ -213,9 +213,9 @@
 void Server::say(std::string text) {
     log::line(log::warn, text, {{"edge", std::to_string(id_)}});
 }
-void Server::shot_ended(TaskId task, NodeId node, Outcome how, Time took) {
+void Server::attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) {
     if (subscription_)
-        subscription_->shot_ended(loop::now(), node, how);
+        subscription_->attempt_completed(loop::now(), node, how);
     if (!log::shown(log::debug))
         return;
     static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "edge/core.hpp"
-#include "edge/nodelist.hpp"
-#include "edge/subscription.hpp"
+#include "edge/endpoint_file.hpp"
+#include "edge/planner_client.hpp"
 #include "loop/dialled.hpp"
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
@@ -22,7 +22,7 @@
     // std::runtime_error where the address can't be listened on.
     Server(
         loop::Loop &loop, settings::File &file,
-        const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t seed)> &scheduler);
+        const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)> &scheduler);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
     Core &core() { return *core_; }
@@ -44,16 +44,16 @@
     void close_client(ClientId client) override;
     void hold_client(ClientId client, bool hold) override;
     void say(std::string text) override;
-    void shot_ended(TaskId task, NodeId node, Outcome how, Time took) override;
+    void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) override;
     void volume_used(VolumeId volume, bool on) override;
-    void cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife life) override;
+    void cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) override;
     void dial() override { planner_->dial(); }
     void hang_up() override { planner_->hang_up(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
     void keep_plan(std::string bytes, bool anew) override;
-    void plan_taken(const facts::Table &table, bool nodes, bool plans,
+    void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
                     const std::map<NodeId, Time> &started) override;
-    void part_told(VolumeId volume, double hosts) override;
+    void quota_share_changed(VolumeId volume, double hosts) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
     void cut_release(VolumeId of, VolumeId as) override;
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -53,13 +53,13 @@
         Time due = s->time("due"), timeout = s->time("client_timeout");
         double value = s->number("value", 0, 1e9, 1), late = s->number("late_part", 0, 1, 0);
         auto repeat =
-            static_cast<Repeat>(s->choice("repeat", {"reissuable", "numbered", "at_most_once"}, 0));
+            static_cast<Idempotency>(s->choice("repeat", {"reissuable", "numbered", "at_most_once"}, 0));
         Time window = s->time("window", 0), rest = s->time("key_rest", 0);
         if (due <= 0 || due > timeout)
             s->fault("due", "expected above 0 and at most client_timeout");
-        if ((repeat == Repeat::numbered) != (window > 0))
+        if ((repeat == Idempotency::deduplicated) != (window > 0))
             s->fault("window", "numbered workloads have a window, and no others");
-        if (repeat == Repeat::numbered && !writes)
+        if (repeat == Idempotency::deduplicated && !writes)
             s->fault("repeat", "only writes and zeroes are numbered");
         // A copy that may still run must not meet a later write to the same bytes
         // (docs/design/gateway.md).
@@ -76,11 +76,11 @@
         if (!core)
             continue;
         core->scheduler().add_workload(id, due, timeout, value, late);
-        core->scheduler().set_repeat(id, repeat, Group::shard, window);
+        core->scheduler().set_repeat(id, repeat, DeduplicationScope::shard, window);
         if (writes)
             core->scheduler().set_turns(id, rest);
         core->add_workload(id, static_cast<Command>(command), static_cast<std::uint32_t>(up_to),
-                           volume, timeout, repeat == Repeat::numbered ? window : 0);
+                           volume, timeout, repeat == Idempotency::deduplicated ? window : 0);
     }
     static constexpr const char *commands[] = {"read", "write", "zero", "flush", "status"};
     for (int i = 0; i < 5; ++i)
--- a/src/edge/cuts.hpp
+++ b/src/edge/snapshot_participant.hpp
@@ -13,15 +13,15 @@
 #include <set>
 #include <utility>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
-#include "facts/table.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
+#include "control/cluster_state.hpp"
 
 namespace knotvane::edge {
 
 class Cuts {
 public:
-    using Tell = std::function<void(VolumeId as, facts::CutStep)>;
+    using Tell = std::function<void(VolumeId as, control::SnapshotStep)>;
     explicit Cuts(Tell tell) : tell_(std::move(tell)) {}
 
     // ---- From the planner.
@@ -29,12 +29,12 @@
     void hold(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
         auto &v = volumes_[of];
         if (v.lapsed == as)
-            return tell_(as, facts::CutStep::lapsed);
+            return tell_(as, control::SnapshotStep::lapsed);
         if (epoch <= v.epoch)
-            return tell_(as, facts::CutStep::moved); // said again
+            return tell_(as, control::SnapshotStep::moved); // said again
         v.hold = Hold{as, epoch, now + longest};
         held_.insert(of);
-        tell_(as, facts::CutStep::ready);
+        tell_(as, control::SnapshotStep::ready);
     }
     // Changes begin again, in the new epoch; where the hold has run out, or never was, the cut
     // can't be whole.
@@ -43,16 +43,16 @@
         bool held = v.hold && v.hold->as == as && now < v.hold->until;
         if (!held && (v.lapsed == as || epoch > v.epoch)) {
             lapse(of, v, as);
-            return tell_(as, facts::CutStep::lapsed);
+            return tell_(as, control::SnapshotStep::lapsed);
         }
         if (held) {
             end_hold(of, v);
             v.epoch = epoch, v.draining = as;
-            tell_(as, facts::CutStep::moved);
+            tell_(as, control::SnapshotStep::moved);
         } else {
-            tell_(as, facts::CutStep::moved);
+            tell_(as, control::SnapshotStep::moved);
             if (v.draining != as)
-                return tell_(as, facts::CutStep::drained);
+                return tell_(as, control::SnapshotStep::drained);
         }
         look(v);
     }
@@ -112,7 +112,7 @@
                 continue;
             auto as = v.hold->as;
             lapse(of, v, as);
-            tell_(as, facts::CutStep::lapsed);
+            tell_(as, control::SnapshotStep::lapsed);
         }
     }
     // Volumes whose hold has ended since this was last asked.
@@ -143,7 +143,7 @@
     void look(Volume &v) {
         if (v.draining == VolumeId{} || (!v.at_work.empty() && v.at_work.begin()->first < v.epoch))
             return;
-        tell_(std::exchange(v.draining, VolumeId{}), facts::CutStep::drained);
+        tell_(std::exchange(v.draining, VolumeId{}), control::SnapshotStep::drained);
     }
 
     Tell tell_;
--- a/src/edge/unflushed.hpp
+++ b/src/edge/unflushed.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 
 namespace knotvane::edge {
 
@@ -14,10 +14,10 @@
 public:
     // A write was answered by a store of this life. A life other than that of earlier writes means
     // that those are lost.
-    void written(ShardId shard, std::uint64_t life) {
-        auto [it, is_new] = open_.try_emplace(shard, Entry{life, 0});
-        if (!is_new && it->second.life != life)
-            it->second.life = life, ++losses_;
+    void written(ShardId shard, std::uint64_t incarnation) {
+        auto [it, is_new] = open_.try_emplace(shard, Entry{incarnation, 0});
+        if (!is_new && it->second.incarnation != incarnation)
+            it->second.incarnation = incarnation, ++losses_;
         it->second.last = ++count_;
     }
     // Shards that a flush must reach, and the mark that tells which writes it covers.
@@ -29,11 +29,11 @@
     }
     std::uint64_t mark() const { return count_; }
     // A store of this life has made durable what it was sent before the mark was taken.
-    void flushed(ShardId shard, std::uint64_t life, std::uint64_t mark) {
+    void flushed(ShardId shard, std::uint64_t incarnation, std::uint64_t mark) {
         auto it = open_.find(shard);
         if (it == open_.end())
             return;
-        if (it->second.life != life) {
+        if (it->second.incarnation != incarnation) {
             // Guards against a flush that confirms what a restart has taken: the store answers
             // well, but it is not the one that had the writes.
             ++losses_;
@@ -48,7 +48,7 @@
 
 private:
     struct Entry {
-        std::uint64_t life, last;
+        std::uint64_t incarnation, last;
     };
     std::map<ShardId, Entry> open_;
     std::uint64_t count_ = 0, losses_ = 0;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -17,7 +17,7 @@
 #include <unistd.h>
 
 #include "edge/settings.hpp"
-#include "planner/visitor.hpp"
+#include "planner/admin_client.hpp"
 #include "settings/fleet_sections.hpp"
 #include "settings/ini.hpp"
 
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -10,13 +10,13 @@
 #include <thread>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/node.hpp"
-#include "edge/nodelist.hpp"
+#include "common/ids.hpp"
+#include "scheduling/node_record.hpp"
+#include "edge/endpoint_file.hpp"
 #include "edge/server.hpp"
 #include "loop/loop.hpp"
 #include "node/server.hpp"
-#include "planner/files.hpp"
+#include "planner/desired_state_files.hpp"
 
 namespace knotvane::fleet {
 
@@ -66,7 +66,7 @@
 std::string default_scheduling();
 std::string default_service();
 
-using MakeScheduler = std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t seed)>;
+using MakeScheduler = std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>;
 
 class Fleet {
     struct NodeHost {
--- a/src/platform/clients.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -1,11 +1,11 @@
-#include "platform/clients.hpp"
+#include "http_gateway/client_connections.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <functional>
 #include <utility>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
@@ -84,9 +84,9 @@
 
 } // namespace
 
-Clients::Clients(Wires &wires, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
+Clients::Clients(Transport &transport, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
                  std::vector<std::string> plans, std::size_t most)
-    : wires_(wires), told_(told), conns_(conns), most_(std::max<std::size_t>(most, 1)) {
+    : transport_(transport), told_(told), conns_(conns), most_(std::max<std::size_t>(most, 1)) {
     for (std::uint32_t i = 0; i < workloads.size(); ++i)
         workloads_[workloads[i]] = WorkloadId{i};
     for (std::uint32_t i = 0; i < plans.size(); ++i)
@@ -139,7 +139,7 @@
     due_.erase({it->second.due, conn});
     ended_ -= it->second.ended;
     clients_.erase(it);
-    wires_.close(conn);
+    transport_.close(conn);
 }
 // What is owed leaves, then our side ends; the rest is thrown away until the client's end, or for a
 // short while.
@@ -147,7 +147,7 @@
     c.ended = true, c.open = false, ++ended_;
     c.behind.clear(), c.kept = 0;
     due_at(conn, c, now + (c.unsent > 0 ? leaves_within : linger));
-    wires_.shut(conn);
+    transport_.shut(conn);
 }
 void Clients::finish_resting(Time now) {
     for (auto &[conn, c] : clients_)
@@ -311,7 +311,7 @@
                        headers + "Content-Length: " + std::to_string(body.size()) + "\r\n" +
                        (last ? "Connection: close\r\n\r\n" : "\r\n");
     c.unsent += head.size() + body.size();
-    wires_.send(conn, head + std::move(body));
+    transport_.send(conn, head + std::move(body));
     if (last)
         return finish(now, conn, c);
     c.open = false, c.served = true, c.since = now;
@@ -341,17 +341,17 @@
 }
 void Clients::reject(Time now, ConnId conn, unsigned status, const char *why) {
     clients_.at(conn).last = true;
-    if (wires_.traces())
-        wires_.trace("refused status=" + std::to_string(status) + " why=" + why);
+    if (transport_.traces())
+        transport_.trace("refused status=" + std::to_string(status) + " why=" + why);
     send(now, conn, status, "Content-Type: text/plain\r\n", std::string(why) + "\n");
 }
 void Clients::answer(Time now, ConnId conn, std::string body) {
     send(now, conn, 200, "", std::move(body));
 }
-void Clients::refuse(Time now, ConnId conn, Time come_back_after) {
+void Clients::refuse(Time now, ConnId conn, Time retry_after) {
     char wait[64] = "";
-    if (come_back_after > 0)
-        std::snprintf(wait, sizeof wait, "Retry-After: %.3f\r\n", seconds(come_back_after));
+    if (retry_after > 0)
+        std::snprintf(wait, sizeof wait, "Retry-After: %.3f\r\n", seconds(retry_after));
     send(now, conn, 503, wait, "");
 }
 void Clients::error(Time now, ConnId conn) {
@@ -373,4 +373,4 @@
     }
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/clients.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -15,12 +15,12 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 #include "http/decoder.hpp"
-#include "platform/pools.hpp"
-#include "platform/wires.hpp"
+#include "http_gateway/connection_pool.hpp"
+#include "http_gateway/transport.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 // What clients tell. A request that came is answered once, by its connection, unless it left
 // before.
@@ -39,7 +39,7 @@
 class Clients {
 public:
     // `workloads`, `plans`: names in the order of their ids. `most`: connections at once.
-    Clients(Wires &wires, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
+    Clients(Transport &transport, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
             std::vector<std::string> plans, std::size_t most);
 
     bool owns(ConnId conn) const { return clients_.contains(conn); }
@@ -51,7 +51,7 @@
 
     // The answers: a node's body; trying again is harmless, and when (0: untold); failed.
     void answer(Time now, ConnId conn, std::string body);
-    void refuse(Time now, ConnId conn, Time come_back_after);
+    void refuse(Time now, ConnId conn, Time retry_after);
     void error(Time now, ConnId conn);
 
     // From now on connections without a request stay, however long they are idle.
@@ -101,7 +101,7 @@
     void shed(Time now);
     void remember(std::uint64_t trace);
 
-    Wires &wires_;
+    Transport &transport_;
     RequestsTold &told_;
     Conns &conns_;
     std::map<std::string, WorkloadId, std::less<>> workloads_;
@@ -116,4 +116,4 @@
     bool keep_idle_ = false, stopping_ = false;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/config.cpp
+++ b/src/http_gateway/config.cpp
@@ -1,14 +1,14 @@
-#include "platform/config.hpp"
+#include "http_gateway/config.hpp"
 
 #include <charconv>
 
 #include <nlohmann/json.hpp>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 namespace {
 
 using nlohmann::json;
-using wire::Malformed;
+using scheduler_setup::Malformed;
 
 std::string plain(const json &v) {
     std::string s = v.is_string() ? v.get<std::string>() : v.is_null() ? std::string() : v.dump();
@@ -97,10 +97,10 @@
     auto it = parts_->doc.find("known");
     return it == parts_->doc.end() || it->is_null() ? std::string() : it->dump();
 }
-wire::Options Config::settings() const {
+scheduler_setup::Options Config::settings() const {
     std::string out;
     flatten(parts_->doc["settings"], "", out);
-    return wire::Options(out);
+    return scheduler_setup::Options(out);
 }
 std::vector<std::string> Config::names(const std::string &list) const {
     std::vector<std::string> out;
@@ -117,4 +117,4 @@
     return out;
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/config.hpp
+++ b/src/http_gateway/config.hpp
@@ -7,13 +7,13 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/options.hpp"
+#include "scheduler_setup/options.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 class Config {
 public:
-    // Throws wire::Malformed, saying which field and what was expected.
+    // Throws scheduler_setup::Malformed, saying which field and what was expected.
     explicit Config(std::string_view json);
     ~Config();
     Config(Config &&) noexcept;
@@ -27,7 +27,7 @@
     // The list as it was last had, in discovery's form; empty for none.
     std::string known() const;
     // The settings at the paths that the simulator's first message has.
-    wire::Options settings() const;
+    scheduler_setup::Options settings() const;
     // Names in the order of their ids: of the objects of a list, or of a plain list.
     std::vector<std::string> names(const std::string &list) const;
 
@@ -36,4 +36,4 @@
     std::unique_ptr<Parts> parts_;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/pools.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -1,10 +1,10 @@
-#include "platform/pools.hpp"
+#include "http_gateway/connection_pool.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <utility>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 namespace {
 
 // A node's heads are a few hundred bytes. Its bodies were seen up to 400 KB, past the protocol's 64
@@ -32,9 +32,9 @@
 
 } // namespace
 
-Pools::Pools(Wires &wires, AttemptsTold &told, Conns &conns, Time connect, Time idle,
+Pools::Pools(Transport &transport, AttemptsTold &told, Conns &conns, Time connect, Time idle,
              std::size_t most)
-    : wires_(wires), told_(told), conns_(conns), connect_(connect),
+    : transport_(transport), told_(told), conns_(conns), connect_(connect),
       // A tenth and a quarter second before the node would: a request written as it closes is a
       // reset.
       idle_(std::max<Time>(idle - idle / 10 - 250 * ms, 0)), most_(std::max<std::size_t>(most, 1)) {
@@ -85,12 +85,12 @@
     return false;
 }
 
-void Pools::begin(Time now, TaskId request, ShotId attempt, NodeId node,
+void Pools::begin(Time now, RequestId request, AttemptId attempt, NodeId node,
                   std::shared_ptr<const Work> work, Time until) {
     AttemptKey key{request, attempt};
     auto peer = peers_.find(node);
     if (until <= now || peer == peers_.end() || peer->second.address.empty())
-        return told_.attempt_over(now, request, attempt, node, Outcome::unsent, 0, {});
+        return told_.attempt_over(now, request, attempt, node, AttemptOutcome::not_sent, 0, {});
     Attempt &s = attempts_[key] = Attempt{node, {}, std::move(work), now, until};
     auto &idle = peer->second.idle;
     auto rested = std::find_if(idle.rbegin(), idle.rend(),
@@ -103,7 +103,7 @@
         return give(now, s.conn, link);
     }
     if (!make_room())
-        return over(now, key, Outcome::unsent);
+        return over(now, key, AttemptOutcome::not_sent);
     s.conn = conns_.next();
     Link &link =
         links_
@@ -112,7 +112,7 @@
             .first->second;
     ++peer->second.links;
     due_at(s.conn, link, std::min(now + connect_, until));
-    wires_.connect(s.conn, link.address);
+    transport_.connect(s.conn, link.address);
 }
 // Hands the request of the attempt to its connection.
 void Pools::give(Time now, ConnId conn, Link &link) {
@@ -120,22 +120,22 @@
     // Between the decision and this moment a connection came up: the client may have left, the node
     // may drain.
     if (link.leaving || now >= s.until ||
-        !told_.may_begin(now, link.attempt.first, link.attempt.second, link.node))
+        !told_.may_send_attempt(now, link.attempt.first, link.attempt.second, link.node))
         return take_back(now, AttemptKey(link.attempt));
     auto bytes = message_of(*s.work, s.until - now);
     link.to_write = bytes.size(), link.handed = true;
     link.in.next();
     due_at(conn, link, s.until);
-    wires_.send(conn, std::move(bytes));
+    transport_.send(conn, std::move(bytes));
 }
-void Pools::call_off(Time now, TaskId request, ShotId attempt) {
+void Pools::cancel_attempt(Time now, RequestId request, AttemptId attempt) {
     auto it = attempts_.find({request, attempt});
     if (it == attempts_.end())
         return;
     if (!left(it->second))
         return take_back(now, {request, attempt});
     drop(it->second.conn);
-    over(now, {request, attempt}, Outcome::called_off);
+    over(now, {request, attempt}, AttemptOutcome::canceled);
 }
 bool Pools::left(const Attempt &attempt) const {
     const Link &link = links_.at(attempt.conn);
@@ -144,26 +144,26 @@
 // Ends an attempt whose last byte has not left, and so never will: it did not run.
 void Pools::take_back(Time now, const AttemptKey &key) {
     drop(attempts_.at(key).conn);
-    over(now, key, Outcome::unsent);
+    over(now, key, AttemptOutcome::not_sent);
 }
-void Pools::withdraw(Time now, TaskId request) {
+void Pools::withdraw(Time now, RequestId request) {
     std::vector<AttemptKey> unwritten;
-    for (auto it = attempts_.lower_bound({request, ShotId{}});
+    for (auto it = attempts_.lower_bound({request, AttemptId{}});
          it != attempts_.end() && it->first.first == request; ++it)
         if (!left(it->second))
             unwritten.push_back(it->first);
     for (auto &key : unwritten)
         take_back(now, key);
 }
-void Pools::over(Time now, const AttemptKey &key, Outcome how, std::string body) {
+void Pools::over(Time now, const AttemptKey &key, AttemptOutcome how, std::string body) {
     auto it = attempts_.find(key);
     Attempt s = std::move(it->second);
     attempts_.erase(it);
-    if (wires_.traces()) {
+    if (transport_.traces()) {
         auto after = [&](Time t) {
             return t == 0 ? std::string("-") : std::to_string((t - s.began) / us);
         };
-        wires_.trace("attempt request=" + std::to_string(key.first.value) + " attempt=" +
+        transport_.trace("attempt request=" + std::to_string(key.first.value) + " attempt=" +
                      std::to_string(key.second.value) + " node=" + std::to_string(s.node.value) +
                      " conn=" + std::to_string(s.conn.value) + " how=" +
                      std::to_string(static_cast<int>(how)) + " at=" + std::to_string(s.began / us) +
@@ -183,7 +183,7 @@
     }
     links_.erase(it);
     if (close)
-        wires_.close(conn);
+        transport_.close(conn);
 }
 void Pools::due_at(ConnId conn, Link &link, Time at) {
     due_.erase({link.due, conn});
@@ -219,7 +219,7 @@
         return;
     auto key = it->second.attempt;
     drop(conn, false);
-    over(now, key, tried ? Outcome::unreachable : Outcome::unsent);
+    over(now, key, tried ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
 }
 void Pools::gone(Time now, ConnId conn, Gone how) {
     auto it = links_.find(conn);
@@ -236,7 +236,7 @@
     drop(conn, false);
     // Before its last byte has left, the node can't have begun it.
     if (busy)
-        over(now, key, whole ? Outcome::reset : Outcome::unreachable);
+        over(now, key, whole ? AttemptOutcome::reset : AttemptOutcome::unreachable);
 }
 void Pools::written(Time now, ConnId conn, std::size_t bytes) {
     auto it = links_.find(conn);
@@ -254,8 +254,8 @@
     Link &link = it->second;
     // Nothing was asked: whatever this is, it must not be taken for the next one's answer.
     if (!link.busy) {
-        if (wires_.traces())
-            wires_.trace("stray conn=" + std::to_string(conn.value) +
+        if (transport_.traces())
+            transport_.trace("stray conn=" + std::to_string(conn.value) +
                          " after=" + std::to_string((now - link.rests) / us));
         return drop(conn);
     }
@@ -272,19 +272,19 @@
     Link &link = links_.at(conn);
     auto state = link.in.state();
     auto key = link.attempt;
-    Outcome how = Outcome::error;
+    AttemptOutcome how = AttemptOutcome::error;
     std::string body;
     bool keep = false;
     if (state == http::State::whole) {
         auto status = link.in.status();
         if (status == 200)
-            how = Outcome::answered, body = link.in.take_body();
+            how = AttemptOutcome::answered, body = link.in.take_body();
         else if ((status == 503 || status == 504) && link.in.header("X-Never-Ran") == "1")
-            how = Outcome::full;
+            how = AttemptOutcome::overloaded;
         keep = behind.empty() && link.in.keeps_open() && !link.leaving && link.to_write == 0;
     }
-    if (how == Outcome::error && wires_.traces())
-        wires_.trace("error conn=" + std::to_string(conn.value) +
+    if (how == AttemptOutcome::error && transport_.traces())
+        transport_.trace("error conn=" + std::to_string(conn.value) +
                      " status=" + std::to_string(link.in.status()) +
                      " length=" + std::string(link.in.header("Content-Length").value_or("-")) +
                      " fault=" + (*link.in.fault() ? link.in.fault() : "-"));
@@ -306,11 +306,11 @@
             continue;
         auto &s = attempts_.at(key);
         // An answer that stopped short is spoilt: the node has done with it, and no more will come.
-        Outcome how = s.until > now ? handed ? Outcome::error : Outcome::unreachable
-                      : handed      ? Outcome::timed_out
-                                    : Outcome::unsent;
+        AttemptOutcome how = s.until > now ? handed ? AttemptOutcome::error : AttemptOutcome::unreachable
+                      : handed      ? AttemptOutcome::timed_out
+                                    : AttemptOutcome::not_sent;
         over(now, key, how);
     }
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/pools.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -11,12 +11,12 @@
 #include <string_view>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 #include "http/decoder.hpp"
-#include "platform/wires.hpp"
-#include "policy.hpp"
+#include "http_gateway/transport.hpp"
+#include "scheduling/scheduler.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 // What is asked of a node; the same for each attempt of a request. The head is written anew for
 // each attempt.
@@ -30,8 +30,8 @@
     virtual ~AttemptsTold() = default;
     // Asked before an attempt's first byte, and nowhere else: is somebody owed an answer, may the
     // node have it now?
-    virtual bool may_begin(Time now, TaskId request, ShotId attempt, NodeId node) const = 0;
-    virtual void attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how,
+    virtual bool may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const = 0;
+    virtual void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node, AttemptOutcome how,
                               Time took, std::string body) = 0;
 };
 
@@ -42,7 +42,7 @@
     // long: both wait for a peer that is there, across the same network. One idle for `idle` is
     // closed by the node, so it is closed here a margin before. `most`: connections to all nodes
     // together.
-    Pools(Wires &wires, AttemptsTold &told, Conns &conns, Time connect, Time idle,
+    Pools(Transport &transport, AttemptsTold &told, Conns &conns, Time connect, Time idle,
           std::size_t most);
 
     // Where a node listens; connections to where it was before are not used any more.
@@ -52,13 +52,13 @@
     void node_drains(Time now, NodeId node);
     void node_gone(Time now, NodeId node);
     // Until `until` its outcome may come; then it is timed_out, or unsent where no byte went out.
-    void begin(Time now, TaskId request, ShotId attempt, NodeId node,
+    void begin(Time now, RequestId request, AttemptId attempt, NodeId node,
                std::shared_ptr<const Work> work, Time until);
     // Closes its connection before it is told.
-    void call_off(Time now, TaskId request, ShotId attempt);
+    void cancel_attempt(Time now, RequestId request, AttemptId attempt);
     // Nobody is owed an answer any more: its attempts whose last byte has not left come back as
     // never run.
-    void withdraw(Time now, TaskId request);
+    void withdraw(Time now, RequestId request);
 
     bool owns(ConnId conn) const { return links_.contains(conn); }
     void up(Time now, ConnId conn);
@@ -77,7 +77,7 @@
     std::map<NodeId, std::size_t> busy() const;
 
 private:
-    using AttemptKey = std::pair<TaskId, ShotId>;
+    using AttemptKey = std::pair<RequestId, AttemptId>;
     struct Link {
         NodeId node;
         std::string address;
@@ -103,7 +103,7 @@
         std::size_t links = 0;
     };
     void give(Time now, ConnId conn, Link &link);
-    void over(Time now, const AttemptKey &key, Outcome how, std::string body = {});
+    void over(Time now, const AttemptKey &key, AttemptOutcome how, std::string body = {});
     void drop(ConnId conn, bool close = true);
     bool left(const Attempt &attempt) const;
     void take_back(Time now, const AttemptKey &key);
@@ -112,7 +112,7 @@
     void due_at(ConnId conn, Link &link, Time at);
     bool make_room();
 
-    Wires &wires_;
+    Transport &transport_;
     AttemptsTold &told_;
     Conns &conns_;
     Time connect_, idle_;
@@ -123,4 +123,4 @@
     std::set<std::pair<Time, ConnId>> due_;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -1,12 +1,12 @@
-#include "platform/core.hpp"
+#include "http_gateway/core.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <utility>
 
-#include "wire/setup.hpp"
+#include "scheduler_setup/setup.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 namespace {
 
 // A stopping scheduler is killed no sooner than the longest client timeout (3 s at most) and 0.7 s
@@ -30,31 +30,31 @@
 }
 
 // A time that a site may leave out: there is no such bound then.
-Time bound(const wire::Options &settings, const std::string &path) {
+Time bound(const scheduler_setup::Options &settings, const std::string &path) {
     Time t = settings.time(path);
     if (t < 0)
-        throw wire::Malformed("setting " + path + ": expected seconds, 0 or more");
+        throw scheduler_setup::Malformed("setting " + path + ": expected seconds, 0 or more");
     return t > 0 ? t : Pools::unbounded;
 }
 
 } // namespace
 
-Core::Core(Wires &wires, const std::function<std::unique_ptr<Scheduler>(Actions &)> &scheduler,
-           const wire::Options &settings, std::vector<std::string> workloads,
+Core::Core(Transport &transport, const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
+           const scheduler_setup::Options &settings, std::vector<std::string> workloads,
            std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
            std::size_t sockets)
-    : wires_(wires),
-      clients_(wires, *this, conns_, std::move(workloads), std::move(plans), for_clients(sockets)),
-      pools_(wires, *this, conns_, bound(settings, "Permissions.ConnectTimeoutS"),
+    : transport_(transport),
+      clients_(transport, *this, conns_, std::move(workloads), std::move(plans), for_clients(sockets)),
+      pools_(transport, *this, conns_, bound(settings, "Permissions.ConnectTimeoutS"),
              bound(settings, "Permissions.ConnIdleS"), for_nodes(sockets)),
-      discovery_(wires, *this, conns_, std::move(zones),
+      discovery_(transport, *this, conns_, std::move(zones),
                  settings.text("RegistryMode") == "on_request", seed),
       scheduler_(scheduler(*this)) {
-    wire::set_up(*scheduler_, settings);
+    scheduler_setup::set_up(*scheduler_, settings);
     for (std::uint32_t i = 0; i < settings.count("Classes.count"); ++i) {
         auto path = "Classes." + std::to_string(i) + ".DeadlineS";
         if (settings.time(path) <= 0)
-            throw wire::Malformed("setting " + path + ": expected seconds above 0");
+            throw scheduler_setup::Malformed("setting " + path + ": expected seconds above 0");
         longest_ = std::max(longest_, settings.time(path));
     }
 }
@@ -102,7 +102,7 @@
 
 void Core::settle(Time now) {
     now_ = now;
-    if (wires_.traces())
+    if (transport_.traces())
         trace_counts(now);
     clients_.tick(now), pools_.tick(now), discovery_.tick(now);
     // A decision may end an attempt at once, which is told like any other outcome; a few rounds do.
@@ -131,7 +131,7 @@
         clients_.finish_resting(now);
     over_ =
         stopping_ && now >= last_calls_ && asked_.empty() && (clients_.held() == 0 || now >= ends_);
-    if (wires_.traces())
+    if (transport_.traces())
         due_ = next_due();
 }
 // Ten times a second: how late the loop came to what was due, and what is believed to be out
@@ -139,13 +139,13 @@
 void Core::trace_counts(Time now) {
     constexpr Time each = 100 * ms;
     if (due_ != never && now - due_ > 2 * ms)
-        wires_.trace("late us=" + std::to_string((now - due_) / us));
+        transport_.trace("late us=" + std::to_string((now - due_) / us));
     if (now - traced_ < each)
         return;
     traced_ = now;
     auto busy = pools_.busy();
     for (auto &[node, n] : counted_)
-        wires_.trace("node id=" + std::to_string(node.value) + " counted=" + std::to_string(n) +
+        transport_.trace("node id=" + std::to_string(node.value) + " counted=" + std::to_string(n) +
                      " open=" + std::to_string(busy[node]));
 }
 Time Core::next_due() const {
@@ -161,21 +161,21 @@
 
 void Core::tell(Time now, Over o) {
     --requests_.at(o.request).out;
-    if (wires_.traces()) {
+    if (transport_.traces()) {
         --counted_[o.node];
-        wires_.trace("told request=" + std::to_string(o.request.value) +
+        transport_.trace("told request=" + std::to_string(o.request.value) +
                      " attempt=" + std::to_string(o.attempt.value) +
                      " late=" + std::to_string((now - o.since) / us));
     }
-    if (o.how == Outcome::answered)
+    if (o.how == AttemptOutcome::answered)
         if (auto client = end(o.request))
             clients_.answer(now, *client, std::move(o.body));
-    scheduler_->shot_ended(now, o.request, o.attempt, o.node, o.how, o.took,
+    scheduler_->attempt_completed(now, o.request, o.attempt, o.node, o.how, o.took,
                            requests_.at(o.request).ended, -1, 0, {});
     forget_if_done(o.request);
 }
 // The request needs no answer any more; gives who is owed one, if anybody still is.
-std::optional<ConnId> Core::end(TaskId request) {
+std::optional<ConnId> Core::end(RequestId request) {
     auto it = requests_.find(request);
     if (it == requests_.end() || it->second.ended)
         return std::nullopt;
@@ -183,48 +183,48 @@
     asked_.erase(it->second.client);
     return it->second.client;
 }
-void Core::forget_if_done(TaskId request) {
+void Core::forget_if_done(RequestId request) {
     auto it = requests_.find(request);
     if (it != requests_.end() && it->second.ended && it->second.out == 0)
         requests_.erase(it);
 }
 
-void Core::shoot(TaskId request, NodeId node, Time time_out) {
+void Core::start_attempt(RequestId request, NodeId node, Time timeout) {
     Request &t = requests_.at(request);
-    ShotId attempt{t.attempts++};
+    AttemptId attempt{t.attempts++};
     ++t.out;
-    if (wires_.traces())
+    if (transport_.traces())
         ++counted_[node];
     pools_.begin(now_, request, attempt, node, t.work,
-                 time_out > 0 ? std::min(t.until, now_ + time_out) : t.until);
+                 timeout > 0 ? std::min(t.until, now_ + timeout) : t.until);
 }
-void Core::call_off(TaskId request, ShotId attempt) {
-    pools_.call_off(now_, request, attempt);
+void Core::cancel_attempt(RequestId request, AttemptId attempt) {
+    pools_.cancel_attempt(now_, request, attempt);
 }
-void Core::deny(TaskId request, Time come_back_after) {
+void Core::reject(RequestId request, Time retry_after) {
     if (auto client = end(request))
-        clients_.refuse(now_, *client, come_back_after);
+        clients_.refuse(now_, *client, retry_after);
     forget_if_done(request);
 }
-void Core::error(TaskId request) {
+void Core::error(RequestId request) {
     if (auto client = end(request))
         clients_.error(now_, *client);
     forget_if_done(request);
 }
 void Core::probe(NodeId) {
-    wires_.say("a probe was asked for, which this front does not make");
+    transport_.say("a probe was asked for, which this front does not make");
 }
 void Core::tell_all(std::string_view) {
-    wires_.say("a message to peers was asked for, which this front does not send");
+    transport_.say("a message to peers was asked for, which this front does not send");
 }
 
-bool Core::may_begin(Time now, TaskId request, ShotId attempt, NodeId node) const {
+bool Core::may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const {
     auto t = requests_.find(request);
     auto n = nodes_.find(node);
     return t != requests_.end() && !t->second.ended && n != nodes_.end() && n->second &&
-           scheduler_->may_begin(now, request, attempt);
+           scheduler_->may_send_attempt(now, request, attempt);
 }
-void Core::attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how,
+void Core::attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node, AttemptOutcome how,
                         Time took, std::string body) {
     overs_.push_back({request, attempt, node, how, took, now, std::move(body)});
 }
@@ -233,10 +233,10 @@
                         bool repeated, Time deadline, std::shared_ptr<const Work> work) {
     if (stopping_)
         deadline = std::min(deadline, ends_);
-    TaskId id{++last_request_};
+    RequestId id{++last_request_};
     requests_.emplace(id, Request{client, std::move(work), deadline});
     asked_[client] = id;
-    scheduler_->task_taken(now, id, workload, volume, plan, shard, key, units, hosts, writes,
+    scheduler_->request_received(now, id, workload, volume, plan, shard, key, units, hosts, writes,
                            repeated, deadline);
 }
 void Core::request_left(Time now, ConnId client) {
@@ -247,21 +247,21 @@
     end(request);
     pools_.withdraw(now,
                     request); // also where attempts may not be called off: these were not made yet
-    scheduler_->task_withdrawn(now, request, true);
+    scheduler_->request_canceled(now, request, true);
     forget_if_done(request);
 }
 
-void Core::list_begins(Time now, ListKind kind) {
+void Core::endpoint_list_begin(Time now, EndpointListKind kind) {
     left_out_.clear();
-    if (kind == ListKind::whole)
+    if (kind == EndpointListKind::full)
         for (auto &[node, ready] : nodes_)
             left_out_.insert(node);
-    scheduler_->list_begins(now, kind);
+    scheduler_->endpoint_list_begin(now, kind);
 }
-void Core::node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+void Core::endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
                        NodeState state, Time started) {
     left_out_.erase(node);
-    if (state == NodeState::gone) {
+    if (state == NodeState::removed) {
         nodes_.erase(node), pools_.node_gone(now_, node);
     } else {
         nodes_[node] = state == NodeState::ready;
@@ -269,12 +269,12 @@
         if (state == NodeState::draining)
             pools_.node_drains(now_, node);
     }
-    scheduler_->node_listed(node, shard, zone, state, started);
+    scheduler_->endpoint_listed(node, shard, zone, state, started);
 }
-void Core::list_ends() {
+void Core::endpoint_list_end() {
     for (auto node : left_out_)
         nodes_.erase(node), pools_.node_gone(now_, node);
-    scheduler_->list_ends();
+    scheduler_->endpoint_list_end();
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -12,21 +12,21 @@
 #include <string_view>
 #include <vector>
 
-#include "platform/clients.hpp"
-#include "platform/discovery.hpp"
-#include "platform/pools.hpp"
-#include "platform/wires.hpp"
-#include "policy.hpp"
-#include "wire/options.hpp"
+#include "http_gateway/client_connections.hpp"
+#include "http_gateway/discovery.hpp"
+#include "http_gateway/connection_pool.hpp"
+#include "http_gateway/transport.hpp"
+#include "scheduling/scheduler.hpp"
+#include "scheduler_setup/options.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
-class Core final : public Actions, public AttemptsTold, public RequestsTold, public ListTold {
+class Core final : public SchedulerActions, public AttemptsTold, public RequestsTold, public ListTold {
 public:
-    // `sockets`: descriptors the process may hold. Throws wire::Malformed on settings that are
+    // `sockets`: descriptors the process may hold. Throws scheduler_setup::Malformed on settings that are
     // wrong.
-    Core(Wires &wires, const std::function<std::unique_ptr<Scheduler>(Actions &)> &scheduler,
-         const wire::Options &settings, std::vector<std::string> workloads,
+    Core(Transport &transport, const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
+         const scheduler_setup::Options &settings, std::vector<std::string> workloads,
          std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
          std::size_t sockets);
 
@@ -57,29 +57,29 @@
     const Pools &pools() const { return pools_; }
     std::size_t requests() const { return requests_.size(); }
 
-    void shoot(TaskId request, NodeId node, Time time_out) override;
-    void call_off(TaskId request, ShotId attempt) override;
-    void deny(TaskId request, Time come_back_after) override;
-    void error(TaskId request) override;
-    void set_alarm(AlarmId alarm, Time wait) override { alarms_.insert({now_ + wait, alarm}); }
-    void follow_list() override {} // the watch always stands or is being set up
+    void start_attempt(RequestId request, NodeId node, Time timeout) override;
+    void cancel_attempt(RequestId request, AttemptId attempt) override;
+    void reject(RequestId request, Time retry_after) override;
+    void error(RequestId request) override;
+    void set_timer(TimerId alarm, Time wait) override { alarms_.insert({now_ + wait, alarm}); }
+    void watch_endpoints() override {} // the watch always stands or is being set up
     void ask_list() override {}
     void probe(NodeId node) override;
     void tell_all(std::string_view text) override;
-    void note(std::string_view text) override { wires_.say(std::string(text)); }
+    void note(std::string_view text) override { transport_.say(std::string(text)); }
 
-    bool may_begin(Time now, TaskId request, ShotId attempt, NodeId node) const override;
-    void attempt_over(Time now, TaskId request, ShotId attempt, NodeId node, Outcome how, Time took,
+    bool may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const override;
+    void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node, AttemptOutcome how, Time took,
                       std::string body) override;
     void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
                       ShardId shard, KeyId key, double units, double hosts, bool writes,
                       bool repeated, Time deadline, std::shared_ptr<const Work> work) override;
     void request_left(Time now, ConnId client) override;
     bool serves() const override { return discovery_.listed() && !stopping_; }
-    void list_begins(Time now, ListKind kind) override;
-    void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+    void endpoint_list_begin(Time now, EndpointListKind kind) override;
+    void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
                      NodeState state, Time started) override;
-    void list_ends() override;
+    void endpoint_list_end() override;
 
 private:
     static constexpr Time never = std::numeric_limits<Time>::max();
@@ -91,30 +91,30 @@
         bool ended = false;
     };
     struct Over {
-        TaskId request;
-        ShotId attempt;
+        RequestId request;
+        AttemptId attempt;
         NodeId node;
-        Outcome how;
+        AttemptOutcome how;
         Time took;
         Time since; // it was over
         std::string body;
     };
     void tell(Time now, Over o);
-    std::optional<ConnId> end(TaskId request);
-    void forget_if_done(TaskId request);
+    std::optional<ConnId> end(RequestId request);
+    void forget_if_done(RequestId request);
     void trace_counts(Time now);
 
-    Wires &wires_;
+    Transport &transport_;
     Conns conns_;
     Clients clients_;
     Pools pools_;
     Discovery discovery_;
     std::unique_ptr<Scheduler> scheduler_;
-    std::map<TaskId, Request> requests_;
-    std::map<ConnId, TaskId> asked_; // open requests by their connection
+    std::map<RequestId, Request> requests_;
+    std::map<ConnId, RequestId> asked_; // open requests by their connection
     std::deque<Over>
         overs_; // told at the end of the moment: the decisions are not called from within
-    std::set<std::pair<Time, AlarmId>> alarms_;
+    std::set<std::pair<Time, TimerId>> alarms_;
     std::map<NodeId, bool> nodes_; // listed, and whether ready
     std::set<NodeId> left_out_;    // of these, not named so far by the whole list being told
     std::map<NodeId, std::size_t>
@@ -126,4 +126,4 @@
     bool stopping_ = false, over_ = false;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -1,4 +1,4 @@
-#include "platform/discovery.hpp"
+#include "http_gateway/discovery.hpp"
 
 #include <algorithm>
 #include <set>
@@ -6,7 +6,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
@@ -37,9 +37,9 @@
 
 } // namespace
 
-Discovery::Discovery(Wires &wires, ListTold &told, Conns &conns, std::vector<std::string> zones,
+Discovery::Discovery(Transport &transport, ListTold &told, Conns &conns, std::vector<std::string> zones,
                      bool on_request, std::uint64_t seed)
-    : wires_(wires), told_(told), conns_(conns), on_request_(on_request), seed_(seed) {
+    : transport_(transport), told_(told), conns_(conns), on_request_(on_request), seed_(seed) {
     for (std::uint32_t i = 0; i < zones.size(); ++i)
         zones_[zones[i]] = ZoneId{i};
 }
@@ -103,7 +103,7 @@
 }
 void Discovery::tell(Time now, const List &list) {
     std::set<std::string> named;
-    told_.list_begins(now, list.whole ? ListKind::whole : ListKind::changes);
+    told_.endpoint_list_begin(now, list.whole ? EndpointListKind::full : EndpointListKind::delta);
     for (auto &e : list.entries) {
         bool left = e.state == "left";
         auto it = ids_.find(e.id);
@@ -113,15 +113,15 @@
             it = ids_.emplace(e.id, NodeId{++last_id_}).first;
         }
         named.insert(e.id);
-        told_.node_listed(it->second, e.address, e.shard, e.zone,
-                          left                   ? NodeState::gone
+        told_.endpoint_listed(it->second, e.address, e.shard, e.zone,
+                          left                   ? NodeState::removed
                           : e.state == "leaving" ? NodeState::draining
                                                  : NodeState::ready,
                           e.started);
         if (left)
             ids_.erase(it);
     }
-    told_.list_ends();
+    told_.endpoint_list_end();
     if (list.whole)
         std::erase_if(ids_, [&](auto &i) { return !named.contains(i.first); });
     generation_ = list.generation;
@@ -137,7 +137,7 @@
             0,
             http::Decoder(http::Side::answers, most_head, most_object),
             JsonStream(most_object),
-            Redial(on_request_ ? first_wait_shared : first_wait,
+            ReconnectBackoff(on_request_ ? first_wait_shared : first_wait,
                    on_request_ ? longest_wait_shared : longest_wait, seed_ + ++watches_)};
 }
 Time Discovery::silent_at(const Watch &w) const {
@@ -153,37 +153,37 @@
     if (then_ && then_->address == address)
         return;
     if (then_ && then_->conn.value)
-        wires_.close(then_->conn);
+        transport_.close(then_->conn);
     Watch &w = (now_ ? then_ : now_).emplace(make(address));
     if (on_request_)
-        w.redial.lost(now); // all schedulers may start, or be sent elsewhere, in one moment
+        w.reconnect_backoff.lost(now); // all schedulers may start, or be sent elsewhere, in one moment
     else
         dial(now, w);
 }
 void Discovery::dial(Time now, Watch &w) {
     w.conn = conns_.next(), w.connected = w.spoke = false, w.heard = now, w.older = 0;
     w.in.next(), w.objects = JsonStream(most_object);
-    w.redial.trying(now, connect_wait);
-    wires_.connect(w.conn, w.address);
+    w.reconnect_backoff.trying(now, connect_wait);
+    transport_.connect(w.conn, w.address);
 }
 void Discovery::lost(Time now, ConnId conn, bool close, const char *why) {
     Watch &w = *of(conn);
     if (close)
-        wires_.close(conn);
+        transport_.close(conn);
     if (*why)
-        wires_.say("discovery at " + w.address + ": " + why);
+        transport_.say("discovery at " + w.address + ": " + why);
     if (&w == &*now_ &&
         then_) { // the other one is on its way, to the same place or to the one that counts now
         now_.emplace(std::move(*then_));
         return then_.reset();
     }
     w.conn = {}, w.connected = false;
-    w.redial.lost(now);
+    w.reconnect_backoff.lost(now);
 }
 Discovery::Watch &Discovery::takes_over(Watch &w) {
     Watch &other = &w == &*now_ ? *then_ : *now_;
     if (other.conn.value)
-        wires_.close(other.conn);
+        transport_.close(other.conn);
     if (&w == &*then_)
         now_.emplace(std::move(*then_));
     then_.reset();
@@ -197,7 +197,7 @@
     if (!w)
         return;
     w->connected = true, w->heard = now;
-    wires_.send(conn, "GET /v1/servers?stream=1&index=" + std::to_string(generation_) +
+    transport_.send(conn, "GET /v1/servers?stream=1&index=" + std::to_string(generation_) +
                           " HTTP/1.1\r\nHost: discovery\r\n\r\n");
 }
 void Discovery::failed(Time now, ConnId conn) {
@@ -254,7 +254,7 @@
         if (!spoke)
             continue;
         tell_known(now);
-        w->heard = now, w->spoke = true, w->redial.up();
+        w->heard = now, w->spoke = true, w->reconnect_backoff.up();
         if (then_ && (w == &*then_ || then_->address == now_->address))
             w = &takes_over(*w);
     }
@@ -269,7 +269,7 @@
         // One that has spoken and is silent stays, beside the one that is to take over.
         bool waits = w == &now_ && (*w)->spoke && then_;
         if (!waits)
-            at = std::min(at, (*w)->connected ? silent_at(**w) : (*w)->redial.due());
+            at = std::min(at, (*w)->connected ? silent_at(**w) : (*w)->reconnect_backoff.due());
     }
     return at;
 }
@@ -277,7 +277,7 @@
     if (now >= known_until_)
         tell_known(now);
     if (now_ && now_->connected && now_->spoke && now >= silent_at(*now_) && !then_) {
-        wires_.say("discovery at " + now_->address + ": silent");
+        transport_.say("discovery at " + now_->address + ": silent");
         then_.emplace(make(now_->address));
         dial(now, *then_);
     }
@@ -287,8 +287,8 @@
         Watch &w = **slot;
         if (w.connected && !w.spoke && now >= silent_at(w)) {
             lost(now, w.conn, true, "");
-        } else if (!w.connected && now >= w.redial.due()) {
-            if (w.redial.trying())
+        } else if (!w.connected && now >= w.reconnect_backoff.due()) {
+            if (w.reconnect_backoff.trying())
                 lost(now, w.conn, true, "");
             else
                 dial(now, w);
@@ -296,4 +296,4 @@
     }
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/discovery.hpp
+++ b/src/http_gateway/discovery.hpp
@@ -11,23 +11,23 @@
 #include <string_view>
 #include <vector>
 
-#include "core/node.hpp"
-#include "core/redial.hpp"
+#include "scheduling/node_record.hpp"
+#include "common/reconnect_backoff.hpp"
 #include "http/decoder.hpp"
-#include "platform/json_stream.hpp"
-#include "platform/wires.hpp"
-#include "policy.hpp"
+#include "http_gateway/json_stream.hpp"
+#include "http_gateway/transport.hpp"
+#include "scheduling/scheduler.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 // Told list by list, each whole: begins, its lines, ends.
 class ListTold {
 public:
     virtual ~ListTold() = default;
-    virtual void list_begins(Time now, ListKind kind) = 0;
-    virtual void node_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
+    virtual void endpoint_list_begin(Time now, EndpointListKind kind) = 0;
+    virtual void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
                              NodeState state, Time started) = 0;
-    virtual void list_ends() = 0;
+    virtual void endpoint_list_end() = 0;
 };
 
 class Discovery {
@@ -35,7 +35,7 @@
     // `zones`: names in the order of their ids. `on_request`: lists are asked for, of one service
     // that all schedulers share and that turns calls away; else an agent of our own has what was
     // pushed.
-    Discovery(Wires &wires, ListTold &told, Conns &conns, std::vector<std::string> zones,
+    Discovery(Transport &transport, ListTold &told, Conns &conns, std::vector<std::string> zones,
               bool on_request, std::uint64_t seed);
 
     // The list as last had, in discovery's form, empty for none; and where to watch. It may be old:
@@ -77,7 +77,7 @@
         Time older = 0; // since when it tells of older lists than we have; 0: it does not
         http::Decoder in;
         JsonStream objects;
-        Redial redial;
+        ReconnectBackoff reconnect_backoff;
     };
     // A list out of its bytes, or why not.
     std::optional<List> read(std::string_view json, std::string &fault) const;
@@ -92,7 +92,7 @@
     Watch &takes_over(Watch &w);
     Watch *of(ConnId conn);
 
-    Wires &wires_;
+    Transport &transport_;
     ListTold &told_;
     Conns &conns_;
     std::map<std::string, ZoneId> zones_;
@@ -106,4 +106,4 @@
     bool listed_ = false;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/ids.hpp
+++ b/src/http_gateway/ids.hpp
@@ -1,9 +1,9 @@
 // Ids of the platform's front.
 #pragma once
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 // A connection of any kind, never used again.
 using ConnId = Id<struct ConnKind, std::uint64_t>;
@@ -17,4 +17,4 @@
     std::uint64_t last_ = 0;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/json_stream.hpp
+++ b/src/http_gateway/json_stream.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <utility>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 class JsonStream {
 public:
@@ -66,4 +66,4 @@
     const char *fault_ = "";
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -1,18 +1,18 @@
-#include "platform/server.hpp"
+#include "http_gateway/server.hpp"
 
 #include <algorithm>
 
 #include "log/log.hpp"
 #include "settings/ini.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 Server::Server(loop::Loop &loop, std::string path, const Config &config,
-               const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t)> &scheduler,
+               const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler,
                bool traces)
     : loop_(loop), path_(std::move(path)), traces_(traces) {
     core_ = std::make_unique<Core>(
-        *this, [&](Actions &a) { return scheduler(a, config.seed()); }, config.settings(),
+        *this, [&](SchedulerActions &a) { return scheduler(a, config.seed()); }, config.settings(),
         config.names("Classes"), config.names("Contracts"), config.names("Zones"), config.seed(),
         config.sockets());
     if (auto fault = core_->start(loop::now(), config.known(), config.discovery()); !fault.empty())
@@ -79,11 +79,11 @@
     auto text = settings::File::slurp(path_, fault);
     try {
         if (!fault.empty())
-            throw wire::Malformed(fault);
+            throw scheduler_setup::Malformed(fault);
         Config config(text);
         core_->discovery_at(loop::now(), config.discovery());
         log::line(log::info, "configuration read again", {{"discovery", config.discovery()}});
-    } catch (const wire::Malformed &e) {
+    } catch (const scheduler_setup::Malformed &e) {
         log::line(log::error, "configuration refused, the last one stays", {{"fault", e.what()}});
     }
 }
@@ -107,4 +107,4 @@
     return std::min(ends_, core_->next_due());
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/server.hpp
+++ b/src/http_gateway/server.hpp
@@ -7,19 +7,19 @@
 
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
-#include "platform/config.hpp"
-#include "platform/core.hpp"
+#include "http_gateway/config.hpp"
+#include "http_gateway/core.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
-class Server final : public Wires {
+class Server final : public Transport {
 public:
     // `path`: where the configuration is, for when it is told to read it again. Throws
-    // std::runtime_error where the address can't be listened on, wire::Malformed on settings that
+    // std::runtime_error where the address can't be listened on, scheduler_setup::Malformed on settings that
     // are wrong.
     Server(
         loop::Loop &loop, std::string path, const Config &config,
-        const std::function<std::unique_ptr<Scheduler>(Actions &, std::uint64_t seed)> &scheduler,
+        const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)> &scheduler,
         bool traces);
     ~Server() override;
     // Ends the loop once nothing is open.
@@ -48,4 +48,4 @@
     Time ends_ = 0; // when the loop stops, once nothing is open
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/trace.cpp
+++ b/src/http_gateway/trace.cpp
@@ -1,10 +1,10 @@
-#include "platform/trace.hpp"
+#include "http_gateway/trace.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <optional>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 namespace {
 
 // The whole number behind `name=`; nothing where it is absent, a dash or no number.
@@ -83,4 +83,4 @@
     return out;
 }
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/trace.hpp
+++ b/src/http_gateway/trace.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 class Trace {
 public:
@@ -29,4 +29,4 @@
     std::size_t looks_ = 0, broken_ = 0;
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/platform/wires.hpp
+++ b/src/http_gateway/transport.hpp
@@ -3,17 +3,17 @@
 
 #include <string>
 
-#include "platform/ids.hpp"
+#include "http_gateway/ids.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 // How the other side let go of a connection: it ended its sending in order, or the connection
 // broke.
 enum class Gone { ended, broken };
 
-class Wires {
+class Transport {
 public:
-    virtual ~Wires() = default;
+    virtual ~Transport() = default;
     virtual void connect(ConnId conn, const std::string &address) = 0;
     // Gathers; what is gathered leaves at the end of the moment, and is then told as written.
     virtual void send(ConnId conn, std::string bytes) = 0;
@@ -28,4 +28,4 @@
     virtual bool traces() const { return false; }
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/src/load/driver.hpp
+++ b/src/load/driver.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 #include "loop/loop.hpp"
 
 namespace knotvane::load {
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -11,7 +11,7 @@
 
 #include <uv.h>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::loop {
 
--- a/src/nbd/server.cpp
+++ b/src/nbd/server.cpp
@@ -350,7 +350,7 @@
             return answer_error(cookie, e_overflow,
                                 "a read holds at most " + std::to_string(most_request_) + " bytes");
     }
-    RequestId id{++next_};
+    Cookie id{++next_};
     bool fua = (flags & cmd_flag_fua) != 0, in_one = !structured_ || (flags & cmd_flag_df) != 0;
     auto &f = flying_[id];
     f = {cookie, offset, length, command, in_one, {}};
@@ -403,7 +403,7 @@
     put(out_, cookie);
 }
 
-void Session::data(RequestId id, std::uint64_t offset, std::string_view bytes) {
+void Session::data(Cookie id, std::uint64_t offset, std::string_view bytes) {
     auto it = flying_.find(id);
     if (it == flying_.end() || bytes.empty())
         return;
@@ -418,7 +418,7 @@
     out_ += bytes;
 }
 
-void Session::done(RequestId id) {
+void Session::done(Cookie id) {
     auto it = flying_.find(id);
     if (it == flying_.end())
         return;
@@ -440,7 +440,7 @@
     bytes({});
 }
 
-void Session::fail(RequestId id, std::uint32_t error, std::string_view message,
+void Session::fail(Cookie id, std::uint32_t error, std::string_view message,
                    std::optional<std::uint64_t> offset) {
     auto it = flying_.find(id);
     if (it == flying_.end())
@@ -460,7 +460,7 @@
     bytes({});
 }
 
-void Session::extents(RequestId id,
+void Session::extents(Cookie id,
                       const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs) {
     auto it = flying_.find(id);
     if (it == flying_.end())
--- a/src/nbd/server.hpp
+++ b/src/nbd/server.hpp
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 
 namespace knotvane::nbd {
 
 // A request of one session, numbered by the session: clients may use a cookie twice, these are used
 // once.
-using RequestId = Id<struct RequestKind, std::uint64_t>;
+using Cookie = Id<struct CookieKind, std::uint64_t>;
 
 // What a client asks, once it is known to be well formed, inside the export and aligned. `data` of
 // a write lives until the call returns.
@@ -30,14 +30,14 @@
                           std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) = 0;
     // The client has chosen; requests follow.
     virtual void opened(std::string_view name) = 0;
-    virtual void read(RequestId id, std::uint64_t offset, std::uint32_t length, bool in_one) = 0;
-    virtual void write(RequestId id, std::uint64_t offset, std::string_view data, bool fua) = 0;
-    virtual void zero(RequestId id, std::uint64_t offset, std::uint32_t length, bool fua,
+    virtual void read(Cookie id, std::uint64_t offset, std::uint32_t length, bool in_one) = 0;
+    virtual void write(Cookie id, std::uint64_t offset, std::string_view data, bool fua) = 0;
+    virtual void zero(Cookie id, std::uint64_t offset, std::uint32_t length, bool fua,
                       bool no_hole, bool fast) = 0;
-    virtual void trim(RequestId id, std::uint64_t offset, std::uint32_t length, bool fua) = 0;
-    virtual void flush(RequestId id) = 0;
-    virtual void cache(RequestId id, std::uint64_t offset, std::uint32_t length) = 0;
-    virtual void status(RequestId id, std::uint64_t offset, std::uint32_t length, bool one) = 0;
+    virtual void trim(Cookie id, std::uint64_t offset, std::uint32_t length, bool fua) = 0;
+    virtual void flush(Cookie id) = 0;
+    virtual void cache(Cookie id, std::uint64_t offset, std::uint32_t length) = 0;
+    virtual void status(Cookie id, std::uint64_t offset, std::uint32_t length, bool one) = 0;
     // The client said good-bye, or sent what can't be followed (`fault` says what; empty for a
     // good-bye).
     virtual void left(std::string_view fault) = 0;
@@ -61,19 +61,19 @@
     void hold(bool held);
     bool over() const { return over_; }
     std::size_t flying() const { return flying_.size(); }
-    bool is_flying(RequestId id) const { return flying_.contains(id); }
+    bool is_flying(Cookie id) const { return flying_.contains(id); }
     // Bytes held: input not yet taken and reads that are being put together.
     std::size_t held() const { return in_.size() - at_ + kept_; }
 
     // Answers. Each request ends once, by done, fail or extents; what comes for one that ended is
     // dropped. A part of a read, at its offset in the export; parts may come in any order.
-    void data(RequestId id, std::uint64_t offset, std::string_view bytes);
-    void done(RequestId id);
+    void data(Cookie id, std::uint64_t offset, std::string_view bytes);
+    void done(Cookie id);
     // `offset`: where it went wrong, none if nowhere in particular.
-    void fail(RequestId id, std::uint32_t error, std::string_view message,
+    void fail(Cookie id, std::uint32_t error, std::string_view message,
               std::optional<std::uint64_t> offset = {});
     // The answer to a block status: pairs of length in bytes and flags (1 hole, 2 reads as zero).
-    void extents(RequestId id, const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs);
+    void extents(Cookie id, const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs);
 
 private:
     enum class Phase { flags, options, requests };
@@ -113,7 +113,7 @@
     std::uint16_t flags_ = 0;
     std::uint32_t least_ = 1;
     std::uint64_t next_ = 0;
-    std::map<RequestId, Flying> flying_;
+    std::map<Cookie, Flying> flying_;
 };
 
 } // namespace knotvane::nbd
--- a/src/node/background.hpp
+++ b/src/node/background.hpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::node {
 
