--- a/src/node/disk.cpp
+++ b/src/node/disk.cpp
@@ -15,24 +15,24 @@
 
 } // namespace
 
-struct Disk::Peer final : frames::Sink {
+struct Disk::Peer final : node_protocol::Sink {
     Disk &disk;
     ConnId conn;
     Time now = 0;
     bool greeted = false, mute = false;
-    frames::Reader reader;
+    node_protocol::Reader reader;
 
     Peer(Disk &d, ConnId c) : disk(d), conn(c) {}
-    bool frame(frames::Kind kind, std::uint8_t flags, frames::Status, std::uint64_t tag,
+    bool frame(node_protocol::Kind kind, std::uint8_t flags, node_protocol::Status, std::uint64_t tag,
                VolumeId volume, std::uint64_t offset, std::uint32_t length, std::uint32_t units,
-               std::uint64_t life, std::uint64_t number, Time not_after, ShardId shard,
+               std::uint64_t incarnation, std::uint64_t number, Time not_after, ShardId shard,
                std::string_view payload, std::uint32_t epoch) override {
-        if (kind == frames::Kind::hello) {
+        if (kind == node_protocol::Kind::hello) {
             greeted = true;
-            disk.shell_.send(conn, frames::make(frames::Kind::welcome, 0, frames::Status::ok,
+            disk.shell_.send(conn, node_protocol::make(node_protocol::Kind::welcome, 0, node_protocol::Status::ok,
                                                 disk.id_.value, VolumeId{0},
                                                 static_cast<std::uint64_t>(disk.started_), 0, 0,
-                                                disk.store_.life(), 0, now, disk.shard_, {}));
+                                                disk.store_.incarnation(), 0, now, disk.shard_, {}));
             return true;
         }
         if (!greeted) {
@@ -40,21 +40,21 @@
             disk.drop(conn, false);
             return false;
         }
-        if (kind == frames::Kind::call_off) {
+        if (kind == node_protocol::Kind::cancel_attempt) {
             // Only what waits is dropped: work that runs goes on.
             auto of_it = [&](const Ask &a) { return a.conn == conn && a.tag == tag; };
             if (auto it = std::find_if(disk.waiting_.begin(), disk.waiting_.end(), of_it);
                 it != disk.waiting_.end()) {
-                disk.answer(now, *it, frames::Status::called_off);
+                disk.answer(now, *it, node_protocol::Status::called_off);
                 disk.waiting_.erase(it);
             }
             return true;
         }
         Ask ask{conn,   kind,           flags, tag,    volume,    offset,
-                length, units / 1000.0, life,  number, not_after, std::string(payload),
+                length, units / 1000.0, incarnation,  number, not_after, std::string(payload),
                 epoch};
         if (shard != disk.shard_) {
-            disk.answer(now, ask, frames::Status::misdirected);
+            disk.answer(now, ask, node_protocol::Status::misdirected);
             return true;
         }
         disk.take(now, std::move(ask));
@@ -166,7 +166,7 @@
     }
     if (hit(Fault::full, now) ||
         (unit_time_ > 0 && working_.size() >= slots_ && waiting_.size() >= room_))
-        return answer(now, ask, frames::Status::full);
+        return answer(now, ask, node_protocol::Status::full);
     waiting_.push_back(std::move(ask));
 }
 
@@ -182,7 +182,7 @@
         }
         double factor = 1, units = std::max(ask.units, 0.1);
         hit(Fault::slow, now, &factor);
-        if (ask.kind == frames::Kind::write)
+        if (ask.kind == node_protocol::Kind::write)
             put_off_units_ += put_off_part_ * units, units *= 1 - put_off_part_;
         // More in work than there are cores share them.
         double crowd = std::max(1.0, static_cast<double>(working_.size() + 1) / cores_);
@@ -193,7 +193,7 @@
 }
 
 Store::Cut Disk::open_cut(VolumeId of, VolumeId as, std::uint32_t epoch,
-                          std::set<facts::EdgeLife> late) {
+                          std::set<control::EdgeIncarnation> late) {
     auto how = store_.open_cut(of, as, epoch);
     if (how == Store::Cut::done || how == Store::Cut::exists)
         late_[of] = std::move(late);
@@ -252,69 +252,69 @@
     }
     ++served_;
     if (hit(Fault::fail, now))
-        return answer(now, ask, frames::Status::error);
+        return answer(now, ask, node_protocol::Status::error);
     // Guards against a snapshot that was dropped while an edge has it open: it would read as
     // zeroes.
-    if ((ask.flags & frames::flag_cut) && !store_.has(ask.volume))
-        return answer(now, ask, frames::Status::error);
+    if ((ask.flags & node_protocol::flag_cut) && !store_.has(ask.volume))
+        return answer(now, ask, node_protocol::Status::error);
     std::string out;
     bool well = true;
     switch (ask.kind) {
-    case frames::Kind::read:
+    case node_protocol::Kind::read:
         if (hit(Fault::rot, now))
             store_.rot(ask.volume, ask.offset);
         if (!store_.read(ask.volume, ask.offset, ask.length, out))
-            return answer(now, ask, frames::Status::bad_checksum);
+            return answer(now, ask, node_protocol::Status::bad_checksum);
         break;
-    case frames::Kind::write:
-    case frames::Kind::zero: {
+    case node_protocol::Kind::write:
+    case node_protocol::Kind::zero: {
         // A copy that was delayed past what its edge waits for must not write over what came later;
         // one whose twin was done must not be done again. Both hold here, at the moment of the
         // work, and nowhere else.
         if (ask.not_after > 0 && now > ask.not_after)
-            return answer(now, ask, frames::Status::too_late);
-        bool numbered = (ask.flags & frames::flag_numbered) != 0;
-        if (numbered && store_.was_done(ask.life, ask.number, now))
+            return answer(now, ask, node_protocol::Status::too_late);
+        bool deduplicated = (ask.flags & node_protocol::flag_numbered) != 0;
+        if (deduplicated && store_.was_done(ask.incarnation, ask.number, now))
             break;
         std::optional<VolumeId> both;
         if (auto epoch = store_.epoch(ask.volume); ask.epoch < epoch) {
             // Found in virtual time: an edge left out of one cut and late in the next brought a
             // part of a change whose other parts were in the first.
             if (auto sealed = store_.sealed(ask.volume); ask.epoch < sealed)
-                return answer(now, ask, frames::Status::stale, {}, sealed);
+                return answer(now, ask, node_protocol::Status::stale, {}, sealed);
             both = store_.opened(ask.volume);
             auto late = late_.find(ask.volume);
-            bool counts = late != late_.end() && late->second.contains(facts::EdgeLife{ask.life});
+            bool counts = late != late_.end() && late->second.contains(control::EdgeIncarnation{ask.incarnation});
             // Guards against a change that is in the cut here and out of it at another node. While
             // the cut is open an edge that is not known to have stopped waits: told of the epoch it
             // would begin changes of it at nodes that have not cut yet.
             if (!counts && both)
-                return answer(now, ask, frames::Status::full);
+                return answer(now, ask, node_protocol::Status::full);
             if (!counts)
-                return answer(now, ask, frames::Status::stale, {}, epoch);
+                return answer(now, ask, node_protocol::Status::stale, {}, epoch);
         }
         if (!store_.has_room(both ? 2ull * ask.length : ask.length))
-            return answer(now, ask, frames::Status::no_space);
+            return answer(now, ask, node_protocol::Status::no_space);
         if (both)
-            well = ask.kind == frames::Kind::write
+            well = ask.kind == node_protocol::Kind::write
                        ? store_.write_both(ask.volume, *both, ask.offset, ask.payload)
                        : store_.zero_both(ask.volume, *both, ask.offset, ask.length);
         else
-            well = ask.kind == frames::Kind::write
+            well = ask.kind == node_protocol::Kind::write
                        ? store_.write(ask.volume, ask.offset, ask.payload)
                        : store_.zero(ask.volume, ask.offset, ask.length);
         if (!well)
-            return answer(now, ask, frames::Status::error);
-        if (numbered)
-            store_.remember(ask.life, ask.number, ask.not_after, now);
-        if (ask.flags & frames::flag_durable)
+            return answer(now, ask, node_protocol::Status::error);
+        if (deduplicated)
+            store_.remember(ask.incarnation, ask.number, ask.not_after, now);
+        if (ask.flags & node_protocol::flag_durable)
             store_.flush();
         break;
     }
-    case frames::Kind::flush:
+    case node_protocol::Kind::flush:
         store_.flush();
         break;
-    case frames::Kind::status:
+    case node_protocol::Kind::status:
         for (auto [length, data] : store_.runs(ask.volume, ask.offset, ask.length))
             for (std::uint32_t v : {length, data ? 0u : 3u})
                 for (unsigned i = 0; i < 4; ++i)
@@ -323,18 +323,18 @@
     default:
         break;
     }
-    answer(now, ask, frames::Status::ok, out);
+    answer(now, ask, node_protocol::Status::ok, out);
 }
 
-void Disk::answer(Time now, const Ask &ask, frames::Status status, std::string_view payload,
+void Disk::answer(Time now, const Ask &ask, node_protocol::Status status, std::string_view payload,
                   std::uint32_t epoch) {
     auto it = peers_.find(ask.conn);
     if (it == peers_.end() || it->second->mute)
         return;
     auto bytes =
-        frames::make(frames::Kind::answer, 0, status, ask.tag, ask.volume, ask.offset, ask.length,
-                     0, store_.life(), ask.number, now, shard_, payload, epoch);
-    if (status != frames::Status::full) { // the faults of answers meet work that was done
+        node_protocol::make(node_protocol::Kind::answer, 0, status, ask.tag, ask.volume, ask.offset, ask.length,
+                     0, store_.incarnation(), ask.number, now, shard_, payload, epoch);
+    if (status != node_protocol::Status::full) { // the faults of answers meet work that was done
         if (hit(Fault::mute, now)) {
             it->second->mute = true;
             shell_.send(ask.conn, bytes.substr(0, bytes.size() / 2));
--- a/src/node/disk.hpp
+++ b/src/node/disk.hpp
@@ -13,10 +13,10 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
-#include "facts/table.hpp"
-#include "frames/frames.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
+#include "control/cluster_state.hpp"
+#include "node_protocol/frame.hpp"
 #include "node/background.hpp"
 #include "store/store.hpp"
 
@@ -74,7 +74,7 @@
     // began still goes into both. Any other's change of before it is turned away. Not durable
     // before the seal.
     Store::Cut open_cut(VolumeId of, VolumeId as, std::uint32_t epoch,
-                        std::set<facts::EdgeLife> late);
+                        std::set<control::EdgeIncarnation> late);
     bool seal(VolumeId of, VolumeId as);
     Store::Cut clone(VolumeId of, VolumeId as);
     // True where nothing of it is left but space to reclaim, which is done in the background.
@@ -102,14 +102,14 @@
 private:
     struct Ask {
         ConnId conn;
-        frames::Kind kind;
+        node_protocol::Kind kind;
         std::uint8_t flags;
         std::uint64_t tag;
         VolumeId volume;
         std::uint64_t offset;
         std::uint32_t length;
         double units;
-        std::uint64_t life, number;
+        std::uint64_t incarnation, number;
         Time not_after;
         std::string payload;
         std::uint32_t epoch;
@@ -130,7 +130,7 @@
     bool bears(Time now, double units);
     void start(Time now);
     void serve(Time now, Ask &ask);
-    void answer(Time now, const Ask &ask, frames::Status status, std::string_view payload = {},
+    void answer(Time now, const Ask &ask, node_protocol::Status status, std::string_view payload = {},
                 std::uint32_t epoch = 0);
     void tidy(Time now);
     void drop(ConnId conn, bool reset);
@@ -154,7 +154,7 @@
         leaving_;                                 // answers kept back
     std::deque<std::pair<Time, double>> arrived_; // units, while cold
     std::vector<Faulty> faults_;
-    std::map<VolumeId, std::set<facts::EdgeLife>>
+    std::map<VolumeId, std::set<control::EdgeIncarnation>>
         late_; // by volume: whose changes of an earlier epoch count
     Background background_;
 };
--- a/src/node/registration.cpp
+++ b/src/node/registration.cpp
@@ -13,27 +13,27 @@
 Registration::Registration(Line line, NodeId node, ShardId shard, ZoneId zone, std::string address,
                            std::uint64_t seed, Time every)
     : line_(std::move(line)), node_(node), shard_(shard), zone_(zone), address_(std::move(address)),
-      redial_(first_wait, longest_wait, seed), every_(every) {}
+      reconnect_backoff_(first_wait, longest_wait, seed), every_(every) {}
 
-void Registration::start(Time now, std::uint64_t life, Time started) {
-    life_ = life, started_ = started, running_ = true;
-    redial_.at_once(now);
+void Registration::start(Time now, std::uint64_t incarnation, Time started) {
+    incarnation_ = incarnation, started_ = started, running_ = true;
+    reconnect_backoff_.at_once(now);
 }
 void Registration::stop(Time now) {
     running_ = false;
-    if (std::exchange(up_, false) || redial_.trying())
+    if (std::exchange(up_, false) || reconnect_backoff_.trying())
         line_.hang_up();
-    redial_.lost(now);
+    reconnect_backoff_.lost(now);
 }
 void Registration::up(Time now) {
     up_ = true, reader_ = {}, fault_.clear();
-    redial_.up();
-    line_.send(facts::node_hello(node_, shard_, zone_, address_, life_, now - started_));
+    reconnect_backoff_.up();
+    line_.send(control::node_hello(node_, shard_, zone_, address_, incarnation_, now - started_));
     renew_at_ = now + every_;
 }
 void Registration::down(Time now) {
     up_ = false;
-    redial_.lost(now);
+    reconnect_backoff_.lost(now);
 }
 void Registration::bytes(Time now, std::string_view in) {
     auto fault = reader_.bytes(in, *this);
@@ -59,20 +59,20 @@
 constexpr std::size_t most_ranges = 4096;
 } // namespace
 void Registration::cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
-                            const std::vector<facts::EdgeLife> &late) {
-    line_.send(facts::tell_cut(as, facts::CutStep::opened,
+                            const std::vector<control::EdgeIncarnation> &late) {
+    line_.send(control::tell_cut(as, control::SnapshotStep::opened,
                                line_.open_cut ? line_.open_cut(of, as, epoch, late) : fell_short));
 }
 void Registration::cut_seal(VolumeId of, VolumeId as) {
-    line_.send(facts::tell_cut(as, facts::CutStep::sealed,
+    line_.send(control::tell_cut(as, control::SnapshotStep::sealed,
                                line_.seal && line_.seal(of, as) ? well : fell_short));
 }
 void Registration::cut_drop(VolumeId as) {
-    line_.send(facts::tell_cut(as, facts::CutStep::dropped,
+    line_.send(control::tell_cut(as, control::SnapshotStep::dropped,
                                line_.drop && line_.drop(as) ? well : fell_short));
 }
 void Registration::cut_clone(VolumeId of, VolumeId as) {
-    line_.send(facts::tell_cut(as, facts::CutStep::cloned,
+    line_.send(control::tell_cut(as, control::SnapshotStep::cloned,
                                line_.clone ? line_.clone(of, as) : fell_short));
 }
 void Registration::diff_asked(std::uint64_t question, VolumeId a, VolumeId b, std::uint64_t from) {
@@ -86,24 +86,24 @@
                 break;
             flat.push_back(at), flat.push_back(length);
         }
-    line_.send(facts::tell_diff(question, flat, more));
+    line_.send(control::tell_diff(question, flat, more));
 }
 Time Registration::next_due() const {
     if (!running_)
         return std::numeric_limits<Time>::max();
-    return up_ ? renew_at_ : redial_.due();
+    return up_ ? renew_at_ : reconnect_backoff_.due();
 }
 void Registration::tick(Time now) {
     if (!running_ || now < next_due())
         return;
     if (up_) {
-        line_.send(facts::node_renew());
+        line_.send(control::node_renew());
         renew_at_ = now + every_;
         return;
     }
-    if (redial_.trying())
+    if (reconnect_backoff_.trying())
         line_.hang_up();
-    redial_.trying(now, dial_time);
+    reconnect_backoff_.trying(now, dial_time);
     line_.dial();
 }
 
--- a/src/node/registration.hpp
+++ b/src/node/registration.hpp
@@ -6,19 +6,19 @@
 #include <string>
 #include <string_view>
 
-#include "core/redial.hpp"
-#include "facts/messages.hpp"
+#include "common/reconnect_backoff.hpp"
+#include "control/messages.hpp"
 
 namespace knotvane::node {
 
-class Registration final : facts::Heard {
+class Registration final : control::MessageHandler {
 public:
     struct Line {
         std::function<void()> dial, hang_up;
         std::function<void(std::string)> send, say;
         // The node's store does what the planner orders; `how` as store::Store::Cut counts.
         std::function<std::uint8_t(VolumeId of, VolumeId as, std::uint32_t epoch,
-                                   const std::vector<facts::EdgeLife> &late)>
+                                   const std::vector<control::EdgeIncarnation> &late)>
             open_cut{};
         std::function<bool(VolumeId of, VolumeId as)> seal{};
         std::function<bool(VolumeId as)> drop{};
@@ -30,7 +30,7 @@
     Registration(Line line, NodeId node, ShardId shard, ZoneId zone, std::string address,
                  std::uint64_t seed, Time every);
     // The node's process began, under a life of its own.
-    void start(Time now, std::uint64_t life, Time started);
+    void start(Time now, std::uint64_t incarnation, Time started);
     // It is going down: nobody is told, the connection ends.
     void stop(Time now);
     void up(Time now);
@@ -43,7 +43,7 @@
 private:
     void node_told(NodeState state) override;
     void cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
-                  const std::vector<facts::EdgeLife> &late) override;
+                  const std::vector<control::EdgeIncarnation> &late) override;
     void cut_seal(VolumeId of, VolumeId as) override;
     void cut_drop(VolumeId as) override;
     void cut_clone(VolumeId of, VolumeId as) override;
@@ -55,12 +55,12 @@
     ShardId shard_;
     ZoneId zone_;
     std::string address_, fault_;
-    Redial redial_;
+    ReconnectBackoff reconnect_backoff_;
     Time every_, renew_at_ = 0, started_ = 0;
-    std::uint64_t life_ = 0;
+    std::uint64_t incarnation_ = 0;
     bool up_ = false, running_ = false;
-    NodeState told_ = NodeState::gone;
-    facts::Reader reader_;
+    NodeState told_ = NodeState::removed;
+    control::Reader reader_;
 };
 
 } // namespace knotvane::node
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -80,7 +80,7 @@
                                [this](std::string bytes) { planner_->send(std::move(bytes)); },
                                [this](std::string text) { say(std::move(text)); },
                                [this](VolumeId of, VolumeId as, std::uint32_t epoch,
-                                      const std::vector<facts::EdgeLife> &late) {
+                                      const std::vector<control::EdgeIncarnation> &late) {
                                    return static_cast<std::uint8_t>(
                                        disk_->open_cut(of, as, epoch, {late.begin(), late.end()}));
                                },
--- a/src/frames/frames.cpp
+++ b/src/node_protocol/frame.cpp
@@ -1,10 +1,10 @@
-#include "frames/frames.hpp"
+#include "node_protocol/frame.hpp"
 
 #include <cstring>
 
-#include "frames/crc.hpp"
+#include "node_protocol/crc.hpp"
 
-namespace knotvane::frames {
+namespace knotvane::node_protocol {
 namespace {
 
 constexpr std::uint32_t magic = 0x314e564b; // "KVN1"
@@ -12,7 +12,7 @@
 // Byte positions in the header.
 constexpr std::size_t at_kind = 4, at_flags = 5, at_status = 6, at_payload = 8, at_crc = 12,
                       at_tag = 16, at_volume = 24, at_offset = 32, at_length = 40, at_units = 44,
-                      at_life = 48, at_number = 56, at_not_after = 64, at_shard = 72,
+                      at_incarnation = 48, at_number = 56, at_not_after = 64, at_shard = 72,
                       at_payload_crc = 76, at_epoch = 80;
 static_assert(at_epoch + 4 == header_size);
 
@@ -38,7 +38,7 @@
 
 std::string make(Kind kind, std::uint8_t flags, Status status, std::uint64_t tag, VolumeId volume,
                  std::uint64_t offset, std::uint32_t length, std::uint32_t units,
-                 std::uint64_t life, std::uint64_t number, Time not_after, ShardId shard,
+                 std::uint64_t incarnation, std::uint64_t number, Time not_after, ShardId shard,
                  std::string_view payload, std::uint32_t epoch) {
     std::string out;
     out.reserve(header_size + payload.size());
@@ -54,7 +54,7 @@
     set(h, at_offset, offset);
     set(h, at_length, length);
     set(h, at_units, units);
-    set(h, at_life, life);
+    set(h, at_incarnation, incarnation);
     set(h, at_number, number);
     set(h, at_not_after, not_after);
     set(h, at_shard, shard.value);
@@ -101,7 +101,7 @@
                       static_cast<Status>(status), get<std::uint64_t>(h, at_tag),
                       VolumeId{get<std::uint64_t>(h, at_volume)}, get<std::uint64_t>(h, at_offset),
                       get<std::uint32_t>(h, at_length), get<std::uint32_t>(h, at_units),
-                      get<std::uint64_t>(h, at_life), get<std::uint64_t>(h, at_number),
+                      get<std::uint64_t>(h, at_incarnation), get<std::uint64_t>(h, at_number),
                       get<Time>(h, at_not_after), ShardId{get<std::int32_t>(h, at_shard)}, body,
                       get<std::uint32_t>(h, at_epoch)))
             break;
@@ -111,4 +111,4 @@
     return fault;
 }
 
-} // namespace knotvane::frames
+} // namespace knotvane::node_protocol
--- a/src/frames/frames.hpp
+++ b/src/node_protocol/frame.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <string_view>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
 
-namespace knotvane::frames {
+namespace knotvane::node_protocol {
 
 enum class Kind : std::uint8_t {
     hello = 1,   // from the edge: volume holds its id, life its life
@@ -20,7 +20,7 @@
     zero = 5,     // the range reads as zeroes after it
     flush = 6,    // all that was answered before it is durable
     status = 7,   // which parts of the range hold data
-    call_off = 8, // of the ask with this tag: not to be started
+    cancel_attempt = 8, // of the ask with this tag: not to be started
     answer = 9,
 };
 // Whether such an ask changes what is stored.
@@ -58,7 +58,7 @@
     virtual ~Sink() = default;
     virtual bool frame(Kind kind, std::uint8_t flags, Status status, std::uint64_t tag,
                        VolumeId volume, std::uint64_t offset, std::uint32_t length,
-                       std::uint32_t units, std::uint64_t life, std::uint64_t number,
+                       std::uint32_t units, std::uint64_t incarnation, std::uint64_t number,
                        Time not_after, ShardId shard, std::string_view payload,
                        std::uint32_t epoch) = 0;
 };
@@ -66,7 +66,7 @@
 // Puts one frame together, checksums included.
 std::string make(Kind kind, std::uint8_t flags, Status status, std::uint64_t tag, VolumeId volume,
                  std::uint64_t offset, std::uint32_t length, std::uint32_t units,
-                 std::uint64_t life, std::uint64_t number, Time not_after, ShardId shard,
+                 std::uint64_t incarnation, std::uint64_t number, Time not_after, ShardId shard,
                  std::string_view payload, std::uint32_t epoch = 0);
 
 class Reader {
@@ -81,4 +81,4 @@
     std::size_t at_ = 0;
 };
 
-} // namespace knotvane::frames
+} // namespace knotvane::node_protocol
--- a/src/planner/visitor.cpp
+++ b/src/planner/admin_client.cpp
@@ -1,14 +1,14 @@
-#include "planner/visitor.hpp"
+#include "planner/admin_client.hpp"
 
 #include <stdexcept>
 
-#include "facts/messages.hpp"
+#include "control/messages.hpp"
 #include "loop/dialled.hpp"
 
 namespace knotvane::planner {
 namespace {
 
-struct Answer final : facts::Heard {
+struct Answer final : control::MessageHandler {
     std::string text, fault;
     bool come = false, allowed = false, done = false;
     void status(const std::string &json) override { text = json, come = true; }
@@ -20,7 +20,7 @@
 
 Answer visit(const std::string &address, const std::string &question, Time wait) {
     Answer answer;
-    facts::Reader reader;
+    control::Reader reader;
     loop::Loop loop;
     loop::Dialled line(loop, address);
     std::string fault;
@@ -59,11 +59,11 @@
 } // namespace
 
 std::string ask_status(const std::string &address, Time wait) {
-    return visit(address, facts::ask_status(), wait).text;
+    return visit(address, control::ask_status(), wait).text;
 }
 std::string ask_drain(const std::string &address, NodeId node, bool draining, std::uint8_t how,
                       bool &allowed, bool &done, Time wait) {
-    auto a = visit(address, facts::ask_drain(node, draining, how), wait);
+    auto a = visit(address, control::ask_drain(node, draining, how), wait);
     allowed = a.allowed, done = a.done;
     return a.text;
 }
@@ -71,7 +71,7 @@
 std::string ask_cut(const std::string &address, std::uint8_t what, const std::string &name,
                     const std::string &as, const std::string &plan, bool &allowed, bool &done,
                     Time wait) {
-    auto a = visit(address, facts::ask_cut(what, name, as, plan), wait);
+    auto a = visit(address, control::ask_cut(what, name, as, plan), wait);
     allowed = a.allowed, done = a.done;
     return a.text;
 }
--- a/src/planner/visitor.hpp
+++ b/src/planner/admin_client.hpp
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <string>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::planner {
 
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -7,7 +7,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "planner/side.hpp"
+#include "planner/session.hpp"
 
 namespace knotvane::planner {
 namespace {
@@ -31,38 +31,38 @@
 
 } // namespace
 
-Core::Core(Shell &shell, Keeper &keeper, Time lease, Time margin, Time fade, Time silent_for,
+Core::Core(Shell &shell, StateStore &state_store, Time lease, Time margin, Time fade, Time silent_for,
            Time out_after, Time back_after, Time drain_time)
-    : shell_(shell), keeper_(keeper), silent_for_(silent_for), out_after_(out_after),
+    : shell_(shell), state_store_(state_store), silent_for_(silent_for), out_after_(out_after),
       back_after_(back_after), drain_time_(drain_time), leases_(lease, margin, fade) {}
 Core::~Core() = default;
 
 // ---- Start.
-std::string Core::restore(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+std::string Core::restore(StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                           std::string_view body) {
-    struct Rows final : facts::Heard {
+    struct Rows final : control::MessageHandler {
         Core &core;
         std::string fault;
         explicit Rows(Core &c) : core(c) {}
-        void plan(PlanId id, facts::Plan p) override {
+        void plan(PlanId id, control::Plan p) override {
             core.wanted_.plans[p.name] = p;
             core.state_.put(id, p);
         }
-        void volume(VolumeId id, facts::Volume v) override { core.state_.put(id, v); }
-        void node(NodeId id, facts::Node n) override { core.state_.put(id, n); }
-        void part(VolumeId, facts::Part) override {}
+        void volume(VolumeId id, control::Volume v) override { core.state_.put(id, v); }
+        void node(NodeId id, control::Node n) override { core.state_.put(id, n); }
+        void part(VolumeId, control::Part) override {}
         void unexpected(const char *what) override { fault = what; }
     } rows(*this);
     state_.restoring(stamp);
     switch (row) {
-    case Keeper::Row::plan:
-    case Keeper::Row::volume:
-    case Keeper::Row::node: {
-        facts::Reader reader;
+    case StateStore::Row::plan:
+    case StateStore::Row::volume:
+    case StateStore::Row::node: {
+        control::Reader reader;
         auto fault = reader.bytes(body, rows);
         return fault.empty() ? rows.fault : fault;
     }
-    case Keeper::Row::hold: {
+    case StateStore::Row::hold: {
         // part, bound, since, serves, lapsed: see keep_changes.
         std::uint64_t f[5];
         std::size_t at = 0;
@@ -75,16 +75,16 @@
             }
             at = end == std::string_view::npos ? body.size() : end + 1;
         }
-        if (f[0] > facts::whole_limit || f[1] > facts::whole_limit)
+        if (f[0] > control::whole_limit || f[1] > control::whole_limit)
             return "a part's row is past the whole";
         parts_.restore(VolumeId{b}, EdgeId{a}, static_cast<std::uint32_t>(f[0]),
                        static_cast<std::uint32_t>(f[1]), Version{f[2]}, f[3] != 0, f[4] != 0);
         return {};
     }
-    case Keeper::Row::drained:
+    case StateStore::Row::drained:
         drained_.insert(NodeId{a});
         return {};
-    case Keeper::Row::undo: {
+    case StateStore::Row::undo: {
         std::uint32_t epoch = 0;
         for (char c : body) {
             if (c < '0' || c > '9')
@@ -94,9 +94,9 @@
         undo_rows_[VolumeId{a}] = {VolumeId{b}, epoch};
         return {};
     }
-    case Keeper::Row::wanted: {
-        facts::Reader reader;
-        struct Line final : facts::Heard {
+    case StateStore::Row::wanted: {
+        control::Reader reader;
+        struct Line final : control::MessageHandler {
             Wanted::Node node;
             void node_hello(NodeId, ShardId s, ZoneId z, const std::string &at,
                             std::uint64_t draining, Time) override {
@@ -123,22 +123,22 @@
     least_all_ = version;
     state_.restore(version, oldest);
     for (auto &[id, v] : state_.table().volumes) {
-        if (v.is_cut())
+        if (v.is_snapshot())
             continue; // an operator's, not the settings'
         wanted_.volumes[id] = {
             v, state_.table().plans.contains(v.plan) ? state_.table().plans.at(v.plan).name : "",
             0};
     }
     for (auto &[id, n] : state_.table().nodes)
-        if (n.state != NodeState::gone) {
-            presence(id).assume(now, n.address, n.life, n.started);
+        if (n.state != NodeState::removed) {
+            presence(id).assume(now, n.address, n.incarnation, n.started);
             if (n.state == NodeState::draining)
                 draining_since_[id] = {version, now};
         }
     for (auto &[volume, holds] : parts_.all())
         for (auto &[edge, hold] : holds) {
             leases_.known(edge, now, parts_.is_lapsed(edge));
-            if (const facts::Part part{hold.part, 0}; hold.part > 0 || hold.serves) {
+            if (const control::Part part{hold.part, 0}; hold.part > 0 || hold.serves) {
                 state_.restoring(hold.since);
                 state_.put_part(edge, volume, {part.millionths, parts_.hosts(volume)});
             }
@@ -157,11 +157,11 @@
     }
     if (rebuilt) {
         // Any edge may go by the whole of any limit until what it was told must have run out.
-        parts_.unknown(facts::whole_limit);
+        parts_.unknown(control::whole_limit);
         unknown_until_ = now + leases_.lease() + leases_.lease() / 10 + sec;
     }
     started_up_ =
-        keeper_.commit(term_, lineage_, state_.version(), state_.oldest_told(), wanted_.version);
+        state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(), wanted_.version);
     return started_up_;
 }
 
@@ -184,14 +184,14 @@
             continue;
         }
         auto it = state_.table().nodes.find(id);
-        if (it == state_.table().nodes.end() || it->second.state == NodeState::gone)
+        if (it == state_.table().nodes.end() || it->second.state == NodeState::removed)
             continue;
         auto since = draining_since_.find(id);
         bool known = since != draining_since_.end() && now - since->second.second >= drain_time_;
         if (known)
             for (auto &[edge, side] : edges_)
                 known = known && (leases_.stage(edge) != Leases::Stage::held ||
-                                  sides_.at(side)->acked >= since->second.first);
+                                  sessions_.at(side)->acked >= since->second.first);
         if (!known)
             faults.emplace_back(0,
                                 "node " + text(id) +
@@ -203,7 +203,7 @@
         auto it = wanted.volumes.find(id);
         if (it == wanted.volumes.end()) {
             for (auto &[cut, f] : state_.table().volumes)
-                if (f.is_cut() && f.lies_as(cut) == id)
+                if (f.is_snapshot() && f.lies_as(cut) == id)
                     faults.emplace_back(0, "volume " + v.fact.name +
                                                " is left out and has a snapshot or clone, " +
                                                f.name + ": drop it first");
@@ -217,7 +217,7 @@
         }
     }
     for (auto &[id, f] : state_.table().volumes) {
-        if (!f.is_cut())
+        if (!f.is_snapshot())
             continue;
         auto plan = state_.table().plans.find(f.plan);
         if (f.charged_to(id) == id && plan != state_.table().plans.end() &&
@@ -236,8 +236,8 @@
             state_.drop(id);
             presence_.erase(id), draining_since_.erase(id);
             if (drained_.erase(id))
-                keeper_.drop(Keeper::Row::drained, id.value, 0);
-            keeper_.drop(Keeper::Row::wanted, id.value, 0);
+                state_store_.drop(StateStore::Row::drained, id.value, 0);
+            state_store_.drop(StateStore::Row::wanted, id.value, 0);
         }
     std::map<std::string, PlanId> ids;
     std::uint32_t next = 0;
@@ -257,7 +257,7 @@
     }
     std::vector<VolumeId> left_out;
     for (auto &[id, v] : state_.table().volumes)
-        if (!wanted.volumes.contains(id) && !v.is_cut())
+        if (!wanted.volumes.contains(id) && !v.is_snapshot())
             left_out.push_back(id);
     for (auto id : left_out)
         state_.drop_volume(id);
@@ -274,20 +274,20 @@
 }
 void Core::keep_wanted() {
     for (auto &[id, n] : wanted_.nodes)
-        keeper_.keep(Keeper::Row::wanted, id.value, 0, Version{1},
-                     facts::node_hello(id, n.shard, n.zone, n.address, n.draining, 0));
+        state_store_.keep(StateStore::Row::wanted, id.value, 0, Version{1},
+                     control::node_hello(id, n.shard, n.zone, n.address, n.draining, 0));
 }
 
 // ---- Connections.
-void Core::came(Time now, SideId side) {
+void Core::came(Time now, SessionId side) {
     now_ = now;
-    sides_[side] = std::make_unique<Side>(*this, side);
-    sides_[side]->heard = now;
+    sessions_[side] = std::make_unique<Session>(*this, side);
+    sessions_[side]->heard = now;
 }
-void Core::bytes(Time now, SideId id, std::string_view in) {
+void Core::bytes(Time now, SessionId id, std::string_view in) {
     now_ = now;
-    auto it = sides_.find(id);
-    if (it == sides_.end() || it->second->closed)
+    auto it = sessions_.find(id);
+    if (it == sessions_.end() || it->second->closed)
         return;
     auto &side = *it->second;
     side.heard = now;
@@ -297,37 +297,37 @@
     if (!fault.empty() && !side.closed)
         close(side, fault);
 }
-void Core::gone(Time now, SideId id) {
+void Core::gone(Time now, SessionId id) {
     now_ = now;
-    auto it = sides_.find(id);
-    if (it == sides_.end())
+    auto it = sessions_.find(id);
+    if (it == sessions_.end())
         return;
     auto &side = *it->second;
-    if (side.role == Side::Role::edge && edges_[side.edge] == id) {
+    if (side.role == Session::Role::edge && edges_[side.edge] == id) {
         edges_.erase(side.edge);
         for (auto &[n, p] : presence_)
             p.no_witness(side.edge);
         cuts_.edge_gone(now, side.edge);
     }
-    if (side.role == Side::Role::node && nodes_[side.node] == id) {
+    if (side.role == Session::Role::node && nodes_[side.node] == id) {
         nodes_.erase(side.node);
         cuts_.node_gone(now, side.node);
     }
-    sides_.erase(it);
+    sessions_.erase(it);
 }
-void Core::close(Side &side, const std::string &why) {
+void Core::close(Session &side, const std::string &why) {
     side.closed = true;
     static constexpr const char *roles[] = {"a peer", "edge ", "node ", "a visitor"};
     auto who = std::string(roles[static_cast<int>(side.role)]);
-    if (side.role == Side::Role::edge)
+    if (side.role == Session::Role::edge)
         who += text(side.edge);
-    if (side.role == Side::Role::node)
+    if (side.role == Session::Role::node)
         who += text(side.node);
     shell_.say(who + ": connection closed: " + why);
     shell_.close(side.id);
 }
 
-void Core::edge_hello(Side &side, EdgeId edge, const std::string &listen, Term term,
+void Core::edge_hello(Session &side, EdgeId edge, const std::string &listen, Term term,
                       std::uint64_t instance, std::uint64_t lineage, Version version,
                       const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving) {
     if ((term > term_ || (term == term_ && instance != instance_)) &&
@@ -339,11 +339,11 @@
                       ": the store is an old copy; start with the right one, or rebuild");
     if (auto old = edges_.find(edge); old != edges_.end() && old->second != side.id) {
         auto was = old->second;
-        side.role = Side::Role::unknown;
-        close(*sides_.at(was), "another connection says it is this edge");
+        side.role = Session::Role::unknown;
+        close(*sessions_.at(was), "another connection says it is this edge");
         gone(now_, was);
     }
-    side.role = Side::Role::edge, side.edge = edge, side.listen = listen;
+    side.role = Session::Role::edge, side.edge = edge, side.listen = listen;
     side.edge_term = term, side.edge_lineage = lineage;
     side.acked = side.told = lineage == lineage_ ? version : Version{0};
     edges_[edge] = side.id;
@@ -359,11 +359,11 @@
         // The store that knew of these drains is lost; the edges still do.
         for (auto node : draining)
             if (wanted_.nodes.contains(node) && drained_.insert(node).second)
-                keeper_.keep(Keeper::Row::drained, node.value, 0, state_.next(), {}),
+                state_store_.keep(StateStore::Row::drained, node.value, 0, state_.next(), {}),
                     commit_due_ = true;
 }
 
-void Core::renew(Side &side, Time at, Term term, Version version) {
+void Core::renew(Session &side, Time at, Term term, Version version) {
     if (term > term_)
         return void(outranked(term, "edge " + text(side.edge)));
     side.edge_term = term;
@@ -387,15 +387,15 @@
     if (away)
         parts_.back(side.edge);
     shell_.send(side.id,
-                facts::renewed(at, term_, leases_.lease(), leases_.fade(), least(side.edge)));
+                control::renewed(at, term_, leases_.lease(), leases_.fade(), least(side.edge)));
 }
 Version Core::least(EdgeId edge) const {
     auto it = least_.find(edge);
     return it == least_.end() ? least_all_ : std::max(it->second, least_all_);
 }
 
-void Core::node_hello(Side &side, NodeId node, ShardId shard, ZoneId zone,
-                      const std::string &address, std::uint64_t life, Time age) {
+void Core::node_hello(Session &side, NodeId node, ShardId shard, ZoneId zone,
+                      const std::string &address, std::uint64_t incarnation, Time age) {
     auto it = wanted_.nodes.find(node);
     auto refuse = [&](const std::string &why) {
         if (said_.insert("node " + text(node) + why).second)
@@ -411,12 +411,12 @@
                       text(it->second.zone));
     if (auto old = nodes_.find(node); old != nodes_.end() && old->second != side.id) {
         auto was = old->second;
-        close(*sides_.at(was), "another connection says it is this node");
+        close(*sessions_.at(was), "another connection says it is this node");
         gone(now_, was);
     }
-    side.role = Side::Role::node, side.node = node;
+    side.role = Session::Role::node, side.node = node;
     nodes_[node] = side.id;
-    presence(node).heard(now_, address, life, now_ - age);
+    presence(node).heard(now_, address, incarnation, now_ - age);
     cuts_.node_came(node, shard);
 }
 
@@ -437,7 +437,7 @@
         // A store made anew knows nothing of the terms before: it goes above each that it meets.
         term_ = Term{term.value + 1};
         commit_due_ = true;
-        for (auto &[id, side] : sides_)
+        for (auto &[id, side] : sessions_)
             side->in_flight = false;
         shell_.say(who + " follows term " + text(term) + ": going on as term " + text(term_));
         return true;
@@ -478,20 +478,20 @@
                ? what + "would get new work again from " + std::to_string(edges_.size()) + " edges"
                : what + "does not drain by an operator's word; nothing to do";
 }
-void Core::drain_asked(Side &side, NodeId node, bool draining, std::uint8_t how) {
+void Core::drain_asked(Session &side, NodeId node, bool draining, std::uint8_t how) {
     bool allowed = false, serves = false;
     auto text_of = effect(node, draining, allowed, serves);
     bool act = allowed && (how == 2 || (how == 1 && serves));
     if (!act)
-        return shell_.send(side.id, facts::effect(allowed && serves, false, text_of));
+        return shell_.send(side.id, control::effect(allowed && serves, false, text_of));
     if (draining && drained_.insert(node).second)
-        keeper_.keep(Keeper::Row::drained, node.value, 0, state_.next(), {});
+        state_store_.keep(StateStore::Row::drained, node.value, 0, state_.next(), {});
     if (!draining && drained_.erase(node))
-        keeper_.drop(Keeper::Row::drained, node.value, 0);
+        state_store_.drop(StateStore::Row::drained, node.value, 0);
     shell_.say("operator: " + std::string(draining ? "drain" : "undrain") + " node " + text(node));
     commit_due_ = true;
     // Said to be done once it is durable.
-    after_commit_.emplace_back(side.id, facts::effect(true, true, text_of));
+    after_commit_.emplace_back(side.id, control::effect(true, true, text_of));
 }
 
 // ---- The end of a moment.
@@ -505,14 +505,14 @@
             continue;
         if (p.to_ask(now_))
             for (auto &[edge, side] : edges_)
-                shell_.send(side, facts::ask_witness(id));
-        auto state = !in                                     ? NodeState::gone
+                shell_.send(side, control::ask_witness(id));
+        auto state = !in                                     ? NodeState::removed
                      : (w.draining || drained_.contains(id)) ? NodeState::draining
                                                              : NodeState::ready;
         auto was = state_.table().nodes.find(id);
         if (was == state_.table().nodes.end() || was->second.state != state)
             shell_.say("node " + text(id) + " is " + name(state));
-        state_.put(id, facts::Node{p.address(), w.shard, w.zone, state, p.started(), p.life()});
+        state_.put(id, control::Node{p.address(), w.shard, w.zone, state, p.started(), p.incarnation()});
         if (state == NodeState::draining)
             draining_since_.try_emplace(id, state_.next(), now_);
         else
@@ -524,13 +524,13 @@
     auto version = state_.next();
     parts_.part_out(
         version,
-        [&](VolumeId volume, EdgeId edge, const facts::Part &part) {
+        [&](VolumeId volume, EdgeId edge, const control::Part &part) {
             state_.put_part(edge, volume, part);
         },
         [&](VolumeId volume, EdgeId edge, const Parts::Hold *h) {
             if (!h)
-                return keeper_.drop(Keeper::Row::hold, edge.value, volume.value);
-            keeper_.keep(Keeper::Row::hold, edge.value, volume.value, version,
+                return state_store_.drop(StateStore::Row::hold, edge.value, volume.value);
+            state_store_.keep(StateStore::Row::hold, edge.value, volume.value, version,
                          std::to_string(h->part) + " " + std::to_string(h->bound) + " " +
                              text(h->since) + " " + std::to_string(h->serves) + " " +
                              std::to_string(parts_.is_lapsed(edge)));
@@ -539,20 +539,20 @@
     for (auto &key : state_.changed()) {
         if (key.kind == Kind::part)
             continue; // kept as holds
-        auto row = key.kind == Kind::plan     ? Keeper::Row::plan
-                   : key.kind == Kind::volume ? Keeper::Row::volume
-                                              : Keeper::Row::node;
+        auto row = key.kind == Kind::plan     ? StateStore::Row::plan
+                   : key.kind == Kind::volume ? StateStore::Row::volume
+                                              : StateStore::Row::node;
         if (!state_.has(key)) {
-            keeper_.drop(row, key.id, 0);
+            state_store_.drop(row, key.id, 0);
             continue;
         }
         auto &t = state_.table();
         PlanId plan{static_cast<std::uint32_t>(key.id)};
-        keeper_.keep(row, key.id, 0, version,
-                     key.kind == Kind::plan ? facts::put(plan, t.plans.at(plan))
+        state_store_.keep(row, key.id, 0, version,
+                     key.kind == Kind::plan ? control::put(plan, t.plans.at(plan))
                      : key.kind == Kind::volume
-                         ? facts::put(VolumeId{key.id}, t.volumes.at(VolumeId{key.id}))
-                         : facts::put(NodeId{key.id}, t.nodes.at(NodeId{key.id})));
+                         ? control::put(VolumeId{key.id}, t.volumes.at(VolumeId{key.id}))
+                         : control::put(NodeId{key.id}, t.nodes.at(NodeId{key.id})));
     }
     if (state_.close())
         commit_due_ = true;
@@ -560,20 +560,20 @@
 
 void Core::tell_sides() {
     std::size_t longs = 0;
-    for (auto &[id, side] : sides_)
+    for (auto &[id, side] : sessions_)
         longs += side->in_flight && side->is_long && now_ - side->told_at < answer_time;
-    for (auto &[id, s] : sides_) {
+    for (auto &[id, s] : sessions_) {
         auto &side = *s;
         if (side.closed)
             continue;
-        if (side.role == Side::Role::node) {
+        if (side.role == Session::Role::node) {
             auto it = state_.table().nodes.find(side.node);
             if (it != state_.table().nodes.end() && side.state_told != it->second.state) {
                 side.state_told = it->second.state;
-                shell_.send(id, facts::tell_node(it->second.state));
+                shell_.send(id, control::tell_node(it->second.state));
             }
         }
-        if (side.role != Side::Role::edge)
+        if (side.role != Session::Role::edge)
             continue;
         // One piece of news at a time: what changes while an edge is slow comes together in the
         // next.
@@ -591,8 +591,8 @@
             continue;
         longs += side.is_long;
         side.in_flight = true, side.told = state_.version(), side.told_at = now_;
-        shell_.send(id, facts::begins(term_, instance_, lineage_, state_.version(), from, now_) +
-                            facts_out + facts::ends(state_.version(), count));
+        shell_.send(id, control::begins(term_, instance_, lineage_, state_.version(), from, now_) +
+                            facts_out + control::ends(state_.version(), count));
     }
 }
 
@@ -613,7 +613,7 @@
         }
     });
     if (unknown_until_ > 0 && now > unknown_until_ && !std::exchange(unknown_faded_, true))
-        parts_.unknown(facts::usable(facts::whole_limit, 1, 1));
+        parts_.unknown(control::usable(control::whole_limit, 1, 1));
     if (unknown_until_ > 0 && now > unknown_until_ + leases_.fade())
         parts_.unknown(0), unknown_until_ = 0;
     decide_nodes();
@@ -623,7 +623,7 @@
     if (commit_due_) {
         // Nothing is told that is not durable: a planner that comes back from its store must know
         // all that it said.
-        if (!keeper_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
+        if (!state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
                             wanted_.version))
             return;
         commit_due_ = false;
@@ -631,7 +631,7 @@
     for (auto id : std::exchange(undo_after_commit_, {}))
         cuts_.undo(id, all_shards());
     for (auto &[side, bytes] : std::exchange(after_commit_, {}))
-        if (sides_.contains(side))
+        if (sessions_.contains(side))
             shell_.send(side, std::move(bytes));
     tell_sides();
     begin_prepared();
@@ -652,8 +652,8 @@
         due = std::min(due, unknown_until_ + (unknown_faded_ ? leases_.fade() : 0) + 1);
     if (commit_due_)
         due = std::min(due, now_ + commit_again);
-    for (auto &[id, side] : sides_)
-        if (side->role == Side::Role::edge && side->in_flight)
+    for (auto &[id, side] : sessions_)
+        if (side->role == Session::Role::edge && side->in_flight)
             due = std::min(due, side->told_at + answer_time);
     return due;
 }
@@ -688,7 +688,7 @@
     }
     out["cuts"] = json::array();
     for (auto &[id, f] : state_.table().volumes) {
-        if (!f.is_cut())
+        if (!f.is_snapshot())
             continue;
         auto of = state_.table().volumes.find(f.of);
         out["cuts"].push_back(
@@ -726,7 +726,7 @@
         json x{{"id", e.value}, {"lease", stages[static_cast<int>(leases_.stage(e))]}};
         x["serving"] = parts_.served_by(e).size();
         if (auto it = edges_.find(e); it != edges_.end()) {
-            auto &s = *sides_.at(it->second);
+            auto &s = *sessions_.at(it->second);
             x["listen"] = s.listen, x["version"] = s.acked.value, x["term"] = s.edge_term.value;
             x["behind"] = state_.version().value - std::min(s.acked, state_.version()).value;
             x["silent_ms"] = (now - s.heard) / ms, x["connected"] = true;
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -12,23 +12,23 @@
 #include <string_view>
 #include <vector>
 
-#include "facts/messages.hpp"
-#include "planner/cuts.hpp"
-#include "planner/members.hpp"
-#include "planner/parts.hpp"
-#include "planner/state.hpp"
+#include "control/messages.hpp"
+#include "planner/snapshot_coordinator.hpp"
+#include "planner/membership.hpp"
+#include "planner/quota_allocation.hpp"
+#include "planner/versioned_state.hpp"
 
 namespace knotvane::planner {
 
-using facts::Term;
+using control::Term;
 // A connection to the planner.
-using SideId = Id<struct SideKind, std::uint64_t>;
+using SessionId = Id<struct SessionKind, std::uint64_t>;
 
 class Shell {
 public:
     virtual ~Shell() = default;
-    virtual void send(SideId side, std::string bytes) = 0;
-    virtual void close(SideId side) = 0;
+    virtual void send(SessionId side, std::string bytes) = 0;
+    virtual void close(SessionId side) = 0;
     // For the log: what changed in the fleet, and what was refused.
     virtual void say(std::string text) = 0;
     // Another planner is followed: this one has nothing more to do.
@@ -37,11 +37,11 @@
 
 // What outlives the planner's process. Rows gather until commit, which makes all of them durable or
 // none.
-class Keeper {
+class StateStore {
 public:
     // `undo`: a snapshot or clone (a) of a volume (b) that is not whole; its body the epoch.
     enum class Row : std::uint8_t { plan, volume, node, hold, drained, wanted, undo };
-    virtual ~Keeper() = default;
+    virtual ~StateStore() = default;
     virtual void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                       std::string body) = 0;
     virtual void drop(Row row, std::uint64_t a, std::uint64_t b) = 0;
@@ -50,7 +50,7 @@
                         std::uint64_t settings) = 0;
 };
 
-// What the settings files want, checked in itself (planner/files.hpp). Lines are for refusals.
+// What the settings files want, checked in itself (planner/desired_state_files.hpp). Lines are for refusals.
 struct Wanted {
     struct Node {
         ShardId shard;
@@ -60,13 +60,13 @@
         int line = 0;
     };
     struct Volume {
-        facts::Volume fact; // its plan is found by name
+        control::Volume fact; // its plan is found by name
         std::string plan;
         int line = 0;
     };
     std::uint64_t version = 0;
     std::map<NodeId, Node> nodes;
-    std::map<std::string, facts::Plan> plans;
+    std::map<std::string, control::Plan> plans;
     std::map<VolumeId, Volume> volumes;
 };
 
@@ -75,12 +75,12 @@
     // Times in nanoseconds. `lease`, `margin`, `fade`: see Leases. `silent_for`, `out_after`,
     // `back_after`: see Presence. `drain_time`: how long a drain has to have been known before the
     // node may be removed.
-    Core(Shell &shell, Keeper &keeper, Time lease, Time margin, Time fade, Time silent_for,
+    Core(Shell &shell, StateStore &state_store, Time lease, Time margin, Time fade, Time silent_for,
          Time out_after, Time back_after, Time drain_time);
     ~Core() override;
 
     // Rows of the store, before start. An empty answer is good.
-    std::string restore(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+    std::string restore(StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                         std::string_view body);
     // `term`: of this life, above all before it in this store. `instance`: chance, another for each
     // process. `rebuilt`: the store is new and an earlier one may have handed things out. False
@@ -92,9 +92,9 @@
     void want(Time now, const Wanted &wanted, std::vector<std::pair<int, std::string>> &faults);
     std::uint64_t settings() const { return wanted_.version; }
 
-    void came(Time now, SideId side);
-    void bytes(Time now, SideId side, std::string_view in);
-    void gone(Time now, SideId side);
+    void came(Time now, SessionId side);
+    void bytes(Time now, SessionId side, std::string_view in);
+    void gone(Time now, SessionId side);
     Time next_due() const;
     // The end of a moment: what is due is decided, made durable and told.
     void settle(Time now);
@@ -109,20 +109,20 @@
     bool busy_with(VolumeId cut) const { return undo_rows_.contains(cut); }
 
 private:
-    struct Side;
-    void edge_hello(Side &side, EdgeId edge, const std::string &listen, Term term,
+    struct Session;
+    void edge_hello(Session &side, EdgeId edge, const std::string &listen, Term term,
                     std::uint64_t instance, std::uint64_t lineage, Version version,
                     const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving);
-    void renew(Side &side, Time at, Term term, Version version);
-    void node_hello(Side &side, NodeId node, ShardId shard, ZoneId zone, const std::string &address,
-                    std::uint64_t life, Time age);
-    void drain_asked(Side &side, NodeId node, bool draining, std::uint8_t how);
+    void renew(Session &side, Time at, Term term, Version version);
+    void node_hello(Session &side, NodeId node, ShardId shard, ZoneId zone, const std::string &address,
+                    std::uint64_t incarnation, Time age);
+    void drain_asked(Session &side, NodeId node, bool draining, std::uint8_t how);
     // ---- Snapshots and clones.
     // One that an operator waits for.
     struct Pending {
-        SideId side;
+        SessionId side;
         VolumeId of;
-        facts::Volume fact;
+        control::Volume fact;
         std::uint32_t epoch = 0, tries = 0;
         Time began = 0;
         bool clone = false, durable = false, failed = false, again = false, whole = false;
@@ -130,7 +130,7 @@
     };
     // An operator's question about ranges, and the nodes that have not answered.
     struct Question {
-        SideId side;
+        SessionId side;
         VolumeId a, b;
         std::map<NodeId, std::uint64_t> left;
         std::map<std::uint64_t, std::uint64_t> ranges;
@@ -140,7 +140,7 @@
     void go(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch) override;
     void release(EdgeId edge, VolumeId of, VolumeId as) override;
     void open(NodeId node, VolumeId of, VolumeId as, std::uint32_t epoch,
-              const std::vector<facts::EdgeLife> &late) override;
+              const std::vector<control::EdgeIncarnation> &late) override;
     void seal(NodeId node, VolumeId of, VolumeId as) override;
     void clone(NodeId node, VolumeId of, VolumeId as) override;
     void drop(NodeId node, VolumeId as) override;
@@ -149,13 +149,13 @@
     void undone(VolumeId as) override;
     void to_edge(EdgeId edge, std::string bytes);
     void to_node(NodeId node, std::string bytes);
-    void cut_asked(Side &side, std::uint8_t what, const std::string &name, const std::string &as,
+    void cut_asked(Session &side, std::uint8_t what, const std::string &name, const std::string &as,
                    const std::string &plan);
     std::string refuse_cut(std::uint8_t what, const std::string &name, const std::string &as,
                            const std::string &plan, Pending &p);
     void prepare(Pending p);
-    void drop_cut(Side &side, VolumeId id);
-    void compare(Side &side, VolumeId a, VolumeId b);
+    void drop_cut(Session &side, VolumeId id);
+    void compare(Session &side, VolumeId a, VolumeId b);
     void answer_question(std::uint64_t number, std::string why);
     void diff_told(NodeId node, std::uint64_t number, const std::vector<std::uint64_t> &ranges,
                    bool more);
@@ -172,7 +172,7 @@
     void retire(const std::string &why);
     // A newer planner's term was met. True if this one goes on, above it.
     bool outranked(Term term, const std::string &who);
-    void close(Side &side, const std::string &why);
+    void close(Session &side, const std::string &why);
     void decide_nodes();
     void keep_changes();
     void tell_sides();
@@ -181,7 +181,7 @@
     Presence &presence(NodeId node);
 
     Shell &shell_;
-    Keeper &keeper_;
+    StateStore &state_store_;
     Time silent_for_, out_after_, back_after_, drain_time_;
     Leases leases_;
     Parts parts_;
@@ -191,10 +191,10 @@
     std::set<NodeId> drained_; // by the operator's word
     std::map<NodeId, std::pair<Version, Time>> draining_since_;
     std::map<EdgeId, Version> least_;
-    std::map<SideId, std::unique_ptr<Side>> sides_;
-    std::map<EdgeId, SideId> edges_;
-    std::map<NodeId, SideId> nodes_;
-    std::vector<std::pair<SideId, std::string>> after_commit_;
+    std::map<SessionId, std::unique_ptr<Session>> sessions_;
+    std::map<EdgeId, SessionId> edges_;
+    std::map<NodeId, SessionId> nodes_;
+    std::vector<std::pair<SessionId, std::string>> after_commit_;
     std::set<std::string> said_;
     Cuts cuts_{*this};
     std::map<VolumeId, Pending> pending_;
--- a/src/planner/core_cuts.cpp
+++ b/src/planner/core_snapshots.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "planner/side.hpp"
+#include "planner/session.hpp"
 
 namespace knotvane::planner {
 namespace {
@@ -37,7 +37,7 @@
     std::set<ShardId> met;
     for (auto &[id, shard] : connected_nodes()) {
         auto it = state_.table().nodes.find(id);
-        if (it == state_.table().nodes.end() || it->second.state == NodeState::gone)
+        if (it == state_.table().nodes.end() || it->second.state == NodeState::removed)
             continue;
         out.insert(id), met.insert(shard);
     }
@@ -76,7 +76,7 @@
     if (auto old = find(full)) {
         auto &f = state_.table().volumes.at(*old);
         return full + " is there already" +
-               (f.is_cut() ? ", taken " + std::to_string((now_ - f.taken) / sec) + "s ago" : "");
+               (f.is_snapshot() ? ", taken " + std::to_string((now_ - f.taken) / sec) + "s ago" : "");
     }
     for (auto &[id, other] : pending_)
         if (other.fact.name == full)
@@ -109,14 +109,14 @@
         return why.empty() ? "there are no nodes" : why;
     return {};
 }
-void Core::cut_asked(Side &side, std::uint8_t what, const std::string &name, const std::string &as,
+void Core::cut_asked(Session &side, std::uint8_t what, const std::string &name, const std::string &as,
                      const std::string &plan) {
     auto refuse = [&](const std::string &why) {
-        shell_.send(side.id, facts::effect(false, false, why));
+        shell_.send(side.id, control::effect(false, false, why));
     };
     if (what == 1) {
         auto id = find(name);
-        if (!id || !state_.table().volumes.at(*id).is_cut())
+        if (!id || !state_.table().volumes.at(*id).is_snapshot())
             return refuse("there is no snapshot or clone " + name);
         return drop_cut(side, *id);
     }
@@ -154,7 +154,7 @@
         p.epoch = std::max(last + 1, static_cast<std::uint32_t>(now_ / sec));
     }
     undo_rows_[as] = {p.of, p.epoch};
-    keeper_.keep(Keeper::Row::undo, as.value, p.of.value, Version{1}, std::to_string(p.epoch));
+    state_store_.keep(StateStore::Row::undo, as.value, p.of.value, Version{1}, std::to_string(p.epoch));
     commit_due_ = true;
     pending_[as] = std::move(p);
 }
@@ -202,12 +202,12 @@
         commit_due_ = true;
         if (p.whole) {
             undo_rows_.erase(as);
-            keeper_.drop(Keeper::Row::undo, as.value, p.of.value);
+            state_store_.drop(StateStore::Row::undo, as.value, p.of.value);
             p.fact.taken = p.began;
             state_.put(as, p.fact);
             shell_.say(p.fact.name + " is whole");
             after_commit_.emplace_back(
-                p.side, facts::effect(true, true,
+                p.side, control::effect(true, true,
                                       p.fact.name + ": " + (p.clone ? "cloned" : "taken") + " in " +
                                           std::to_string((now_ - p.began) / ms) + "ms"));
             continue;
@@ -220,7 +220,7 @@
         } else {
             after_commit_.emplace_back(
                 p.side,
-                facts::effect(true, false, p.fact.name + ": " + p.why + "; nothing is left of it"));
+                control::effect(true, false, p.fact.name + ": " + p.why + "; nothing is left of it"));
         }
     }
     std::vector<std::uint64_t> late;
@@ -230,10 +230,10 @@
     for (auto number : late)
         answer_question(number, "a node did not answer in time");
 }
-void Core::drop_cut(Side &side, VolumeId id) {
+void Core::drop_cut(Session &side, VolumeId id) {
     auto fact = state_.table().volumes.at(id);
     auto refuse = [&](const std::string &why) {
-        shell_.send(side.id, facts::effect(true, false, why));
+        shell_.send(side.id, control::effect(true, false, why));
     };
     if (auto who = users(id); !who.empty()) {
         std::string edges;
@@ -246,7 +246,7 @@
             return refuse(fact.name + " is being cloned to " + p.fact.name);
     state_.drop_volume(id);
     undo_rows_[id] = {fact.of, 0};
-    keeper_.keep(Keeper::Row::undo, id.value, fact.of.value, Version{1}, "0");
+    state_store_.keep(StateStore::Row::undo, id.value, fact.of.value, Version{1}, "0");
     // Found in virtual time: ordered before it was durable, a planner that died in between came
     // back to a snapshot whose bytes were gone.
     undo_after_commit_.push_back(id);
@@ -254,28 +254,28 @@
     commit_due_ = true;
     after_commit_.emplace_back(
         side.id,
-        facts::effect(true, true, fact.name + ": dropped; its space comes back in the background"));
+        control::effect(true, true, fact.name + ": dropped; its space comes back in the background"));
 }
 void Core::undone(VolumeId as) {
     auto it = undo_rows_.find(as);
     if (it == undo_rows_.end())
         return;
-    keeper_.drop(Keeper::Row::undo, as.value, it->second.first.value);
+    state_store_.drop(StateStore::Row::undo, as.value, it->second.first.value);
     undo_rows_.erase(it);
     commit_due_ = true;
 }
 
 // ---- What differs.
-void Core::compare(Side &side, VolumeId a, VolumeId b) {
+void Core::compare(Session &side, VolumeId a, VolumeId b) {
     std::string why;
     auto nodes = nodes_for_cut(why);
     if (nodes.empty())
-        return shell_.send(side.id, facts::effect(false, false, why));
+        return shell_.send(side.id, control::effect(false, false, why));
     auto number = ++next_question_;
     Question q{side.id, a, b, {}, {}, now_ + question_time};
     for (auto n : nodes) {
         q.left[n] = 0;
-        to_node(n, facts::ask_diff(number, a, b, 0));
+        to_node(n, control::ask_diff(number, a, b, 0));
     }
     questions_[number] = std::move(q);
 }
@@ -290,7 +290,7 @@
     if (more && !ranges.empty()) {
         auto from = ranges[ranges.size() - 2] + 1;
         q.left[node] = from;
-        return to_node(node, facts::ask_diff(number, q.a, q.b, from));
+        return to_node(node, control::ask_diff(number, q.a, q.b, from));
     }
     q.left.erase(node);
     if (q.left.empty())
@@ -298,10 +298,10 @@
 }
 void Core::answer_question(std::uint64_t number, std::string why) {
     auto q = std::move(questions_.extract(number).mapped());
-    if (!sides_.contains(q.side))
+    if (!sessions_.contains(q.side))
         return;
     if (!why.empty())
-        return shell_.send(q.side, facts::effect(true, false, why));
+        return shell_.send(q.side, control::effect(true, false, why));
     // Ranges of two shards may touch.
     std::vector<std::pair<std::uint64_t, std::uint64_t>> merged;
     std::uint64_t sum = 0;
@@ -318,7 +318,7 @@
         text += ", the first " + std::to_string(most_ranges) + " are";
     for (std::size_t i = 0; i < merged.size() && i < most_ranges; ++i)
         text += "\n" + std::to_string(merged[i].first) + " " + std::to_string(merged[i].second);
-    shell_.send(q.side, facts::effect(true, true, text));
+    shell_.send(q.side, control::effect(true, true, text));
 }
 
 // ---- Orders, to whoever is connected.
@@ -331,26 +331,26 @@
         shell_.send(it->second, std::move(bytes));
 }
 void Core::hold(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-    to_edge(edge, facts::cut_hold(of, as, epoch, longest));
+    to_edge(edge, control::cut_hold(of, as, epoch, longest));
 }
 void Core::go(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch) {
-    to_edge(edge, facts::cut_go(of, as, epoch));
+    to_edge(edge, control::cut_go(of, as, epoch));
 }
 void Core::release(EdgeId edge, VolumeId of, VolumeId as) {
-    to_edge(edge, facts::cut_release(of, as));
+    to_edge(edge, control::cut_release(of, as));
 }
 void Core::open(NodeId node, VolumeId of, VolumeId as, std::uint32_t epoch,
-                const std::vector<facts::EdgeLife> &late) {
-    to_node(node, facts::cut_open(of, as, epoch, late));
+                const std::vector<control::EdgeIncarnation> &late) {
+    to_node(node, control::cut_open(of, as, epoch, late));
 }
 void Core::seal(NodeId node, VolumeId of, VolumeId as) {
-    to_node(node, facts::cut_seal(of, as));
+    to_node(node, control::cut_seal(of, as));
 }
 void Core::clone(NodeId node, VolumeId of, VolumeId as) {
-    to_node(node, facts::cut_clone(of, as));
+    to_node(node, control::cut_clone(of, as));
 }
 void Core::drop(NodeId node, VolumeId as) {
-    to_node(node, facts::cut_drop(as));
+    to_node(node, control::cut_drop(as));
 }
 
 } // namespace knotvane::planner
--- a/src/planner/files.cpp
+++ b/src/planner/desired_state_files.cpp
@@ -1,4 +1,4 @@
-#include "planner/files.hpp"
+#include "planner/desired_state_files.hpp"
 
 #include <limits>
 #include <sstream>
--- a/src/planner/members.cpp
+++ b/src/planner/membership.cpp
@@ -1,4 +1,4 @@
-#include "planner/members.hpp"
+#include "planner/membership.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -45,18 +45,18 @@
     return n;
 }
 
-void Presence::heard(Time now, const std::string &address, std::uint64_t life, Time started) {
-    bool another = life != life_ || !ever_heard();
+void Presence::heard(Time now, const std::string &address, std::uint64_t incarnation, Time started) {
+    bool another = incarnation != incarnation_ || !ever_heard();
     heard_ = now, address_ = address;
     // What edges met was the life before. Of one life the first start told stays: told again it
     // differs by what the message took, and edges would take that for a restart.
     if (another) {
-        life_ = life, started_ = started;
+        incarnation_ = incarnation, started_ = started;
         in_ = true, bad_ = good_ = false, unreached_.clear(), reached_.clear();
     }
 }
-void Presence::assume(Time now, const std::string &address, std::uint64_t life, Time started) {
-    heard_ = now, address_ = address, life_ = life, started_ = started, in_ = true;
+void Presence::assume(Time now, const std::string &address, std::uint64_t incarnation, Time started) {
+    heard_ = now, address_ = address, incarnation_ = incarnation, started_ = started, in_ = true;
 }
 void Presence::witness(EdgeId edge, bool reached) {
     (reached ? unreached_ : reached_).erase(edge);
--- a/src/planner/members.hpp
+++ b/src/planner/membership.hpp
@@ -9,12 +9,12 @@
 #include <set>
 #include <string>
 
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 
 namespace knotvane::planner {
 
-using facts::EdgeId;
-using facts::Version;
+using control::EdgeId;
+using control::Version;
 
 // Edges' rights to their parts, as the planner has to count them.
 class Leases {
@@ -56,10 +56,10 @@
         : silent_for_(silent_for), out_after_(out_after), back_after_(back_after), memory_(memory) {
     }
     // `started`: when its process did. Another life is in at once, and cold for all.
-    void heard(Time now, const std::string &address, std::uint64_t life, Time started);
+    void heard(Time now, const std::string &address, std::uint64_t incarnation, Time started);
     void renewed(Time now) { heard_ = now; }
     // Restored: it was there when the planner last wrote, and has as long as any to say so again.
-    void assume(Time now, const std::string &address, std::uint64_t life, Time started);
+    void assume(Time now, const std::string &address, std::uint64_t incarnation, Time started);
     void witness(EdgeId edge, bool reached);
     void no_witness(EdgeId edge) { unreached_.erase(edge), reached_.erase(edge); }
     // Whether it is in by now. `edges`: how many live edges there are, for the quorum.
@@ -69,7 +69,7 @@
     bool ever_heard() const { return heard_ != never_heard; }
     const std::string &address() const { return address_; }
     Time started() const { return started_; }
-    std::uint64_t life() const { return life_; }
+    std::uint64_t incarnation() const { return incarnation_; }
     Time silent(Time now) const { return now - heard_; }
     std::size_t against() const { return unreached_.size(); }
     // When in() may change with nothing heard.
@@ -79,7 +79,7 @@
     static constexpr Time never_heard = -1'000'000 * sec, ask_every = sec;
     Time silent_for_, out_after_, back_after_, memory_;
     std::string address_;
-    std::uint64_t life_ = 0;
+    std::uint64_t incarnation_ = 0;
     Time started_ = 0, heard_ = never_heard, bad_since_ = 0, good_since_ = 0, asked_ = never_heard;
     bool in_ = false, bad_ = false, good_ = false;
     std::set<EdgeId> unreached_, reached_;
--- a/src/planner/parts.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -1,4 +1,4 @@
-#include "planner/parts.hpp"
+#include "planner/quota_allocation.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -59,7 +59,7 @@
         return false;
     for (auto v : of_edge_[edge]) {
         auto &hold = volumes_.at(v).at(edge);
-        hold.bound = facts::usable(hold.bound, 1, 1);
+        hold.bound = control::usable(hold.bound, 1, 1);
         fell |= hold.part > hold.bound;
         dirty_.insert(v);
     }
@@ -109,14 +109,14 @@
         apart += h.bound;
     }
     std::uint32_t even =
-        sharing == 0 ? 0 : (facts::whole_limit - std::min(apart, facts::whole_limit)) / sharing;
+        sharing == 0 ? 0 : (control::whole_limit - std::min(apart, control::whole_limit)) / sharing;
     std::uint64_t used = unknown_;
     for (auto &[edge, h] : holds) {
         if (h.serves && !is_lapsed(edge) && h.part > even)
             h.part = even, h.since = version;
         used += h.bound;
     }
-    std::uint64_t free = facts::whole_limit - std::min<std::uint64_t>(used, facts::whole_limit);
+    std::uint64_t free = control::whole_limit - std::min<std::uint64_t>(used, control::whole_limit);
     for (auto &[edge, h] : holds) {
         if (!h.serves || is_lapsed(edge) || h.part >= even)
             continue;
@@ -132,7 +132,7 @@
 }
 
 void Parts::part_out(Version version,
-                     const std::function<void(VolumeId, EdgeId, const facts::Part &)> &tell,
+                     const std::function<void(VolumeId, EdgeId, const control::Part &)> &tell,
                      const std::function<void(VolumeId, EdgeId, const Hold *)> &keep) {
     for (auto volume : std::exchange(dirty_, {})) {
         auto it = volumes_.find(volume);
@@ -145,7 +145,7 @@
             auto &[edge, hold] = *h;
             if (hold.bound > hold.part)
                 unsettled_[edge].insert(volume);
-            facts::Part part{hold.part, n};
+            control::Part part{hold.part, n};
             if (!hold.serves)
                 part.hosts = 0;
             auto &told = told_[{volume, edge}];
--- a/src/planner/parts.hpp
+++ b/src/planner/quota_allocation.hpp
@@ -9,12 +9,12 @@
 #include <map>
 #include <set>
 
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 
 namespace knotvane::planner {
 
-using facts::EdgeId;
-using facts::Version;
+using control::EdgeId;
+using control::Version;
 
 class Parts {
 public:
@@ -46,7 +46,7 @@
     // Parts out what is due; `version` tells it. Calls for each part that changes, and for each
     // hold to be kept. Volumes' cost only where something changed.
     void part_out(Version version,
-                  const std::function<void(VolumeId, EdgeId, const facts::Part &)> &tell,
+                  const std::function<void(VolumeId, EdgeId, const control::Part &)> &tell,
                   const std::function<void(VolumeId, EdgeId, const Hold *)> &keep);
     // What all edges together may go by.
     std::uint64_t bound(VolumeId volume) const;
@@ -63,7 +63,7 @@
     std::map<EdgeId, std::set<VolumeId>> unsettled_; // holds whose bound is past the part
     std::set<VolumeId> dirty_;
     std::set<EdgeId> lapsed_;
-    std::map<std::pair<VolumeId, EdgeId>, facts::Part> told_;
+    std::map<std::pair<VolumeId, EdgeId>, control::Part> told_;
     std::uint32_t unknown_ = 0;
 };
 
--- a/src/planner/server.cpp
+++ b/src/planner/server.cpp
@@ -45,7 +45,7 @@
             core_ = std::make_unique<Core>(*this, *store_, lease, margin, fade, silent, out, back,
                                            drain);
         });
-    store_->rows([&](Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+    store_->rows([&](StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                      std::string_view body) {
         if (auto fault = core_->restore(row, a, b, stamp, body); !fault.empty())
             throw std::runtime_error("planner's store " + path + ": " + fault);
@@ -66,11 +66,11 @@
                                            [this] { read_at_ = loop::now() + still_for; });
     listener_ =
         std::make_unique<loop::Listener>(loop_, listen, [this](std::shared_ptr<loop::Socket> s) {
-            SideId id{++next_side_};
-            sides_.add(id, s);
+            SessionId id{++next_session_};
+            sessions_.add(id, s);
             s->on_bytes = [this, id](std::string_view in) { core_->bytes(loop::now(), id, in); };
             s->on_gone = [this, id](loop::Gone) {
-                sides_.remove(id);
+                sessions_.remove(id);
                 core_->gone(loop::now(), id);
             };
             s->start();
@@ -120,15 +120,15 @@
         read_fleet_file();
     }
     core_->settle(now);
-    sides_.flush();
+    sessions_.flush();
     return std::min(read_at_, core_->next_due());
 }
 
-void Server::send(SideId id, std::string bytes) {
-    sides_.send(id, std::move(bytes));
+void Server::send(SessionId id, std::string bytes) {
+    sessions_.send(id, std::move(bytes));
 }
-void Server::close(SideId id) {
-    auto s = sides_.remove(id);
+void Server::close(SessionId id) {
+    auto s = sessions_.remove(id);
     if (!s)
         return;
     s->close_when_sent();
--- a/src/planner/server.hpp
+++ b/src/planner/server.hpp
@@ -8,8 +8,8 @@
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
 #include "planner/core.hpp"
-#include "planner/files.hpp"
-#include "planner/store.hpp"
+#include "planner/desired_state_files.hpp"
+#include "planner/sqlite_state_store.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::planner {
@@ -28,8 +28,8 @@
     // Called once when another planner is followed.
     std::function<void()> on_retired;
 
-    void send(SideId side, std::string bytes) override;
-    void close(SideId side) override;
+    void send(SessionId side, std::string bytes) override;
+    void close(SessionId side) override;
     void say(std::string text) override;
     void retired() override;
 
@@ -43,8 +43,8 @@
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Watch> watch_;
-    std::uint64_t next_side_ = 0;
-    loop::Sockets<SideId> sides_;
+    std::uint64_t next_session_ = 0;
+    loop::Sockets<SessionId> sessions_;
 };
 
 } // namespace knotvane::planner
--- a/src/planner/side.hpp
+++ b/src/planner/session.hpp
@@ -13,11 +13,11 @@
 }
 
 // One connection. What it says it is decides what it may say.
-struct Core::Side final : facts::Heard {
+struct Core::Session final : control::MessageHandler {
     enum class Role { unknown, edge, node, visitor };
     Core &core;
-    SideId id;
-    facts::Reader reader;
+    SessionId id;
+    control::Reader reader;
     Role role = Role::unknown;
     EdgeId edge;
     NodeId node;
@@ -29,7 +29,7 @@
     bool in_flight = false, is_long = false, closed = false;
     std::optional<NodeState> state_told;
 
-    Side(Core &c, SideId i) : core(c), id(i) {}
+    Session(Core &c, SessionId i) : core(c), id(i) {}
 
     bool expect(Role wanted, const char *what) {
         if (role == wanted)
@@ -65,9 +65,9 @@
             core.outranked(term, "edge " + text(edge));
     }
     void node_hello(NodeId n, ShardId shard, ZoneId zone, const std::string &address,
-                    std::uint64_t life, Time age) override {
+                    std::uint64_t incarnation, Time age) override {
         if (expect(Role::unknown, "a second hello"))
-            core.node_hello(*this, n, shard, zone, address, life, age);
+            core.node_hello(*this, n, shard, zone, address, incarnation, age);
     }
     void node_renew() override {
         if (expect(Role::node, "a node's renewal"))
@@ -76,7 +76,7 @@
     void status_asked() override {
         role = role == Role::unknown ? Role::visitor : role;
         if (expect(Role::visitor, "an ask for status"))
-            core.shell_.send(id, facts::status(core.status_json(core.now_)));
+            core.shell_.send(id, control::status(core.status_json(core.now_)));
     }
     void drain_asked(NodeId n, bool draining, std::uint8_t how) override {
         role = role == Role::unknown ? Role::visitor : role;
@@ -89,10 +89,10 @@
         if (expect(Role::visitor, "a snapshot asked for"))
             core.cut_asked(*this, what, name, as, plan);
     }
-    void cut_told(VolumeId as, facts::CutStep step, std::uint8_t how,
-                  facts::EdgeLife life) override {
+    void cut_told(VolumeId as, control::SnapshotStep step, std::uint8_t how,
+                  control::EdgeIncarnation incarnation) override {
         if (role == Role::edge)
-            return core.cuts_.edge_told(core.now_, edge, life, as, step);
+            return core.cuts_.edge_told(core.now_, edge, incarnation, as, step);
         if (!expect(Role::node, "a step of a cut"))
             return;
         if (auto w = core.wanted_.nodes.find(node); w != core.wanted_.nodes.end())
--- a/src/planner/cuts.cpp
+++ b/src/planner/snapshot_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "planner/cuts.hpp"
+#include "planner/snapshot_coordinator.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -71,9 +71,9 @@
         orders_.release(e, a.of, as);
     a.waited.clear();
     // By process, not by edge: one that restarts in the middle may go by an old plan.
-    std::vector<facts::EdgeLife> late;
-    for (auto &[e, life] : a.late)
-        late.push_back(life);
+    std::vector<control::EdgeIncarnation> late;
+    for (auto &[e, incarnation] : a.late)
+        late.push_back(incarnation);
     for (auto n : a.nodes)
         orders_.open(n, a.of, as, a.epoch, late);
     step(now, as, a);
@@ -89,14 +89,14 @@
         if (!a.missing.empty())
             return;
         a.phase = Phase::moving, a.until = now + moved_time;
-        for (auto &[e, life] : a.late)
+        for (auto &[e, incarnation] : a.late)
             a.waited.insert(e), orders_.go(e, a.of, as, a.epoch);
         [[fallthrough]];
     case Phase::moving:
         if (!a.waited.empty())
             return;
         a.phase = Phase::draining, a.until = now + drain_time;
-        for (auto &[e, life] : a.late)
+        for (auto &[e, incarnation] : a.late)
             if (!a.drained.contains(e))
                 a.waited.insert(e);
         [[fallthrough]];
@@ -124,7 +124,7 @@
     orders_.failed(as, why, again);
 }
 
-void Cuts::edge_told(Time now, EdgeId edge, facts::EdgeLife life, VolumeId as, CutStep what) {
+void Cuts::edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as, SnapshotStep what) {
     auto it = attempts_.find(as);
     if (it == attempts_.end())
         return;
@@ -132,28 +132,28 @@
     if (!a.asked.contains(edge))
         return;
     switch (what) {
-    case CutStep::ready:
+    case SnapshotStep::ready:
         if (a.phase != Phase::holding) {
             if (!a.late.contains(edge))
                 orders_.release(edge, a.of, as);
             return;
         }
         a.waited.erase(edge);
-        a.late[edge] = life;
+        a.late[edge] = incarnation;
         break;
-    case CutStep::lapsed:
+    case SnapshotStep::lapsed:
         // Guards against an edge that went on by itself, in the epoch before, while others are in
         // the new one.
         if (!a.late.contains(edge))
             return;
         return fail(
             as, "edge " + std::to_string(edge.value) + " held its changes back for too long", true);
-    case CutStep::drained:
+    case SnapshotStep::drained:
         a.drained.insert(edge);
         if (a.phase == Phase::draining)
             a.waited.erase(edge);
         break;
-    case CutStep::moved:
+    case SnapshotStep::moved:
         if (a.phase == Phase::moving)
             a.waited.erase(edge);
         break;
@@ -162,10 +162,10 @@
     }
     step(now, as, a);
 }
-void Cuts::node_told(Time now, NodeId node, ShardId shard, VolumeId as, CutStep what,
+void Cuts::node_told(Time now, NodeId node, ShardId shard, VolumeId as, SnapshotStep what,
                      std::uint8_t how) {
     constexpr std::uint8_t done = 0, exists = 1, full = 3;
-    if (what == CutStep::dropped) {
+    if (what == SnapshotStep::dropped) {
         auto u = undo_.find(as);
         if (u == undo_.end() || how != done)
             return;
@@ -179,10 +179,10 @@
     if (it == attempts_.end())
         return;
     auto &a = it->second;
-    bool expected = what == CutStep::opened ? a.phase == Phase::opening
-                    : what == CutStep::sealed
+    bool expected = what == SnapshotStep::opened ? a.phase == Phase::opening
+                    : what == SnapshotStep::sealed
                         ? a.phase == Phase::sealing
-                        : what == CutStep::cloned && a.phase == Phase::cloning;
+                        : what == SnapshotStep::cloned && a.phase == Phase::cloning;
     if (!expected || !a.missing.contains(node))
         return;
     if (how != done && how != exists)
--- a/src/planner/cuts.hpp
+++ b/src/planner/snapshot_coordinator.hpp
@@ -14,12 +14,12 @@
 #include <string>
 #include <vector>
 
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 
 namespace knotvane::planner {
 
-using facts::CutStep;
-using facts::EdgeId;
+using control::SnapshotStep;
+using control::EdgeId;
 
 class Cuts {
 public:
@@ -31,7 +31,7 @@
         virtual void go(EdgeId, VolumeId of, VolumeId as, std::uint32_t epoch) = 0;
         virtual void release(EdgeId, VolumeId of, VolumeId as) = 0;
         virtual void open(NodeId, VolumeId of, VolumeId as, std::uint32_t epoch,
-                          const std::vector<facts::EdgeLife> &late) = 0;
+                          const std::vector<control::EdgeIncarnation> &late) = 0;
         virtual void seal(NodeId, VolumeId of, VolumeId as) = 0;
         virtual void clone(NodeId, VolumeId of, VolumeId as) = 0;
         virtual void drop(NodeId, VolumeId as) = 0;
@@ -51,8 +51,8 @@
     void undo(VolumeId as, std::set<ShardId> shards);
 
     // `life`: of the edge's process, as nodes know it.
-    void edge_told(Time now, EdgeId edge, facts::EdgeLife life, VolumeId as, CutStep step);
-    void node_told(Time now, NodeId node, ShardId shard, VolumeId as, CutStep step,
+    void edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as, SnapshotStep step);
+    void node_told(Time now, NodeId node, ShardId shard, VolumeId as, SnapshotStep step,
                    std::uint8_t how);
     // The connection went: what it was to do for a cut that is not whole may not have come about.
     void edge_gone(Time now, EdgeId edge);
@@ -78,7 +78,7 @@
         Phase phase = Phase::holding;
         Time began = 0, until = 0;
         std::set<EdgeId> asked, waited, drained;
-        std::map<EdgeId, facts::EdgeLife> late; // those that have stopped
+        std::map<EdgeId, control::EdgeIncarnation> late; // those that have stopped
         std::set<NodeId> nodes, missing;
     };
     void open(Time now, VolumeId as, Attempt &a);
--- a/src/planner/store.cpp
+++ b/src/planner/sqlite_state_store.cpp
@@ -1,4 +1,4 @@
-#include "planner/store.hpp"
+#include "planner/sqlite_state_store.hpp"
 
 #include <cstring>
 #include <filesystem>
@@ -13,7 +13,7 @@
 // The format's number; a file with another is not touched.
 constexpr std::int64_t format = 1;
 
-std::uint64_t sum_of(Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+std::uint64_t sum_of(StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                      std::string_view body) {
     std::uint64_t head[4] = {static_cast<std::uint64_t>(row), a, b, stamp.value};
     return XXH3_64bits_withSeed(body.data(), body.size(), XXH3_64bits(head, sizeof head));
--- a/src/planner/store.hpp
+++ b/src/planner/sqlite_state_store.hpp
@@ -17,7 +17,7 @@
 
 namespace knotvane::planner {
 
-class Store final : public Keeper {
+class Store final : public StateStore {
 public:
     // Opens or makes the file. Throws std::runtime_error with one line: what is wrong, where, what
     // is expected. A store that another process has open is that, and so is one that is damaged.
--- a/src/planner/state.cpp
+++ b/src/planner/versioned_state.cpp
@@ -1,9 +1,9 @@
-#include "planner/state.hpp"
+#include "planner/versioned_state.hpp"
 
 #include <algorithm>
 #include <iterator>
 
-#include "facts/messages.hpp"
+#include "control/messages.hpp"
 
 namespace knotvane::planner {
 namespace {
@@ -30,10 +30,10 @@
     to.order.erase(first);
 }
 
-void State::put_part(EdgeId edge, VolumeId volume, const facts::Part &part) {
+void State::put_part(EdgeId edge, VolumeId volume, const control::Part &part) {
     auto &mine = parts_[edge];
     auto it = mine.find(volume);
-    if (part == facts::Part{}) {
+    if (part == control::Part{}) {
         if (it == mine.end())
             return;
         mine.erase(it);
@@ -70,7 +70,7 @@
     return true;
 }
 
-const facts::Part *State::part(EdgeId edge, VolumeId volume) const {
+const control::Part *State::part(EdgeId edge, VolumeId volume) const {
     auto e = parts_.find(edge);
     if (e == parts_.end())
         return nullptr;
@@ -96,22 +96,22 @@
     switch (key.kind) {
     case Kind::plan: {
         PlanId id{static_cast<std::uint32_t>(key.id)};
-        out += there ? facts::put(id, table_.plans.at(id)) : facts::drop(id);
+        out += there ? control::put(id, table_.plans.at(id)) : control::drop(id);
         break;
     }
     case Kind::volume: {
         VolumeId id{key.id};
-        out += there ? facts::put(id, table_.volumes.at(id)) : facts::drop_volume(id);
+        out += there ? control::put(id, table_.volumes.at(id)) : control::drop_volume(id);
         break;
     }
     case Kind::node: {
         NodeId id{key.id};
-        out += there ? facts::put(id, table_.nodes.at(id)) : facts::drop(id);
+        out += there ? control::put(id, table_.nodes.at(id)) : control::drop(id);
         break;
     }
     case Kind::part: {
         VolumeId id{key.id};
-        out += there ? facts::put(id, *part(EdgeId{key.edge}, id)) : facts::drop_part(id);
+        out += there ? control::put(id, *part(EdgeId{key.edge}, id)) : control::drop_part(id);
         break;
     }
     }
@@ -139,14 +139,14 @@
     from = Version{0};
     std::uint64_t count = 0;
     for (auto &[id, p] : table_.plans)
-        out += facts::put(id, p), ++count;
+        out += control::put(id, p), ++count;
     for (auto &[id, v] : table_.volumes)
-        out += facts::put(id, v), ++count;
+        out += control::put(id, v), ++count;
     for (auto &[id, n] : table_.nodes)
-        out += facts::put(id, n), ++count;
+        out += control::put(id, n), ++count;
     if (auto mine = parts_.find(edge); mine != parts_.end())
         for (auto &[id, p] : mine->second)
-            out += facts::put(id, p), ++count;
+            out += control::put(id, p), ++count;
     return count;
 }
 
--- a/src/planner/state.hpp
+++ b/src/planner/versioned_state.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "facts/table.hpp"
+#include "control/cluster_state.hpp"
 
 namespace knotvane::planner {
 
-using facts::EdgeId;
-using facts::Version;
+using control::EdgeId;
+using control::Version;
 
 class State {
 public:
@@ -40,7 +40,7 @@
         table_.put(id, fact);
         stamp(key_of(id, fact));
     }
-    void put_part(EdgeId edge, VolumeId volume, const facts::Part &part);
+    void put_part(EdgeId edge, VolumeId volume, const control::Part &part);
     void drop(NodeId id);
     void drop(PlanId id);
     void drop_volume(VolumeId id);
@@ -60,26 +60,26 @@
     // from before what is remembered: the whole, and `from` becomes 0.
     std::uint64_t news(EdgeId edge, Version &from, std::string &out) const;
 
-    const facts::Table &table() const { return table_; }
-    const facts::Part *part(EdgeId edge, VolumeId volume) const;
+    const control::ClusterState &table() const { return table_; }
+    const control::Part *part(EdgeId edge, VolumeId volume) const;
     // Keys changed in the version that is open.
     const std::set<Key> &changed() const { return changed_; }
     bool has(const Key &key) const;
 
 private:
-    std::map<NodeId, facts::Node> &map_of(NodeId, const facts::Node &) { return table_.nodes; }
-    std::map<PlanId, facts::Plan> &map_of(PlanId, const facts::Plan &) { return table_.plans; }
-    std::map<VolumeId, facts::Volume> &map_of(VolumeId, const facts::Volume &) {
+    std::map<NodeId, control::Node> &map_of(NodeId, const control::Node &) { return table_.nodes; }
+    std::map<PlanId, control::Plan> &map_of(PlanId, const control::Plan &) { return table_.plans; }
+    std::map<VolumeId, control::Volume> &map_of(VolumeId, const control::Volume &) {
         return table_.volumes;
     }
-    static Key key_of(NodeId id, const facts::Node &) { return {Kind::node, 0, id.value}; }
-    static Key key_of(PlanId id, const facts::Plan &) { return {Kind::plan, 0, id.value}; }
-    static Key key_of(VolumeId id, const facts::Volume &) { return {Kind::volume, 0, id.value}; }
+    static Key key_of(NodeId id, const control::Node &) { return {Kind::node, 0, id.value}; }
+    static Key key_of(PlanId id, const control::Plan &) { return {Kind::plan, 0, id.value}; }
+    static Key key_of(VolumeId id, const control::Volume &) { return {Kind::volume, 0, id.value}; }
     void stamp(const Key &key);
     void tell(const Key &key, std::string &out) const;
 
-    facts::Table table_; // parts are not in it
-    std::map<EdgeId, std::map<VolumeId, facts::Part>> parts_;
+    control::ClusterState table_; // parts are not in it
+    std::map<EdgeId, std::map<VolumeId, control::Part>> parts_;
     Version version_;
     // For all edges, and for each: by version, a key once, with the last.
     struct Changes {
--- a/src/record/recording.cpp
+++ b/src/record/recording.cpp
@@ -5,7 +5,7 @@
 
 #include <msgpack.hpp>
 
-#include "frames/crc.hpp"
+#include "node_protocol/crc.hpp"
 
 namespace knotvane::record {
 namespace {
--- a/src/record/recording.hpp
+++ b/src/record/recording.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::record {
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -75,8 +75,8 @@
     }
     // The wire is over: closed by a side (the other side hears it once all is sent), or cut.
     void end(int by, bool reset) {
-        auto self = relay.wires_.find(id);
-        if (self == relay.wires_.end())
+        auto self = relay.transport_.find(id);
+        if (self == relay.transport_.end())
             return;
         auto keep = self->second;
         if (by >= 0 && !held.empty() && ends < 0 && loop::now() < hold_until) {
@@ -90,7 +90,7 @@
         }
         if (!(ends >= 0 && ends == edge_side()))
             relay.put(record::Kind::closed, id, by == edge_side(), 0);
-        relay.wires_.erase(self);
+        relay.transport_.erase(self);
         for (int i = 0; i < 2; ++i)
             if (auto s = std::exchange(side[i], nullptr)) {
                 if (reset)
@@ -108,8 +108,8 @@
         timer_, [](uv_timer_t *t) { static_cast<Relay *>(t->data)->release(); }, 1, 1);
 }
 Relay::~Relay() {
-    while (!wires_.empty())
-        wires_.begin()->second->end(-1, true);
+    while (!transport_.empty())
+        transport_.begin()->second->end(-1, true);
     uv_close(reinterpret_cast<uv_handle_t *>(timer_),
              [](uv_handle_t *h) { delete reinterpret_cast<uv_timer_t *>(h); });
 }
@@ -135,7 +135,7 @@
     if (front.node != NodeId{0} && blocked_[front.node])
         return from->close(true);
     auto wire = std::make_shared<Wire>(*this, ++next_, front.edge, front.node);
-    wires_[wire->id] = wire;
+    transport_[wire->id] = wire;
     wire->side[0] = from;
     wire->side[1] = std::make_shared<loop::Socket>(loop_);
     if (front.node == NodeId{0})
@@ -163,7 +163,7 @@
 
 void Relay::each(std::uint64_t edge, NodeId node, const std::function<void(Wire &)> &call) {
     std::vector<std::shared_ptr<Wire>> all;
-    for (auto &[id, w] : wires_)
+    for (auto &[id, w] : transport_)
         if (w->node == node && (edge == ~0ull || w->edge == edge))
             all.push_back(w);
     for (auto &w : all)
@@ -171,7 +171,7 @@
 }
 void Relay::release() {
     std::vector<std::shared_ptr<Wire>> all;
-    for (auto &[id, w] : wires_)
+    for (auto &[id, w] : transport_)
         if (!w->held.empty() || w->swallow_until > 0)
             all.push_back(w);
     for (auto &w : all)
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 #include "loop/loop.hpp"
 #include "record/recording.hpp"
 
@@ -50,7 +50,7 @@
     record::Writer &to_;
     std::uint64_t next_ = 0;
     std::vector<std::unique_ptr<Front>> fronts_;
-    std::map<std::uint64_t, std::shared_ptr<Wire>> wires_;
+    std::map<std::uint64_t, std::shared_ptr<Wire>> transport_;
     std::map<NodeId, bool> blocked_;
     uv_timer_t *timer_;
 };
--- a/src/rules/figures.cpp
+++ b/src/rules/figures.cpp
@@ -60,7 +60,7 @@
         judge.set_cut(j.at("read_cut"), j.at("write_cut"));
         for (auto &w : j.at("workloads"))
             judge.set_workload(w.at("command"), w.at("client_timeout"),
-                               static_cast<Repeat>(w.at("repeat").get<int>()), w.at("window"),
+                               static_cast<Idempotency>(w.at("repeat").get<int>()), w.at("window"),
                                w.at("key_rest"));
         for (auto &v : j.at("volumes")) {
             judge.set_volume(v.at("name"), VolumeId{v.at("id")});
--- a/src/rules/history.hpp
+++ b/src/rules/history.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::rules {
 
--- a/src/rules/judge.cpp
+++ b/src/rules/judge.cpp
@@ -48,7 +48,7 @@
     Time lost_at = 0; // surely lost then
 };
 
-struct Judge::Wire final : frames::Sink {
+struct Judge::Wire final : node_protocol::Sink {
     Judge &judge;
     WireId id;
     EdgeId edge;
@@ -58,27 +58,27 @@
     bool greeted[2] = {false, false};
     bool export_name = false, no_zeroes = true, lost_track = false;
     std::map<std::uint64_t, Requestp> flying; // by cookie
-    frames::Reader reader[2];
+    node_protocol::Reader reader[2];
     bool from_edge = false;
     Time now = 0, opened = 0, told_of_loss = 0;
     std::map<std::uint64_t, std::uint64_t> numbers; // a tag's task
 
     Wire(Judge &j, WireId i, EdgeId e) : judge(j), id(i), edge(e) {}
-    bool frame(frames::Kind kind, std::uint8_t frame_flags, frames::Status status,
+    bool frame(node_protocol::Kind kind, std::uint8_t frame_flags, node_protocol::Status status,
                std::uint64_t tag, VolumeId v, std::uint64_t offset, std::uint32_t length,
                std::uint32_t units, std::uint64_t, std::uint64_t number, Time, ShardId shard,
                std::string_view payload, std::uint32_t) override {
-        if (from_edge && kind >= frames::Kind::read && kind <= frames::Kind::status) {
+        if (from_edge && kind >= node_protocol::Kind::read && kind <= node_protocol::Kind::status) {
             numbers[tag] = number;
-            if (kind == frames::Kind::flush || (frame_flags & frames::flag_durable))
+            if (kind == node_protocol::Kind::flush || (frame_flags & node_protocol::flag_durable))
                 judge.flush_asked_[*node] = now;
             judge.shot(now, *this, kind, tag, v, offset, length, units / 1000.0, number, shard,
                        payload.size() >= block ? hash_of(payload.substr(0, block))
                                                : hash_of_zeroes);
             return true;
         }
-        bool off = from_edge && kind == frames::Kind::call_off;
-        if (!off && (from_edge || kind != frames::Kind::answer))
+        bool off = from_edge && kind == node_protocol::Kind::cancel_attempt;
+        if (!off && (from_edge || kind != node_protocol::Kind::answer))
             return true;
         auto n = numbers.find(tag);
         auto t = n == numbers.end() ? judge.tasks_.end() : judge.tasks_.find({edge, n->second});
@@ -88,10 +88,10 @@
             if (s.tag == tag && s.wire == id && s.out) {
                 bool proved =
                     !off &&
-                    (status == frames::Status::full || status == frames::Status::too_late ||
-                     status == frames::Status::misdirected || status == frames::Status::stale);
-                bool known = !off && status != frames::Status::called_off;
-                if (!off && status == frames::Status::ok) {
+                    (status == node_protocol::Status::full || status == node_protocol::Status::too_late ||
+                     status == node_protocol::Status::misdirected || status == node_protocol::Status::stale);
+                bool known = !off && status != node_protocol::Status::called_off;
+                if (!off && status == node_protocol::Status::ok) {
                     if (auto &r = t->second.request) {
                         r->parts_done.emplace_back(t->second.offset, t->second.length);
                         r->answered_by.emplace_back(*node, now);
@@ -105,7 +105,7 @@
 
 Judge::Judge(Time slack) : slack_(slack) {}
 Judge::~Judge() = default;
-void Judge::set_workload(int command, Time client_timeout, Repeat repeat, Time window,
+void Judge::set_workload(int command, Time client_timeout, Idempotency repeat, Time window,
                          Time key_rest) {
     auto &f = figures_[static_cast<std::size_t>(command)];
     f.client_timeout = std::max(f.client_timeout, client_timeout);
@@ -151,12 +151,12 @@
 }
 
 void Judge::client_wire(Time now, WireId wire, EdgeId edge, VolumeId volume) {
-    wires_[wire] = std::make_unique<Wire>(*this, wire, edge);
-    wires_[wire]->volume = volume, wires_[wire]->opened = now;
+    transport_[wire] = std::make_unique<Wire>(*this, wire, edge);
+    transport_[wire]->volume = volume, transport_[wire]->opened = now;
 }
 void Judge::node_wire(Time now, WireId wire, EdgeId edge, NodeId node) {
-    wires_[wire] = std::make_unique<Wire>(*this, wire, edge);
-    wires_[wire]->node = node, wires_[wire]->opened = now;
+    transport_[wire] = std::make_unique<Wire>(*this, wire, edge);
+    transport_[wire]->node = node, transport_[wire]->opened = now;
 }
 void Judge::told(Time now, EdgeId edge, NodeId node, NodeState state) {
     if (state == NodeState::ready)
@@ -183,7 +183,7 @@
     }
 }
 void Judge::killed(Time, EdgeId edge) {
-    for (auto &[id, w] : wires_)
+    for (auto &[id, w] : transport_)
         if (w->edge == edge) {
             for (auto &[cookie, r] : w->flying)
                 r->open = false;
@@ -195,8 +195,8 @@
 }
 
 void Judge::bytes(Time now, WireId wire, bool from_edge, std::string_view in) {
-    auto it = wires_.find(wire);
-    if (it == wires_.end() || it->second->lost_track)
+    auto it = transport_.find(wire);
+    if (it == transport_.end() || it->second->lost_track)
         return;
     Wire &w = *it->second;
     w.now = now, w.from_edge = from_edge;
@@ -411,7 +411,7 @@
     // A denial says that trying again is harmless: not of a write that may have run and must not
     // run twice.
     if (error == nbd::e_nomem && (r->command == 1 || r->command == 2) &&
-        f.repeat != Repeat::reissuable) {
+        f.repeat != Idempotency::idempotent) {
         judge(Rule::effects);
         for (auto n : r->tasks)
             for (auto &s : tasks_[{r->edge, n}].shots)
@@ -484,15 +484,15 @@
         std::erase_if(hist, [&](auto &x) { return x.first->end < last->start; });
 }
 
-void Judge::shot(Time now, Wire &w, frames::Kind kind, std::uint64_t tag, VolumeId volume,
+void Judge::shot(Time now, Wire &w, node_protocol::Kind kind, std::uint64_t tag, VolumeId volume,
                  std::uint64_t offset, std::uint32_t length, double units, std::uint64_t number,
                  ShardId shard, std::uint64_t first) {
     ++shots_;
     auto [it, is_new] = tasks_.try_emplace({w.edge, number});
     TaskSeen &t = it->second;
-    int command = static_cast<int>(kind) - static_cast<int>(frames::Kind::read);
+    int command = static_cast<int>(kind) - static_cast<int>(node_protocol::Kind::read);
     const Figures &f = figures_[static_cast<std::size_t>(command)];
-    bool writes = frames::changes(kind);
+    bool writes = node_protocol::changes(kind);
     if (is_new) {
         t.kind = kind, t.volume = volume, t.offset = offset, t.length = length;
         by_age_.emplace_back(now, it->first);
@@ -527,9 +527,9 @@
     for (auto &s : t.shots) {
         if (s.out && !parallel_)
             breach(Rule::effects, now, "two shots out at once, " + name);
-        if (!writes || s.proved || f.repeat == Repeat::reissuable)
+        if (!writes || s.proved || f.repeat == Idempotency::idempotent)
             continue;
-        if (f.repeat == Repeat::at_most_once)
+        if (f.repeat == Idempotency::at_most_once)
             breach(Rule::effects, now,
                    "a further shot of what may have run and must not twice, " + name);
         else if (now > s.sent + f.window || s.shard != shard)
@@ -626,7 +626,7 @@
         TaskSeen &o = tasks_.at({edge, *it});
         // A shot that its edge timed out shows nowhere: it is taken for out as long as it may be,
         // and to rest.
-        const Figures &f = figures_[o.kind == frames::Kind::write ? 1 : 2];
+        const Figures &f = figures_[o.kind == node_protocol::Kind::write ? 1 : 2];
         bool out = std::any_of(o.shots.begin(), o.shots.end(), [&](auto &s) {
             return s.out && now < s.sent + f.client_timeout + f.key_rest - slack_;
         });
@@ -663,15 +663,15 @@
 
 void Judge::shot_over(Time now, TaskSeen &t, ShotSeen &s, bool proved, bool known) {
     s.out = false, s.proved = proved;
-    bool writes = frames::changes(t.kind);
+    bool writes = node_protocol::changes(t.kind);
     if (writes && !known)
         t.rest_until = std::max(
-            t.rest_until, now + figures_[t.kind == frames::Kind::write ? 1 : 2].key_rest - slack_);
+            t.rest_until, now + figures_[t.kind == node_protocol::Kind::write ? 1 : 2].key_rest - slack_);
 }
 
 void Judge::closed(Time now, WireId id, bool by_edge) {
-    auto it = wires_.find(id);
-    if (it == wires_.end())
+    auto it = transport_.find(id);
+    if (it == transport_.end())
         return;
     Wire &w = *it->second;
     for (auto &[tag, number] : w.numbers)
@@ -687,12 +687,12 @@
             reading_.erase({r->start, r.get()});
         std::erase(open_[w.edge], r);
     }
-    wires_.erase(it);
+    transport_.erase(it);
 }
 
 void Judge::finish(Time now) {
     check_waiting(now + slack_ + 1);
-    for (auto &[id, w] : wires_)
+    for (auto &[id, w] : transport_)
         for (auto &[cookie, r] : w->flying) {
             auto &f = figures_[static_cast<std::size_t>(r->command)];
             if (f.client_timeout > 0 && now > r->start + f.client_timeout + slack_)
--- a/src/rules/judge.hpp
+++ b/src/rules/judge.hpp
@@ -15,11 +15,11 @@
 #include <tuple>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/node.hpp"
-#include "core/task.hpp"
-#include "core/time.hpp"
-#include "frames/frames.hpp"
+#include "common/ids.hpp"
+#include "scheduling/node_record.hpp"
+#include "scheduling/request.hpp"
+#include "common/time.hpp"
+#include "node_protocol/frame.hpp"
 
 namespace knotvane::rules {
 
@@ -37,7 +37,7 @@
     ~Judge();
     // `command`: 0 read, 1 write, 2 zero, 3 flush, 4 status, as the edge's; the longest time of a
     // command counts.
-    void set_workload(int command, Time client_timeout, Repeat repeat, Time window, Time key_rest);
+    void set_workload(int command, Time client_timeout, Idempotency repeat, Time window, Time key_rest);
     // Where the edges cut requests into tasks: multiples of these many bytes.
     void set_cut(std::uint64_t reads, std::uint64_t writes);
     void set_shots(std::uint32_t most, bool parallel);
@@ -89,11 +89,11 @@
     };
     struct Figures {
         Time client_timeout = 0, window = 0, key_rest = 0;
-        Repeat repeat = Repeat::reissuable;
+        Idempotency repeat = Idempotency::idempotent;
     };
     using Requestp = std::shared_ptr<Request>;
     struct TaskSeen {
-        frames::Kind kind;
+        node_protocol::Kind kind;
         VolumeId volume;
         std::uint64_t offset;
         std::uint32_t length;
@@ -111,7 +111,7 @@
     void got(Wire &w, std::uint64_t cookie, std::uint64_t offset, std::string_view data);
     void ended(Time now, Wire &w, std::uint64_t cookie, std::uint32_t error);
     void check_read(Time now, Request &r);
-    void shot(Time now, Wire &w, frames::Kind kind, std::uint64_t tag, VolumeId volume,
+    void shot(Time now, Wire &w, node_protocol::Kind kind, std::uint64_t tag, VolumeId volume,
               std::uint64_t offset, std::uint32_t length, double units, std::uint64_t number,
               ShardId shard, std::uint64_t first);
     void shot_over(Time now, TaskSeen &t, ShotSeen &s, bool proved, bool known);
@@ -133,7 +133,7 @@
     std::map<VolumeId, Limit> limits_;
     std::map<std::string, VolumeId, std::less<>> volumes_;
 
-    std::map<WireId, std::unique_ptr<Wire>> wires_;
+    std::map<WireId, std::unique_ptr<Wire>> transport_;
     std::map<EdgeId, std::vector<Requestp>> open_; // writes, in order of arrival
     std::map<std::pair<EdgeId, std::uint64_t>, TaskSeen> tasks_;
     std::deque<std::pair<Time, std::pair<EdgeId, std::uint64_t>>> by_age_;
--- a/src/wire/options.hpp
+++ b/src/scheduler_setup/options.hpp
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/reader.hpp"
+#include "scheduler_setup/record_reader.hpp"
 
-namespace knotvane::wire {
+namespace knotvane::scheduler_setup {
 
 class Options {
 public:
@@ -83,4 +83,4 @@
     std::map<std::string, std::string> values_;
 };
 
-} // namespace knotvane::wire
+} // namespace knotvane::scheduler_setup
--- a/src/wire/reader.hpp
+++ b/src/scheduler_setup/record_reader.hpp
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <type_traits>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
-namespace knotvane::wire {
+namespace knotvane::scheduler_setup {
 
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -75,4 +75,4 @@
     std::string_view rest_;
 };
 
-} // namespace knotvane::wire
+} // namespace knotvane::scheduler_setup
--- a/src/wire/writer.hpp
+++ b/src/scheduler_setup/record_writer.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
-namespace knotvane::wire {
+namespace knotvane::scheduler_setup {
 
 class Record {
 public:
@@ -51,4 +51,4 @@
     std::size_t at_ = 0;
 };
 
-} // namespace knotvane::wire
+} // namespace knotvane::scheduler_setup
--- a/src/wire/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -1,28 +1,28 @@
-#include "wire/setup.hpp"
+#include "scheduler_setup/setup.hpp"
 
 #include <algorithm>
 #include <string>
 
-namespace knotvane::wire {
+namespace knotvane::scheduler_setup {
 namespace {
 
-Repeat repeat_of(const std::string &s, const std::string &path) {
+Idempotency repeat_of(const std::string &s, const std::string &path) {
     if (s == "idempotent" || s.empty())
-        return Repeat::reissuable;
+        return Idempotency::idempotent;
     if (s == "deduplicated")
-        return Repeat::numbered;
+        return Idempotency::deduplicated;
     if (s == "at_most_once")
-        return Repeat::at_most_once;
+        return Idempotency::at_most_once;
     throw Malformed("setting " + path + ": unknown effect: " + s.substr(0, 80));
 }
 
-Group group_of(const std::string &s, const std::string &path) {
+DeduplicationScope group_of(const std::string &s, const std::string &path) {
     if (s == "all" || s.empty())
-        return Group::all;
+        return DeduplicationScope::all;
     if (s == "zone")
-        return Group::zone;
+        return DeduplicationScope::zone;
     if (s == "cell")
-        return Group::shard;
+        return DeduplicationScope::shard;
     throw Malformed("setting " + path + ": unknown group: " + s.substr(0, 80));
 }
 
@@ -86,4 +86,4 @@
     to.set_usage(o.time("Extra.MeteringS"), o.flag("Extra.TellsElsewhere"));
 }
 
-} // namespace knotvane::wire
+} // namespace knotvane::scheduler_setup
--- a/src/wire/setup.hpp
+++ b/src/scheduler_setup/setup.hpp
@@ -2,13 +2,13 @@
 // run them.
 #pragma once
 
-#include "policy.hpp"
-#include "wire/options.hpp"
+#include "scheduling/scheduler.hpp"
+#include "scheduler_setup/options.hpp"
 
-namespace knotvane::wire {
+namespace knotvane::scheduler_setup {
 
 // All set-up calls, in order, but for ready. Throws Malformed with the path of a setting that is
 // wrong.
 void set_up(Scheduler &to, const Options &options);
 
-} // namespace knotvane::wire
+} // namespace knotvane::scheduler_setup
--- a/src/core/node.hpp
+++ b/src/scheduling/node_record.hpp
@@ -5,23 +5,23 @@
 #include <tuple>
 #include <utility>
 
-#include "core/samples.hpp"
-#include "core/task.hpp"
+#include "scheduling/samples.hpp"
+#include "scheduling/request.hpp"
 
 namespace knotvane {
 
-enum class NodeState { draining, gone, ready };
+enum class NodeState { draining, removed, ready };
 
 struct NodeSeen {
     NodeId id;
     ShardId shard;
     ZoneId zone;
-    NodeState state = NodeState::gone;
+    NodeState state = NodeState::removed;
     Time started = 0;
     Time cold_until = 0;
     bool listed = false;
     Recent sent, asked;                                       // units
-    std::set<std::pair<Time, std::pair<TaskId, ShotId>>> out; // by the time sent
+    std::set<std::pair<Time, std::pair<RequestId, AttemptId>>> out; // by the time sent
     std::set<Time>
         ghosts; // when shots were sent that ended unanswered: their work may still be there
     std::size_t overdue = 0; // of those out, when last looked at
--- a/src/core/task.hpp
+++ b/src/scheduling/request.hpp
@@ -3,22 +3,22 @@
 
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
 
 namespace knotvane {
 
 // What a repeat of a task does: it may run again; repeats are dropped by a group of nodes; it must
 // never run twice.
-enum class Repeat { reissuable, numbered, at_most_once };
+enum class Idempotency { idempotent, deduplicated, at_most_once };
 // The nodes that drop repeats of a numbered task.
-enum class Group { all, zone, shard };
+enum class DeduplicationScope { all, zone, shard };
 
 struct Workload {
     double value = 1, late_part = 0;
     Time due = 0, repeat_window = 0, key_rest = 0;
-    Repeat repeat = Repeat::reissuable;
-    Group group = Group::all;
+    Idempotency repeat = Idempotency::idempotent;
+    DeduplicationScope group = DeduplicationScope::all;
     bool in_turn = false;
 };
 
@@ -39,7 +39,7 @@
 enum class Stage { turn, limit, placement, queue, shooting };
 
 struct Task {
-    TaskId id;
+    RequestId id;
     WorkloadId workload;
     VolumeId volume;
     PlanId plan;
--- a/src/core/samples.hpp
+++ b/src/scheduling/samples.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane {
 
--- a/src/policy.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -16,7 +16,7 @@
 //   one takes
 //   6. doomed work: what was abandoned at a node stays in the window, and a full node is held for a
 //   moment
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 #include <cmath>
 #include <deque>
@@ -26,8 +26,8 @@
 #include <random>
 #include <set>
 
-#include "core/node.hpp"
-#include "core/samples.hpp"
+#include "scheduling/node_record.hpp"
+#include "scheduling/samples.hpp"
 
 namespace knotvane {
 
@@ -36,8 +36,8 @@
 // ---- Turn by key: tasks with one key run one at a time, in the order in which they were taken.
 class Turns {
 public:
-    void join(KeyId key, TaskId task) { lines_[key].tasks.push_back(task); }
-    bool may_go(KeyId key, TaskId task, Time now) const {
+    void join(KeyId key, RequestId task) { lines_[key].tasks.push_back(task); }
+    bool may_go(KeyId key, RequestId task, Time now) const {
         auto it = lines_.find(key);
         return it == lines_.end() ||
                (it->second.tasks.front() == task && now >= it->second.rest_until);
@@ -47,7 +47,7 @@
     void rest(KeyId key, Time until) {
         lines_[key].rest_until = std::max(lines_[key].rest_until, until);
     }
-    void leave(KeyId key, TaskId task) { std::erase(lines_[key].tasks, task); }
+    void leave(KeyId key, RequestId task) { std::erase(lines_[key].tasks, task); }
     void prune(Time now) {
         std::erase_if(
             lines_, [&](auto &l) { return l.second.tasks.empty() && now >= l.second.rest_until; });
@@ -55,7 +55,7 @@
 
 private:
     struct Line {
-        std::deque<TaskId> tasks;
+        std::deque<RequestId> tasks;
         Time rest_until = 0;
     };
     std::map<KeyId, Line> lines_;
@@ -189,7 +189,7 @@
         20 * ms;                               // the paper's: shorter turns say nothing of the rate
     static constexpr double write_charge = 10; // the paper's
     using Rank =
-        std::tuple<double, Time, TaskId>; // most value a unit, earliest due time, then as taken
+        std::tuple<double, Time, RequestId>; // most value a unit, earliest due time, then as taken
     struct Line {
         double weight = 1, start = 0, finish = 0, budget = 0;
         std::size_t out = 0;
@@ -389,25 +389,25 @@
 
 // Whether telling the client that trying again is harmless is true. Guards against effects that
 // happen twice.
-bool may_deny(const Task &task, Repeat repeat, Group group) {
-    return repeat == Repeat::reissuable || !task.may_have_run() ||
-           (repeat == Repeat::numbered && group == Group::all);
+bool may_deny(const Task &task, Idempotency repeat, DeduplicationScope group) {
+    return repeat == Idempotency::idempotent || !task.may_have_run() ||
+           (repeat == Idempotency::deduplicated && group == DeduplicationScope::all);
 }
 
 // Whether one more shot after the first so many can do no harm at that node. Guards against effects
 // that happen twice.
 bool harmless(const Task &task, std::size_t made, const Workload &w, const Node &node, Time now,
               Time margin) {
-    if (w.repeat == Repeat::reissuable)
+    if (w.repeat == Idempotency::idempotent)
         return true;
     for (std::size_t i = 0; i < made; ++i) {
         const Shot &s = task.shots[i];
         if (s.proved_not_run)
             continue;
-        if (w.repeat == Repeat::at_most_once || now + margin >= s.sent + w.repeat_window)
+        if (w.repeat == Idempotency::at_most_once || now + margin >= s.sent + w.repeat_window)
             return false;
-        if ((w.group == Group::shard && s.shard != node.shard) ||
-            (w.group == Group::zone && s.zone != node.zone))
+        if ((w.group == DeduplicationScope::shard && s.shard != node.shard) ||
+            (w.group == DeduplicationScope::zone && s.zone != node.zone))
             return false;
     }
     return true;
@@ -422,7 +422,7 @@
 
 class Knotvane final : public Scheduler {
 public:
-    Knotvane(Actions &actions, std::uint64_t seed)
+    Knotvane(SchedulerActions &actions, std::uint64_t seed)
         : do_(actions), chance_(static_cast<std::uint32_t>(seed ^ (seed >> 32))) {}
 
     void set_place(PeerId self, std::uint32_t n, ZoneId) override { self_ = self, schedulers_ = n; }
@@ -431,7 +431,7 @@
         workloads_[id].due = due, workloads_[id].value = value,
         workloads_[id].late_part = late_part;
     }
-    void set_repeat(WorkloadId id, Repeat repeat, Group group, Time window) override {
+    void set_repeat(WorkloadId id, Idempotency repeat, DeduplicationScope group, Time window) override {
         workloads_[id].repeat = repeat, workloads_[id].group = group,
         workloads_[id].repeat_window = window;
     }
@@ -472,13 +472,13 @@
             follow(now);
     }
 
-    void list_begins(Time now, ListKind kind) override {
+    void endpoint_list_begin(Time now, EndpointListKind kind) override {
         now_ = heard_list_ = now, ask_at_ = never;
-        whole_ = kind == ListKind::whole;
+        whole_ = kind == EndpointListKind::full;
         for (auto &[id, node] : nodes_)
             node.listed = false;
     }
-    void node_listed(NodeId id, ShardId shard, ZoneId zone, NodeState state,
+    void endpoint_listed(NodeId id, ShardId shard, ZoneId zone, NodeState state,
                      Time started) override {
         Node &node = nodes_.try_emplace(id, id, schedulers_, largest_).first->second;
         node.listed = true, node.shard = shard, node.zone = zone, node.state = state;
@@ -487,11 +487,11 @@
             node.cold_until = std::max(node.cold_until, started + warm_after_);
         }
     }
-    void list_ends() override {
+    void endpoint_list_end() override {
         ready_.clear(), holds_.clear();
         for (auto &[id, node] : nodes_) {
             if (whole_ && !node.listed) // a whole list that leaves a node out has removed it
-                node.state = NodeState::gone;
+                node.state = NodeState::removed;
             if (node.state != NodeState::ready) {
                 empty_queue(node);
                 continue;
@@ -502,18 +502,18 @@
                 holder = &node;
         }
     }
-    void list_failed(Time now) override {
+    void endpoint_list_failed(Time now) override {
         // A second apart and not in step with others, so that failing calls do not keep the list
         // busy.
         ask_at_ = now + 500 * ms + static_cast<Time>(chance_() % 1000) * ms;
     }
 
-    void part_told(Time now, VolumeId volume, double hosts) override {
+    void quota_share_changed(Time now, VolumeId volume, double hosts) override {
         now_ = now;
         limits_.try_emplace(volume, 0, 0, now).first->second.hand(now, hosts);
     }
 
-    void task_taken(Time now, TaskId id, WorkloadId workload, VolumeId volume, PlanId plan,
+    void request_received(Time now, RequestId id, WorkloadId workload, VolumeId volume, PlanId plan,
                     ShardId shard, KeyId key, double units, double hosts, bool writes,
                     bool repeated, Time client_timeout) override {
         now_ = now;
@@ -542,7 +542,7 @@
             turns_.join(t.key, id);
         moving_.insert(id);
     }
-    void shot_ended(Time now, TaskId id, ShotId shot, NodeId, Outcome how, Time took, bool ended,
+    void attempt_completed(Time now, RequestId id, AttemptId shot, NodeId, AttemptOutcome how, Time took, bool ended,
                     double, double, std::span<const float>) override {
         now_ = now;
         auto it = tasks_.find(id);
@@ -553,10 +553,10 @@
         Shot &s = t.shots[shot.value];
         s.out = false;
         s.proved_not_run =
-            how == Outcome::full || how == Outcome::unreachable || how == Outcome::unsent;
+            how == AttemptOutcome::overloaded || how == AttemptOutcome::unreachable || how == AttemptOutcome::not_sent;
         hear(nodes_.at(s.node), t, shot, how, took);
         if (in_turn(t) &&
-            (how == Outcome::timed_out || how == Outcome::reset || how == Outcome::called_off))
+            (how == AttemptOutcome::timed_out || how == AttemptOutcome::reset || how == AttemptOutcome::canceled))
             turns_.rest(t.key, now + workloads_[t.workload].key_rest);
         if (ended && !t.ended)
             stayed_.add({t.volume, now - t.taken}), end(t);
@@ -564,7 +564,7 @@
             again(t);
         forget_if_done(it);
     }
-    void task_withdrawn(Time now, TaskId id, bool by_client) override {
+    void request_canceled(Time now, RequestId id, bool by_client) override {
         now_ = now;
         auto it = tasks_.find(id);
         if (it == tasks_.end() || it->second.ended)
@@ -577,7 +577,7 @@
     }
     // Its connection may have come up late: the client left, the node drains, the window for
     // repeats is over.
-    bool may_begin(Time now, TaskId id, ShotId shot) const override {
+    bool may_send_attempt(Time now, RequestId id, AttemptId shot) const override {
         auto it = tasks_.find(id);
         if (it == tasks_.end() || it->second.ended)
             return false;
@@ -586,7 +586,7 @@
         return node.state == NodeState::ready &&
                harmless(t, shot.value, workloads_.at(t.workload), node, now, 2 * step_);
     }
-    void alarm(Time now, AlarmId) override {
+    void alarm(Time now, TimerId) override {
         if (now >= next_alarm_)
             next_alarm_ = never;
     }
@@ -617,10 +617,10 @@
     using Alike = std::tuple<VolumeId, KeyId, WorkloadId, double>;
     static Alike alike(const Task &t) { return {t.volume, t.key, t.workload, t.units}; }
     // ---- Intake: one final answer for each task, never late.
-    void give_up(Task &t, Time come_back_after) {
+    void give_up(Task &t, Time retry_after) {
         const Workload &w = workloads_[t.workload];
         if (may_deny(t, w.repeat, w.group))
-            do_.deny(t.id, std::min(come_back_after, longest_wait_));
+            do_.reject(t.id, std::min(retry_after, longest_wait_));
         else
             do_.error(t.id);
         unanswered_[alike(t)] = t.first_due;
@@ -634,7 +634,7 @@
         if (may_call_off_)
             for (std::uint32_t i = 0; i < t.shots.size(); ++i)
                 if (t.shots[i].out)
-                    do_.call_off(t.id, ShotId{i});
+                    do_.cancel_attempt(t.id, AttemptId{i});
     }
     void leave_stage(Task &t) {
         moving_.erase(t.id);
@@ -647,7 +647,7 @@
     }
     // A task is done with when it has its answer and no shot out; only then does its key's next one
     // go.
-    void forget_if_done(std::map<TaskId, Task>::iterator it) {
+    void forget_if_done(std::map<RequestId, Task>::iterator it) {
         Task &t = it->second;
         if (!t.ended || t.any_out())
             return;
@@ -665,7 +665,7 @@
 
     // ---- Turn, limit and placement: each passes the task on or keeps it.
     void advance() {
-        std::vector<TaskId> all(moving_.begin(), moving_.end());
+        std::vector<RequestId> all(moving_.begin(), moving_.end());
         for (auto id : all) {
             auto it = tasks_.find(id);
             Task &t = it->second;
@@ -732,7 +732,7 @@
             sum += worth(plan, std::max(plan.usual, 1e-6));
         for (auto &[v, line] : node.volumes.lines())
             if (!line.tasks.empty()) {
-                const Task &t = tasks_.at(std::get<TaskId>(*line.tasks.begin()));
+                const Task &t = tasks_.at(std::get<RequestId>(*line.tasks.begin()));
                 double asked = asked_[v].since(now_ - surge) / seconds(surge);
                 all += worth(plans_[t.plan], std::max(asked * t.hosts, 1e-6));
             }
@@ -768,7 +768,7 @@
         node.reckon(now_, elsewhere_);
         drop_late(node);
         while (auto v = node.volumes.choose(now_)) {
-            Task &t = tasks_.at(std::get<TaskId>(*node.volumes.lines().at(*v).tasks.begin()));
+            Task &t = tasks_.at(std::get<RequestId>(*node.volumes.lines().at(*v).tasks.begin()));
             if (!t.shots.empty() && !may_go_again(t, node)) {
                 auto it = tasks_.find(t.id);
                 give_up(t, longest_wait_);
@@ -792,7 +792,7 @@
                 return;
             node.volumes.sent(rank(t), t.units, charge);
             node.waiting.remove(t.units, t.due, {t.volume, rank(t)});
-            shoot(node, t);
+            start_attempt(node, t);
         }
     }
     // How long a volume's clients wait now, where many leave early (eight in two seconds): the
@@ -828,14 +828,14 @@
             for (auto &[v, line] : node.volumes.lines()) {
                 Time wait = line.tasks.empty() ? never / 2 : clients_wait(v);
                 for (auto &rank : line.tasks)
-                    if (const Task &t = tasks_.at(std::get<TaskId>(rank));
+                    if (const Task &t = tasks_.at(std::get<RequestId>(rank));
                         now_ + node.expected(t.units) > t.taken + wait)
                         late.insert({v, rank});
             }
-        std::vector<TaskId> ends;
+        std::vector<RequestId> ends;
         std::size_t late_firsts = 0;
         for (auto &[v, rank] : late) {
-            ends.push_back(std::get<TaskId>(rank));
+            ends.push_back(std::get<RequestId>(rank));
             late_firsts += !node.waiting.repeats().contains({v, rank});
         }
         // A repeat earns a late answer's part at most: where first tries wait, it makes room for
@@ -844,7 +844,7 @@
             node.waiting.firsts() > late_firsts)
             for (auto &place : node.waiting.repeats())
                 if (!late.contains(place))
-                    ends.push_back(std::get<TaskId>(place.second));
+                    ends.push_back(std::get<RequestId>(place.second));
         for (auto id : ends) {
             auto it = tasks_.find(id);
             give_up(it->second, longest_wait_), forget_if_done(it);
@@ -895,7 +895,7 @@
     }
 
     // ---- Shots.
-    void shoot(Node &node, Task &t) {
+    void start_attempt(Node &node, Task &t) {
         if (!t.shots.empty())
             further_.shots.add(now_, 1);
         else if (t.passed_limit)
@@ -905,16 +905,16 @@
         node.units_waiting -= t.units, node.units_out += t.units;
         if (node.out.empty())
             node.heard = now_;
-        node.out.insert({now_, {t.id, ShotId{static_cast<std::uint32_t>(t.shots.size())}}});
+        node.out.insert({now_, {t.id, AttemptId{static_cast<std::uint32_t>(t.shots.size())}}});
         t.shots.push_back({node.id, node.shard, node.zone, now_, true, false});
         t.stage = Stage::shooting;
-        do_.shoot(t.id, node.id, 0);
+        do_.start_attempt(t.id, node.id, 0);
     }
-    void hear(Node &node, Task &t, ShotId shot, Outcome how, Time took) {
+    void hear(Node &node, Task &t, AttemptId shot, AttemptOutcome how, Time took) {
         node.out.erase({t.shots[shot.value].sent, {t.id, shot}});
         node.units_out -= t.units;
         node.volumes.returned(t.volume);
-        if (how == Outcome::timed_out || how == Outcome::called_off) {
+        if (how == AttemptOutcome::timed_out || how == AttemptOutcome::canceled) {
             if (t.shots[shot.value].sent >= node.overtaken)
                 node.ghosts.insert(t.shots[shot.value].sent);
             // It took this long at least: without it the window hears of the quick answers only,
@@ -927,7 +927,7 @@
             if (took > node.patience() && t.shots[shot.value].sent < node.overtaken)
                 node.lost = now_;
         }
-        if (how == Outcome::answered || how == Outcome::error) {
+        if (how == AttemptOutcome::answered || how == AttemptOutcome::error) {
             // It may have restarted before the list says so: cold if it refused a connection or was
             // silent for longer than nodes pause. A reset alone is no sign: its cause may lie on
             // the way.
@@ -937,7 +937,7 @@
             node.silent = node.refused = false;
             node.heard = now_, node.refusals = 0;
         }
-        if (how == Outcome::answered) {
+        if (how == AttemptOutcome::answered) {
             node.overtaken = std::max(node.overtaken, t.shots[shot.value].sent);
             node.ghosts.erase(node.ghosts.begin(), node.ghosts.lower_bound(node.overtaken));
             node.took.add(took), node.fulls = 1;
@@ -946,14 +946,14 @@
             unit_time_.add(seconds(took) / std::max(t.units, 1.0)),
                 elsewhere_ = unit_time_.quantile(0.25);
             node.window.answered(now_, std::max(t.units, 1.0), took, 2 * took > t.due - t.taken);
-        } else if (how == Outcome::full) {
+        } else if (how == AttemptOutcome::overloaded) {
             node.window.halve(now_, node.took.quantile(0.5));
             // A place is free when something was done. Each further time twice as long, until all
             // schedulers together send one in the time that one takes: else it stays full of doomed
             // work.
             node.hold_until = now_ + node.expected(t.units) * node.fulls;
             node.fulls = std::min(node.fulls * 2, schedulers_);
-        } else if (how == Outcome::unreachable) {
+        } else if (how == AttemptOutcome::unreachable) {
             // One lost connection is no sign: where the network drops some, most nodes would pass
             // for cold. Nor is one that never came up while the node answered others: it was lost
             // on the way.
@@ -997,7 +997,7 @@
     // ---- The list and the alarm.
     void follow(Time now) {
         heard_list_ = now, ask_at_ = never;
-        do_.follow_list();
+        do_.watch_endpoints();
     }
     void wake() {
         // Waiting tasks are looked at each few milliseconds: the finest any gate here tells apart.
@@ -1008,10 +1008,10 @@
         for (auto id : busy_)
             at = std::min(at, now_ + (nodes_.at(id).units_waiting > 1e-9 ? look : watch_out));
         if (at < next_alarm_)
-            do_.set_alarm(AlarmId{1}, std::max<Time>(at - now_, 0)), next_alarm_ = at;
+            do_.set_timer(TimerId{1}, std::max<Time>(at - now_, 0)), next_alarm_ = at;
     }
 
-    Actions &do_;
+    SchedulerActions &do_;
     std::ranlux24_base chance_;
     PeerId self_;
     std::uint32_t schedulers_ = 1, most_shots_ = 1;
@@ -1024,13 +1024,13 @@
          whole_ = false, refuse_ = false;
     std::map<WorkloadId, Workload> workloads_;
     std::map<PlanId, Plan> plans_;
-    std::map<TaskId, Task> tasks_;
+    std::map<RequestId, Task> tasks_;
     std::map<NodeId, Node> nodes_;
     std::vector<Node *> ready_;
     std::map<ShardId, Node *> holds_;         // the youngest ready node of each shard
     std::set<NodeId> busy_;                   // with something waiting or out
-    std::set<TaskId> moving_;                 // in turn, limit or placement
-    std::set<std::pair<Time, TaskId>> calls_; // every task that is owed an answer, by its last call
+    std::set<RequestId> moving_;                 // in turn, limit or placement
+    std::set<std::pair<Time, RequestId>> calls_; // every task that is owed an answer, by its last call
     std::map<VolumeId, LimitPart> limits_;
     Samples<std::tuple<Time, VolumeId, Time>, 32>
         left_;                                      // clients who left: when, whose, after how long
@@ -1043,7 +1043,7 @@
     FurtherShots further_;
 };
 
-std::unique_ptr<Scheduler> make_scheduler(Actions &actions, std::uint64_t seed) {
+std::unique_ptr<Scheduler> make_scheduler(SchedulerActions &actions, std::uint64_t seed) {
     return std::make_unique<Knotvane>(actions, seed);
 }
 
--- a/src/policy.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -6,9 +6,9 @@
 // waiting work goes. A list of nodes comes as list_begins, node_listed for each line, list_ends.
 #pragma once
 
-#include "core/ids.hpp"
-#include "core/node.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "scheduling/node_record.hpp"
+#include "common/time.hpp"
 
 #include <cstdint>
 #include <memory>
@@ -17,21 +17,30 @@
 
 namespace knotvane {
 
-enum class ListKind { whole, changes };
+enum class EndpointListKind { full, delta };
 // How a shot ended. Only full, unreachable and unsent prove that it did not run.
-enum class Outcome { answered, error, full, timed_out, unreachable, reset, called_off, unsent };
+enum class AttemptOutcome {
+    answered,
+    error,
+    overloaded,
+    timed_out,
+    unreachable,
+    reset,
+    canceled,
+    not_sent
+};
 enum class Column { active, waiting, busy, latency, served, errors, other };
 
 // What a scheduler may do.
-class Actions {
+class SchedulerActions {
 public:
-    virtual ~Actions() = default;
-    virtual void shoot(TaskId task, NodeId node, Time time_out) = 0;
-    virtual void call_off(TaskId task, ShotId shot) = 0;
-    virtual void deny(TaskId task, Time come_back_after) = 0;
-    virtual void error(TaskId task) = 0;
-    virtual void set_alarm(AlarmId alarm, Time wait) = 0;
-    virtual void follow_list() = 0;
+    virtual ~SchedulerActions() = default;
+    virtual void start_attempt(RequestId task, NodeId node, Time timeout) = 0;
+    virtual void cancel_attempt(RequestId task, AttemptId shot) = 0;
+    virtual void reject(RequestId task, Time retry_after) = 0;
+    virtual void error(RequestId task) = 0;
+    virtual void set_timer(TimerId alarm, Time wait) = 0;
+    virtual void watch_endpoints() = 0;
     virtual void ask_list() = 0;
     virtual void probe(NodeId node) = 0;
     virtual void tell_all(std::string_view text) = 0;
@@ -49,7 +58,7 @@
     virtual void set_clock(Time step, Time answer_grace) = 0;
     virtual void add_workload(WorkloadId id, Time due, Time client_timeout, double value,
                               double late_part) = 0;
-    virtual void set_repeat(WorkloadId id, Repeat repeat, Group group, Time window) = 0;
+    virtual void set_repeat(WorkloadId id, Idempotency repeat, DeduplicationScope group, Time window) = 0;
     virtual void set_turns(WorkloadId id, Time key_rest) = 0;
     virtual void add_plan(PlanId id, double weight, double usual, double reserve, double price) = 0;
     virtual void set_limit(PlanId id, double rate, double burst) = 0;
@@ -67,37 +76,37 @@
     virtual void ready(Time now) = 0;
 
     // Events.
-    virtual void list_begins(Time now, ListKind kind) = 0;
-    virtual void node_listed(NodeId node, ShardId shard, ZoneId zone, NodeState state,
+    virtual void endpoint_list_begin(Time now, EndpointListKind kind) = 0;
+    virtual void endpoint_listed(NodeId node, ShardId shard, ZoneId zone, NodeState state,
                              Time started) = 0;
-    virtual void list_ends() = 0;
-    virtual void list_failed(Time now) = 0;
+    virtual void endpoint_list_end() = 0;
+    virtual void endpoint_list_failed(Time now) = 0;
     // This scheduler's part of a volume's limit is one over `hosts`, endless for none yet, and
     // others' parts are kept from adding past the whole. Untold, a task's hosts count.
-    virtual void part_told(Time, VolumeId, double /*hosts*/) {}
-    virtual void task_taken(Time now, TaskId task, WorkloadId workload, VolumeId volume,
+    virtual void quota_share_changed(Time, VolumeId, double /*hosts*/) {}
+    virtual void request_received(Time now, RequestId task, WorkloadId workload, VolumeId volume,
                             PlanId plan, ShardId shard, KeyId key, double units, double hosts,
                             bool writes, bool repeated, Time client_timeout) = 0;
     // `repeated`: the client says that it asked before.
     // `ended`: the client has its answer. `meter`: what the volume was served everywhere,
     // in parts of its plan's usual rate, below 0 if untold.
     // `elsewhere`: units this node served to the volume for other schedulers.
-    virtual void shot_ended(Time now, TaskId task, ShotId shot, NodeId node, Outcome how, Time took,
+    virtual void attempt_completed(Time now, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how, Time took,
                             bool ended, double meter, double elsewhere,
                             std::span<const float> report) = 0;
     // `by_client`: its client left, which tells how long clients wait; told once for each client
     // that leaves, of the first task that it had waiting.
-    virtual void task_withdrawn(Time now, TaskId task, bool by_client) = 0;
+    virtual void request_canceled(Time now, RequestId task, bool by_client) = 0;
     virtual void probe_ended(Time, NodeId, bool /*well*/, Time /*took*/,
                              std::span<const float> /*report*/) {}
     virtual void peer_told(Time, PeerId, std::string_view /*text*/) {}
     // Asked before a shot's first byte where that comes later than shoot: whether it may still be
     // made. One that may not comes back as unsent.
-    virtual bool may_begin(Time /*now*/, TaskId, ShotId) const { return true; }
-    virtual void alarm(Time now, AlarmId alarm) = 0;
+    virtual bool may_send_attempt(Time /*now*/, RequestId, AttemptId) const { return true; }
+    virtual void alarm(Time now, TimerId alarm) = 0;
     virtual void settle(Time now) = 0;
 };
 
-std::unique_ptr<Scheduler> make_scheduler(Actions &actions, std::uint64_t seed);
+std::unique_ptr<Scheduler> make_scheduler(SchedulerActions &actions, std::uint64_t seed);
 
 } // namespace knotvane
--- a/src/settings/fleet_sections.hpp
+++ b/src/settings/fleet_sections.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "core/ids.hpp"
+#include "common/ids.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::settings {
--- a/src/settings/ini.hpp
+++ b/src/settings/ini.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::settings {
 
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "edge/core.hpp"
-#include "edge/subscription.hpp"
+#include "edge/planner_client.hpp"
 #include "load/session.hpp"
 #include "nbd/wire.hpp"
 #include "node/disk.hpp"
@@ -27,8 +27,8 @@
 constexpr std::uint64_t block = 4096, busy_blocks = 48; // clients meet in these, of three extents
 constexpr Time client_timeout = 1500 * ms, window = 700 * ms, key_rest = 800 * ms;
 constexpr VolumeId volume{7};
-using facts::EdgeId;
-using planner::SideId;
+using control::EdgeId;
+using planner::SessionId;
 using rules::WriteNo;
 
 // A connection of two ends: bytes arrive in order, some time later; an end that closed hears
@@ -91,17 +91,17 @@
     void close_client(edge::ClientId client) override;
     void hold_client(edge::ClientId, bool) override {}
     void say(std::string) override {}
-    void shot_ended(TaskId, NodeId node, Outcome how, Time) override;
+    void attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) override;
     void volume_used(VolumeId v, bool on) override;
-    void cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife life) override;
+    void cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) override;
     // ---- edge::Line
     void dial() override;
     void hang_up() override;
     void send_planner(std::string bytes) override;
     void keep_plan(std::string, bool) override {}
-    void plan_taken(const facts::Table &table, bool nodes, bool plans,
+    void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
                     const std::map<NodeId, Time> &started) override;
-    void part_told(VolumeId v, double hosts) override;
+    void quota_share_changed(VolumeId v, double hosts) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
     void cut_release(VolumeId of, VolumeId as) override;
@@ -135,9 +135,9 @@
     std::uint64_t seq = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
     std::unique_ptr<planner::Core> core;
-    MemoryKeeper keeper;
+    MemoryKeeper state_store;
     Time planner_wake = never;
-    std::map<SideId, WirePtr> sides;
+    std::map<SessionId, WirePtr> sides;
     std::uint64_t next_side = 0, instances = 0, next_conn = 0, taken_names = 0;
     std::vector<std::unique_ptr<NodeHost>> nodes;
     std::vector<std::unique_ptr<EdgeHost>> edges;
@@ -172,16 +172,16 @@
     }
 
     // ---- Wires. `from`: the end that sends.
-    std::vector<std::weak_ptr<Wire>> wires;
+    std::vector<std::weak_ptr<Wire>> transport;
     WirePtr wire() {
         auto made = std::make_shared<Wire>();
-        wires.push_back(made);
+        transport.push_back(made);
         return made;
     }
     // Ends hold on to their wires.
     ~World() override {
         queue.clear();
-        for (auto &weak : wires)
+        for (auto &weak : transport)
             if (auto wire = weak.lock())
                 for (int end : {0, 1})
                     wire->hear[end] = nullptr, wire->ended[end] = nullptr;
@@ -216,7 +216,7 @@
         planner::Wanted p;
         p.version = 1;
         p.plans["p"] = {"p", 1, 1000, 0, 1, 0, 0};
-        facts::Volume v;
+        control::Volume v;
         v.name = "v", v.size = volume_size, v.least = 512;
         p.volumes[volume] = {v, "p", 0};
         for (std::uint32_t i = 0; i < day.nodes; ++i)
@@ -225,18 +225,18 @@
         return p;
     }
     void planner_start() {
-        keeper.lives_on();
-        core = std::make_unique<planner::Core>(*this, keeper, 3 * sec, 250 * ms, 20 * sec, 500 * ms,
+        state_store.lives_on();
+        core = std::make_unique<planner::Core>(*this, state_store, 3 * sec, 250 * ms, 20 * sec, 500 * ms,
                                                200 * ms, 200 * ms, sec);
-        for (auto &[key, row] : keeper.rows) {
+        for (auto &[key, row] : state_store.rows) {
             auto [kind, a, b] = key;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
                 broken("a row is not read back: " + fault);
         }
-        bool fresh = keeper.term == planner::Term{0};
-        if (!core->start(now, planner::Term{keeper.term.value + 1}, ++instances,
-                         fresh ? day.seed + 1 : keeper.lineage, keeper.version, keeper.oldest,
-                         keeper.settings, false))
+        bool fresh = state_store.term == planner::Term{0};
+        if (!core->start(now, planner::Term{state_store.term.value + 1}, ++instances,
+                         fresh ? day.seed + 1 : state_store.lineage, state_store.version, state_store.oldest,
+                         state_store.settings, false))
             return planner_die();
         std::vector<std::pair<int, std::string>> faults;
         core->want(now, wanted(), faults);
@@ -259,7 +259,7 @@
         if (!core)
             return;
         core->settle(now);
-        if (keeper.died)
+        if (state_store.died)
             return planner_die();
         auto due = core->next_due();
         if (due >= planner_wake)
@@ -275,7 +275,7 @@
     // A connection to the planner, whose end is 1; no answer where there is none.
     WirePtr to_planner(std::function<void(std::string_view)> hear, std::function<void()> ended) {
         auto wire = this->wire();
-        SideId side{++next_side};
+        SessionId side{++next_side};
         wire->hear[0] = std::move(hear), wire->ended[0] = std::move(ended);
         wire->hear[1] = [this, side](std::string_view b) {
             if (!core)
@@ -294,11 +294,11 @@
         core->came(now, side);
         return wire;
     }
-    void send(SideId side, std::string bytes) override {
+    void send(SessionId side, std::string bytes) override {
         if (auto it = sides.find(side); it != sides.end())
             send(it->second, 1, std::move(bytes));
     }
-    void close(SideId side) override {
+    void close(SessionId side) override {
         auto it = sides.find(side);
         if (it == sides.end())
             return;
@@ -342,17 +342,17 @@
     // ---- Operators.
     // From the planner's store: it may have died since it said so. 0: not there.
     VolumeId id_of(const std::string &name) const {
-        struct Row final : facts::Heard {
+        struct Row final : control::MessageHandler {
             std::string name;
-            void volume(VolumeId, facts::Volume v) override { name = v.name; }
+            void volume(VolumeId, control::Volume v) override { name = v.name; }
             void unexpected(const char *) override {}
         };
-        for (auto &[key, row] : keeper.rows) {
+        for (auto &[key, row] : state_store.rows) {
             auto [kind, id, b] = key;
-            if (kind != planner::Keeper::Row::volume)
+            if (kind != planner::StateStore::Row::volume)
                 continue;
             Row r;
-            facts::Reader().bytes(row.body, r);
+            control::Reader().bytes(row.body, r);
             if (r.name == name)
                 return VolumeId{id};
         }
@@ -361,7 +361,7 @@
     void operate(std::string question, std::function<void(bool done)> heard) {
         if (!core)
             return;
-        struct Ear final : facts::Heard {
+        struct Ear final : control::MessageHandler {
             std::function<void(bool)> heard;
             void effect(bool, bool done, const std::string &) override {
                 if (heard)
@@ -370,7 +370,7 @@
             void unexpected(const char *) override {}
         };
         auto ear = std::make_shared<Ear>();
-        auto reader = std::make_shared<facts::Reader>();
+        auto reader = std::make_shared<control::Reader>();
         ear->heard = std::move(heard);
         auto wire =
             to_planner([ear, reader](std::string_view b) { reader->bytes(b, *ear); }, [] {});
@@ -379,7 +379,7 @@
     void take() {
         auto name = std::to_string(++taken_names);
         Time called = now;
-        operate(facts::ask_cut(0, "v", name, ""), [this, name, called](bool done) {
+        operate(control::ask_cut(0, "v", name, ""), [this, name, called](bool done) {
             auto full = "v@" + name;
             if (!done)
                 return void(++out.refused);
@@ -392,14 +392,14 @@
     }
     void drop_or_clone(const std::string &full) {
         if (lot(0.5)) {
-            operate(facts::ask_cut(1, full, "", ""), [this, full](bool done) {
+            operate(control::ask_cut(1, full, "", ""), [this, full](bool done) {
                 if (done)
                     judge(full), snapshots.erase(full);
             });
             return;
         }
         auto as = "c" + std::to_string(++taken_names);
-        operate(facts::ask_cut(2, full, as, ""), [this, full, as](bool done) {
+        operate(control::ask_cut(2, full, as, ""), [this, full, as](bool done) {
             if (!done || !snapshots.contains(full))
                 return;
             ++out.clones;
@@ -479,12 +479,12 @@
     };
     line.say = [](std::string) {};
     line.open_cut = [this](VolumeId of, VolumeId as, std::uint32_t epoch,
-                           const std::vector<facts::EdgeLife> &late) {
-        std::set<facts::EdgeLife> who(late.begin(), late.end());
+                           const std::vector<control::EdgeIncarnation> &late) {
+        std::set<control::EdgeIncarnation> who(late.begin(), late.end());
         if (w.day.nodes_let_in)
             for (std::uint32_t e = 0; e < w.day.edges; ++e)
-                who.insert(w.edges[e]->core ? facts::EdgeLife{w.edges[e]->core->life()}
-                                            : facts::EdgeLife{});
+                who.insert(w.edges[e]->core ? control::EdgeIncarnation{w.edges[e]->core->incarnation()}
+                                            : control::EdgeIncarnation{});
         if (w.day.nodes_cut_once) {
             // As a store that knows nothing of late changes: sealed at once.
             auto how = store.cut(of, as, true);
@@ -527,7 +527,7 @@
 void EdgeHost::start() {
     ++lives;
     core = std::make_unique<edge::Core>(
-        *this, [&](Actions &a) { return make_scheduler(a, w.day.seed + id); }, id,
+        *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); }, id,
         w.day.seed + lives * 1000, extent, span, unit, w.all_shards());
     auto &s = core->scheduler();
     s.set_place(PeerId{static_cast<std::uint32_t>(id)}, w.day.edges, ZoneId{0});
@@ -535,7 +535,7 @@
     for (std::uint32_t i = 0; i < 5; ++i) {
         bool writes = i == 1 || i == 2;
         s.add_workload(WorkloadId{i}, 300 * ms, client_timeout, 1, 0.1);
-        s.set_repeat(WorkloadId{i}, writes ? Repeat::numbered : Repeat::reissuable, Group::shard,
+        s.set_repeat(WorkloadId{i}, writes ? Idempotency::deduplicated : Idempotency::idempotent, DeduplicationScope::shard,
                      writes ? window : 0);
         if (writes)
             s.set_turns(WorkloadId{i}, key_rest);
@@ -569,27 +569,27 @@
 void EdgeHost::connect(edge::LinkId link, const std::string &address) {
     auto wire = w.wire();
     links[link] = wire;
-    auto life = lives;
-    wire->hear[0] = [this, link, life](std::string_view b) {
-        in([this, link, life, bytes = std::string(b)] {
-            if (life == lives && links.contains(link))
+    auto incarnation = lives;
+    wire->hear[0] = [this, link, incarnation](std::string_view b) {
+        in([this, link, incarnation, bytes = std::string(b)] {
+            if (incarnation == lives && links.contains(link))
                 core->link_bytes(w.now, link, bytes);
         });
     };
-    wire->ended[0] = [this, link, life] {
-        in([this, link, life] {
-            if (life == lives && links.erase(link))
+    wire->ended[0] = [this, link, incarnation] {
+        in([this, link, incarnation] {
+            if (incarnation == lives && links.erase(link))
                 core->link_gone(w.now, link);
         });
     };
     auto &n = *w.nodes[std::stoull(address) - 1];
-    w.at(w.now + w.delay(), [this, link, life, wire, &n] {
+    w.at(w.now + w.delay(), [this, link, incarnation, wire, &n] {
         if (!wire->open[0])
             return;
         if (!n.listening) {
             wire->open[0] = false;
-            return in([this, link, life] {
-                if (life == lives && links.erase(link))
+            return in([this, link, incarnation] {
+                if (incarnation == lives && links.erase(link))
                     core->link_failed(w.now, link);
             });
         }
@@ -600,8 +600,8 @@
         };
         wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.gone(w.now, conn); };
         n.disk.came(w.now, conn);
-        in([this, link, life] {
-            if (life == lives && links.contains(link))
+        in([this, link, incarnation] {
+            if (incarnation == lives && links.contains(link))
                 core->link_up(w.now, link);
         });
     });
@@ -612,9 +612,9 @@
         return;
     auto size = bytes.size();
     w.send(it->second, 0, std::move(bytes));
-    w.at(w.now, [this, link, size, life = lives] {
-        in([this, link, size, life] {
-            if (life == lives && links.contains(link))
+    w.at(w.now, [this, link, size, incarnation = lives] {
+        in([this, link, size, incarnation] {
+            if (incarnation == lives && links.contains(link))
                 core->link_written(w.now, link, size);
         });
     });
@@ -633,9 +633,9 @@
         return;
     auto size = bytes.size();
     w.send(it->second, 1, std::move(bytes));
-    w.at(w.now, [this, client, size, life = lives] {
-        in([this, client, size, life] {
-            if (life == lives && clients.contains(client))
+    w.at(w.now, [this, client, size, incarnation = lives] {
+        in([this, client, size, incarnation] {
+            if (incarnation == lives && clients.contains(client))
                 core->client_written(w.now, client, size);
         });
     });
@@ -648,18 +648,18 @@
     clients.erase(it);
     w.close(wire, 1);
 }
-void EdgeHost::shot_ended(TaskId, NodeId node, Outcome how, Time) {
-    sub->shot_ended(w.now, node, how);
+void EdgeHost::attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) {
+    sub->attempt_completed(w.now, node, how);
 }
 void EdgeHost::volume_used(VolumeId v, bool on) {
     sub->volume_used(w.now, v, on);
 }
-void EdgeHost::cut_told(VolumeId as, facts::CutStep step, facts::EdgeLife l) {
+void EdgeHost::cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation l) {
     sub->cut_told(as, step, l);
 }
 void EdgeHost::dial() {
-    w.at(w.now + w.delay(), [this, life = lives] {
-        if (life != lives || !sub || paused)
+    w.at(w.now + w.delay(), [this, incarnation = lives] {
+        if (incarnation != lives || !sub || paused)
             return;
         if (!w.core || cut_off) {
             sub->down(w.now);
@@ -667,15 +667,15 @@
         }
         auto wire = std::make_shared<WirePtr>();
         *wire = planner = w.to_planner(
-            [this, life](std::string_view b) {
-                in([this, life, bytes = std::string(b)] {
-                    if (life == lives && planner)
+            [this, incarnation](std::string_view b) {
+                in([this, incarnation, bytes = std::string(b)] {
+                    if (incarnation == lives && planner)
                         sub->bytes(w.now, bytes);
                 });
             },
-            [this, life, wire] {
-                in([this, life, wire] {
-                    if (life == lives && planner == *wire)
+            [this, incarnation, wire] {
+                in([this, incarnation, wire] {
+                    if (incarnation == lives && planner == *wire)
                         planner.reset(), sub->down(w.now);
                 });
             });
@@ -691,27 +691,27 @@
     if (planner)
         w.send(planner, 0, std::move(bytes));
 }
-void EdgeHost::plan_taken(const facts::Table &table, bool nodes, bool plans,
+void EdgeHost::plan_taken(const control::ClusterState &table, bool nodes, bool plans,
                           const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[pid, p] : table.plans)
             core->plan_told(pid, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
     core->facts_changed(w.now);
-    if (!nodes || !core->list_begins(w.now, ++lists))
+    if (!nodes || !core->endpoint_list_begin(w.now, ++lists))
         return;
     for (auto &[nid, n] : table.nodes)
-        core->node_listed(nid, n.address, n.shard, n.zone, n.state, started.at(nid));
-    core->list_ends();
+        core->endpoint_listed(nid, n.address, n.shard, n.zone, n.state, started.at(nid));
+    core->endpoint_list_end();
 }
-void EdgeHost::part_told(VolumeId v, double hosts) {
-    core->part_told(w.now, v, hosts);
+void EdgeHost::quota_share_changed(VolumeId v, double hosts) {
+    core->quota_share_changed(w.now, v, hosts);
 }
 void EdgeHost::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     if (w.day.edges_begin_on)
-        return sub->cut_told(as, facts::CutStep::ready, facts::EdgeLife{core->life()});
+        return sub->cut_told(as, control::SnapshotStep::ready, control::EdgeIncarnation{core->incarnation()});
     core->cut_hold(w.now, of, as, epoch, longest);
     if (w.day.nobody_waits)
-        sub->cut_told(as, facts::CutStep::drained, facts::EdgeLife{core->life()});
+        sub->cut_told(as, control::SnapshotStep::drained, control::EdgeIncarnation{core->incarnation()});
 }
 void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
     if (w.day.edges_begin_on) {
@@ -742,7 +742,7 @@
     edge::ClientId id{++e.next_client};
     e.clients[id] = wire;
     auto mine = wire;
-    auto life = e.lives;
+    auto incarnation = e.lives;
     wire->hear[0] = [this, mine](std::string_view b) {
         if (wire != mine)
             return;
@@ -753,15 +753,15 @@
         if (wire == mine)
             w.at(w.now + 10 * ms + w.time_under(20 * ms), [this] { come(); });
     };
-    wire->hear[1] = [&e, id, life, this](std::string_view b) {
-        e.in([&e, id, life, this, bytes = std::string(b)] {
-            if (life == e.lives && e.clients.contains(id))
+    wire->hear[1] = [&e, id, incarnation, this](std::string_view b) {
+        e.in([&e, id, incarnation, this, bytes = std::string(b)] {
+            if (incarnation == e.lives && e.clients.contains(id))
                 e.core->client_bytes(w.now, id, bytes);
         });
     };
-    wire->ended[1] = [&e, id, life, this] {
-        e.in([&e, id, life, this] {
-            if (life == e.lives && e.clients.erase(id))
+    wire->ended[1] = [&e, id, incarnation, this] {
+        e.in([&e, id, incarnation, this] {
+            if (incarnation == e.lives && e.clients.erase(id))
                 e.core->client_gone(w.now, id);
         });
     };
@@ -843,7 +843,7 @@
         if (lot(0.5)) {
             planner_die();
         } else {
-            keeper.die_at = 1 + static_cast<int>(under(2));
+            state_store.die_at = 1 + static_cast<int>(under(2));
         }
         break;
     case 2: // an edge is cut off from the planner for a while, and goes on serving
@@ -865,8 +865,8 @@
             break;
         ++out.met["edges paused"];
         e.paused = true;
-        at(now + time_under(1500 * ms), [this, &e, life = e.lives] {
-            if (life != e.lives || !e.paused)
+        at(now + time_under(1500 * ms), [this, &e, incarnation = e.lives] {
+            if (incarnation != e.lives || !e.paused)
                 return;
             e.paused = false, e.stood_still = now;
             stir(e);
@@ -956,7 +956,7 @@
     for (auto &n : nodes) {
         std::set<VolumeId> expected;
         for (auto &[id, v] : core->state().table().volumes)
-            if (v.is_cut())
+            if (v.is_snapshot())
                 expected.insert(id);
         for (auto id : n->store.cuts())
             if (!expected.contains(id) && !core->busy_with(id))
--- a/src/sim/keeper.hpp
+++ b/src/sim/keeper.hpp
@@ -12,12 +12,12 @@
 
 namespace knotvane::sim {
 
-struct MemoryKeeper final : planner::Keeper {
+struct MemoryKeeper final : planner::StateStore {
     struct Row {
         planner::Version stamp;
         std::string body;
     };
-    using Key = std::tuple<planner::Keeper::Row, std::uint64_t, std::uint64_t>;
+    using Key = std::tuple<planner::StateStore::Row, std::uint64_t, std::uint64_t>;
     std::map<Key, std::optional<Row>> gathered;
     std::map<Key, Row> rows;
     planner::Term term;
@@ -26,11 +26,11 @@
     int die_at = 0; // 1: the next commit does not come about, 2: it does and nobody hears of it
     bool died = false;
 
-    void keep(planner::Keeper::Row r, std::uint64_t a, std::uint64_t b, planner::Version stamp,
+    void keep(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b, planner::Version stamp,
               std::string body) override {
         gathered[{r, a, b}] = Row{stamp, std::move(body)};
     }
-    void drop(planner::Keeper::Row r, std::uint64_t a, std::uint64_t b) override {
+    void drop(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b) override {
         gathered[{r, a, b}] = {};
     }
     bool commit(planner::Term t, std::uint64_t l, planner::Version v, planner::Version o,
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "edge/subscription.hpp"
+#include "edge/planner_client.hpp"
 #include "node/registration.hpp"
 #include "planner/core.hpp"
 #include "sim/keeper.hpp"
@@ -18,9 +18,9 @@
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-using facts::EdgeId;
-using facts::Version;
-using planner::SideId;
+using control::EdgeId;
+using control::Version;
+using planner::SessionId;
 
 struct World final : planner::Shell {
     struct EdgeHost final : edge::Line {
@@ -30,7 +30,7 @@
         Time offset;
         std::unique_ptr<edge::Subscription> sub;
         std::string disk;
-        SideId side{0};
+        SessionId side{0};
         bool up = false, paused = false;
         Time wake = never;
         std::set<VolumeId> serving;
@@ -49,20 +49,20 @@
             return static_cast<Time>(static_cast<double>(local - offset) / (1 + drift)) + 1;
         }
         void dial() override { w.dial(*this); }
-        void hang_up() override { w.hang_up(side, true), side = SideId{0}; }
+        void hang_up() override { w.hang_up(side, true), side = SessionId{0}; }
         void send_planner(std::string bytes) override { w.to_planner(side, std::move(bytes)); }
         void keep_plan(std::string bytes, bool anew) override {
             disk = anew ? std::move(bytes) : disk + bytes;
         }
         void say(std::string) override {}
-        void plan_taken(const facts::Table &table, bool, bool,
+        void plan_taken(const control::ClusterState &table, bool, bool,
                         const std::map<NodeId, Time> &started) override {
             w.taken(*this, table, started);
         }
-        void part_told(VolumeId v, double hosts) override {
+        void quota_share_changed(VolumeId v, double hosts) override {
             auto is = std::isinf(hosts)
                           ? 0
-                          : std::llround(static_cast<double>(facts::whole_limit) / hosts);
+                          : std::llround(static_cast<double>(control::whole_limit) / hosts);
             if (!paused)
                 w.usable[v] += is - usable[v];
             usable[v] = is;
@@ -71,8 +71,8 @@
     struct NodeHost {
         NodeId id;
         std::unique_ptr<node::Registration> reg;
-        SideId side{0};
-        std::uint64_t life = 1;
+        SessionId side{0};
+        std::uint64_t incarnation = 1;
         bool running = true;
         Time wake = never;
     };
@@ -94,7 +94,7 @@
     std::vector<std::function<void()>> while_paused;
     std::vector<std::unique_ptr<EdgeHost>> edges;
     std::vector<std::unique_ptr<NodeHost>> nodes;
-    std::map<SideId, Conn> conns;
+    std::map<SessionId, Conn> conns;
     std::uint64_t next_side = 0, instances = 0;
     planner::Wanted wanted;
     std::map<VolumeId, std::int64_t> usable;
@@ -124,7 +124,7 @@
 
     // ---- Network. A connection's first message comes first; after it each takes a time of its
     // own.
-    void pass(SideId side, std::string bytes, Time extra,
+    void pass(SessionId side, std::string bytes, Time extra,
               std::function<void(std::string_view)> to) {
         auto it = conns.find(side);
         if (it == conns.end() || !it->second.open)
@@ -149,7 +149,7 @@
                 e.sub->down(e.clock());
                 return run(e);
             }
-            SideId side{++next_side};
+            SessionId side{++next_side};
             e.side = side, e.up = true;
             auto far = [this, &e, side](std::string_view in) {
                 if (e.side != side || !e.sub)
@@ -169,7 +169,7 @@
             conns[side] = {far, [this, &e, side] {
                                if (e.side != side)
                                    return;
-                               e.side = SideId{0}, e.up = false;
+                               e.side = SessionId{0}, e.up = false;
                                if (!e.sub)
                                    return;
                                e.sub->down(e.clock());
@@ -195,7 +195,7 @@
                 n.reg->down(now);
                 return run(n);
             }
-            SideId side{++next_side};
+            SessionId side{++next_side};
             n.side = side;
             conns[side] = {[this, &n, side](std::string_view in) {
                                if (n.side == side && n.running)
@@ -204,7 +204,7 @@
                            [this, &n, side] {
                                if (n.side != side)
                                    return;
-                               n.side = SideId{0};
+                               n.side = SessionId{0};
                                if (n.running)
                                    n.reg->down(now), run(n);
                            }};
@@ -213,14 +213,14 @@
             run(n);
         });
     }
-    void to_planner(SideId side, std::string bytes) {
+    void to_planner(SessionId side, std::string bytes) {
         out.planner_bytes_in += bytes.size();
         pass(side, std::move(bytes), 0, [this, side](std::string_view in) {
             planner_in([this, side, bytes = std::string(in)] { core->bytes(now, side, bytes); });
         });
     }
     // The far side closed, or we did.
-    void hang_up(SideId side, bool by_far) {
+    void hang_up(SessionId side, bool by_far) {
         auto it = conns.find(side);
         if (it == conns.end() || !std::exchange(it->second.open, false))
             return;
@@ -258,7 +258,7 @@
                                                day.fade, 2 * sec, sec, sec, 2 * sec);
         for (auto &[key, row] : disk.rows) {
             auto [kind, a, b] = key;
-            if (day.planner_forgets && kind == planner::Keeper::Row::hold)
+            if (day.planner_forgets && kind == planner::StateStore::Row::hold)
                 continue;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
                 broken("a row is not read back: " + fault);
@@ -287,14 +287,14 @@
                 planner_start();
         });
     }
-    void send(SideId side, std::string bytes) override {
+    void send(SessionId side, std::string bytes) override {
         out.planner_bytes_out += bytes.size();
         auto it = conns.find(side);
         if (it != conns.end())
             pass(side, std::move(bytes), day.late > 0 && !quiet ? under(day.late) : 0,
                  it->second.to_far);
     }
-    void close(SideId side) override {
+    void close(SessionId side) override {
         auto it = conns.find(side);
         if (it == conns.end() || !std::exchange(it->second.open, false))
             return;
@@ -335,7 +335,7 @@
                 usable[v] -= u;
         e.usable.clear(), e.serving.clear();
         e.paused = false;
-        auto side = std::exchange(e.side, SideId{0});
+        auto side = std::exchange(e.side, SessionId{0});
         e.sub.reset();
         e.wake = never;
         hang_up(side, true);
@@ -356,18 +356,18 @@
             run(e);
         }
     }
-    void taken(EdgeHost &e, const facts::Table &table, const std::map<NodeId, Time> &started) {
+    void taken(EdgeHost &e, const control::ClusterState &table, const std::map<NodeId, Time> &started) {
         auto &copy = e.sub->copy();
         if (copy.term() < e.term || copy.version() < e.version)
             broken("edge " + std::to_string(e.id.value) + " went back from version " +
                    std::to_string(e.version.value) + " to " + std::to_string(copy.version().value));
         std::string all;
         for (auto &[id, n] : table.nodes)
-            all += facts::put(id, n);
+            all += control::put(id, n);
         for (auto &[id, p] : table.plans)
-            all += facts::put(id, p);
+            all += control::put(id, p);
         for (auto &[id, v] : table.volumes)
-            all += facts::put(id, v);
+            all += control::put(id, v);
         auto [it, is_new] = content.try_emplace({copy.lineage(), copy.version()}, all);
         if (!is_new && it->second != all)
             broken("version " + std::to_string(copy.version().value) +
@@ -389,7 +389,7 @@
     }
     void check() {
         for (auto &[v, sum] : usable)
-            if (sum > static_cast<std::int64_t>(facts::whole_limit))
+            if (sum > static_cast<std::int64_t>(control::whole_limit))
                 broken("edges use " + std::to_string(sum) + " millionths of volume " +
                        std::to_string(v.value) + "'s limit");
     }
@@ -400,24 +400,24 @@
             return;
         n.running = false;
         n.reg->stop(now);
-        hang_up(std::exchange(n.side, SideId{0}), true);
+        hang_up(std::exchange(n.side, SessionId{0}), true);
         at(now + down, [this, &n] {
             n.running = true;
-            n.reg->start(now, ++n.life, now);
+            n.reg->start(now, ++n.incarnation, now);
             run(n);
         });
     }
     void drain(NodeId node, bool on) {
         if (!core || planner_paused)
             return;
-        SideId side{++next_side};
+        SessionId side{++next_side};
         conns[side] = {[](std::string_view) {}, [] {}};
         drain_said[node] = on; // from here on it may be either, until it is durable
         planner_in([this, side] { core->came(now, side); });
         if (!on)
             undrained[node].insert(core->state().next());
         planner_in(
-            [this, side, node, on] { core->bytes(now, side, facts::ask_drain(node, on, 2)); });
+            [this, side, node, on] { core->bytes(now, side, control::ask_drain(node, on, 2)); });
         ++out.met[on ? "drains" : "undrains"];
     }
     void trouble() {
@@ -528,7 +528,7 @@
                 parts[v].push_back(e->usable[v]);
         for (auto &[v, all] : parts)
             for (auto p : all)
-                if (p != static_cast<std::int64_t>(facts::whole_limit / all.size()))
+                if (p != static_cast<std::int64_t>(control::whole_limit / all.size()))
                     return false;
         return true;
     }
@@ -572,13 +572,13 @@
             n->reg = std::make_unique<node::Registration>(
                 node::Registration::Line{
                     [this, n] { dial(*n); },
-                    [this, n] { hang_up(std::exchange(n->side, SideId{0}), true); },
+                    [this, n] { hang_up(std::exchange(n->side, SessionId{0}), true); },
                     [this, n](std::string b) { to_planner(n->side, std::move(b)); },
                     [](std::string) {}},
                 n->id, ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, "n" + std::to_string(i),
                 day.seed + i, 500 * ms);
             at(now + under(sec),
-               [this, n] { n->reg->start(now, n->life, now - 3600 * sec), run(*n); });
+               [this, n] { n->reg->start(now, n->incarnation, now - 3600 * sec), run(*n); });
         }
         Time began = now, ends = now + day.length, last = ends + 120 * sec;
         at(now + 2 * sec, [this] { trouble(); });
@@ -648,7 +648,7 @@
             auto part = e.sub->copy().table().parts.find(v);
             if (part == e.sub->copy().table().parts.end())
                 continue;
-            e.part_told(v, static_cast<double>(facts::whole_limit) /
+            e.quota_share_changed(v, static_cast<double>(control::whole_limit) /
                                std::max(1u, part->second.millionths));
         }
     }
--- a/src/sim/planning.hpp
+++ b/src/sim/planning.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 
 namespace knotvane::sim {
 
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -81,7 +81,7 @@
     void close_client(edge::ClientId client) override;
     void hold_client(edge::ClientId, bool) override {}
     void say(std::string) override {}
-    void shot_ended(TaskId, NodeId, Outcome, Time) override {}
+    void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
 };
 
 struct ClientHost final : load::Replies {
@@ -180,14 +180,14 @@
     }
 
     void tell_list(EdgeHost &e) {
-        if (!e.core->list_begins(now, version))
+        if (!e.core->endpoint_list_begin(now, version))
             return;
         for (auto &[id, state] : listed) {
-            e.core->node_listed(id, std::to_string(id.value), shards[id], ZoneId{0}, state.first,
+            e.core->endpoint_listed(id, std::to_string(id.value), shards[id], ZoneId{0}, state.first,
                                 state.second);
             judge.told(now, rules::EdgeId{e.index}, id, state.first);
         }
-        e.core->list_ends();
+        e.core->endpoint_list_end();
         settle(e);
     }
     // Every edge hears of the list's change at a time of its own.
@@ -210,12 +210,12 @@
         auto &s = core.scheduler();
         s.set_place(PeerId{static_cast<std::uint32_t>(index)}, day.edges, ZoneId{0});
         s.set_clock(ms, 10 * ms);
-        auto repeat = day.at_most_once ? Repeat::at_most_once : Repeat::numbered;
+        auto repeat = day.at_most_once ? Idempotency::at_most_once : Idempotency::deduplicated;
         for (std::uint32_t i = 0; i < 5; ++i) {
             bool writes = i == 1 || i == 2;
             WorkloadId id{i};
             s.add_workload(id, 300 * ms, client_timeout, writes ? 2 : 1, 0.1);
-            s.set_repeat(id, writes ? repeat : Repeat::reissuable, Group::shard,
+            s.set_repeat(id, writes ? repeat : Idempotency::idempotent, DeduplicationScope::shard,
                          writes ? window : 0);
             if (writes && !day.without_turns)
                 s.set_turns(id, day.at_most_once ? client_timeout + 100 * ms : key_rest);
@@ -534,7 +534,7 @@
             while (!old->peers.empty())
                 old->close(old->peers.begin()->first, true);
             old.reset();
-            listed[id].first = NodeState::gone;
+            listed[id].first = NodeState::removed;
             judge.started(now, add_node(shard).id);
             change_list();
         });
@@ -545,9 +545,9 @@
     for (int i = 0; i < 5; ++i) {
         bool writes = i == 1 || i == 2;
         judge.set_workload(i, client_timeout,
-                           !writes            ? Repeat::reissuable
-                           : day.at_most_once ? Repeat::at_most_once
-                                              : Repeat::numbered,
+                           !writes            ? Idempotency::idempotent
+                           : day.at_most_once ? Idempotency::at_most_once
+                                              : Idempotency::deduplicated,
                            writes ? window : 0,
                            writes ? (day.at_most_once ? client_timeout + 100 * ms : key_rest) : 0);
     }
@@ -570,7 +570,7 @@
         edges.push_back(std::make_unique<EdgeHost>(*this, i));
         auto &e = *edges.back();
         e.core = std::make_unique<edge::Core>(
-            e, [&](Actions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed, extent,
+            e, [&](SchedulerActions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed, extent,
             span, unit, all);
         set_up(*e.core, i);
         if (day.limits && !small_buffers())
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "core/time.hpp"
+#include "common/time.hpp"
 #include "rules/judge.hpp"
 
 namespace knotvane::sim {
--- a/src/drill/host.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -1,39 +1,39 @@
-#include "drill/host.hpp"
+#include "simulator_adapter/adapter.hpp"
 
 #include <algorithm>
 #include <cstring>
 
-#include "wire/options.hpp"
-#include "wire/setup.hpp"
-#include "wire/writer.hpp"
+#include "scheduler_setup/options.hpp"
+#include "scheduler_setup/setup.hpp"
+#include "scheduler_setup/record_writer.hpp"
 
-namespace knotvane::drill {
+namespace knotvane::simulator_adapter {
 namespace {
 
-using wire::Malformed;
-using wire::Options;
-using wire::Reader;
-using wire::Record;
+using scheduler_setup::Malformed;
+using scheduler_setup::Options;
+using scheduler_setup::Reader;
+using scheduler_setup::Record;
 
 // Decisions go out as records, gathered until the frame is done.
-class Out final : public Actions {
+class Out final : public SchedulerActions {
 public:
     std::string bytes;
 
-    void shoot(TaskId task, NodeId node, Time time_out) override {
-        Record(bytes, 261).put(task.value).address(node.value).time(time_out);
+    void start_attempt(RequestId task, NodeId node, Time timeout) override {
+        Record(bytes, 261).put(task.value).address(node.value).time(timeout);
     }
-    void call_off(TaskId task, ShotId shot) override {
+    void cancel_attempt(RequestId task, AttemptId shot) override {
         Record(bytes, 264).put(task.value).put(static_cast<std::uint8_t>(shot.value));
     }
-    void deny(TaskId task, Time come_back_after) override {
-        Record(bytes, 268).put(task.value).time(come_back_after);
+    void reject(RequestId task, Time retry_after) override {
+        Record(bytes, 268).put(task.value).time(retry_after);
     }
-    void error(TaskId task) override { Record(bytes, 263).put(task.value); }
-    void set_alarm(AlarmId alarm, Time wait) override {
+    void error(RequestId task) override { Record(bytes, 263).put(task.value); }
+    void set_timer(TimerId alarm, Time wait) override {
         Record(bytes, 260).put(alarm.value).time(wait);
     }
-    void follow_list() override { Record(bytes, 265).put(std::uint8_t{1}); }
+    void watch_endpoints() override { Record(bytes, 265).put(std::uint8_t{1}); }
     void ask_list() override { Record(bytes, 262); }
     void probe(NodeId node) override { Record(bytes, 258).address(node.value); }
     void tell_all(std::string_view text) override {
@@ -43,10 +43,10 @@
 };
 
 // The order of an outcome's numbers on the wire is that of the enumerators.
-Outcome outcome_of(std::uint16_t rc) {
+AttemptOutcome outcome_of(std::uint16_t rc) {
     if (rc > 7)
         throw Malformed("outcome " + std::to_string(rc) + " is unknown");
-    return static_cast<Outcome>(rc);
+    return static_cast<AttemptOutcome>(rc);
 }
 
 std::vector<float> report_of(Reader &in) {
@@ -109,7 +109,7 @@
     Options options(in.take(in.need<std::uint32_t>("settings size"), "settings"));
     auto born = std::make_unique<Instance>();
     born->scheduler = make_scheduler(born->out, seed);
-    wire::set_up(*born->scheduler, options);
+    scheduler_setup::set_up(*born->scheduler, options);
     born->scheduler->ready(now_);
     instances_[*target_] = std::move(born);
 }
@@ -119,15 +119,15 @@
     in.get<std::uint64_t>("list version");
     auto slot = in.get<std::uint16_t>("list number");
     if (how == 1)
-        return to.list_failed(now_);
+        return to.endpoint_list_failed(now_);
     if (how > 3)
         throw Malformed("list kind " + std::to_string(how) + " is unknown");
     if (slot >= census_.size() || !census_[slot])
         throw Malformed("list number " + std::to_string(slot) + " was never given");
-    to.list_begins(now_, how == 3 ? ListKind::changes : ListKind::whole);
+    to.endpoint_list_begin(now_, how == 3 ? EndpointListKind::delta : EndpointListKind::full);
     for (const auto &e : *census_[slot])
-        to.node_listed(e.node, e.shard, e.zone, static_cast<NodeState>(e.state), e.started);
-    to.list_ends();
+        to.endpoint_listed(e.node, e.shard, e.zone, static_cast<NodeState>(e.state), e.started);
+    to.endpoint_list_end();
 }
 
 void Host::event(std::uint16_t code, Reader in) {
@@ -156,7 +156,7 @@
         membership(to, in);
         break;
     case 258: {
-        TaskId task{in.need<std::uint64_t>("task")};
+        RequestId task{in.need<std::uint64_t>("task")};
         auto bits = in.get<std::uint8_t>("bits");
         WorkloadId workload{in.get<std::uint16_t>("workload")};
         double hosts = in.get<float>("hosts");
@@ -168,29 +168,29 @@
         double units = in.get<float>("units");
         if (!std::isfinite(hosts) || !std::isfinite(units))
             throw Malformed("task: hosts or units is not a number");
-        to.task_taken(now_, task, workload, volume, plan, shard, key, units, hosts, (bits & 4) != 0,
+        to.request_received(now_, task, workload, volume, plan, shard, key, units, hosts, (bits & 4) != 0,
                       (bits & 2) != 0, client_timeout);
         break;
     }
     case 260: {
-        TaskId task{in.need<std::uint64_t>("task")};
-        ShotId shot{in.need<std::uint8_t>("shot")};
+        RequestId task{in.need<std::uint64_t>("task")};
+        AttemptId shot{in.need<std::uint8_t>("shot")};
         NodeId node{in.address("node")};
-        Outcome how = outcome_of(in.need<std::uint16_t>("outcome"));
+        AttemptOutcome how = outcome_of(in.need<std::uint16_t>("outcome"));
         Time took = in.time("time taken");
         bool ended = in.get<std::uint8_t>("last") != 0;
         auto used = in.get<std::uint16_t>("use");
         auto elsewhere = in.get<std::uint16_t>("others");
         auto report = report_of(in);
-        to.shot_ended(now_, task, shot, node, how, took, ended, (used - 1) / 100.0, elsewhere,
+        to.attempt_completed(now_, task, shot, node, how, took, ended, (used - 1) / 100.0, elsewhere,
                       report);
         break;
     }
     case 261:
-        to.task_withdrawn(now_, TaskId{in.need<std::uint64_t>("task")}, true);
+        to.request_canceled(now_, RequestId{in.need<std::uint64_t>("task")}, true);
         break;
     case 262:
-        to.alarm(now_, AlarmId{in.get<std::uint32_t>("alarm")});
+        to.alarm(now_, TimerId{in.get<std::uint32_t>("alarm")});
         break;
     case 263: {
         NodeId node{in.address("node")};
@@ -257,4 +257,4 @@
     return reply;
 }
 
-} // namespace knotvane::drill
+} // namespace knotvane::simulator_adapter
--- a/src/drill/host.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -10,16 +10,16 @@
 #include <string_view>
 #include <vector>
 
-#include "policy.hpp"
-#include "wire/reader.hpp"
+#include "scheduling/scheduler.hpp"
+#include "scheduler_setup/record_reader.hpp"
 
-namespace knotvane::drill {
+namespace knotvane::simulator_adapter {
 
 class Host {
 public:
     Host();
     ~Host();
-    // One frame in, header included; its reply out. Throws wire::Malformed on what the wire does
+    // One frame in, header included; its reply out. Throws scheduler_setup::Malformed on what the wire does
     // not allow.
     std::string reply_to(std::string_view frame);
 
@@ -33,10 +33,10 @@
         Time started;
     };
 
-    void census(wire::Reader in);
-    void event(std::uint16_t code, wire::Reader in);
-    void boot(wire::Reader &in);
-    void membership(Scheduler &to, wire::Reader &in);
+    void census(scheduler_setup::Reader in);
+    void event(std::uint16_t code, scheduler_setup::Reader in);
+    void boot(scheduler_setup::Reader &in);
+    void membership(Scheduler &to, scheduler_setup::Reader &in);
     Instance &instance();
 
     Time now_ = 0;
@@ -46,4 +46,4 @@
     std::array<std::optional<std::vector<Entry>>, 16> census_;
 };
 
-} // namespace knotvane::drill
+} // namespace knotvane::simulator_adapter
--- a/src/drill/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -4,7 +4,7 @@
 #include <cstring>
 #include <string>
 
-#include "drill/host.hpp"
+#include "simulator_adapter/adapter.hpp"
 
 namespace {
 
@@ -28,7 +28,7 @@
 } // namespace
 
 int main() {
-    knotvane::drill::Host host;
+    knotvane::simulator_adapter::Host host;
     constexpr std::uint32_t header = 12;
     std::string frame;
     for (std::uint64_t at = 0;; at += frame.size()) {
@@ -41,12 +41,12 @@
             std::memcpy(&length, frame.data(), 4);
         try {
             if (got < 4)
-                throw knotvane::wire::Malformed("stream ends inside a frame's length");
+                throw knotvane::scheduler_setup::Malformed("stream ends inside a frame's length");
             if (length < header)
-                throw knotvane::wire::Malformed("frame length " + std::to_string(length) +
+                throw knotvane::scheduler_setup::Malformed("frame length " + std::to_string(length) +
                                                 " is under its header's 12");
             if (read_onto(frame, length - 4) < length - 4)
-                throw knotvane::wire::Malformed("stream ends inside a frame of " +
+                throw knotvane::scheduler_setup::Malformed("stream ends inside a frame of " +
                                                 std::to_string(length) + " bytes");
             std::string reply = host.reply_to(frame);
             if (std::fwrite(reply.data(), 1, reply.size(), stdout) < reply.size() ||
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "frames/crc.hpp"
+#include "node_protocol/crc.hpp"
 
 namespace knotvane::store {
 namespace {
@@ -408,9 +408,9 @@
         drop_tree(VolumeId{take<std::uint64_t>(p)});
         break;
     case k_mark: {
-        auto life = take<std::uint64_t>(p), number = take<std::uint64_t>(p);
-        marks_[{life, number}] = take<Time>(p);
-        forget_.emplace(marks_[{life, number}], Mark{life, number});
+        auto incarnation = take<std::uint64_t>(p), number = take<std::uint64_t>(p);
+        marks_[{incarnation, number}] = take<Time>(p);
+        forget_.emplace(marks_[{incarnation, number}], Mark{incarnation, number});
         break;
     }
     default:
@@ -446,7 +446,7 @@
     marks_.clear(), forget_.clear();
     used_ = nodes_ = 0, broken_ = unflushed_ = false;
     // The area of the highest generation whose header holds.
-    std::uint64_t best = 0, length = 0, sequence = 0, life = 1;
+    std::uint64_t best = 0, length = 0, sequence = 0, incarnation = 1;
     std::uint32_t sum = 0;
     bool any = false;
     for (int area = 0; area < 2; ++area) {
@@ -455,18 +455,18 @@
         std::string_view h = head;
         auto is = take<std::uint64_t>(h);
         any |= is != 0;
-        auto generation = take<std::uint64_t>(h), its_life = take<std::uint64_t>(h),
+        auto generation = take<std::uint64_t>(h), its_incarnation = take<std::uint64_t>(h),
              its_length = take<std::uint64_t>(h), its_sequence = take<std::uint64_t>(h);
         auto its_sum = take<std::uint32_t>(h);
         if (is != magic || take<std::uint32_t>(h) != crc32c(std::string_view(head).substr(0, 44)) ||
             generation <= best)
             continue;
         best = generation, area_ = area, length = its_length, sequence = its_sequence,
-        life = its_life, sum = its_sum;
+        incarnation = its_incarnation, sum = its_sum;
     }
     if (best == 0 && any)
         throw std::runtime_error("store: the header does not match its checksum");
-    generation_ = best, sequence_ = sequence, life_ = life;
+    generation_ = best, sequence_ = sequence, incarnation_ = incarnation;
     if (best == 0) {
         area_ = 1;
         checkpoint();
@@ -519,7 +519,7 @@
     // What came after the last flush may be gone without a trace, and who was answered must hear of
     // it; only a store that was closed had nothing left to lose.
     if (records.empty() || records.back().kind != k_closed)
-        ++life_;
+        ++incarnation_;
     count();
     // A generation of its own, always: behind a record that was lost there may be others of this
     // one, which would count again once something of the same length stands in its place.
@@ -588,7 +588,7 @@
         put(branches, static_cast<std::uint32_t>(b.levels));
         put(branches, b.of.value);
         put(branches,
-            static_cast<std::uint8_t>((b.is_cut ? 1 : 0) | (b.frozen ? 2 : 0) | (b.open ? 4 : 0)));
+            static_cast<std::uint8_t>((b.is_snapshot ? 1 : 0) | (b.frozen ? 2 : 0) | (b.open ? 4 : 0)));
         put(branches, b.epoch);
         put(branches, b.sealed);
     }
@@ -631,13 +631,13 @@
         b.root = nodes[root], b.levels = static_cast<int>(take<std::uint32_t>(body));
         b.of = VolumeId{take<std::uint64_t>(body)};
         auto flags = take<std::uint8_t>(body);
-        b.is_cut = flags & 1, b.frozen = flags & 2, b.open = flags & 4;
+        b.is_snapshot = flags & 1, b.frozen = flags & 2, b.open = flags & 4;
         b.epoch = take<std::uint32_t>(body), b.sealed = take<std::uint32_t>(body);
     }
     for (auto n = take<std::uint32_t>(body); n > 0; --n) {
-        auto life = take<std::uint64_t>(body), number = take<std::uint64_t>(body);
-        marks_[{life, number}] = take<Time>(body);
-        forget_.emplace(marks_[{life, number}], Mark{life, number});
+        auto incarnation = take<std::uint64_t>(body), number = take<std::uint64_t>(body);
+        marks_[{incarnation, number}] = take<Time>(body);
+        forget_.emplace(marks_[{incarnation, number}], Mark{incarnation, number});
     }
     nodes.clear();
     count();
@@ -660,7 +660,7 @@
     std::string head;
     put(head, magic);
     put(head, generation_ + 1);
-    put(head, life_);
+    put(head, incarnation_);
     put(head, static_cast<std::uint64_t>(body.size()));
     put(head, sequence_);
     put(head, crc32c(body));
@@ -683,7 +683,7 @@
 }
 Store::Cut Store::cut_tree(VolumeId of, VolumeId as, bool freeze, bool open, std::uint32_t epoch) {
     if (auto it = branches_.find(as); it != branches_.end())
-        return it->second.is_cut && it->second.of == of && it->second.frozen == freeze &&
+        return it->second.is_snapshot && it->second.of == of && it->second.frozen == freeze &&
                        it->second.open == open
                    ? Cut::exists
                    : Cut::taken;
@@ -691,7 +691,7 @@
     Branch source = from;
     if (open)
         from.epoch = std::max(from.epoch, epoch);
-    source.of = of, source.is_cut = true, source.frozen = freeze, source.open = open,
+    source.of = of, source.is_snapshot = true, source.frozen = freeze, source.open = open,
     source.epoch = source.sealed = 0;
     branches_[as] = std::move(source);
     return Cut::done;
@@ -762,7 +762,7 @@
 std::vector<VolumeId> Store::cuts() const {
     std::vector<VolumeId> out;
     for (auto &[id, b] : branches_)
-        if (b.is_cut)
+        if (b.is_snapshot)
             out.push_back(id);
     return out;
 }
@@ -878,20 +878,20 @@
 }
 
 // ---- Marks.
-bool Store::was_done(std::uint64_t life, std::uint64_t number, Time now) {
+bool Store::was_done(std::uint64_t incarnation, std::uint64_t number, Time now) {
     while (!forget_.empty() && forget_.begin()->first < now) {
         auto it = marks_.find(forget_.begin()->second);
         if (it != marks_.end() && it->second < now)
             marks_.erase(it);
         forget_.erase(forget_.begin());
     }
-    return marks_.contains({life, number});
+    return marks_.contains({incarnation, number});
 }
-void Store::remember(std::uint64_t life, std::uint64_t number, Time not_after, Time now) {
-    if (was_done(life, number, now))
+void Store::remember(std::uint64_t incarnation, std::uint64_t number, Time not_after, Time now) {
+    if (was_done(incarnation, number, now))
         return;
     std::string record;
-    put(record, life);
+    put(record, incarnation);
     put(record, number);
     put(record, not_after);
     try {
@@ -900,8 +900,8 @@
         // It stands in memory; lost with the process, a repeat after that may be done again, as
         // after a power cut.
     }
-    marks_[{life, number}] = not_after;
-    forget_.emplace(not_after, Mark{life, number});
+    marks_[{incarnation, number}] = not_after;
+    forget_.emplace(not_after, Mark{incarnation, number});
 }
 
 // ---- Looking after it.
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
 #include "store/medium.hpp"
 
 namespace knotvane::store {
@@ -37,7 +37,7 @@
     ~Store();
     Store(const Store &) = delete;
 
-    std::uint64_t life() const { return life_; }
+    std::uint64_t incarnation() const { return incarnation_; }
     // Reads a range of a volume onto `to`; what was never written reads as zeroes. False where a
     // block does not match its checksum.
     bool read(VolumeId volume, std::uint64_t offset, std::uint32_t length, std::string &to);
@@ -94,8 +94,8 @@
 
     // Whether a write with this mark was done, as far as that is remembered: until its not-after
     // time.
-    bool was_done(std::uint64_t life, std::uint64_t number, Time now);
-    void remember(std::uint64_t life, std::uint64_t number, Time not_after, Time now);
+    bool was_done(std::uint64_t incarnation, std::uint64_t number, Time now);
+    void remember(std::uint64_t incarnation, std::uint64_t number, Time not_after, Time now);
     std::size_t marks() const { return marks_.size(); }
 
     // Every tree walked, every block read, every count counted anew: what does not hold, one line
@@ -118,7 +118,7 @@
         Ptr root;
         int levels = 0; // below the root
         VolumeId of;    // what it was cut from
-        bool is_cut = false, frozen = false, open = false;
+        bool is_snapshot = false, frozen = false, open = false;
         std::uint32_t epoch = 0, sealed = 0; // in force; of the last cut that was sealed
     };
     using Mark = std::pair<std::uint64_t, std::uint64_t>;
@@ -155,7 +155,7 @@
     void area_write(int area, std::uint64_t at, std::string_view bytes);
 
     Medium &medium_;
-    std::uint64_t capacity_, life_ = 1, generation_ = 0, sequence_ = 0, journal_at_ = 0,
+    std::uint64_t capacity_, incarnation_ = 1, generation_ = 0, sequence_ = 0, journal_at_ = 0,
                              journal_from_ = 0;
     std::uint64_t flushed_at_ = 0, used_ = 0, nodes_ = 0;
     int area_ = 0;
