--- a/tests/edge/core_cuts_test.cpp
+++ b/tests/edge/core_snapshots_test.cpp
@@ -12,15 +12,15 @@
 constexpr VolumeId v{7}, as{90};
 constexpr std::uint64_t extent = 256 << 10, span = 64 << 10;
 
-struct Rig final : Shell, load::Replies, frames::Sink {
-    Core core{*this,    [](Actions &a) { return make_scheduler(a, 1); },
+struct Rig final : Shell, load::Replies, node_protocol::Sink {
+    Core core{*this,    [](SchedulerActions &a) { return make_scheduler(a, 1); },
               0,        5,
               extent,   span,
               64 << 10, {ShardId{0}, ShardId{1}}};
-    facts::Table table;
+    control::ClusterState table;
     std::unique_ptr<load::Session> client = std::make_unique<load::Session>(*this, "v", true);
     Lines asked, ended_with, steps; // asked: "tag epoch units"
-    std::map<LinkId, frames::Reader> readers;
+    std::map<LinkId, node_protocol::Reader> readers;
     std::map<LinkId, std::uint64_t> node_of;
     std::map<std::uint64_t, LinkId> link_of; // by tag
     LinkId reading{};
@@ -32,8 +32,8 @@
         s.set_clock(ms, 0);
         for (std::uint32_t i = 0; i < 5; ++i) {
             s.add_workload(WorkloadId{i}, sec, 3 * sec, 1, 0.1);
-            s.set_repeat(WorkloadId{i}, i == 1 || i == 2 ? Repeat::numbered : Repeat::reissuable,
-                         Group::shard, i == 1 || i == 2 ? sec : 0);
+            s.set_repeat(WorkloadId{i}, i == 1 || i == 2 ? Idempotency::deduplicated : Idempotency::idempotent,
+                         DeduplicationScope::shard, i == 1 || i == 2 ? sec : 0);
             core.add_workload(WorkloadId{i}, static_cast<Command>(i), ~0u, "", 3 * sec,
                               i == 1 || i == 2 ? sec : 0);
         }
@@ -41,19 +41,19 @@
         s.set_shots(3, false, true);
         s.set_denials(sec);
         core.set_copy(copy);
-        facts::Volume f;
+        control::Volume f;
         f.name = "v", f.size = 64 << 20;
-        table.put(PlanId{0}, facts::Plan{"p", 1, 1000, 0, 1, 0, 0});
+        table.put(PlanId{0}, control::Plan{"p", 1, 1000, 0, 1, 0, 0});
         table.put(v, f);
         core.plan_told(PlanId{0}, 1, 1000, 0, 1, 0, 0);
         core.follow(table);
         core.ready(now);
-        core.list_begins(now, 1);
+        core.endpoint_list_begin(now, 1);
         for (std::uint64_t n : {1, 2})
-            core.node_listed(NodeId{n}, std::to_string(n),
+            core.endpoint_listed(NodeId{n}, std::to_string(n),
                              ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0}, NodeState::ready,
                              0);
-        core.list_ends();
+        core.endpoint_list_end();
         core.client_came(now, ClientId{1});
         settle();
     }
@@ -68,9 +68,9 @@
         client->ask(nbd::cmd_write, 0, cookie, offset, length, std::string(length, 'x'));
         settle();
     }
-    void node_says(std::uint64_t tag, frames::Status status, std::uint32_t epoch = 0) {
+    void node_says(std::uint64_t tag, node_protocol::Status status, std::uint32_t epoch = 0) {
         core.link_bytes(now, link_of.at(tag),
-                        frames::make(frames::Kind::answer, 0, status, tag, v, 0, 0, 0, 1, 0, 0,
+                        node_protocol::make(node_protocol::Kind::answer, 0, status, tag, v, 0, 0, 0, 1, 0, 0,
                                      ShardId{0}, {}, epoch));
         settle();
     }
@@ -87,8 +87,8 @@
     void close_client(ClientId) override {}
     void hold_client(ClientId, bool) override {}
     void say(std::string) override {}
-    void shot_ended(TaskId, NodeId, Outcome, Time) override {}
-    void cut_told(VolumeId, facts::CutStep s, facts::EdgeLife) override {
+    void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
+    void cut_told(VolumeId, control::SnapshotStep s, control::EdgeIncarnation) override {
         steps.push_back(std::to_string(static_cast<int>(s)));
     }
     std::vector<LinkId> fresh;
@@ -100,10 +100,10 @@
         }
         settle();
     }
-    bool frame(frames::Kind kind, std::uint8_t, frames::Status, std::uint64_t tag, VolumeId,
+    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t tag, VolumeId,
                std::uint64_t, std::uint32_t, std::uint32_t units, std::uint64_t, std::uint64_t,
                Time, ShardId, std::string_view, std::uint32_t epoch) override {
-        if (kind == frames::Kind::hello || kind == frames::Kind::call_off)
+        if (kind == node_protocol::Kind::hello || kind == node_protocol::Kind::cancel_attempt)
             return true;
         link_of[tag] = reading;
         asked.push_back(std::to_string(tag) + " " + std::to_string(epoch) + " " +
@@ -136,9 +136,9 @@
         r.core.cut_go(r.now, v, as, 4), r.settle();
         CHECK(r.take_asked() == Lines{"3 4 1062"});
         CHECK(r.steps == Lines{"0", "1"});
-        r.node_says(1, frames::Status::ok);
+        r.node_says(1, node_protocol::Status::ok);
         CHECK(r.steps == Lines{"0", "1", "2"});
-        r.node_says(3, frames::Status::ok);
+        r.node_says(3, node_protocol::Status::ok);
         CHECK(r.ended_with == Lines{"1 0", "2 0"});
     }
     TEST_CASE("a hold that runs out lets them go in the old epoch, well before their time is up") {
@@ -163,10 +163,10 @@
     TEST_CASE("told that its epoch is over, a change of one part goes on in the one in force") {
         Rig r;
         r.write(1, 0, 4096), r.greet(), r.take_asked();
-        r.node_says(1, frames::Status::stale, 6);
+        r.node_says(1, node_protocol::Status::stale, 6);
         r.now += 100 * ms, r.settle();
         CHECK(r.take_asked() == Lines{"2 6 1062"});
-        r.node_says(2, frames::Status::ok);
+        r.node_says(2, node_protocol::Status::ok);
         CHECK(r.ended_with == Lines{"1 0"});
         r.write(2, 0, 4096);
         CHECK(r.take_asked() == Lines{"3 6 1062"});
@@ -176,17 +176,17 @@
         Rig r;
         r.write(1, 0, 128 << 10), r.greet();
         REQUIRE(r.take_asked().size() == 2);
-        r.node_says(1, frames::Status::stale, 6);
+        r.node_says(1, node_protocol::Status::stale, 6);
         CHECK(r.ended_with == Lines{"1 5"});
-        r.node_says(2, frames::Status::ok);
+        r.node_says(2, node_protocol::Status::ok);
         CHECK(r.ended_with.size() == 1);
         CHECK(r.core.tasks() == 0);
     }
     TEST_CASE("no space at the node is ENOSPC, once") {
         Rig r;
         r.write(1, 0, 128 << 10), r.greet();
-        r.node_says(1, frames::Status::no_space);
-        r.node_says(2, frames::Status::no_space);
+        r.node_says(1, node_protocol::Status::no_space);
+        r.node_says(2, node_protocol::Status::no_space);
         CHECK(r.ended_with == Lines{"1 28"});
     }
     TEST_CASE("the first change of a span in an epoch costs what a copy does, where that is told") {
@@ -194,16 +194,16 @@
         r.write(1, 0, 4096), r.greet();
         r.core.cut_hold(r.now, v, as, 4, sec), r.core.cut_go(r.now, v, as, 4);
         r.take_asked();
-        r.node_says(1, frames::Status::ok);
+        r.node_says(1, node_protocol::Status::ok);
         for (std::uint64_t i = 2; i <= 4; ++i) {
             r.write(i, i == 4 ? 64 << 10 : 0, 4096);
-            r.node_says(i, frames::Status::ok);
+            r.node_says(i, node_protocol::Status::ok);
         }
         CHECK(r.take_asked() == Lines{"2 4 1312", "3 4 1062", "4 4 1312"});
     }
     TEST_CASE("a snapshot that is dropped is said to be, and never read as something else") {
         Rig r;
-        facts::Volume s = r.table.volumes.at(v);
+        control::Volume s = r.table.volumes.at(v);
         s.name = "v@a", s.of = s.place = s.charge = v, s.frozen = true;
         r.table.put(as, s);
         r.core.facts_changed(r.now);
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/core_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
-#include "edge/nodelist.hpp"
+#include "edge/endpoint_file.hpp"
 #include "edge/settings.hpp"
 #include "edge/unflushed.hpp"
 #include "helpers.hpp"
@@ -15,8 +15,8 @@
     TEST_CASE("answered, error, full, and what the node proves not to have run") {
         Linked l;
         for (std::uint64_t t = 1; t <= 6; ++t)
-            l.shoot(t);
-        using frames::Status;
+            l.start_attempt(t);
+        using node_protocol::Status;
         Status s[] = {Status::ok,       Status::error,       Status::full,
                       Status::too_late, Status::misdirected, Status::bad_checksum};
         for (std::uint64_t i = 0; i < 6; ++i)
@@ -26,49 +26,49 @@
     }
     TEST_CASE("timed_out: sent and not answered in its time; a late answer is not told") {
         Linked l;
-        l.shoot(1);
+        l.start_attempt(1);
         l.links.tick(100 * ms); // when the connection's own time to be made is looked at
         CHECK(l.links.next_due() == sec);
         l.links.tick(sec);
-        l.links.bytes(sec + 1, l.link, answer(2, frames::Status::ok));
+        l.links.bytes(sec + 1, l.link, answer(2, node_protocol::Status::ok));
         CHECK(l.w.told == Lines{"1 timed_out "});
     }
     TEST_CASE("unreachable: refused, not listed, or no connection within its time") {
         Linked l(false);
-        l.shoot(1);
+        l.start_attempt(1);
         l.links.failed(ms, l.link);
-        l.shoot(2, 0, 7);
+        l.start_attempt(2, 0, 7);
         l.links.tick(ms);
-        l.shoot(3, ms);
+        l.start_attempt(3, ms);
         l.links.tick(102 * ms);
         CHECK(l.w.told == Lines{"1 unreachable ", "2 unreachable ", "3 unreachable "});
         CHECK(l.w.closed.size() == 1);
     }
     TEST_CASE("reset: the connection is lost with the shot on it") {
         Linked l;
-        l.shoot(1);
+        l.start_attempt(1);
         l.links.gone(ms, l.link);
         CHECK(l.w.told == Lines{"1 reset "});
     }
     TEST_CASE("called_off: asked for while it is out; unsent where nothing had gone out") {
         Linked l;
-        l.shoot(1);
-        l.links.call_off(ms, TaskId{1}, ShotId{0});
+        l.start_attempt(1);
+        l.links.cancel_attempt(ms, RequestId{1}, AttemptId{0});
         Linked m(false);
-        m.shoot(2);
-        m.links.call_off(ms, TaskId{2}, ShotId{0});
+        m.start_attempt(2);
+        m.links.cancel_attempt(ms, RequestId{2}, AttemptId{0});
         CHECK(l.w.told == Lines{"1 called_off "});
         CHECK(m.w.told == Lines{"2 unsent "});
     }
     TEST_CASE("unsent: lost or out of time before a byte of it went out") {
         Linked l(false);
-        l.shoot(1);
+        l.start_attempt(1);
         l.links.up(ms, l.link); // greeted, but no welcome comes
         l.links.gone(2 * ms, l.link);
         Linked m(true, 100); // a hundred bytes: one frame, the rest waits
-        m.shoot(1);
-        m.shoot(2);
-        m.shoot(3);
+        m.start_attempt(1);
+        m.start_attempt(2);
+        m.start_attempt(3);
         m.links.gone(ms, m.link);
         CHECK(l.w.told == Lines{"1 unsent "});
         std::sort(m.w.told.begin(), m.w.told.end());
@@ -76,8 +76,8 @@
     }
     TEST_CASE("a node silent in the middle of an answer costs its connection, soon") {
         Linked l;
-        l.shoot(1);
-        auto a = answer(2, frames::Status::ok, std::string(512, 'x'));
+        l.start_attempt(1);
+        auto a = answer(2, node_protocol::Status::ok, std::string(512, 'x'));
         l.links.bytes(ms, l.link, a.substr(0, 100));
         l.links.tick(200 * ms);
         CHECK(l.w.told.empty());
@@ -87,10 +87,10 @@
     }
     TEST_CASE("a garbled answer, a wrong node, an unasked frame end the connection with a reason") {
         Linked l, m(false), n;
-        auto a = answer(2, frames::Status::ok);
+        auto a = answer(2, node_protocol::Status::ok);
         a[20] ^= 1;
         l.links.bytes(ms, l.link, a);
-        m.shoot(1);
+        m.start_attempt(1);
         m.links.up(0, m.link);
         m.links.bytes(0, m.link, welcome(3));
         n.links.bytes(0, n.link, welcome(1));
@@ -102,7 +102,7 @@
     TEST_CASE("what the other side does not take waits here, and goes when there is room") {
         Linked l(true, 200);
         for (std::uint64_t t = 1; t <= 9; ++t)
-            l.shoot(t);
+            l.start_attempt(t);
         auto before = l.w.sent[l.link].size();
         l.links.written(ms, l.link, before);
         CHECK(l.w.sent[l.link].size() > before);
@@ -110,21 +110,21 @@
     TEST_CASE(
         "a node that is not listed any more keeps its connection until the last shot is over") {
         Linked l;
-        l.shoot(1);
+        l.start_attempt(1);
         l.links.nodes({});
         l.links.tick(ms);
         CHECK(l.w.closed.empty());
-        l.links.bytes(ms, l.link, answer(2, frames::Status::ok));
+        l.links.bytes(ms, l.link, answer(2, node_protocol::Status::ok));
         l.links.tick(2 * ms);
         CHECK(l.w.closed.size() == 1);
-        l.shoot(2, 3 * ms);
+        l.start_attempt(2, 3 * ms);
         l.links.tick(3 * ms);
         CHECK(l.w.told.back() == "2 unreachable ");
     }
     TEST_CASE("a not-after time by the node's clock is never later than by ours") {
         Linked l(false);
-        l.work->kind = frames::Kind::write, l.work->not_after = 500 * ms;
-        l.shoot(1);
+        l.work->kind = node_protocol::Kind::write, l.work->not_after = 500 * ms;
+        l.start_attempt(1);
         l.links.up(10 * ms, l.link);
         l.links.bytes(30 * ms, l.link,
                       welcome(1, 7 * sec)); // said 7 s at some moment between 10 and 30 ms
@@ -133,7 +133,7 @@
         for (int i = 7; i >= 0; --i)
             got = got << 8 |
                   static_cast<unsigned char>(
-                      out[out.size() - frames::header_size + 64 + static_cast<std::size_t>(i)]);
+                      out[out.size() - node_protocol::header_size + 64 + static_cast<std::size_t>(i)]);
         CHECK(got == 7 * sec + 470 * ms);
     }
     TEST_CASE("an idle connection is closed") {
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -12,14 +12,14 @@
 namespace knotvane::edge {
 
 // Writes down what links ask for and what they tell.
-struct Wired : Wires, Told {
+struct Wired : Transport, Told {
     std::vector<LinkId> connected, closed;
     std::map<LinkId, std::string> sent;
     std::vector<std::string> told, said;
     void connect(LinkId l, const std::string &) override { connected.push_back(l); }
     void send(LinkId l, std::string b) override { sent[l] += b; }
     void close(LinkId l) override { closed.push_back(l); }
-    void shot_over(Time, TaskId t, ShotId, NodeId, Outcome how, frames::Status, std::uint64_t,
+    void shot_over(Time, RequestId t, AttemptId, NodeId, AttemptOutcome how, node_protocol::Status, std::uint64_t,
                    std::string_view payload, std::uint32_t) override {
         static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
                                                 "unreachable", "reset", "called_off", "unsent"};
@@ -30,11 +30,11 @@
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
-    return frames::make(frames::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0, clock,
+    return node_protocol::make(node_protocol::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0, clock,
                         ShardId{0}, {});
 }
-inline std::string answer(std::uint64_t tag, frames::Status status, std::string_view payload = {}) {
-    return frames::make(frames::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1, 0, 0,
+inline std::string answer(std::uint64_t tag, node_protocol::Status status, std::string_view payload = {}) {
+    return node_protocol::make(node_protocol::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1, 0, 0,
                         ShardId{0}, payload);
 }
 
@@ -44,20 +44,20 @@
     Links links;
     LinkId link{1};
     std::shared_ptr<Work> work = std::make_shared<Work>(
-        Work{frames::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
+        Work{node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
     explicit Linked(bool up = true, std::size_t most_out = 1 << 20)
         : links(w, w, 0, 1, 1, 100 * ms, 200 * ms, 10 * sec, most_out) {
         links.nodes({{NodeId{1}, "a"}});
         if (up) {
-            links.shoot(0, TaskId{99}, ShotId{0}, NodeId{1}, work, sec);
+            links.start_attempt(0, RequestId{99}, AttemptId{0}, NodeId{1}, work, sec);
             links.up(0, link);
             links.bytes(0, link, welcome(1));
-            links.bytes(0, link, answer(1, frames::Status::ok));
+            links.bytes(0, link, answer(1, node_protocol::Status::ok));
             w.told.clear();
         }
     }
-    void shoot(std::uint64_t task, Time now = 0, std::uint64_t node = 1) {
-        links.shoot(now, TaskId{task}, ShotId{0}, NodeId{node}, work, now + sec);
+    void start_attempt(std::uint64_t task, Time now = 0, std::uint64_t node = 1) {
+        links.start_attempt(now, RequestId{task}, AttemptId{0}, NodeId{node}, work, now + sec);
     }
 };
 
--- a/tests/edge/subscription_test.cpp
+++ b/tests/edge/planner_client_test.cpp
@@ -5,12 +5,12 @@
 #include <algorithm>
 #include <cmath>
 
-#include "edge/subscription.hpp"
+#include "edge/planner_client.hpp"
 
 using namespace knotvane;
 using namespace knotvane::edge;
-using facts::Term;
-using facts::Version;
+using control::Term;
+using control::Version;
 
 namespace {
 
@@ -26,40 +26,40 @@
     void send_planner(std::string bytes) override { sent += bytes; }
     void keep_plan(std::string bytes, bool anew) override { disk = anew ? bytes : disk + bytes; }
     void say(std::string text) override { said.push_back(std::move(text)); }
-    void plan_taken(const facts::Table &table, bool, bool,
+    void plan_taken(const control::ClusterState &table, bool, bool,
                     const std::map<NodeId, Time> &when) override {
         nodes.clear();
         for (auto &[id, n] : table.nodes)
             nodes[id] = n.state;
         started = when;
     }
-    void part_told(VolumeId v, double h) override { hosts[v] = h; }
+    void quota_share_changed(VolumeId v, double h) override { hosts[v] = h; }
 };
 
-std::string node(NodeState state, std::uint64_t life = 1, Time started = 0) {
-    return facts::put(NodeId{1}, facts::Node{"a", ShardId{0}, ZoneId{0}, state, started, life});
+std::string node(NodeState state, std::uint64_t incarnation = 1, Time started = 0) {
+    return control::put(NodeId{1}, control::Node{"a", ShardId{0}, ZoneId{0}, state, started, incarnation});
 }
 std::string news(std::uint64_t version, std::uint64_t from, const std::string &what,
                  std::uint64_t count, Time planner_now = 0, std::uint64_t term = 1,
                  std::uint64_t instance = 1) {
-    return facts::begins(Term{term}, instance, 1, Version{version}, Version{from}, planner_now) +
-           what + facts::ends(Version{version}, count);
+    return control::begins(Term{term}, instance, 1, Version{version}, Version{from}, planner_now) +
+           what + control::ends(Version{version}, count);
 }
 
 // Up since 0, with volume 7 in use, its half part told, and a lease of one second from there; fade
 // ten.
 struct Following {
     Dialling line;
-    Subscription s{line, facts::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec};
+    Subscription s{line, control::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec};
     Following() {
         s.start(0, {});
         s.tick(0);
         s.up(0);
         s.volume_used(0, VolumeId{7}, true);
         s.bytes(0,
-                news(1, 0, node(NodeState::ready) + facts::put(VolumeId{7}, facts::Part{500000, 2}),
+                news(1, 0, node(NodeState::ready) + control::put(VolumeId{7}, control::Part{500000, 2}),
                      2));
-        s.bytes(0, facts::renewed(0, Term{1}, sec, 10 * sec, Version{1}));
+        s.bytes(0, control::renewed(0, Term{1}, sec, 10 * sec, Version{1}));
     }
 };
 
@@ -81,7 +81,7 @@
         f.s.tick(11 * sec + 1);
         CHECK(std::isinf(f.line.hosts.at(VolumeId{7})));
         Dialling fresh;
-        Subscription t(fresh, facts::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
+        Subscription t(fresh, control::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
         t.start(0, {});
         t.volume_used(0, VolumeId{7}, true);
         CHECK(std::isinf(fresh.hosts.at(VolumeId{7})));
@@ -89,22 +89,22 @@
     TEST_CASE(
         "a renewal counts from when it was asked for, and not for an older plan than it is for") {
         Following f;
-        f.s.bytes(900 * ms, facts::renewed(200 * ms, Term{1}, sec, 10 * sec, Version{1}));
+        f.s.bytes(900 * ms, control::renewed(200 * ms, Term{1}, sec, 10 * sec, Version{1}));
         f.s.tick(1200 * ms);
         CHECK(f.line.hosts.at(VolumeId{7}) == 2);
         f.s.tick(1200 * ms + 1);
         CHECK(f.line.hosts.at(VolumeId{7}) == 8);
-        f.s.bytes(1300 * ms, facts::renewed(1250 * ms, Term{1}, sec, 10 * sec, Version{2}));
-        f.s.bytes(1300 * ms, facts::renewed(1250 * ms, Term{2}, sec, 10 * sec, Version{1}));
+        f.s.bytes(1300 * ms, control::renewed(1250 * ms, Term{1}, sec, 10 * sec, Version{2}));
+        f.s.bytes(1300 * ms, control::renewed(1250 * ms, Term{2}, sec, 10 * sec, Version{1}));
         CHECK(f.line.hosts.at(VolumeId{7}) == 8);
-        f.s.bytes(1300 * ms, facts::renewed(1250 * ms, Term{1}, sec, 10 * sec, Version{1}));
+        f.s.bytes(1300 * ms, control::renewed(1250 * ms, Term{1}, sec, 10 * sec, Version{1}));
         CHECK(f.line.hosts.at(VolumeId{7}) == 2);
     }
     TEST_CASE("a volume without clients has no part, and none comes in meanwhile") {
         Following f;
         f.s.volume_used(ms, VolumeId{7}, false);
         CHECK(std::isinf(f.line.hosts.at(VolumeId{7})));
-        f.s.bytes(ms, news(2, 1, facts::drop_part(VolumeId{7}), 1));
+        f.s.bytes(ms, news(2, 1, control::drop_part(VolumeId{7}), 1));
         f.s.volume_used(2 * ms, VolumeId{7}, true);
         CHECK(std::isinf(f.line.hosts.at(VolumeId{7})));
     }
@@ -127,7 +127,7 @@
         REQUIRE(all.size() > first);
         for (std::size_t cut = 0; cut <= all.size(); ++cut) {
             Dialling line;
-            Subscription s(line, facts::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
+            Subscription s(line, control::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
             s.start(sec, std::string_view(all).substr(0, cut));
             s.volume_used(sec, VolumeId{7}, true);
             CHECK(std::isinf(line.hosts.at(VolumeId{7})));
@@ -140,18 +140,18 @@
             if (cut < first)
                 continue;
             s.up(sec);
-            s.bytes(sec, news(9, cut < all.size() ? 1 : 2, node(NodeState::gone), 1));
+            s.bytes(sec, news(9, cut < all.size() ? 1 : 2, node(NodeState::removed), 1));
             Dialling next;
-            Subscription t(next, facts::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
+            Subscription t(next, control::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
             t.start(sec, line.disk);
-            CHECK(next.nodes.at(NodeId{1}) == NodeState::gone);
+            CHECK(next.nodes.at(NodeId{1}) == NodeState::removed);
         }
     }
     TEST_CASE("too old, or from the future by a clock that went back: not used, and said") {
         Following f;
         for (Time now : {3601 * sec, -61 * sec}) {
             Dialling line;
-            Subscription s(line, facts::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
+            Subscription s(line, control::EdgeId{3}, "e", 1, 300 * ms, 3600 * sec);
             s.start(now, f.line.disk);
             CHECK(line.nodes.empty());
             CHECK(line.said.size() == 1);
@@ -165,20 +165,20 @@
         for (auto [term, instance] : {std::pair{1u, 2u}, std::pair{0u, 1u}}) {
             Following f;
             f.line.sent.clear();
-            f.s.bytes(ms, news(9, 0, node(NodeState::gone), 1, 0, term, instance));
+            f.s.bytes(ms, news(9, 0, node(NodeState::removed), 1, 0, term, instance));
             CHECK(f.line.nodes.at(NodeId{1}) == NodeState::ready);
             CHECK(f.line.hung_up == 1);
-            CHECK(f.line.sent == facts::superseded(Term{1}));
+            CHECK(f.line.sent == control::superseded(Term{1}));
             CHECK(f.line.said.size() == 1);
         }
     }
     TEST_CASE("a gap is asked about; half of a list is none") {
         Following f;
         f.line.sent.clear();
-        f.s.bytes(ms, news(9, 5, node(NodeState::gone), 1));
-        CHECK(f.line.sent == facts::ask());
+        f.s.bytes(ms, news(9, 5, node(NodeState::removed), 1));
+        CHECK(f.line.sent == control::ask());
         f.s.bytes(ms,
-                  facts::begins(Term{1}, 1, 1, Version{9}, Version{0}, 0) + node(NodeState::gone));
+                  control::begins(Term{1}, 1, 1, Version{9}, Version{0}, 0) + node(NodeState::removed));
         f.s.down(2 * ms);
         CHECK(f.line.nodes.at(NodeId{1}) == NodeState::ready);
     }
@@ -186,7 +186,7 @@
         std::vector<Time> first, fifth;
         for (std::uint64_t e = 0; e < 280; ++e) {
             Dialling line;
-            Subscription s(line, facts::EdgeId{e}, "e", 1, sec, sec);
+            Subscription s(line, control::EdgeId{e}, "e", 1, sec, sec);
             s.start(0, {}), s.up(0);
             s.down(0);
             first.push_back(s.next_due());
@@ -228,17 +228,17 @@
         Following f;
         f.line.sent.clear();
         for (Time t : {0 * ms, 100 * ms, 200 * ms})
-            f.s.shot_ended(t, NodeId{1}, Outcome::unreachable);
+            f.s.attempt_completed(t, NodeId{1}, AttemptOutcome::unreachable);
         CHECK(f.line.sent == "");
-        f.s.shot_ended(600 * ms, NodeId{1}, Outcome::reset);
-        f.s.shot_ended(700 * ms, NodeId{1}, Outcome::timed_out);
-        CHECK(f.line.sent == facts::witness(NodeId{1}, false));
+        f.s.attempt_completed(600 * ms, NodeId{1}, AttemptOutcome::reset);
+        f.s.attempt_completed(700 * ms, NodeId{1}, AttemptOutcome::timed_out);
+        CHECK(f.line.sent == control::witness(NodeId{1}, false));
         f.line.sent.clear();
-        f.s.shot_ended(800 * ms, NodeId{1}, Outcome::full);
-        CHECK(f.line.sent == facts::witness(NodeId{1}, true));
+        f.s.attempt_completed(800 * ms, NodeId{1}, AttemptOutcome::overloaded);
+        CHECK(f.line.sent == control::witness(NodeId{1}, true));
         f.line.sent.clear();
-        f.s.bytes(900 * ms, facts::ask_witness(NodeId{1}));
-        f.s.bytes(7 * sec, facts::ask_witness(NodeId{1})); // too long ago to vouch
-        CHECK(f.line.sent == facts::witness(NodeId{1}, true));
+        f.s.bytes(900 * ms, control::ask_witness(NodeId{1}));
+        f.s.bytes(7 * sec, control::ask_witness(NodeId{1})); // too long ago to vouch
+        CHECK(f.line.sent == control::witness(NodeId{1}, true));
     }
 }
--- a/tests/edge/cuts_test.cpp
+++ b/tests/edge/snapshot_participant_test.cpp
@@ -1,7 +1,7 @@
 // An edge's side of a cut: when changes are held back, in which epoch they begin, what is told.
 #include <doctest/doctest.h>
 
-#include "edge/cuts.hpp"
+#include "edge/snapshot_participant.hpp"
 
 using namespace knotvane;
 using namespace knotvane::edge;
@@ -10,7 +10,7 @@
 namespace {
 struct Telling {
     Lines told;
-    Cuts cuts{[this](VolumeId as, facts::CutStep step) {
+    Cuts cuts{[this](VolumeId as, control::SnapshotStep step) {
         static constexpr const char *names[] = {"ready", "moved", "drained", "lapsed"};
         told.push_back(std::string(names[static_cast<int>(step)]) + " " + std::to_string(as.value));
     }};
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -4,11 +4,11 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "../platform/helpers.hpp"
+#include "../http_gateway/helpers.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     using namespace knotvane;
-    using namespace knotvane::platform;
+    using namespace knotvane::http_gateway;
     if (size < 2)
         return 0;
     std::size_t piece = 1 + data[0];
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 
 #include "../planner/helpers.hpp"
-#include "edge/subscription.hpp"
+#include "edge/planner_client.hpp"
 
 namespace {
 
@@ -18,10 +18,10 @@
     void send_planner(std::string) override {}
     void keep_plan(std::string, bool) override {}
     void say(std::string) override { ++said; }
-    void plan_taken(const facts::Table &, bool, bool, const std::map<NodeId, Time> &) override {
+    void plan_taken(const control::ClusterState &, bool, bool, const std::map<NodeId, Time> &) override {
         ++taken;
     }
-    void part_told(VolumeId, double) override {}
+    void quota_share_changed(VolumeId, double) override {}
 };
 
 } // namespace
@@ -33,20 +33,20 @@
         in.remove_prefix(1);
     planner::Planning p;
     // A snapshot is under way while the bytes come.
-    p.say(0, 60, facts::ask_cut(0, "v", "first", ""));
+    p.say(0, 60, control::ask_cut(0, "v", "first", ""));
     p.core.settle(0);
     auto lines = p.did.said.size();
     for (std::size_t at = 0; at < in.size(); at += piece)
         p.say(0, 70, std::string(in.substr(at, piece)));
     for (Time now : {Time{0}, Time{1}, 200 * ms, 20 * sec})
         p.core.settle(now);
-    auto closed = std::count(p.did.closed.begin(), p.did.closed.end(), planner::SideId{70});
+    auto closed = std::count(p.did.closed.begin(), p.did.closed.end(), planner::SessionId{70});
     if (closed > 1 || (closed == 1 && p.did.said.size() == lines))
         std::abort();
-    if (p.core.parts().bound(VolumeId{7}) > facts::whole_limit)
+    if (p.core.parts().bound(VolumeId{7}) > control::whole_limit)
         std::abort();
     Line line;
-    edge::Subscription s(line, facts::EdgeId{1}, "e", 1, sec, 3600 * sec);
+    edge::Subscription s(line, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
     s.start(0, {});
     s.up(0);
     auto before = s.copy().version();
@@ -59,7 +59,7 @@
     if (line.hung_up > 1)
         std::abort();
     // The same bytes as a plan on disk.
-    edge::Subscription t(line, facts::EdgeId{1}, "e", 1, sec, 3600 * sec);
+    edge::Subscription t(line, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
     t.start(0, in);
     return 0;
 }
--- a/tests/fuzz/run_http_fixed.cpp
+++ b/tests/fuzz/run_http_fixed.cpp
@@ -4,12 +4,12 @@
 #include <cstdio>
 #include <random>
 
-#include "../platform/helpers.hpp"
+#include "../http_gateway/helpers.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size);
 
 int main() {
-    using namespace knotvane::platform;
+    using namespace knotvane::http_gateway;
     const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     auto list = list_of(42, node_entry("s1", "n1", 5)) + "\n";
     char length[16];
--- a/tests/gateway/day_test.cpp
+++ b/tests/gateway/day_test.cpp
@@ -44,7 +44,7 @@
         REQUIRE_MESSAGE(faults.empty(), faults[0]);
         auto pattern = (std::filesystem::temp_directory_path() / "knotvane-test-XXXXXX").string();
         std::string dir = mkdtemp(pattern.data());
-        tallies = day::play(s, dir, dir + "/r", [&](Actions &a, std::uint64_t seed) {
+        tallies = day::play(s, dir, dir + "/r", [&](SchedulerActions &a, std::uint64_t seed) {
             return pass_through ? day::make_passthrough(a) : make_scheduler(a, seed);
         });
         fault = rules::judge_file(dir + "/r", judge);
--- a/tests/gateway/door_test.cpp
+++ b/tests/gateway/door_test.cpp
@@ -27,7 +27,7 @@
             held.erase(c);
     }
     void say(std::string) override {}
-    void shot_ended(TaskId, NodeId, Outcome, Time) override {}
+    void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
 };
 struct Quiet final : load::Replies {
     void opened(std::uint64_t, std::uint16_t) override {}
@@ -41,7 +41,7 @@
 TEST_CASE("256 connections of 128 writes each stay under the stated bound, and end") {
     constexpr std::size_t most_bytes = 8 << 20, connections = 256, each = 128, size = 16384;
     Closed shell;
-    edge::Core core(shell, [](Actions &a) { return make_scheduler(a, 1); }, 0, 1, 256 << 10,
+    edge::Core core(shell, [](SchedulerActions &a) { return make_scheduler(a, 1); }, 0, 1, 256 << 10,
                     64 << 10, 64 << 10, {ShardId{0}});
     auto &s = core.scheduler();
     s.set_place(PeerId{0}, 1, ZoneId{0});
@@ -52,7 +52,7 @@
     s.set_denials(sec);
     for (std::uint32_t i = 0; i < 5; ++i) {
         s.add_workload(WorkloadId{i}, sec, 2 * sec, 1, 0);
-        s.set_repeat(WorkloadId{i}, Repeat::reissuable, Group::shard, 0);
+        s.set_repeat(WorkloadId{i}, Idempotency::idempotent, DeduplicationScope::shard, 0);
         core.add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", 2 * sec, 0);
     }
     core.set_door(each, 1 << 20, 1 << 20, most_bytes);
@@ -94,14 +94,14 @@
 TEST_CASE("a client that leaves is told to the decisions once, however much it had at work") {
     struct Counting final : day::Unhearing {
         int left = 0, others = 0;
-        void task_withdrawn(Time, TaskId, bool by_client) override {
+        void request_canceled(Time, RequestId, bool by_client) override {
             ++(by_client ? left : others);
         }
     };
     Closed shell;
     Counting *counted = nullptr;
     edge::Core core(shell,
-                    [&](Actions &) {
+                    [&](SchedulerActions &) {
                         auto made = std::make_unique<Counting>();
                         counted = made.get();
                         return made;
--- a/tests/gateway/helpers.hpp
+++ b/tests/gateway/helpers.hpp
@@ -21,7 +21,7 @@
         dir = mkdtemp(pattern.data());
         fleet = std::make_unique<fleet::Fleet>(
             dir, nodes, edges, 0, scheduling, service,
-            [](Actions &a, std::uint64_t s) { return make_scheduler(a, s); });
+            [](SchedulerActions &a, std::uint64_t s) { return make_scheduler(a, s); });
         fleet->start();
     }
     ~Gateway() {
--- a/tests/gateway/planner_test.cpp
+++ b/tests/gateway/planner_test.cpp
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 
 #include "fleet/fleet.hpp"
-#include "planner/visitor.hpp"
+#include "planner/admin_client.hpp"
 
 using namespace knotvane;
 
--- a/tests/gateway/snapshot_test.cpp
+++ b/tests/gateway/snapshot_test.cpp
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 
 #include "helpers.hpp"
-#include "planner/visitor.hpp"
+#include "planner/admin_client.hpp"
 
 using namespace knotvane;
 
@@ -25,7 +25,7 @@
         dir = mkdtemp(pattern.data());
         fleet = std::make_unique<fleet::Fleet>(
             dir, 3, edges, 0, fleet::default_scheduling(), fleet::default_service(),
-            [](Actions &a, std::uint64_t s) { return make_scheduler(a, s); }, true);
+            [](SchedulerActions &a, std::uint64_t s) { return make_scheduler(a, s); }, true);
         fleet->start();
     }
     ~Planned() {
--- a/tests/platform/crossings_test.cpp
+++ b/tests/http_gateway/connection_races_test.cpp
@@ -6,7 +6,7 @@
 #include "helpers.hpp"
 
 using namespace knotvane;
-using namespace knotvane::platform;
+using namespace knotvane::http_gateway;
 
 namespace {
 
--- a/tests/platform/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -4,11 +4,11 @@
 #include <rapidcheck.h>
 
 #include "helpers.hpp"
-#include "platform/config.hpp"
-#include "platform/trace.hpp"
+#include "http_gateway/config.hpp"
+#include "http_gateway/trace.hpp"
 
 using namespace knotvane;
-using namespace knotvane::platform;
+using namespace knotvane::http_gateway;
 
 TEST_SUITE("requests and answers") {
     TEST_CASE("a read goes to the node that holds its shard and comes back as the node gave it") {
@@ -484,7 +484,7 @@
          {"Classes.1.DeadlineS=0", "Classes.1.DeadlineS=-1", "Permissions.ConnIdleS=-1"})
         CHECK_THROWS_WITH_AS(Front{wrong + "\n"},
                              doctest::Contains(wrong.substr(0, wrong.find('=')).c_str()),
-                             wire::Malformed);
+                             scheduler_setup::Malformed);
     auto usual = settings_text();
     const std::string target = "Classes.0.TargetS=0.15\n";
     usual.erase(usual.find(target), target.size());
@@ -514,8 +514,8 @@
     for (std::string field : {"listen", "discovery", "seed", "sockets", "settings"}) {
         auto bad = good;
         bad.replace(bad.find("\"" + field), 1, "\"x");
-        CHECK_THROWS_WITH_AS(Config{bad}, doctest::Contains(field.c_str()), wire::Malformed);
+        CHECK_THROWS_WITH_AS(Config{bad}, doctest::Contains(field.c_str()), scheduler_setup::Malformed);
     }
-    CHECK_THROWS_AS(Config{"[]"}, wire::Malformed);
-    CHECK_THROWS_AS(Config{"{"}, wire::Malformed);
+    CHECK_THROWS_AS(Config{"[]"}, scheduler_setup::Malformed);
+    CHECK_THROWS_AS(Config{"{"}, scheduler_setup::Malformed);
 }
--- a/tests/platform/discovery_test.cpp
+++ b/tests/http_gateway/discovery_test.cpp
@@ -4,10 +4,10 @@
 #include <rapidcheck.h>
 
 #include "helpers.hpp"
-#include "platform/json_stream.hpp"
+#include "http_gateway/json_stream.hpp"
 
 using namespace knotvane;
-using namespace knotvane::platform;
+using namespace knotvane::http_gateway;
 
 namespace {
 
@@ -243,8 +243,8 @@
         for (std::uint64_t seed = 0; seed < 8; ++seed) {
             Written w;
             Core core(
-                w, [](Actions &a) { return make_scheduler(a, 7); },
-                wire::Options(settings_text() + shared), {"read", "write"}, {"gold"}, {"a", "b"},
+                w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
+                scheduler_setup::Options(settings_text() + shared), {"read", "write"}, {"gold"}, {"a", "b"},
                 seed, 256);
             core.start(1000 * sec, list_of(41, node_entry("s1", "n1", 5)), "d1");
             CHECK(w.connected.empty());
@@ -345,8 +345,8 @@
         Core core;
         explicit Fresh(const std::string &known)
             : core(
-                  w, [](Actions &a) { return make_scheduler(a, 7); },
-                  wire::Options(settings_text()), {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
+                  w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
+                  scheduler_setup::Options(settings_text()), {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
             core.start(now, known, "d1");
             core.settle(now);
         }
--- a/tests/platform/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -23,16 +23,16 @@
 
 #include <nlohmann/json.hpp>
 
-#include "platform/core.hpp"
-#include "platform/server.hpp"
+#include "http_gateway/core.hpp"
+#include "http_gateway/server.hpp"
 
-namespace knotvane::platform {
+namespace knotvane::http_gateway {
 
 inline bool has(const std::string &s, const std::string &part) {
     return s.find(part) != s.npos;
 }
 
-struct Written final : Wires {
+struct Written final : Transport {
     std::vector<std::pair<ConnId, std::string>> connected;
     std::map<ConnId, std::string> sent;
     std::map<ConnId, std::size_t> unwritten;
@@ -120,7 +120,7 @@
     // `more`: lines of settings, which count over the usual ones.
     explicit Front(const std::string &more = "", const std::string &usual = settings_text())
         : core(
-              w, [](Actions &a) { return make_scheduler(a, 7); }, wire::Options(usual + more),
+              w, [](SchedulerActions &a) { return make_scheduler(a, 7); }, scheduler_setup::Options(usual + more),
               {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
         core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
         if (w.to("d1").value == 0)
@@ -339,7 +339,7 @@
         Config config(std::string(std::istreambuf_iterator<char>(in), {}));
         server = std::make_unique<Server>(
             loop, path, config,
-            [](Actions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, false);
+            [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, false);
         thread = std::thread([this] {
             loop.run();
             over = true;
@@ -389,4 +389,4 @@
     }
 };
 
-} // namespace knotvane::platform
+} // namespace knotvane::http_gateway
--- a/tests/nbd/helpers.hpp
+++ b/tests/nbd/helpers.hpp
@@ -12,8 +12,8 @@
 // Writes each call down as a line, and answers nothing by itself.
 struct Written final : Asked {
     std::vector<std::string> lines;
-    std::vector<RequestId> ids;
-    void put(RequestId id, std::string s) { ids.push_back(id), lines.push_back(std::move(s)); }
+    std::vector<Cookie> ids;
+    void put(Cookie id, std::string s) { ids.push_back(id), lines.push_back(std::move(s)); }
     std::vector<std::string> exports() override { return {"first", "second"}; }
     bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
                   std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) override {
@@ -25,24 +25,24 @@
     static std::string range(std::uint64_t o, std::uint64_t n) {
         return std::to_string(o) + "+" + std::to_string(n);
     }
-    void read(RequestId id, std::uint64_t o, std::uint32_t n, bool) override {
+    void read(Cookie id, std::uint64_t o, std::uint32_t n, bool) override {
         put(id, "read " + range(o, n));
     }
-    void write(RequestId id, std::uint64_t o, std::string_view d, bool fua) override {
+    void write(Cookie id, std::uint64_t o, std::string_view d, bool fua) override {
         put(id,
             "write " + range(o, d.size()) + (fua ? " fua " : " ") + std::string(d.substr(0, 4)));
     }
-    void zero(RequestId id, std::uint64_t o, std::uint32_t n, bool, bool no_hole, bool) override {
+    void zero(Cookie id, std::uint64_t o, std::uint32_t n, bool, bool no_hole, bool) override {
         put(id, "zero " + range(o, n) + (no_hole ? " no hole" : ""));
     }
-    void trim(RequestId id, std::uint64_t o, std::uint32_t n, bool) override {
+    void trim(Cookie id, std::uint64_t o, std::uint32_t n, bool) override {
         put(id, "trim " + range(o, n));
     }
-    void flush(RequestId id) override { put(id, "flush"); }
-    void cache(RequestId id, std::uint64_t o, std::uint32_t n) override {
+    void flush(Cookie id) override { put(id, "flush"); }
+    void cache(Cookie id, std::uint64_t o, std::uint32_t n) override {
         put(id, "cache " + range(o, n));
     }
-    void status(RequestId id, std::uint64_t o, std::uint32_t n, bool) override {
+    void status(Cookie id, std::uint64_t o, std::uint32_t n, bool) override {
         put(id, "status " + range(o, n));
     }
     void left(std::string_view fault) override { lines.push_back("left " + std::string(fault)); }
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -44,7 +44,7 @@
         r.write(2 * sec, r.a, 1, 77, 9 * sec, 'x'); // a connection of the life before: not heard
         r.disk.came(2 * sec, ConnId{3});
         r.disk.bytes(2 * sec, ConnId{3},
-                     frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                     node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
                                   ShardId{0}, {}));
         r.write(3 * sec, ConnId{3}, 5, 77, 9 * sec, 'x');
         r.read(3 * sec, ConnId{3}, 6);
@@ -84,7 +84,7 @@
         r.disk.set_speed(10 * ms, 1, 1, 2);
         r.read(0, r.a, 1);
         r.read(0, r.a, 2);
-        r.ask(0, frames::Kind::call_off, 2);
+        r.ask(0, node_protocol::Kind::cancel_attempt, 2);
         for (Time t = 0; t <= 30 * ms; t += ms)
             r.disk.tick(t);
         CHECK(r.told.answers == Lines{"2 6 ", std::string("1 0 ") + std::string(4, '\0')});
@@ -92,7 +92,7 @@
     TEST_CASE("an ask for another shard is answered as misdirected, one before the hello ends the "
               "connection") {
         Rig r;
-        r.ask(0, frames::Kind::read, 1, ShardId{3});
+        r.ask(0, node_protocol::Kind::read, 1, ShardId{3});
         CHECK(r.told.answers == Lines{"1 5 "});
         r.disk.came(0, ConnId{9});
         r.read(0, ConnId{9}, 2);
@@ -148,7 +148,7 @@
     TEST_CASE("bytes that are no frames end their connection with a reason") {
         CHECK(rc::check([](std::uint16_t at, std::uint8_t bit) {
             Rig r;
-            auto f = frames::make(frames::Kind::write, 0, {}, 1, VolumeId{5}, 0, 512, 1000, 0, 0, 0,
+            auto f = node_protocol::make(node_protocol::Kind::write, 0, {}, 1, VolumeId{5}, 0, 512, 1000, 0, 0, 0,
                                   ShardId{0}, std::string(512, 'x'));
             f[at % f.size()] ^= static_cast<char>(1 << (bit % 8));
             r.disk.bytes(0, r.a, f);
--- a/tests/node/cuts_test.cpp
+++ b/tests/node/snapshot_test.cpp
@@ -7,18 +7,18 @@
 using namespace knotvane;
 using namespace knotvane::node;
 using Lines = std::vector<std::string>;
-using facts::EdgeLife;
+using control::EdgeIncarnation;
 
 namespace {
 constexpr VolumeId v{5}, snap{90};
 struct Cutting : Rig {
     // A change of an edge's process that began in an epoch.
-    void change(std::uint64_t tag, std::uint64_t life, std::uint32_t epoch, char fill,
-                std::uint64_t number = 0, frames::Kind kind = frames::Kind::write) {
-        bool zero = kind == frames::Kind::zero;
+    void change(std::uint64_t tag, std::uint64_t incarnation, std::uint32_t epoch, char fill,
+                std::uint64_t number = 0, node_protocol::Kind kind = node_protocol::Kind::write) {
+        bool zero = kind == node_protocol::Kind::zero;
         disk.bytes(0, a,
-                   frames::make(kind, number > 0 ? frames::flag_numbered : std::uint8_t{0}, {}, tag,
-                                v, 0, 4096, 1000, life, number, sec, ShardId{0},
+                   node_protocol::make(kind, number > 0 ? node_protocol::flag_numbered : std::uint8_t{0}, {}, tag,
+                                v, 0, 4096, 1000, incarnation, number, sec, ShardId{0},
                                 zero ? "" : std::string(4096, fill), epoch));
     }
     std::string holds(VolumeId id) {
@@ -35,14 +35,14 @@
               "it is sealed") {
         Cutting r;
         r.change(1, 11, 0, 'a');
-        CHECK(r.disk.open_cut(v, snap, 4, {EdgeLife{11}}) == Store::Cut::done);
+        CHECK(r.disk.open_cut(v, snap, 4, {EdgeIncarnation{11}}) == Store::Cut::done);
         r.change(2, 11, 4, 'b');
         CHECK(r.holds(v) == "bb");
         CHECK(r.holds(snap) == "aa");
         r.change(3, 11, 0, 'c');
         CHECK(r.holds(v) == "cc");
         CHECK(r.holds(snap) == "cc");
-        r.change(4, 11, 0, 0, 0, frames::Kind::zero);
+        r.change(4, 11, 0, 0, 0, node_protocol::Kind::zero);
         CHECK(r.holds(snap) == std::string(2, '\0'));
         CHECK(r.disk.seal(v, snap));
         r.change(5, 11, 0, 'd');
@@ -54,7 +54,7 @@
     TEST_CASE("whoever has not stopped, another process of the same edge too, waits while the cut "
               "is open") {
         Cutting r;
-        r.disk.open_cut(v, snap, 4, {EdgeLife{11}});
+        r.disk.open_cut(v, snap, 4, {EdgeIncarnation{11}});
         r.change(1, 12, 0, 'x');
         CHECK(r.last() == "1 2 ");
         // Told of the epoch now, it would begin changes of it at nodes that have not cut yet.
@@ -70,7 +70,7 @@
     TEST_CASE("what is of before a sealed cut is refused, also of who is late in the next one") {
         Cutting r;
         r.disk.open_cut(v, snap, 4, {}), r.disk.seal(v, snap);
-        r.disk.open_cut(v, VolumeId{91}, 5, {EdgeLife{11}});
+        r.disk.open_cut(v, VolumeId{91}, 5, {EdgeIncarnation{11}});
         r.change(1, 11, 3, 'x');
         CHECK(r.last() == "1 7 ");
         r.change(2, 11, 4, 'y');
@@ -78,14 +78,14 @@
         CHECK(r.holds(VolumeId{91}) == "yy");
         // One that was undone seals nothing off.
         r.disk.drop(VolumeId{91});
-        r.disk.open_cut(v, VolumeId{92}, 6, {EdgeLife{11}});
+        r.disk.open_cut(v, VolumeId{92}, 6, {EdgeIncarnation{11}});
         r.change(3, 11, 4, 'z');
         CHECK(r.last() == "3 0 ");
     }
     TEST_CASE("a resent change whose first copy ran before the cut is answered, and is in once") {
         Cutting r;
         r.change(1, 11, 0, 'a', 77);
-        r.disk.open_cut(v, snap, 4, {EdgeLife{11}});
+        r.disk.open_cut(v, snap, 4, {EdgeIncarnation{11}});
         r.change(2, 11, 4, 'b');
         r.change(3, 11, 0, 'a', 77);
         CHECK(r.last() == "3 0 ");
@@ -95,7 +95,7 @@
     TEST_CASE(
         "a cut that is undone lets who was late go on; a restarted node knows nobody who was") {
         Cutting r;
-        r.disk.open_cut(v, snap, 4, {EdgeLife{11}});
+        r.disk.open_cut(v, snap, 4, {EdgeIncarnation{11}});
         CHECK(r.disk.drop(snap));
         CHECK(r.disk.drop(snap)); // said again
         r.change(1, 11, 0, 'a');
@@ -105,7 +105,7 @@
         r.disk.restart(0, false);
         r.disk.came(0, r.a);
         r.disk.bytes(0, r.a,
-                     frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                     node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
                                   ShardId{0}, {}));
         r.change(3, 11, 0, 'a');
         CHECK(r.last() == "3 7 ");
@@ -125,7 +125,7 @@
         Cutting r;
         r.disk.open_cut(v, snap, 4, {}), r.disk.seal(v, snap), r.disk.drop(snap);
         r.disk.bytes(0, r.a,
-                     frames::make(frames::Kind::read, frames::flag_cut, {}, 1, snap, 0, 512, 1000,
+                     node_protocol::make(node_protocol::Kind::read, node_protocol::flag_cut, {}, 1, snap, 0, 512, 1000,
                                   0, 0, 0, ShardId{0}, {}));
         CHECK(r.last() == "1 1 ");
     }
@@ -138,11 +138,11 @@
         ConnId a{1};
         disk.came(0, a);
         disk.bytes(0, a,
-                   frames::make(frames::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
+                   node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
                                 ShardId{0}, {}));
         for (std::uint64_t i = 1; i <= 12; ++i)
             disk.bytes(0, a,
-                       frames::make(frames::Kind::write, 0, {}, i, v, i * 4096, 4096, 1000, 1, 0, 0,
+                       node_protocol::make(node_protocol::Kind::write, 0, {}, i, v, i * 4096, 4096, 1000, 1, 0, 0,
                                     ShardId{0}, std::string(4096, 'x')));
         CHECK(told.answers.back() == "12 8 ");
         CHECK(small.check().empty());
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/core_test.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck.h>
 
 #include "helpers.hpp"
-#include "planner/files.hpp"
+#include "planner/desired_state_files.hpp"
 
 using namespace knotvane;
 using namespace knotvane::planner;
@@ -49,7 +49,7 @@
         p.renew(0, 1);
         auto before = p.edges[1].renewals.size();
         p.core.settle(1200 * ms); // lapsed; the news of it is sent, and lies unread
-        p.say(1300 * ms, 1, facts::renew(1300 * ms, Term{1}, p.edges[1].copy.version()));
+        p.say(1300 * ms, 1, control::renew(1300 * ms, Term{1}, p.edges[1].copy.version()));
         p.core.settle(1300 * ms);
         p.read(1);
         CHECK(p.edges[1].renewals.size() == before);
@@ -111,15 +111,15 @@
                 ++version;
                 parts.part_out(
                     Version{version},
-                    [&](VolumeId, EdgeId to, const facts::Part &part) {
+                    [&](VolumeId, EdgeId to, const control::Part &part) {
                         mail[to.value].emplace_back(Version{version}, part.millionths);
                     },
                     [](VolumeId, EdgeId, const Parts::Hold *) {});
                 std::uint64_t sum = 0;
                 for (auto &[_, x] : edges)
-                    sum += x.stage == 0 ? x.part : facts::usable(x.part, 1, 1);
-                RC_ASSERT(sum <= facts::whole_limit);
-                RC_ASSERT(parts.bound(v) <= facts::whole_limit);
+                    sum += x.stage == 0 ? x.part : control::usable(x.part, 1, 1);
+                RC_ASSERT(sum <= control::whole_limit);
+                RC_ASSERT(parts.bound(v) <= control::whole_limit);
             }
         }));
     }
@@ -207,14 +207,14 @@
         Planning p;
         p.hello(0, 1);
         p.renew(0, 1);
-        p.say(0, 50, facts::ask_drain(NodeId{1}, true, 1));
+        p.say(0, 50, control::ask_drain(NodeId{1}, true, 1));
         p.core.settle(0);
         p.read(50);
         CHECK_FALSE(p.edges[50].done);
         CHECK(p.edges[50].effect_text.find("no other ready node holds its shard") !=
               std::string::npos);
         p.did.durable = false;
-        p.say(ms, 50, facts::ask_drain(NodeId{1}, true, 2));
+        p.say(ms, 50, control::ask_drain(NodeId{1}, true, 2));
         p.core.settle(ms);
         p.read(50), p.read(1);
         CHECK_FALSE(p.edges[50].done);
@@ -227,7 +227,7 @@
     }
     TEST_CASE("a planner that comes back from its rows holds the drain, and says so") {
         Planning p;
-        p.say(0, 50, facts::ask_drain(NodeId{1}, true, 2));
+        p.say(0, 50, control::ask_drain(NodeId{1}, true, 2));
         p.core.settle(0);
         Written after;
         Core again(after, after, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec);
@@ -312,24 +312,24 @@
 TEST_SUITE("other planners, and what edges take") {
     TEST_CASE("an edge that follows a newer term: this planner stops, and hands out nothing more") {
         Planning p(Term{3});
-        p.say(0, 1, facts::edge_hello(EdgeId{1}, "e", Term{4}, 9, 5, Version{0}, {}, {}));
+        p.say(0, 1, control::edge_hello(EdgeId{1}, "e", Term{4}, 9, 5, Version{0}, {}, {}));
         p.core.settle(0);
         CHECK(p.did.has_retired);
-        CHECK(p.did.sent[SideId{1}].empty());
+        CHECK(p.did.sent[SessionId{1}].empty());
     }
     TEST_CASE("two planners under one term, and a store that is an old copy, are noticed, too") {
         Planning p(Term{3});
-        p.say(0, 1, facts::edge_hello(EdgeId{1}, "e", Term{3}, 99, 5, Version{0}, {}, {}));
+        p.say(0, 1, control::edge_hello(EdgeId{1}, "e", Term{3}, 99, 5, Version{0}, {}, {}));
         CHECK(p.did.has_retired);
         Planning q(Term{3});
-        q.say(0, 1, facts::edge_hello(EdgeId{1}, "e", Term{2}, 9, 5, Version{900}, {}, {}));
+        q.say(0, 1, control::edge_hello(EdgeId{1}, "e", Term{2}, 9, 5, Version{900}, {}, {}));
         CHECK(q.did.has_retired);
     }
     TEST_CASE(
         "a store made anew goes above the term it meets, and holds the drains that edges know of") {
         Planning p(Term{1}, true);
         p.say(0, 1,
-              facts::edge_hello(EdgeId{1}, "e", Term{8}, 9, 77, Version{30}, {NodeId{2}}, {}));
+              control::edge_hello(EdgeId{1}, "e", Term{8}, 9, 77, Version{30}, {NodeId{2}}, {}));
         p.core.settle(0);
         CHECK_FALSE(p.did.has_retired);
         CHECK(p.core.term() == Term{9});
@@ -340,25 +340,25 @@
         Planning p;
         p.hello(0, 1);
         p.renew(0, 1);
-        CHECK(p.edges[1].last == facts::Taken::whole);
-        for (std::uint64_t life = 2; life < 9; ++life)
-            p.node(ms, 1, life, 0), p.core.settle(ms);
+        CHECK(p.edges[1].last == control::UpdateResult::whole);
+        for (std::uint64_t incarnation = 2; incarnation < 9; ++incarnation)
+            p.node(ms, 1, incarnation, 0), p.core.settle(ms);
         p.read(1);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).life == 2);
+        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).incarnation == 2);
         p.renew(2 * ms, 1);
-        CHECK(p.edges[1].last == facts::Taken::changes);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).life == 8);
+        CHECK(p.edges[1].last == control::UpdateResult::changes);
+        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).incarnation == 8);
         CHECK(p.edges[1].copy.version() == p.core.version());
         p.renew(2 * ms, 1);
         p.node(3 * ms, 1, 20, 0), p.core.settle(3 * ms);
         p.did.sent.clear(); // lost
         p.core.settle(1100 * ms);
         p.read(1);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).life == 20);
+        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).incarnation == 20);
     }
     TEST_CASE("a peer that talks out of turn, or no protocol, is closed with one line") {
         Planning p;
-        p.say(0, 60, facts::renew(0, Term{1}, Version{1}));
+        p.say(0, 60, control::renew(0, Term{1}, Version{1}));
         p.say(0, 61, "GET / HTTP/1.1\r\n\r\n");
         p.say(0, 61, "more of it");
         CHECK(p.did.closed.size() == 2);
@@ -366,24 +366,24 @@
     }
     TEST_CASE(
         "an edge's copy: a gap, a broken count, an older term, another instance change nothing") {
-        facts::Copy c;
+        control::ClusterStateReplica c;
         auto news = [&](std::uint64_t term, std::uint64_t instance, std::uint64_t version,
                         std::uint64_t from, std::uint64_t count = 1) {
             c.begins(Term{term}, instance, 1, Version{version}, Version{from});
             c.put(VolumeId{version},
-                  facts::Volume{"v" + std::to_string(version), 512, 512, PlanId{0}});
+                  control::Volume{"v" + std::to_string(version), 512, 512, PlanId{0}});
             return c.ends(Version{version}, count);
         };
-        CHECK(news(2, 1, 5, 0) == facts::Taken::whole);
-        CHECK(news(2, 1, 7, 6) == facts::Taken::gap);
-        CHECK(news(2, 1, 6, 5, 2) == facts::Taken::broken);
-        CHECK(news(2, 1, 5, 0) == facts::Taken::old);
-        CHECK(news(1, 1, 9, 0) == facts::Taken::alien);
-        CHECK(news(2, 2, 9, 0) == facts::Taken::alien);
+        CHECK(news(2, 1, 5, 0) == control::UpdateResult::whole);
+        CHECK(news(2, 1, 7, 6) == control::UpdateResult::gap);
+        CHECK(news(2, 1, 6, 5, 2) == control::UpdateResult::broken);
+        CHECK(news(2, 1, 5, 0) == control::UpdateResult::old);
+        CHECK(news(1, 1, 9, 0) == control::UpdateResult::alien);
+        CHECK(news(2, 2, 9, 0) == control::UpdateResult::alien);
         CHECK(c.table().names.size() == 1);
-        CHECK(news(2, 1, 6, 5) == facts::Taken::changes);
-        CHECK(news(3, 9, 8, 6) == facts::Taken::changes);
+        CHECK(news(2, 1, 6, 5) == control::UpdateResult::changes);
+        CHECK(news(3, 9, 8, 6) == control::UpdateResult::changes);
         CHECK(c.table().names.size() == 3);
-        CHECK(c.ends(Version{8}, 0) == facts::Taken::broken);
+        CHECK(c.ends(Version{8}, 0) == control::UpdateResult::broken);
     }
 }
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -10,17 +10,17 @@
 
 namespace knotvane::planner {
 
-struct Written final : Shell, Keeper {
-    std::map<SideId, std::string> sent;
-    std::vector<SideId> closed;
+struct Written final : Shell, StateStore {
+    std::map<SessionId, std::string> sent;
+    std::vector<SessionId> closed;
     std::vector<std::string> said;
     bool has_retired = false, durable = true;
     int commits = 0;
     std::map<std::tuple<Row, std::uint64_t, std::uint64_t>, std::pair<Version, std::string>> rows;
     Version version;
 
-    void send(SideId side, std::string bytes) override { sent[side] += bytes; }
-    void close(SideId side) override { closed.push_back(side); }
+    void send(SessionId side, std::string bytes) override { sent[side] += bytes; }
+    void close(SessionId side) override { closed.push_back(side); }
     void say(std::string text) override { said.push_back(std::move(text)); }
     void retired() override { has_retired = true; }
     void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string body) override {
@@ -47,26 +47,26 @@
 }
 
 // What an edge makes of what it is sent.
-struct EdgeSide final : facts::Heard {
-    facts::Reader reader;
-    facts::Copy copy;
-    facts::Taken last = facts::Taken::old;
+struct EdgeSide final : control::MessageHandler {
+    control::Reader reader;
+    control::ClusterStateReplica copy;
+    control::UpdateResult last = control::UpdateResult::old;
     std::vector<Version> renewals;
     std::string status_text, effect_text;
     bool allowed = false, done = false;
-    void begins(facts::Term t, std::uint64_t i, std::uint64_t l, Version v, Version from,
+    void begins(control::Term t, std::uint64_t i, std::uint64_t l, Version v, Version from,
                 Time) override {
         copy.begins(t, i, l, v, from);
     }
-    void node(NodeId id, facts::Node n) override { copy.put(id, std::move(n)); }
-    void plan(PlanId id, facts::Plan p) override { copy.put(id, std::move(p)); }
-    void volume(VolumeId id, facts::Volume v) override { copy.put(id, std::move(v)); }
-    void part(VolumeId id, facts::Part p) override { copy.put(id, p); }
+    void node(NodeId id, control::Node n) override { copy.put(id, std::move(n)); }
+    void plan(PlanId id, control::Plan p) override { copy.put(id, std::move(p)); }
+    void volume(VolumeId id, control::Volume v) override { copy.put(id, std::move(v)); }
+    void part(VolumeId id, control::Part p) override { copy.put(id, p); }
     void no_node(NodeId id) override { copy.drop(id); }
     void no_volume(VolumeId id) override { copy.drop_volume(id); }
     void no_part(VolumeId id) override { copy.drop_part(id); }
     void ends(Version v, std::uint64_t count) override { last = copy.ends(v, count); }
-    void renewed(Time, facts::Term, Time, Time, Version least) override {
+    void renewed(Time, control::Term, Time, Time, Version least) override {
         renewals.push_back(least);
     }
     void status(const std::string &json) override { status_text = json; }
@@ -89,33 +89,33 @@
         node(0, 1), node(0, 2);
         core.settle(0);
     }
-    void node(Time now, std::uint64_t id, std::uint64_t life = 1, Time age = 3600 * sec) {
-        say(now, 100 + id + 1000 * life,
-            facts::node_hello(NodeId{id}, ShardId{static_cast<std::int32_t>(id) - 1}, ZoneId{0},
-                              "n", life, age));
+    void node(Time now, std::uint64_t id, std::uint64_t incarnation = 1, Time age = 3600 * sec) {
+        say(now, 100 + id + 1000 * incarnation,
+            control::node_hello(NodeId{id}, ShardId{static_cast<std::int32_t>(id) - 1}, ZoneId{0},
+                              "n", incarnation, age));
     }
     void say(Time now, std::uint64_t side, const std::string &bytes) {
         if (seen.insert(side).second)
-            core.came(now, SideId{side});
-        core.bytes(now, SideId{side}, bytes);
+            core.came(now, SessionId{side});
+        core.bytes(now, SessionId{side}, bytes);
     }
     // An edge comes, with what it holds; its side has its own number.
     void hello(Time now, std::uint64_t edge, std::vector<VolumeId> serving = {}) {
         auto &c = edges[edge].copy;
         say(now, edge,
-            facts::edge_hello(EdgeId{edge}, "e", c.term(), c.instance(), c.lineage(), c.version(),
+            control::edge_hello(EdgeId{edge}, "e", c.term(), c.instance(), c.lineage(), c.version(),
                               {}, serving));
         core.settle(now);
         read(edge);
     }
     void renew(Time now, std::uint64_t edge) {
         auto &c = edges[edge].copy;
-        say(now, edge, facts::renew(now, c.term(), c.version()));
+        say(now, edge, control::renew(now, c.term(), c.version()));
         core.settle(now);
         read(edge);
     }
     void read(std::uint64_t edge) {
-        auto bytes = std::exchange(did.sent[SideId{edge}], {});
+        auto bytes = std::exchange(did.sent[SessionId{edge}], {});
         edges[edge].reader.bytes(bytes, edges[edge]);
     }
     std::uint32_t part(std::uint64_t edge) {
--- a/tests/planner/cuts_test.cpp
+++ b/tests/planner/snapshot_coordinator_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace knotvane;
 using namespace knotvane::planner;
-using facts::EdgeLife;
+using control::EdgeIncarnation;
 using Lines = std::vector<std::string>;
 
 namespace {
@@ -21,7 +21,7 @@
     }
     void release(EdgeId e, VolumeId, VolumeId) override { did.push_back("release " + t(e)); }
     void open(NodeId n, VolumeId, VolumeId, std::uint32_t,
-              const std::vector<EdgeLife> &late) override {
+              const std::vector<EdgeIncarnation> &late) override {
         std::string line = "open " + t(n) + " late";
         for (auto l : late)
             line += " " + t(l);
@@ -45,18 +45,18 @@
     explicit Cutting(std::set<EdgeId> edges = {EdgeId{1}, EdgeId{2}}) {
         cuts.begin_cut(0, of, as, 5, std::move(edges), {NodeId{1}, NodeId{2}});
     }
-    void edge(Time now, std::uint64_t e, CutStep s) {
-        cuts.edge_told(now, EdgeId{e}, EdgeLife{e * 10}, as, s);
+    void edge(Time now, std::uint64_t e, SnapshotStep s) {
+        cuts.edge_told(now, EdgeId{e}, EdgeIncarnation{e * 10}, as, s);
     }
-    void node(Time now, std::uint64_t n, CutStep s, std::uint8_t how = 0) {
+    void node(Time now, std::uint64_t n, SnapshotStep s, std::uint8_t how = 0) {
         cuts.node_told(now, NodeId{n}, ShardId{static_cast<std::int32_t>(n) - 1}, as, s, how);
     }
     // Until edges go on.
     void opened() {
         for (std::uint64_t e : {1, 2})
-            edge(ms, e, CutStep::ready);
+            edge(ms, e, SnapshotStep::ready);
         for (std::uint64_t n : {1, 2})
-            node(2 * ms, n, CutStep::opened);
+            node(2 * ms, n, SnapshotStep::opened);
         o.take();
     }
 };
@@ -69,52 +69,52 @@
               "its time") {
         Cutting c;
         CHECK(c.o.take() == Lines{"hold 1", "hold 2"});
-        c.edge(ms, 1, CutStep::ready);
+        c.edge(ms, 1, SnapshotStep::ready);
         CHECK(c.o.take().empty());
-        c.edge(ms, 2, CutStep::ready);
+        c.edge(ms, 2, SnapshotStep::ready);
         CHECK(c.o.take() == Lines{"open 1 late 10 20", "open 2 late 10 20"});
-        c.node(2 * ms, 1, CutStep::opened);
+        c.node(2 * ms, 1, SnapshotStep::opened);
         CHECK(c.o.take().empty());
-        c.node(2 * ms, 2, CutStep::opened);
+        c.node(2 * ms, 2, SnapshotStep::opened);
         CHECK(c.o.take() == Lines{"go 1 5", "go 2 5"});
-        c.edge(3 * ms, 1, CutStep::moved);
-        c.edge(3 * ms, 1, CutStep::drained);
-        c.edge(3 * ms, 2, CutStep::moved);
+        c.edge(3 * ms, 1, SnapshotStep::moved);
+        c.edge(3 * ms, 1, SnapshotStep::drained);
+        c.edge(3 * ms, 2, SnapshotStep::moved);
         CHECK(c.o.take().empty());
-        c.edge(900 * ms, 2, CutStep::drained);
+        c.edge(900 * ms, 2, SnapshotStep::drained);
         CHECK(c.o.take() == Lines{"seal 1", "seal 2"});
-        c.node(901 * ms, 1, CutStep::sealed);
+        c.node(901 * ms, 1, SnapshotStep::sealed);
         CHECK(c.o.take().empty());
-        c.node(901 * ms, 2, CutStep::sealed);
+        c.node(901 * ms, 2, SnapshotStep::sealed);
         CHECK(c.o.take() == Lines{"whole"});
         CHECK(!c.cuts.busy(as));
     }
     TEST_CASE("without an edge nodes cut at once, and let nobody in") {
         Cutting c{{}};
         CHECK(c.o.take() == Lines{"open 1 late", "open 2 late"});
-        c.node(ms, 1, CutStep::opened), c.node(ms, 2, CutStep::opened);
+        c.node(ms, 1, SnapshotStep::opened), c.node(ms, 2, SnapshotStep::opened);
         CHECK(c.o.take() == Lines{"seal 1", "seal 2"});
     }
     TEST_CASE("an edge that does not stop in time is left out, told to go on, and not waited for") {
         Cutting c;
-        c.edge(ms, 1, CutStep::ready);
+        c.edge(ms, 1, SnapshotStep::ready);
         c.o.take();
         c.cuts.tick(99 * ms, {});
         CHECK(c.o.take().empty());
         c.cuts.tick(100 * ms, {});
         CHECK(c.o.take() == Lines{"release 2", "open 1 late 10", "open 2 late 10"});
         c.edge(101 * ms, 2,
-               CutStep::ready); // its word was late: it holds changes back, and need not
+               SnapshotStep::ready); // its word was late: it holds changes back, and need not
         CHECK(c.o.take() == Lines{"release 2"});
-        c.node(102 * ms, 1, CutStep::opened), c.node(102 * ms, 2, CutStep::opened);
+        c.node(102 * ms, 1, SnapshotStep::opened), c.node(102 * ms, 2, SnapshotStep::opened);
         CHECK(c.o.take() == Lines{"go 1 5"});
     }
     TEST_CASE("an edge lost before nodes cut is left out; lost while its changes count, it ends "
               "the cut") {
         Cutting c;
-        c.edge(ms, 1, CutStep::ready), c.o.take();
+        c.edge(ms, 1, SnapshotStep::ready), c.o.take();
         c.cuts.edge_gone(2 * ms, EdgeId{1});
-        c.edge(3 * ms, 2, CutStep::ready);
+        c.edge(3 * ms, 2, SnapshotStep::ready);
         CHECK(c.o.take() == Lines{"open 1 late 20", "open 2 late 20"});
         c.cuts.edge_gone(4 * ms, EdgeId{2});
         CHECK(c.o.take() == Lines{"failed again: edge 2 was lost on the way"});
@@ -122,18 +122,18 @@
     TEST_CASE("an edge all of whose changes have ended may go") {
         Cutting c;
         c.opened();
-        c.edge(3 * ms, 1, CutStep::moved), c.edge(3 * ms, 1, CutStep::drained),
-            c.edge(3 * ms, 2, CutStep::moved);
+        c.edge(3 * ms, 1, SnapshotStep::moved), c.edge(3 * ms, 1, SnapshotStep::drained),
+            c.edge(3 * ms, 2, SnapshotStep::moved);
         c.cuts.edge_gone(4 * ms, EdgeId{1});
         CHECK(c.o.take().empty());
-        c.edge(5 * ms, 2, CutStep::drained);
+        c.edge(5 * ms, 2, SnapshotStep::drained);
         CHECK(c.o.take() == Lines{"seal 1", "seal 2"});
     }
     TEST_CASE("an edge that went on by itself ends it: others may be in the new epoch already") {
         Cutting c;
         c.opened();
-        c.edge(3 * ms, 1, CutStep::moved);
-        c.edge(4 * ms, 2, CutStep::lapsed);
+        c.edge(3 * ms, 1, SnapshotStep::moved);
+        c.edge(4 * ms, 2, SnapshotStep::lapsed);
         CHECK(c.o.take() == Lines{"failed again: edge 2 held its changes back for too long"});
         CHECK(c.cuts.next_due() > 1000 * sec);
     }
@@ -145,7 +145,7 @@
                 c.opened();
             if (step > 1)
                 for (std::uint64_t e : {1, 2})
-                    c.edge(3 * ms, e, CutStep::moved), c.edge(3 * ms, e, CutStep::drained);
+                    c.edge(3 * ms, e, SnapshotStep::moved), c.edge(3 * ms, e, SnapshotStep::drained);
             c.o.take();
             c.cuts.node_gone(4 * ms, NodeId{2});
             CHECK(c.o.take().back() == "failed again: node 2 was lost on the way");
@@ -153,15 +153,15 @@
     }
     TEST_CASE("a full store or one that fails ends it for good, and edges are let go on") {
         Cutting c;
-        c.edge(ms, 1, CutStep::ready), c.edge(ms, 2, CutStep::ready), c.o.take();
-        c.node(2 * ms, 1, CutStep::opened, 3);
+        c.edge(ms, 1, SnapshotStep::ready), c.edge(ms, 2, SnapshotStep::ready), c.o.take();
+        c.node(2 * ms, 1, SnapshotStep::opened, 3);
         CHECK(c.o.take() == Lines{"release 1", "release 2",
                                   "failed: node 1: less than a tenth of its store is free"});
     }
     TEST_CASE("each step has an end: nodes to cut, edges to go on, changes to end, nodes to seal") {
         Cutting c;
         for (std::uint64_t e : {1, 2})
-            c.edge(ms, e, CutStep::ready);
+            c.edge(ms, e, SnapshotStep::ready);
         c.cuts.tick(c.cuts.next_due(), {});
         CHECK(c.o.take().back() == "failed again: waited too long for nodes to cut: node 1, 2");
         Cutting d;
@@ -170,18 +170,18 @@
         CHECK(d.o.take().back() == "failed again: waited too long for edges to go on: edge 1, 2");
         Cutting e;
         e.opened();
-        e.edge(3 * ms, 1, CutStep::moved), e.edge(3 * ms, 2, CutStep::moved),
-            e.edge(3 * ms, 2, CutStep::drained);
+        e.edge(3 * ms, 1, SnapshotStep::moved), e.edge(3 * ms, 2, SnapshotStep::moved),
+            e.edge(3 * ms, 2, SnapshotStep::drained);
         e.cuts.tick(e.cuts.next_due(), {});
         CHECK(e.o.take().back() == "failed again: waited too long for changes to end: edge 1");
     }
     TEST_CASE("steps said twice, too early or by a stranger change nothing") {
         Cutting c;
         c.o.take();
-        c.node(ms, 1, CutStep::opened), c.node(ms, 1, CutStep::sealed);
-        c.edge(ms, 9, CutStep::ready), c.edge(ms, 1, CutStep::ready), c.edge(ms, 1, CutStep::ready);
+        c.node(ms, 1, SnapshotStep::opened), c.node(ms, 1, SnapshotStep::sealed);
+        c.edge(ms, 9, SnapshotStep::ready), c.edge(ms, 1, SnapshotStep::ready), c.edge(ms, 1, SnapshotStep::ready);
         CHECK(c.o.take().empty());
-        c.edge(ms, 2, CutStep::ready);
+        c.edge(ms, 2, SnapshotStep::ready);
         CHECK(c.o.take().size() == 2);
     }
     TEST_CASE(
@@ -191,19 +191,19 @@
         cuts.undo(as, {ShardId{0}, ShardId{1}});
         cuts.tick(0, {{NodeId{1}, ShardId{0}}});
         CHECK(o.take() == Lines{"drop 1"});
-        cuts.node_told(ms, NodeId{1}, ShardId{0}, as, CutStep::dropped, 4); // its medium failed
+        cuts.node_told(ms, NodeId{1}, ShardId{0}, as, SnapshotStep::dropped, 4); // its medium failed
         cuts.tick(sec, {{NodeId{1}, ShardId{0}}});
         CHECK(o.take().empty());
         cuts.tick(2 * sec, {{NodeId{1}, ShardId{0}}});
         CHECK(o.take() == Lines{"drop 1"});
-        cuts.node_told(3 * sec, NodeId{1}, ShardId{0}, as, CutStep::dropped, 0);
+        cuts.node_told(3 * sec, NodeId{1}, ShardId{0}, as, SnapshotStep::dropped, 0);
         cuts.node_came(NodeId{5}, ShardId{1});
         CHECK(o.take() == Lines{"drop 5"});
-        cuts.node_told(3 * sec, NodeId{5}, ShardId{1}, as, CutStep::dropped, 0);
+        cuts.node_told(3 * sec, NodeId{5}, ShardId{1}, as, SnapshotStep::dropped, 0);
         CHECK(o.take() == Lines{"undone"});
         cuts.undo(as, {ShardId{0}, ShardId{3}});
         cuts.shards({ShardId{0}}); // shard 3 is no more
-        cuts.node_told(4 * sec, NodeId{1}, ShardId{0}, as, CutStep::dropped, 0);
+        cuts.node_told(4 * sec, NodeId{1}, ShardId{0}, as, SnapshotStep::dropped, 0);
         CHECK(o.take() == Lines{"undone"});
     }
 }
@@ -211,23 +211,23 @@
 namespace {
 // An operator's question and its answer, with nodes and edges that do as they are told.
 struct Snapshots : Planning {
-    struct NodeSide final : facts::Heard {
-        facts::Reader reader;
+    struct NodeSide final : control::MessageHandler {
+        control::Reader reader;
         std::vector<std::string> answers, heard;
         std::uint8_t how = 0;
         void cut_open(VolumeId, VolumeId a, std::uint32_t epoch,
-                      const std::vector<EdgeLife> &) override {
+                      const std::vector<EdgeIncarnation> &) override {
             heard.push_back("open " + std::to_string(epoch));
-            answers.push_back(facts::tell_cut(a, CutStep::opened, how));
+            answers.push_back(control::tell_cut(a, SnapshotStep::opened, how));
         }
         void cut_seal(VolumeId, VolumeId a) override {
-            answers.push_back(facts::tell_cut(a, CutStep::sealed, 0));
+            answers.push_back(control::tell_cut(a, SnapshotStep::sealed, 0));
         }
         void cut_clone(VolumeId, VolumeId a) override {
-            answers.push_back(facts::tell_cut(a, CutStep::cloned, 0));
+            answers.push_back(control::tell_cut(a, SnapshotStep::cloned, 0));
         }
         void cut_drop(VolumeId a) override {
-            heard.push_back("drop"), answers.push_back(facts::tell_cut(a, CutStep::dropped, 0));
+            heard.push_back("drop"), answers.push_back(control::tell_cut(a, SnapshotStep::dropped, 0));
         }
         void unexpected(const char *) override {}
     };
@@ -237,12 +237,12 @@
     void run(Time now) {
         for (std::uint64_t n : {1, 2})
             if (seen.contains(100 + n + 1000))
-                say(now, 100 + n + 1000, facts::node_renew());
+                say(now, 100 + n + 1000, control::node_renew());
         for (int i = 0; i < 12; ++i) {
             core.settle(now);
             for (std::uint64_t n : {1, 2}) {
                 auto side = 100 + n + 1000;
-                nodes[n].reader.bytes(std::exchange(did.sent[SideId{side}], {}), nodes[n]);
+                nodes[n].reader.bytes(std::exchange(did.sent[SessionId{side}], {}), nodes[n]);
                 for (auto &a : std::exchange(nodes[n].answers, {}))
                     say(now, side, a);
             }
@@ -251,10 +251,10 @@
     EdgeSide ask(Time now, std::uint8_t what, const std::string &a, const std::string &b = "",
                  const std::string &plan = "") {
         auto v = ++visitors;
-        say(now, v, facts::ask_cut(what, a, b, plan));
+        say(now, v, control::ask_cut(what, a, b, plan));
         run(now);
         EdgeSide heard;
-        heard.reader.bytes(did.sent[SideId{v}], heard);
+        heard.reader.bytes(did.sent[SessionId{v}], heard);
         return heard;
     }
 };
@@ -289,7 +289,7 @@
         CHECK(p.ask(sec, 2, "v", "c").effect_text == "v is no snapshot: take one and clone that");
         CHECK(p.ask(sec, 2, "v@a", "c", "q").effect_text == "there is no plan q");
         CHECK(p.ask(sec, 1, "v").effect_text == "there is no snapshot or clone v");
-        p.core.gone(sec, SideId{1102}); // node 2
+        p.core.gone(sec, SessionId{1102}); // node 2
         CHECK(p.ask(sec, 0, "v", "b").effect_text ==
               "no node of shard 1 is connected to the planner");
     }
@@ -328,19 +328,19 @@
         CHECK(p.nodes[1].heard == Lines{"open 1", "drop"});
         CHECK(p.core.state().table().names.size() == 1);
         for (auto &[key, row] : p.did.rows)
-            CHECK(std::get<0>(key) != Keeper::Row::undo);
+            CHECK(std::get<0>(key) != StateStore::Row::undo);
     }
     TEST_CASE(
         "a planner that comes back takes back what was not whole, and gives its epoch to nobody") {
         Written did;
         Core core(did, did, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec);
-        core.restore(Keeper::Row::plan, 0, 0, Version{1},
-                     facts::put(PlanId{0}, facts::Plan{"p", 1, 1, 0, 1, 0, 0}));
-        facts::Volume v;
+        core.restore(StateStore::Row::plan, 0, 0, Version{1},
+                     control::put(PlanId{0}, control::Plan{"p", 1, 1, 0, 1, 0, 0}));
+        control::Volume v;
         v.name = "v", v.size = 1 << 20;
-        core.restore(Keeper::Row::volume, 7, 0, Version{1}, facts::put(VolumeId{7}, v));
-        CHECK(core.restore(Keeper::Row::undo, 99, 7, Version{1}, "41").empty());
-        CHECK(!core.restore(Keeper::Row::undo, 99, 7, Version{1}, "4x").empty());
+        core.restore(StateStore::Row::volume, 7, 0, Version{1}, control::put(VolumeId{7}, v));
+        CHECK(core.restore(StateStore::Row::undo, 99, 7, Version{1}, "41").empty());
+        CHECK(!core.restore(StateStore::Row::undo, 99, 7, Version{1}, "4x").empty());
         core.start(0, Term{2}, 12, 5, Version{1}, Version{0}, 1, false);
         CHECK(core.state().table().volumes.at(VolumeId{7}).epoch == 41);
         CHECK(core.busy_with(VolumeId{99}));
@@ -359,11 +359,11 @@
     TEST_CASE(
         "a second take is refused while the first is not yet begun, or waits to be tried again") {
         Snapshots p;
-        p.say(sec, 61, facts::ask_cut(0, "v", "b", "")),
-            p.say(sec, 62, facts::ask_cut(0, "v", "c", ""));
+        p.say(sec, 61, control::ask_cut(0, "v", "b", "")),
+            p.say(sec, 62, control::ask_cut(0, "v", "c", ""));
         p.run(sec);
         EdgeSide heard;
-        heard.reader.bytes(p.did.sent[SideId{62}], heard);
+        heard.reader.bytes(p.did.sent[SessionId{62}], heard);
         CHECK(heard.effect_text == "another snapshot of v is under way");
         CHECK(p.core.state().table().names.contains("v@b"));
     }
@@ -374,7 +374,7 @@
         auto id = p.core.state().table().names.at("v@a");
         p.hello(sec, 3, {id});
         CHECK(p.ask(sec, 1, "v@a").effect_text == "v@a is in use by clients of edge 3");
-        p.say(sec, 3, facts::serve(id, false));
+        p.say(sec, 3, control::serve(id, false));
         p.nodes[2].how = 0;
         CHECK(p.ask(sec, 1, "v@a").done);
         CHECK(!p.core.state().table().volumes.contains(id));
--- a/tests/planner/store_test.cpp
+++ b/tests/planner/sqlite_state_store_test.cpp
@@ -10,7 +10,7 @@
 
 #include <sqlite3.h>
 
-#include "planner/store.hpp"
+#include "planner/sqlite_state_store.hpp"
 
 using namespace knotvane;
 using namespace knotvane::planner;
@@ -85,7 +85,7 @@
 std::string all_rows(const Store &s) {
     std::string out =
         std::to_string(s.term().value) + "/" + std::to_string(s.version().value) + ":";
-    s.rows([&](Keeper::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+    s.rows([&](StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                std::string_view body) {
         out += std::to_string(static_cast<int>(row)) + "," + std::to_string(a) + "," +
                std::to_string(b) + "," + std::to_string(stamp.value) + "," + std::string(body) +
@@ -95,9 +95,9 @@
 }
 void change(Store &s, std::uint64_t version) {
     for (std::uint64_t i = 0; i < 40; ++i)
-        s.keep(Keeper::Row::hold, i, version % 7, Version{version},
+        s.keep(StateStore::Row::hold, i, version % 7, Version{version},
                std::string(200, static_cast<char>('a' + version % 26)));
-    s.drop(Keeper::Row::hold, version % 40, (version + 3) % 7);
+    s.drop(StateStore::Row::hold, version % 40, (version + 3) % 7);
 }
 std::string opened(const std::string &path) {
     try {
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -28,9 +28,9 @@
     WireId client{1}, node{2}, other{3};
     std::uint64_t tag = 0;
     Scene() {
-        j.set_workload(0, sec, Repeat::reissuable, 0, 0);
-        j.set_workload(1, sec, Repeat::numbered, 500 * ms, 600 * ms);
-        j.set_workload(3, sec, Repeat::reissuable, 0, 0);
+        j.set_workload(0, sec, Idempotency::idempotent, 0, 0);
+        j.set_workload(1, sec, Idempotency::deduplicated, 500 * ms, 600 * ms);
+        j.set_workload(3, sec, Idempotency::idempotent, 0, 0);
         j.set_shots(3, false);
         j.set_drain(250 * ms);
         j.client_wire(0, client, EdgeId{0}, VolumeId{5});
@@ -56,19 +56,19 @@
         nbd::put(r, cookie);
         j.bytes(at, client, true, r + data);
     }
-    std::uint64_t shot(Time at, frames::Kind kind, std::uint64_t task, std::uint64_t offset,
+    std::uint64_t shot(Time at, node_protocol::Kind kind, std::uint64_t task, std::uint64_t offset,
                        WireId wire = WireId{2}, int shard = 0, std::uint32_t units = 1000,
                        char fill = 'x') {
         j.bytes(at, wire, true,
-                frames::make(kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0,
+                node_protocol::make(kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0,
                              ShardId{shard},
-                             kind == frames::Kind::write ? std::string(512, fill) : ""));
+                             kind == node_protocol::Kind::write ? std::string(512, fill) : ""));
         return tag;
     }
-    void answer(Time at, std::uint64_t t, frames::Status status = frames::Status::ok,
+    void answer(Time at, std::uint64_t t, node_protocol::Status status = node_protocol::Status::ok,
                 WireId wire = WireId{2}) {
         j.bytes(at, wire, false,
-                frames::make(frames::Kind::answer, 0, status, t, VolumeId{5}, 0, 512, 0, 1, 0, 0,
+                node_protocol::make(node_protocol::Kind::answer, 0, status, t, VolumeId{5}, 0, 512, 0, 1, 0, 0,
                              ShardId{0}, {}));
     }
     std::uint64_t broken(Rule rule) {
@@ -78,12 +78,12 @@
     // A write done as it should be.
     void write(Time at, std::uint64_t id, std::uint64_t offset, char fill) {
         ask(at, nbd::cmd_write, id, offset, fill);
-        answer(at + 2, shot(at + 1, frames::Kind::write, id, offset, WireId{2}, 0, 1000, fill));
+        answer(at + 2, shot(at + 1, node_protocol::Kind::write, id, offset, WireId{2}, 0, 1000, fill));
         reply(at + 3, id);
     }
 };
-using frames::Kind;
-using frames::Status;
+using node_protocol::Kind;
+using node_protocol::Status;
 
 } // namespace
 
--- a/tests/helpers.hpp
+++ b/tests/scheduling/helpers.hpp
@@ -4,22 +4,22 @@
 #include <string>
 #include <vector>
 
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane {
 
 // Writes each action down as a line, in order.
-struct Written final : Actions {
+struct Written final : SchedulerActions {
     std::vector<std::string> lines;
     void put(std::string s) { lines.push_back(std::move(s)); }
-    void shoot(TaskId t, NodeId n, Time) override {
+    void start_attempt(RequestId t, NodeId n, Time) override {
         put("shoot " + std::to_string(t.value) + " " + std::to_string(n.value));
     }
-    void call_off(TaskId t, ShotId) override { put("call_off " + std::to_string(t.value)); }
-    void deny(TaskId t, Time) override { put("deny " + std::to_string(t.value)); }
-    void error(TaskId t) override { put("error " + std::to_string(t.value)); }
-    void set_alarm(AlarmId, Time) override {}
-    void follow_list() override { put("follow"); }
+    void cancel_attempt(RequestId t, AttemptId) override { put("call_off " + std::to_string(t.value)); }
+    void reject(RequestId t, Time) override { put("deny " + std::to_string(t.value)); }
+    void error(RequestId t) override { put("error " + std::to_string(t.value)); }
+    void set_timer(TimerId, Time) override {}
+    void watch_endpoints() override { put("follow"); }
     void ask_list() override { put("ask"); }
     void probe(NodeId) override {}
     void tell_all(std::string_view) override {}
@@ -47,18 +47,18 @@
         s->set_cold(32, 2 * sec, 10 * sec, 0.25);
     }
     void list(Time now, NodeState first = NodeState::ready, Time first_started = 0) {
-        s->list_begins(now, ListKind::whole);
-        s->node_listed(NodeId{1}, ShardId{1}, ZoneId{0}, first, first_started);
-        s->node_listed(NodeId{2}, ShardId{2}, ZoneId{0}, NodeState::ready, 0);
-        s->list_ends();
+        s->endpoint_list_begin(now, EndpointListKind::full);
+        s->endpoint_listed(NodeId{1}, ShardId{1}, ZoneId{0}, first, first_started);
+        s->endpoint_listed(NodeId{2}, ShardId{2}, ZoneId{0}, NodeState::ready, 0);
+        s->endpoint_list_end();
     }
     void task(Time now, std::uint64_t id, int shard = 1, std::uint64_t key = 0, double units = 2) {
-        s->task_taken(now, TaskId{id}, WorkloadId{0}, VolumeId{5}, PlanId{0}, ShardId{shard},
+        s->request_received(now, RequestId{id}, WorkloadId{0}, VolumeId{5}, PlanId{0}, ShardId{shard},
                       KeyId{key}, units, 2, false, false, now + 2 * sec);
     }
-    void outcome(Time now, std::uint64_t id, Outcome how, Time took = 10 * ms,
+    void outcome(Time now, std::uint64_t id, AttemptOutcome how, Time took = 10 * ms,
                  std::uint32_t shot = 0) {
-        s->shot_ended(now, TaskId{id}, ShotId{shot}, NodeId{1}, how, took, how == Outcome::answered,
+        s->attempt_completed(now, RequestId{id}, AttemptId{shot}, NodeId{1}, how, took, how == AttemptOutcome::answered,
                       -1, 0, {});
     }
 };
--- a/tests/policy_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -1,5 +1,5 @@
 // The decisions. Each test builds the state that it needs and calls one function.
-#include "../src/policy.cpp"
+#include "../src/scheduling/scheduler.cpp"
 
 #include <doctest/doctest.h>
 
@@ -9,7 +9,7 @@
 
 namespace {
 Volumes::Rank rank(std::uint64_t id) {
-    return {0, static_cast<Time>(id) * ms, TaskId{id}};
+    return {0, static_cast<Time>(id) * ms, RequestId{id}};
 }
 constexpr VolumeId a{1}, b{2};
 } // namespace
@@ -147,24 +147,24 @@
         t.task(0, 1);
         t.s->settle(0);
         t.s->settle(2 * sec - 4 * ms);
-        t.outcome(2 * sec, 1, Outcome::timed_out);
+        t.outcome(2 * sec, 1, AttemptOutcome::timed_out);
         t.s->settle(2 * sec);
         CHECK(t.did.count("deny 1") == 1);
     }
     TEST_CASE("2: no denial where a shot may have run and no group drops the repeat") {
         Task t;
         t.shots.push_back({});
-        CHECK_FALSE(may_deny(t, Repeat::at_most_once, Group::all));
-        CHECK_FALSE(may_deny(t, Repeat::numbered, Group::shard));
-        CHECK(may_deny(t, Repeat::numbered, Group::all));
+        CHECK_FALSE(may_deny(t, Idempotency::at_most_once, DeduplicationScope::all));
+        CHECK_FALSE(may_deny(t, Idempotency::deduplicated, DeduplicationScope::shard));
+        CHECK(may_deny(t, Idempotency::deduplicated, DeduplicationScope::all));
         t.shots[0].proved_not_run = true;
-        CHECK(may_deny(t, Repeat::at_most_once, Group::all));
+        CHECK(may_deny(t, Idempotency::at_most_once, DeduplicationScope::all));
     }
     TEST_CASE("2: a numbered task goes again only inside its group and window") {
         Task t;
         t.shots.push_back({NodeId{1}, ShardId{1}, ZoneId{0}, 0, false, false});
         Workload w;
-        w.repeat = Repeat::numbered, w.group = Group::shard, w.repeat_window = sec;
+        w.repeat = Idempotency::deduplicated, w.group = DeduplicationScope::shard, w.repeat_window = sec;
         Node same(NodeId{9}, 1, 8), other(NodeId{2}, 1, 8);
         same.shard = ShardId{1}, other.shard = ShardId{2};
         CHECK(may_shoot(t, w, same, 3, false, 900 * ms, 4 * ms));
@@ -189,8 +189,8 @@
     TEST_CASE("3: a node left out of a whole list is removed") {
         Bench t;
         t.list(0);
-        t.s->list_begins(ms, ListKind::whole);
-        t.s->list_ends();
+        t.s->endpoint_list_begin(ms, EndpointListKind::full);
+        t.s->endpoint_list_end();
         t.task(ms, 1);
         t.s->settle(ms);
         CHECK(t.did.count("shoot") == 0);
@@ -228,7 +228,7 @@
         t.task(0, 2, 1, 42);
         t.s->settle(0);
         CHECK(t.did.count("shoot") == 1);
-        t.outcome(600 * ms, 1, Outcome::reset);
+        t.outcome(600 * ms, 1, AttemptOutcome::reset);
         t.task(600 * ms, 3, 1, 42);
         t.s->settle(600 * ms);
         CHECK(t.did.count("shoot 3") == 0);
@@ -312,8 +312,8 @@
         t.s->settle(0);
         t.task(ms, 2);
         t.s->settle(ms);
-        t.outcome(11 * ms, 2, Outcome::answered);
-        t.outcome(900 * ms, 1, Outcome::timed_out, 900 * ms);
+        t.outcome(11 * ms, 2, AttemptOutcome::answered);
+        t.outcome(900 * ms, 1, AttemptOutcome::timed_out, 900 * ms);
         for (std::uint64_t i = 3; i < 10; ++i)
             t.task(901 * ms, i);
         t.s->settle(901 * ms);
@@ -346,7 +346,7 @@
         t.list(0);
         t.task(0, 1);
         t.s->settle(0);
-        t.outcome(600 * ms, 1, Outcome::called_off, 600 * ms);
+        t.outcome(600 * ms, 1, AttemptOutcome::canceled, 600 * ms);
         t.task(600 * ms, 2);
         t.s->settle(601 * ms);
         CHECK(t.did.count("deny 2") == 1);
@@ -358,8 +358,8 @@
         t.s->settle(0);
         t.task(ms, 2);
         t.s->settle(ms);
-        t.outcome(100 * ms, 1, Outcome::called_off, 100 * ms);
-        t.outcome(100 * ms, 2, Outcome::called_off, 99 * ms);
+        t.outcome(100 * ms, 1, AttemptOutcome::canceled, 100 * ms);
+        t.outcome(100 * ms, 2, AttemptOutcome::canceled, 99 * ms);
         t.task(700 * ms, 3);
         t.s->settle(700 * ms);
         CHECK(t.did.count("shoot") == 2);
@@ -369,13 +369,13 @@
         t.list(0);
         t.task(0, 1);
         t.s->settle(0);
-        t.outcome(10 * ms, 1, Outcome::answered);
+        t.outcome(10 * ms, 1, AttemptOutcome::answered);
         t.task(20 * ms, 2);
         t.s->settle(20 * ms);
-        t.outcome(21 * ms, 2, Outcome::full, ms);
+        t.outcome(21 * ms, 2, AttemptOutcome::overloaded, ms);
         t.s->settle(32 * ms);
         CHECK(t.did.count("shoot 2") == 2);
-        t.outcome(33 * ms, 2, Outcome::full, ms, 1);
+        t.outcome(33 * ms, 2, AttemptOutcome::overloaded, ms, 1);
         t.s->settle(45 * ms);
         CHECK(t.did.count("shoot 2") == 2);
         t.s->settle(54 * ms);
@@ -405,7 +405,7 @@
             t.task(0, i);
         t.s->settle(0);
         for (std::uint64_t i = 3; i < 12; ++i)
-            t.s->task_withdrawn(150 * ms, TaskId{i}, true);
+            t.s->request_canceled(150 * ms, RequestId{i}, true);
         t.s->settle(151 * ms);
         CHECK(t.did.count("deny") == 3);
     }
@@ -415,11 +415,11 @@
         for (std::uint64_t i = 1; i < 12; ++i)
             t.task(0, i);
         for (std::uint64_t i = 20; i < 24; ++i) // another volume's
-            t.s->task_taken(0, TaskId{i}, WorkloadId{0}, VolumeId{6}, PlanId{0}, ShardId{1}, no_key,
+            t.s->request_received(0, RequestId{i}, WorkloadId{0}, VolumeId{6}, PlanId{0}, ShardId{1}, no_key,
                             2, 2, false, false, 2 * sec);
         t.s->settle(0);
         for (std::uint64_t i = 1; i < 12; ++i)
-            t.s->task_withdrawn(ms, TaskId{i}, true);
+            t.s->request_canceled(ms, RequestId{i}, true);
         t.s->settle(2 * ms);
         CHECK(t.did.count("deny 2") == 0);
     }
@@ -431,13 +431,13 @@
                 for (std::uint64_t i = 100; i < 110; ++i) {
                     t.task(0, i);
                     t.s->settle(0);
-                    t.outcome(20 * ms, i, Outcome::answered);
+                    t.outcome(20 * ms, i, AttemptOutcome::answered);
                 }
             for (std::uint64_t i = 1; i < 15; ++i)
                 t.task(20 * ms, i);
             t.s->settle(20 * ms);
             for (std::uint64_t i = 3; i < 12; ++i)
-                t.s->task_withdrawn(22 * ms, TaskId{i}, true);
+                t.s->request_canceled(22 * ms, RequestId{i}, true);
             t.s->settle(23 * ms);
             CHECK(t.did.count("deny") == (others_stay ? 0 : 3));
         }
@@ -449,7 +449,7 @@
         for (std::uint64_t i = 1; i < 40; ++i) {
             t.task(5 * sec, i, 1, 0, 4);
             t.s->settle(5 * sec);
-            t.outcome(5 * sec, i, Outcome::answered, ms);
+            t.outcome(5 * sec, i, AttemptOutcome::answered, ms);
         }
         CHECK(t.did.count("shoot") ==
               5); // 32 units and 2 x (4 + 1) for two schedulers: 21 in shots of 4
@@ -501,7 +501,7 @@
                             continue;
                         auto task = std::stoull(lines[read[i]].substr(6));
                         sent.push_back({now, asked[task]});
-                        all[i].outcome(now, task, Outcome::answered, 15 * ms);
+                        all[i].outcome(now, task, AttemptOutcome::answered, 15 * ms);
                     }
                 }
             }
@@ -531,22 +531,22 @@
             for (std::uint64_t i = 1; i < 40; ++i) { // until more than two may be out at once
                 t.task(3 * sec, i);
                 t.s->settle(3 * sec);
-                t.outcome(3 * sec + ms, i, Outcome::answered, ms);
+                t.outcome(3 * sec + ms, i, AttemptOutcome::answered, ms);
             }
             for (std::uint64_t i = 40; i < 43; ++i)
                 t.task(4 * sec, i);
             t.s->settle(4 * sec);
             REQUIRE(t.did.count("shoot 42") == 1);
             if (answers)
-                t.outcome(4 * sec + 50 * ms, 42, Outcome::answered, 50 * ms);
+                t.outcome(4 * sec + 50 * ms, 42, AttemptOutcome::answered, 50 * ms);
             for (std::uint64_t i = 40; i < 42; ++i)
-                t.outcome(4 * sec + 100 * ms, i, Outcome::unreachable, 100 * ms);
+                t.outcome(4 * sec + 100 * ms, i, AttemptOutcome::unreachable, 100 * ms);
             if (!answers)
-                t.outcome(4 * sec + 150 * ms, 42, Outcome::answered, 150 * ms);
+                t.outcome(4 * sec + 150 * ms, 42, AttemptOutcome::answered, 150 * ms);
             for (std::uint64_t i = 50; i < 70; ++i) {
                 t.task(5 * sec, i, 1, 0, 4);
                 t.s->settle(5 * sec);
-                t.outcome(5 * sec + ms, i, Outcome::answered, ms);
+                t.outcome(5 * sec + ms, i, AttemptOutcome::answered, ms);
             }
             CHECK((t.did.count("shoot") >= 60) == answers);
         }
@@ -558,16 +558,16 @@
             t.task(3 * sec, 1);
             t.s->settle(3 * sec);
             for (std::uint32_t i = 0; i < static_cast<std::uint32_t>(lost); ++i) {
-                t.outcome(3 * sec, 1, Outcome::unreachable, us, i);
+                t.outcome(3 * sec, 1, AttemptOutcome::unreachable, us, i);
                 t.s->settle(3 * sec + 600 * ms * i);
             }
             t.s->settle(4 * sec);
-            t.outcome(4 * sec, 1, Outcome::answered, ms, static_cast<std::uint32_t>(lost));
+            t.outcome(4 * sec, 1, AttemptOutcome::answered, ms, static_cast<std::uint32_t>(lost));
             // Its part as a cold one is 16 units within two seconds; window allows more.
             for (std::uint64_t i = 10; i < 30; ++i) {
                 t.task(4 * sec, i, 1, 0, 4);
                 t.s->settle(4 * sec);
-                t.outcome(4 * sec + ms, i, Outcome::answered, ms);
+                t.outcome(4 * sec + ms, i, AttemptOutcome::answered, ms);
             }
             CHECK((t.did.count("shoot") >= 20) == (lost == 1));
         }
@@ -580,7 +580,7 @@
             t.task(0, i);
         t.s->settle(0);
         for (std::uint64_t i = 3; i < 12; ++i)
-            t.s->task_withdrawn(150 * ms, TaskId{i}, false);
+            t.s->request_canceled(150 * ms, RequestId{i}, false);
         t.s->settle(151 * ms);
         CHECK(t.did.count("deny") == 0);
     }
@@ -590,7 +590,7 @@
         for (std::uint64_t i = 1; i < 6; ++i)
             t.task(0, i);
         t.s->settle(0);
-        t.outcome(10 * ms, 1, Outcome::called_off);
+        t.outcome(10 * ms, 1, AttemptOutcome::canceled);
         t.s->settle(10 * ms);
         CHECK(t.did.count("shoot") == 2);
     }
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -2,13 +2,13 @@
 #include <cstring>
 #include <doctest/doctest.h>
 
-#include "drill/host.hpp"
-#include "wire/options.hpp"
-#include "wire/writer.hpp"
+#include "simulator_adapter/adapter.hpp"
+#include "scheduler_setup/options.hpp"
+#include "scheduler_setup/record_writer.hpp"
 
 using namespace knotvane;
-using wire::Malformed;
-using wire::Record;
+using scheduler_setup::Malformed;
+using scheduler_setup::Record;
 
 namespace {
 
@@ -40,12 +40,12 @@
 } // namespace
 
 TEST_CASE("an empty batch gets an empty reply") {
-    drill::Host host;
+    simulator_adapter::Host host;
     CHECK(host.reply_to(frame("")) == std::string("\4\0\0\0", 4));
 }
 
 TEST_CASE("killed and booted again within one batch") {
-    drill::Host host;
+    simulator_adapter::Host host;
     host.reply_to(frame(boot(3)));
     std::string r;
     Record(r, 267).put(std::uint32_t{3});
@@ -55,14 +55,14 @@
 }
 
 TEST_CASE("an unknown record and an unknown setting are skipped") {
-    drill::Host host;
+    simulator_adapter::Host host;
     std::string r = boot(1, "Novel.Thing=seven\nBalancers=2\n");
     Record(r, 999).put(std::uint64_t{1});
     CHECK_NOTHROW(host.reply_to(frame(r)));
 }
 
 TEST_CASE("outcomes and withdrawals of unknown tasks are skipped, absent fields read as zero") {
-    drill::Host host;
+    simulator_adapter::Host host;
     std::string r = boot(1);
     {
         Record out(r, 260);
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("malformed input") {
-    drill::Host host;
+    simulator_adapter::Host host;
     std::string never_booted, cut, no_target;
     Record(never_booted, 267).put(std::uint32_t{4});
     Record(never_booted, 262).put(std::uint32_t{0});
@@ -88,6 +88,6 @@
 }
 
 TEST_CASE("seconds become whole nanoseconds at the microsecond") {
-    CHECK(wire::Reader::to_time(9.563867, "t") == 9'563'867 * us);
-    CHECK_THROWS_AS(wire::Reader::to_time(std::nan(""), "t"), Malformed);
+    CHECK(scheduler_setup::Reader::to_time(9.563867, "t") == 9'563'867 * us);
+    CHECK_THROWS_AS(scheduler_setup::Reader::to_time(std::nan(""), "t"), Malformed);
 }
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -165,7 +165,7 @@
         s.write(VolumeId{1}, 0, std::string(512, 'b'));
         s.write(VolumeId{1}, 1 << 20, std::string(512, 'c'));
         s.remember(1, 2, 10 * sec, 0);
-        auto life = s.life();
+        auto incarnation = s.incarnation();
         s.lose();
         std::string got;
         s.read(VolumeId{1}, 0, 512, got);
@@ -173,25 +173,25 @@
         CHECK(got == std::string(512, 'a') + std::string(512, '\0'));
         CHECK(s.was_done(1, 1, 0));
         CHECK_FALSE(s.was_done(1, 2, 0));
-        CHECK(s.life() == life + 1);
+        CHECK(s.incarnation() == incarnation + 1);
     }
     TEST_CASE("the life goes on over a close, and is another where the process just ended") {
         std::string bytes;
         auto medium = memory_medium(bytes);
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         {
             Store s(*medium);
             s.write(VolumeId{1}, 0, std::string(512, 'a'));
             s.close();
-            life = s.life();
+            incarnation = s.incarnation();
         }
         {
             Store s(*medium);
-            CHECK(s.life() == life);
+            CHECK(s.incarnation() == incarnation);
             s.write(VolumeId{1}, 0, std::string(512, 'b'));
             s.flush();
         }
-        CHECK(Store(*medium).life() == life + 1);
+        CHECK(Store(*medium).incarnation() == incarnation + 1);
     }
     TEST_CASE("marks outlive the process and are forgotten after their time") {
         std::string bytes;
