--- a/bench/cut_bench.cpp
+++ b/bench/cut_bench.cpp
@@ -59,7 +59,8 @@
         scheduling.replace(scheduling.find("size = 256MiB"), 13, "size = 10GiB");
         fleet::Fleet fleet(
             dir, 4, 2, 0, scheduling, fleet::default_service(),
-            [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, true, sync);
+            [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, true,
+            sync);
         fleet.start();
         fleet::Worker worker;
         int taken = 0;
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "fleet/fleet.hpp"
-#include "node_protocol/frame.hpp"
 #include "load/driver.hpp"
+#include "node_protocol/frame.hpp"
 
 using namespace knotvane;
 
@@ -37,20 +37,20 @@
         };
         socket->connect(address, [this, length](bool) {
             ends = loop::now() + length;
-            socket->send(node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
-                                      shard, {}));
+            socket->send(node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0,
+                                             0, 0, 1, 0, 0, shard, {}));
             socket->flush();
         });
     }
     ~Direct() { socket->close(true); }
     void ask() {
         out[++tag] = loop::now();
-        socket->send(node_protocol::make(node_protocol::Kind::read, 0, {}, tag, VolumeId{1}, tag * 7 % 64 * 4096,
-                                  4096, 1000, 0, 0, 0, shard, {}));
+        socket->send(node_protocol::make(node_protocol::Kind::read, 0, {}, tag, VolumeId{1},
+                                         tag * 7 % 64 * 4096, 4096, 1000, 0, 0, 0, shard, {}));
     }
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t t, VolumeId,
-               std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t, std::uint64_t, Time,
-               ShardId, std::string_view, std::uint32_t) override {
+    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t t,
+               VolumeId, std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t, std::uint64_t,
+               Time, ShardId, std::string_view, std::uint32_t) override {
         if (kind == node_protocol::Kind::welcome) {
             for (std::size_t i = 0; i < flying; ++i)
                 ask();
@@ -89,8 +89,9 @@
     {
         constexpr Time length = 700 * ms;
         constexpr int rounds = 5;
-        fleet::Fleet fleet(dir, nodes, 1, 0, fleet::default_scheduling(), fleet::default_service(),
-                           [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
+        fleet::Fleet fleet(
+            dir, nodes, 1, 0, fleet::default_scheduling(), fleet::default_service(),
+            [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
         fleet.start();
         fleet::Worker worker;
         for (std::size_t flying : {std::size_t{1}, std::size_t{64}}) {
--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -33,7 +33,8 @@
     std::string path = (std::filesystem::temp_directory_path() / "knotvane-plan-bench").string();
     ~Line() override { std::filesystem::remove(path); }
     void say(std::string) override {}
-    void plan_taken(const control::ClusterState &, bool, bool, const std::map<NodeId, Time> &) override {}
+    void plan_taken(const control::ClusterState &, bool, bool,
+                    const std::map<NodeId, Time> &) override {}
     void quota_share_changed(VolumeId, double) override {}
 };
 
@@ -42,8 +43,8 @@
         control::begins(control::Term{1}, 1, 1, control::Version{version}, control::Version{0}, 0) +
         control::put(PlanId{0}, control::Plan{"p"});
     for (std::uint64_t v = 0; v < volumes; ++v)
-        out += control::put(VolumeId{v},
-                          control::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
+        out += control::put(
+            VolumeId{v}, control::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
     return out + control::ends(control::Version{version}, volumes + 1);
 }
 
@@ -70,11 +71,11 @@
     double change = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
         auto v = 3 + i;
-        auto news =
-            control::begins(control::Term{1}, 1, 1, control::Version{v}, control::Version{v - 1}, 0) +
-            control::put(VolumeId{i},
-                       control::Volume{"volume-" + std::to_string(i), 1 << 30, 4096, PlanId{0}}) +
-            control::ends(control::Version{v}, 1);
+        auto news = control::begins(control::Term{1}, 1, 1, control::Version{v},
+                                    control::Version{v - 1}, 0) +
+                    control::put(VolumeId{i}, control::Volume{"volume-" + std::to_string(i),
+                                                              1 << 30, 4096, PlanId{0}}) +
+                    control::ends(control::Version{v}, 1);
         auto t = Clock::now();
         s.bytes(3 * sec, news);
         change = std::max(change, us_since(t));
@@ -83,7 +84,8 @@
                 "another %7.0f of %7.0f; "
                 "a change %5.1f us at most%s\n",
                 static_cast<unsigned long long>(volumes), longest[0], total[0], longest[1],
-                total[1], change, s.copy().version() == control::Version{202} ? "" : "  (NOT TAKEN)");
+                total[1], change,
+                s.copy().version() == control::Version{202} ? "" : "  (NOT TAKEN)");
 }
 
 void planner_change(std::uint64_t edges, std::uint64_t nodes) {
--- a/src/cli/days.cpp
+++ b/src/cli/days.cpp
@@ -55,9 +55,10 @@
     if (!mkdtemp(pattern.data()))
         throw std::runtime_error("no folder can be made at " + pattern);
     auto recording = record.empty() ? pattern + "/day.recording" : record;
-    auto tallies = day::play(script, pattern, recording, [&](SchedulerActions &a, std::uint64_t seed) {
-        return policy == "none" ? day::make_passthrough(a) : make_scheduler(a, seed);
-    });
+    auto tallies =
+        day::play(script, pattern, recording, [&](SchedulerActions &a, std::uint64_t seed) {
+            return policy == "none" ? day::make_passthrough(a) : make_scheduler(a, seed);
+        });
     if (auto it = tallies.find(day::snapshots); it != tallies.end()) {
         auto &t = it->second;
         std::printf("snapshots: %llu taken, %llu not; in %.1f ms, the slowest %.1f\n",
--- a/src/cli/edge_main.cpp
+++ b/src/cli/edge_main.cpp
@@ -2,8 +2,8 @@
 // over the nodes.
 #include <cstring>
 
-#include "cli/run_program.hpp"
 #include "cli/platform.hpp"
+#include "cli/run_program.hpp"
 #include "edge/server.hpp"
 #include "edge/settings.hpp"
 
@@ -17,7 +17,8 @@
         [](settings::File &f) { edge::check(f); },
         [](loop::Loop &loop, settings::File &f) -> std::shared_ptr<void> {
             auto e = std::make_shared<edge::Server>(
-                loop, f, [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
+                loop, f,
+                [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
             log::line(log::info, "edge serves", {{"address", e->address()}});
             return e;
         });
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -8,8 +8,8 @@
 
 #include <CLI/CLI.hpp>
 
-#include "log/log.hpp"
 #include "http_gateway/server.hpp"
+#include "log/log.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::cli {
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -42,8 +42,8 @@
     volumes.erase(it);
 }
 
-void ClusterStateReplica::begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
-                  Version from) {
+void ClusterStateReplica::begins(Term term, std::uint64_t instance, std::uint64_t lineage,
+                                 Version version, Version from) {
     // What was begun and not ended is dropped: its end was lost, or never sent.
     if (!fresh_.volumes.empty() || !fresh_.nodes.empty())
         past_.push_back(std::exchange(fresh_, {}));
--- a/src/control/cluster_state.hpp
+++ b/src/control/cluster_state.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "common/ids.hpp"
-#include "scheduling/node_record.hpp"
+#include "common/node_state.hpp"
 #include "common/time.hpp"
 
 namespace knotvane::control {
@@ -30,7 +30,7 @@
     ShardId shard;
     ZoneId zone;
     NodeState state = NodeState::removed;
-    Time started = 0;       // by the planner's clock
+    Time started = 0;              // by the planner's clock
     std::uint64_t incarnation = 0; // of its process
     bool operator==(const Node &) const = default;
 };
--- a/src/control/messages.cpp
+++ b/src/control/messages.cpp
@@ -117,7 +117,8 @@
         if constexpr (std::is_same_v<T, Node>) {
             Node n;
             n.address = take<std::string>(), n.shard = take<ShardId>(), n.zone = take<ZoneId>();
-            n.state = take<NodeState>(), n.started = take<Time>(), n.incarnation = take<std::uint64_t>();
+            n.state = take<NodeState>(), n.started = take<Time>(),
+            n.incarnation = take<std::uint64_t>();
             return n;
         } else if constexpr (std::is_same_v<T, Plan>) {
             Plan p;
@@ -237,11 +238,12 @@
                 throw std::runtime_error("expected a drain asked, done or forced, 0 to 2");
         });
     case Kind::ask_cut:
-        return hear(f, to, &MessageHandler::cut_asked, [](std::uint8_t what, auto &, auto &, auto &) {
-            if (what > 3)
-                throw std::runtime_error(
-                    "expected a snapshot taken, dropped, cloned or compared, 0 to 3");
-        });
+        return hear(f, to, &MessageHandler::cut_asked,
+                    [](std::uint8_t what, auto &, auto &, auto &) {
+                        if (what > 3)
+                            throw std::runtime_error(
+                                "expected a snapshot taken, dropped, cloned or compared, 0 to 3");
+                    });
     case Kind::tell_cut:
         return hear(f, to, &MessageHandler::cut_told, [](auto &, auto &, std::uint8_t how, auto &) {
             if (how > 4)
@@ -342,7 +344,8 @@
                     const std::string &plan) {
     return message(Kind::ask_cut, what, name, as, plan);
 }
-std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how, EdgeIncarnation incarnation) {
+std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how,
+                     EdgeIncarnation incarnation) {
     return message(Kind::tell_cut, as, step, how, incarnation);
 }
 std::string tell_diff(std::uint64_t question, const std::vector<std::uint64_t> &ranges, bool more) {
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -127,7 +127,8 @@
 std::string ask_drain(NodeId node, bool draining, std::uint8_t how);
 std::string ask_cut(std::uint8_t what, const std::string &name, const std::string &as,
                     const std::string &plan);
-std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how, EdgeIncarnation incarnation = {});
+std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how,
+                     EdgeIncarnation incarnation = {});
 std::string tell_diff(std::uint64_t question, const std::vector<std::uint64_t> &ranges, bool more);
 std::string cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest);
 std::string cut_go(VolumeId of, VolumeId as, std::uint32_t epoch);
--- a/src/day/passthrough.cpp
+++ b/src/day/passthrough.cpp
@@ -2,6 +2,7 @@
 
 #include <map>
 #include <set>
+#include <utility>
 
 #include "day/unhearing.hpp"
 
@@ -11,30 +12,36 @@
 class Passthrough final : public Unhearing {
 public:
     explicit Passthrough(SchedulerActions &actions) : do_(actions) {}
-    void set_denials(Time longest_wait) override { longest_wait_ = longest_wait; }
+    void configure(const SchedulerConfig &config) override {
+        longest_wait_ = config.max_retry_after;
+    }
     void endpoint_list_begin(Time, EndpointListKind) override { holds_.clear(); }
-    void endpoint_listed(NodeId node, ShardId shard, ZoneId, NodeState state, Time) override {
-        if (state == NodeState::ready)
-            holds_[shard] = node;
+    void endpoint_listed(const Endpoint &endpoint) override {
+        if (endpoint.state == NodeState::ready)
+            holds_[endpoint.shard] = endpoint.node;
     }
-    void request_received(Time, RequestId task, WorkloadId, VolumeId, PlanId, ShardId shard, KeyId, double,
-                    double, bool, bool, Time) override {
-        auto it = holds_.find(shard);
+    void request_received(Time, const RequestInfo &request) override {
+        RequestId task = request.id;
+        auto it = holds_.find(request.shard);
         if (it == holds_.end())
             denied_.insert(task);
         else
             out_.insert(task), do_.start_attempt(task, it->second, 0);
     }
-    void attempt_completed(Time, RequestId task, AttemptId, NodeId, AttemptOutcome how, Time, bool ended, double,
-                    double, std::span<const float>) override {
-        if (out_.erase(task) == 0 || ended)
+    void attempt_completed(Time, const AttemptResult &result) override {
+        RequestId task = result.request;
+        AttemptOutcome how = result.outcome;
+        if (out_.erase(task) == 0 || result.client_answered)
             return;
-        if (how == AttemptOutcome::overloaded || how == AttemptOutcome::unreachable || how == AttemptOutcome::not_sent)
+        if (how == AttemptOutcome::overloaded || how == AttemptOutcome::unreachable ||
+            how == AttemptOutcome::not_sent)
             denied_.insert(task);
         else
-            do_.error(task);
+            do_.fail(task);
+    }
+    void request_canceled(Time, RequestId task, CancelReason) override {
+        out_.erase(task), denied_.erase(task);
     }
-    void request_canceled(Time, RequestId task, bool) override { out_.erase(task), denied_.erase(task); }
     void settle(Time) override {
         for (auto task : std::exchange(denied_, {}))
             do_.reject(task, longest_wait_);
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -36,21 +36,17 @@
         t.shots.push_back(n), t.sent.push_back(core.now_), ++t.out;
         waiting.push_back({Kind::start_attempt, id, shot, n, timeout});
     }
-    void cancel_attempt(RequestId t, AttemptId s) override { waiting.push_back({Kind::cancel_attempt, t, s, {}, 0}); }
+    void cancel_attempt(RequestId t, AttemptId s) override {
+        waiting.push_back({Kind::cancel_attempt, t, s, {}, 0});
+    }
     void reject(RequestId t, Time come_back) override {
         waiting.push_back({Kind::reject, t, {}, {}, come_back});
     }
-    void error(RequestId t) override { waiting.push_back({Kind::error, t, {}, {}, 0}); }
+    void fail(RequestId t) override { waiting.push_back({Kind::error, t, {}, {}, 0}); }
     void set_timer(TimerId a, Time wait) override { core.alarms_[a] = core.now_ + wait; }
     // The list is pushed to the edge; there is nobody to ask. Told as settings, so that none of
     // these comes.
     void watch_endpoints() override {}
-    void ask_list() override {}
-    void probe(NodeId) override {}
-    void tell_all(std::string_view) override {}
-    void note(std::string_view text) override {
-        core.shell_.say("decisions: " + std::string(text));
-    }
 };
 
 struct Core::Client final : nbd::Asked {
@@ -76,8 +72,9 @@
         auto it = names.find(name);
         // The first by name; never a snapshot or a clone, which come and go.
         if (name.empty())
-            it = std::find_if(names.begin(), names.end(),
-                              [&](auto &n) { return !core.table_->volumes.at(n.second).is_snapshot(); });
+            it = std::find_if(names.begin(), names.end(), [&](auto &n) {
+                return !core.table_->volumes.at(n.second).is_snapshot();
+            });
         if (it == names.end())
             return std::nullopt;
         return it->second;
@@ -143,7 +140,8 @@
       layout_(extent, span, std::move(shards)), id_(id),
       // Marks are told apart by this: with the start alone, two edges started at once would share
       // their marks, and a node would drop one's writes as repeats of the other's.
-      incarnation_(mix(id, incarnation)), unit_(unit), cuts_([this](VolumeId as, control::SnapshotStep step) {
+      incarnation_(mix(id, incarnation)), unit_(unit),
+      cuts_([this](VolumeId as, control::SnapshotStep step) {
           shell_.cut_told(as, step, control::EdgeIncarnation{incarnation_});
       }) {
     set_links(1, sec, sec, 60 * sec, 1 << 20);
@@ -151,8 +149,8 @@
 Core::~Core() = default;
 
 void Core::set_links(std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out) {
-    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, incarnation_, each, connect,
-                                     stall, idle, most_out);
+    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, incarnation_, each,
+                                     connect, stall, idle, most_out);
 }
 void Core::set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks,
                     std::size_t bytes) {
@@ -211,8 +209,7 @@
 }
 void Core::plan_told(PlanId id, double weight, double usual, double reserve, double price,
                      double rate, double burst) {
-    scheduler_->add_plan(id, weight, usual, reserve, price);
-    scheduler_->set_limit(id, rate, burst);
+    scheduler_->set_plan(id, {weight, usual, reserve, price, rate, burst});
     stirred_ = true;
 }
 void Core::quota_share_changed(Time now, VolumeId volume, double hosts) {
@@ -226,7 +223,7 @@
 }
 void Core::ready(Time now) {
     now_ = now;
-    scheduler_->ready(now);
+    scheduler_->start(now);
     stirred_ = true;
 }
 
@@ -240,10 +237,10 @@
     return true;
 }
 void Core::endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                       NodeState state, Time started) {
+                           NodeState state, Time started) {
     if (state != NodeState::removed)
         addresses_[node] = address;
-    scheduler_->endpoint_listed(node, shard, zone, state, started);
+    scheduler_->endpoint_listed({node, shard, zone, state, started});
 }
 void Core::endpoint_list_end() {
     scheduler_->endpoint_list_end();
@@ -299,7 +296,10 @@
     for (auto no : std::set<ClientRequestId>(it->second->requests)) {
         for (auto task : std::set<RequestId>(requests_.at(no).tasks)) {
             auto &t = tasks_.at(task);
-            scheduler_->request_canceled(now_, task, !std::exchange(told, true));
+            scheduler_->request_canceled(now_, task,
+                                         std::exchange(told, true)
+                                             ? CancelReason::abandoned
+                                             : CancelReason::client_disconnected);
             stirred_ = true;
             end_task(task, t);
         }
@@ -340,8 +340,8 @@
     return no;
 }
 
-void Core::take(ClientRequestId no, Client &c, Command command, std::shared_ptr<Work> work, KeyId key,
-                Time came) {
+void Core::take(ClientRequestId no, Client &c, Command command, std::shared_ptr<Work> work,
+                KeyId key, Time came) {
     auto is_for = [&](const std::string &volume) {
         auto it = table_->names.find(volume);
         return volume.empty() || (it != table_->names.end() && it->second == c.volume->id);
@@ -363,8 +363,18 @@
     auto shard = work->shard;
     auto units = work->units;
     tasks_[id] = {no, false, std::move(work), until, w->window, {}, {}, 0};
-    scheduler_->request_received(now_, id, w->id, c.volume->charge, c.volume->plan, shard, key, units,
-                           c.volume->hosts, writes, false, until);
+    RequestInfo request;
+    request.id = id;
+    request.workload = w->id;
+    request.volume = c.volume->charge;
+    request.plan = c.volume->plan;
+    request.shard = shard;
+    request.key = key;
+    request.units = units;
+    request.sharers = c.volume->hosts;
+    request.writes = writes;
+    request.client_timeout = until;
+    scheduler_->request_received(now_, request);
     stirred_ = true;
 }
 
@@ -429,10 +439,10 @@
             if (!v.own[span])
                 v.own[span] = true, units += copy_;
         }
-        auto work =
-            std::make_shared<Work>(Work{zeroes ? node_protocol::Kind::zero : node_protocol::Kind::write, v.id,
-                                        layout_.shard_of(v.place, offset), offset, n, units, fua, 0,
-                                        false, 0, std::string(data.substr(0, zeroes ? 0 : n))});
+        auto work = std::make_shared<Work>(
+            Work{zeroes ? node_protocol::Kind::zero : node_protocol::Kind::write, v.id,
+                 layout_.shard_of(v.place, offset), offset, n, units, fua, 0, false, 0,
+                 std::string(data.substr(0, zeroes ? 0 : n))});
         work->epoch = epoch;
         take(no, c, command, std::move(work), layout_.key_of(v.id, offset), came);
         if (!zeroes)
@@ -453,8 +463,17 @@
     for (auto shard : shards)
         if (requests_.contains(no))
             take(no, c, Command::flush,
-                 std::make_shared<Work>(Work{
-                     node_protocol::Kind::flush, c.volume->id, shard, 0, 0, 1, false, 0, false, 0, {}}),
+                 std::make_shared<Work>(Work{node_protocol::Kind::flush,
+                                             c.volume->id,
+                                             shard,
+                                             0,
+                                             0,
+                                             1,
+                                             false,
+                                             0,
+                                             false,
+                                             0,
+                                             {}}),
                  no_key, now_);
 }
 
@@ -548,8 +567,8 @@
 
 // ---- Outcomes and ends.
 void Core::shot_over(Time, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how,
-                     node_protocol::Status status, std::uint64_t incarnation, std::string_view payload,
-                     std::uint32_t epoch) {
+                     node_protocol::Status status, std::uint64_t incarnation,
+                     std::string_view payload, std::uint32_t epoch) {
     overs_.push_back({task, shot, node, how, status, incarnation, std::string(payload), epoch});
 }
 void Core::say(std::string text) {
@@ -605,7 +624,7 @@
     for (auto task : std::set<RequestId>(it->second.tasks)) {
         // Not by its client: taken for impatience, a few large requests that fail would make all
         // tasks look late.
-        scheduler_->request_canceled(now_, task, false);
+        scheduler_->request_canceled(now_, task, CancelReason::abandoned);
         stirred_ = true;
         end_task(task, tasks_.at(task));
     }
@@ -692,15 +711,16 @@
                 // another part of it was done or may have been.
                 bool reject = d.kind == Deeds::Kind::reject && !(changes && r.some_done);
                 for (auto other : r.tasks)
-                    reject = reject && (!changes || other == d.task || tasks_.at(other).shots.empty());
+                    reject =
+                        reject && (!changes || other == d.task || tasks_.at(other).shots.empty());
                 ++(reject ? denied_ : errored_);
                 std::uint64_t where = t.work->offset;
                 end_task(d.task, t);
                 auto ms_after = (d.time + ms - 1) / ms;
                 fail_request(no, reject ? nbd::e_nomem : nbd::e_io,
                              reject ? "denied: nothing was done; try again after " +
-                                        std::to_string(ms_after) + " ms"
-                                  : "errored: it may have been done or not",
+                                          std::to_string(ms_after) + " ms"
+                                    : "errored: it may have been done or not",
                              where);
                 break;
             }
@@ -730,8 +750,8 @@
             refused = "errored: no space is left at its storage node", error = nbd::e_nospc;
         // The decisions hear of the outcome before the answer leaves: what leaves may bring the
         // next request.
-        scheduler_->attempt_completed(now_, over.task, over.shot, over.node, over.how, took,
-                               was_ended || well || refused, -1, 0, {});
+        scheduler_->attempt_completed(
+            now_, {over.task, over.shot, over.node, over.how, took, was_ended || well || refused});
         stirred_ = true;
         if (refused) {
             ++errored_;
@@ -780,7 +800,7 @@
         if (it->second <= now) {
             auto id = it->first;
             it = alarms_.erase(it);
-            scheduler_->alarm(now, id);
+            scheduler_->timer_expired(now, id);
             stirred_ = true;
         } else {
             ++it;
--- a/src/edge/core.hpp
+++ b/src/edge/core.hpp
@@ -17,12 +17,12 @@
 #include <string_view>
 #include <vector>
 
-#include "edge/snapshot_participant.hpp"
+#include "control/cluster_state.hpp"
 #include "edge/ids.hpp"
 #include "edge/layout.hpp"
 #include "edge/node_connections.hpp"
+#include "edge/snapshot_participant.hpp"
 #include "edge/unflushed.hpp"
-#include "control/cluster_state.hpp"
 #include "nbd/server.hpp"
 #include "scheduling/scheduler.hpp"
 
@@ -96,7 +96,7 @@
     // the last one is not taken (false).
     bool endpoint_list_begin(Time now, std::uint64_t version);
     void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                     NodeState state, Time started);
+                         NodeState state, Time started);
     void endpoint_list_end();
 
     void client_came(Time now, ClientId client);
@@ -157,7 +157,7 @@
         std::size_t bytes;
         bool some_done = false;
         std::set<RequestId> tasks; // not ended yet
-        std::uint64_t mark = 0; // of a flush
+        std::uint64_t mark = 0;    // of a flush
         // Of a change that has begun: its epoch.
         bool begun = false;
         std::uint32_t epoch = 0;
@@ -209,8 +209,8 @@
     void use(VolumeId id, bool on);
     // From links.
     void shot_over(Time now, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how,
-                   node_protocol::Status status, std::uint64_t incarnation, std::string_view payload,
-                   std::uint32_t epoch) override;
+                   node_protocol::Status status, std::uint64_t incarnation,
+                   std::string_view payload, std::uint32_t epoch) override;
     void say(std::string text) override;
 
     void do_shot(RequestId task, AttemptId shot, Time timeout);
--- a/src/edge/endpoint_file.hpp
+++ b/src/edge/endpoint_file.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "common/ids.hpp"
-#include "scheduling/node_record.hpp"
+#include "common/node_state.hpp"
 #include "common/time.hpp"
 
 namespace knotvane::edge {
--- a/src/edge/node_connections.cpp
+++ b/src/edge/node_connections.cpp
@@ -27,9 +27,10 @@
     std::string fault;
 
     Link(Links &l, LinkId i, NodeId n, Time t) : links(l), id(i), node(n), since(t), heard(t) {}
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status, std::uint64_t tag, VolumeId,
-               std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t store_incarnation, std::uint64_t,
-               Time clock, ShardId, std::string_view payload, std::uint32_t epoch) override {
+    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status,
+               std::uint64_t tag, VolumeId, std::uint64_t, std::uint32_t, std::uint32_t,
+               std::uint64_t store_incarnation, std::uint64_t, Time clock, ShardId,
+               std::string_view payload, std::uint32_t epoch) override {
         if (kind == node_protocol::Kind::welcome && stage == Stage::greeting) {
             if (NodeId{tag} != node) {
                 fault = "node " + std::to_string(tag) + " answers where node " +
@@ -48,22 +49,24 @@
         }
         if (!tags.contains(tag))
             return true; // its shot timed out or was called off
-        AttemptOutcome how = status == node_protocol::Status::ok           ? AttemptOutcome::answered
-                      : status == node_protocol::Status::full       ? AttemptOutcome::overloaded
-                      : status == node_protocol::Status::called_off ? AttemptOutcome::canceled
-                      : status == node_protocol::Status::too_late || status == node_protocol::Status::stale ||
-                              status == node_protocol::Status::misdirected
-                          ? AttemptOutcome::not_sent // the node proves that it did not run and never will
-                          : AttemptOutcome::error;
+        AttemptOutcome how =
+            status == node_protocol::Status::ok           ? AttemptOutcome::answered
+            : status == node_protocol::Status::full       ? AttemptOutcome::overloaded
+            : status == node_protocol::Status::called_off ? AttemptOutcome::canceled
+            : status == node_protocol::Status::too_late || status == node_protocol::Status::stale ||
+                    status == node_protocol::Status::misdirected
+                ? AttemptOutcome::not_sent // the node proves that it did not run and never will
+                : AttemptOutcome::error;
         links.end(now, tag, how, status, store_incarnation, payload, epoch);
         return true;
     }
 };
 
-Links::Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation, std::size_t each,
-             Time connect, Time stall, Time idle, std::size_t most_out)
-    : transport_(transport), told_(told), edge_(edge), incarnation_(incarnation), each_(std::max<std::size_t>(1, each)),
-      connect_(connect), stall_(stall), idle_(idle), most_out_(most_out) {}
+Links::Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation,
+             std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out)
+    : transport_(transport), told_(told), edge_(edge), incarnation_(incarnation),
+      each_(std::max<std::size_t>(1, each)), connect_(connect), stall_(stall), idle_(idle),
+      most_out_(most_out) {}
 
 void Links::nodes(std::map<NodeId, std::string> addresses) {
     for (auto &[id, peer] : peers_) {
@@ -116,8 +119,8 @@
     return links_.contains(id) ? links_.at(id).get() : nullptr;
 }
 
-void Links::start_attempt(Time now, RequestId task, AttemptId shot, NodeId node, std::shared_ptr<const Work> work,
-                  Time until) {
+void Links::start_attempt(Time now, RequestId task, AttemptId shot, NodeId node,
+                          std::shared_ptr<const Work> work, Time until) {
     auto tag = ++next_tag_;
     tags_[{task, shot}] = tag;
     until_.insert({until, tag});
@@ -140,7 +143,8 @@
         Shot &s = shots_.at(tag);
         const Work &w = *s.work;
         auto flags = (w.durable ? node_protocol::flag_durable : 0) |
-                     (w.deduplicated ? node_protocol::flag_numbered : 0) | (w.cut ? node_protocol::flag_cut : 0);
+                     (w.deduplicated ? node_protocol::flag_numbered : 0) |
+                     (w.cut ? node_protocol::flag_cut : 0);
         auto bytes = node_protocol::make(
             w.kind, static_cast<std::uint8_t>(flags), {}, tag, w.volume, w.offset, w.length,
             static_cast<std::uint32_t>(w.units * 1000), incarnation_, w.number,
@@ -151,8 +155,8 @@
     }
 }
 
-void Links::end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status, std::uint64_t incarnation,
-                std::string_view payload, std::uint32_t epoch) {
+void Links::end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status,
+                std::uint64_t incarnation, std::string_view payload, std::uint32_t epoch) {
     auto it = shots_.find(tag);
     if (it == shots_.end())
         return;
@@ -173,7 +177,8 @@
     told_.shot_over(now, s.task, s.shot, s.node, how, status, incarnation, payload, epoch);
 }
 
-void Links::close(Time now, LinkId id, AttemptOutcome sent, AttemptOutcome unsent, bool tell_transport) {
+void Links::close(Time now, LinkId id, AttemptOutcome sent, AttemptOutcome unsent,
+                  bool tell_transport) {
     auto it = links_.find(id);
     if (it == links_.end())
         return;
@@ -197,10 +202,11 @@
     auto tag = it->second;
     Shot &s = shots_.at(tag);
     if (!s.out)
-        return end(now, tag, AttemptOutcome::not_sent, {}, 0, {}); // nothing went out: that is proof
+        return end(now, tag, AttemptOutcome::not_sent, {}, 0,
+                   {}); // nothing went out: that is proof
     if (auto l = links_.find(s.link); l != links_.end()) {
-        auto bytes = node_protocol::make(node_protocol::Kind::cancel_attempt, 0, {}, tag, s.work->volume, 0, 0, 0, 0, 0,
-                                  0, s.work->shard, {});
+        auto bytes = node_protocol::make(node_protocol::Kind::cancel_attempt, 0, {}, tag,
+                                         s.work->volume, 0, 0, 0, 0, 0, 0, s.work->shard, {});
         l->second->out_bytes += bytes.size();
         transport_.send(s.link, std::move(bytes));
     }
@@ -213,8 +219,8 @@
         return;
     it->second->stage = Stage::greeting;
     it->second->heard = now;
-    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0, incarnation_, 0, 0,
-                              no_shard, {});
+    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0,
+                                     incarnation_, 0, 0, no_shard, {});
     it->second->out_bytes += hello.size();
     transport_.send(id, std::move(hello));
 }
@@ -292,7 +298,8 @@
         Link &link = *it->second;
         if (link.stage != Stage::up && now >= link.since + connect_) {
             // Not one byte of a shot has gone out.
-            auto how = link.stage == Stage::connecting ? AttemptOutcome::unreachable : AttemptOutcome::not_sent;
+            auto how = link.stage == Stage::connecting ? AttemptOutcome::unreachable
+                                                       : AttemptOutcome::not_sent;
             close(now, id, how, how, true);
         } else if (link.reader.held() > 0 && now >= link.heard + stall_) {
             // Guards against a node that falls silent in the middle of an answer: all behind it on
--- a/src/edge/node_connections.hpp
+++ b/src/edge/node_connections.hpp
@@ -29,7 +29,7 @@
     double units;
     bool durable;
     std::uint64_t number; // the task's
-    bool deduplicated;        // the number is a mark: repeats are dropped
+    bool deduplicated;    // the number is a mark: repeats are dropped
     Time not_after;       // not to be done later, by the edge's clock; 0: whenever
     std::string payload;
     std::uint32_t epoch = 0; // of the volume, when its request began
@@ -49,8 +49,9 @@
 class Told {
 public:
     virtual ~Told() = default;
-    virtual void shot_over(Time now, RequestId task, AttemptId shot, NodeId node, AttemptOutcome how,
-                           node_protocol::Status status, std::uint64_t incarnation, std::string_view payload,
+    virtual void shot_over(Time now, RequestId task, AttemptId shot, NodeId node,
+                           AttemptOutcome how, node_protocol::Status status,
+                           std::uint64_t incarnation, std::string_view payload,
                            std::uint32_t epoch) = 0;
     virtual void say(std::string text) = 0;
 };
@@ -60,16 +61,16 @@
     // `each`: connections a node at most. A connection that takes longer than `connect` failed; one
     // that stops for `stall` in the middle of a frame is given up; one that is idle for `idle` is
     // closed. Past `most_out` bytes handed over and not yet written, shots wait here.
-    Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation, std::size_t each,
-          Time connect, Time stall, Time idle, std::size_t most_out);
+    Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation,
+          std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out);
     ~Links();
 
     // The nodes that may be sent to, as a whole; links to others close once their last shot is
     // over.
     void nodes(std::map<NodeId, std::string> addresses);
     // Until `until` the outcome may come; then it is timed_out, or unsent where nothing went out.
-    void start_attempt(Time now, RequestId task, AttemptId shot, NodeId node, std::shared_ptr<const Work> work,
-               Time until);
+    void start_attempt(Time now, RequestId task, AttemptId shot, NodeId node,
+                       std::shared_ptr<const Work> work, Time until);
     void cancel_attempt(Time now, RequestId task, AttemptId shot);
 
     // What happened to a connection.
@@ -104,9 +105,10 @@
 
     Link *choose(Time now, NodeId node);
     void pump(Time now, Link &link);
-    void end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status, std::uint64_t incarnation,
-             std::string_view payload, std::uint32_t epoch = 0);
-    void close(Time now, LinkId link, AttemptOutcome sent, AttemptOutcome unsent, bool tell_transport);
+    void end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status,
+             std::uint64_t incarnation, std::string_view payload, std::uint32_t epoch = 0);
+    void close(Time now, LinkId link, AttemptOutcome sent, AttemptOutcome unsent,
+               bool tell_transport);
 
     Transport &transport_;
     Told &told_;
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -35,8 +35,8 @@
 Subscription::Subscription(Line &line, control::EdgeId edge, std::string listen, std::uint64_t seed,
                            Time renew_every, Time trust)
     : line_(line), edge_(edge), listen_(std::move(listen)),
-      reconnect_backoff_(first_wait, longest_wait, seed * 7919 + edge.value + 1), renew_every_(renew_every),
-      trust_(trust) {}
+      reconnect_backoff_(first_wait, longest_wait, seed * 7919 + edge.value + 1),
+      renew_every_(renew_every), trust_(trust) {}
 
 void Subscription::start(Time now, std::string_view disk) {
     now_ = now;
@@ -64,7 +64,7 @@
         // Written anew: what is added after a piece that was cut short would never be read.
         auto &t = copy_.table();
         std::string all = control::begins(copy_.term(), copy_.instance(), copy_.lineage(),
-                                        copy_.version(), control::Version{0}, planner_now_);
+                                          copy_.version(), control::Version{0}, planner_now_);
         for (auto &[id, p] : t.plans)
             all += control::put(id, p);
         for (auto &[id, v] : t.volumes)
@@ -74,7 +74,7 @@
         for (auto &[id, p] : t.parts)
             all += control::put(id, p);
         all += control::ends(copy_.version(),
-                           t.plans.size() + t.volumes.size() + t.nodes.size() + t.parts.size());
+                             t.plans.size() + t.volumes.size() + t.nodes.size() + t.parts.size());
         on_disk_ = all.size();
         line_.keep_plan(std::move(all), true);
         taken(true, true);
@@ -94,7 +94,7 @@
         if (n.state == NodeState::draining)
             draining.push_back(id);
     send(control::edge_hello(edge_, listen_, copy_.term(), copy_.instance(), copy_.lineage(),
-                           copy_.version(), draining, {used_.begin(), used_.end()}));
+                             copy_.version(), draining, {used_.begin(), used_.end()}));
     for (auto &[id, r] : reach_)
         if (r.unreached)
             send(control::witness(id, false));
@@ -214,7 +214,8 @@
 }
 
 // ---- Rights.
-void Subscription::renewed(Time at, control::Term term, Time lease, Time fade, control::Version least) {
+void Subscription::renewed(Time at, control::Term term, Time lease, Time fade,
+                           control::Version least) {
     // Of a version that this edge does not go by yet, it would prolong parts that have been lowered
     // since.
     if (from_disk_ || term != copy_.term() || copy_.version() < least)
@@ -232,8 +233,9 @@
         auto [told, is_new] = told_.try_emplace(v, now_usable);
         if (!is_new && std::exchange(told->second, now_usable) == now_usable)
             continue;
-        line_.quota_share_changed(v, now_usable == 0 ? std::numeric_limits<double>::infinity()
-                                           : static_cast<double>(control::whole_limit) / now_usable);
+        line_.quota_share_changed(v, now_usable == 0
+                                         ? std::numeric_limits<double>::infinity()
+                                         : static_cast<double>(control::whole_limit) / now_usable);
     }
 }
 void Subscription::volume_used(Time now, VolumeId volume, bool on) {
@@ -254,8 +256,10 @@
 void Subscription::attempt_completed(Time now, NodeId node, AttemptOutcome how) {
     now_ = now;
     auto &r = reach_[node];
-    bool met = how == AttemptOutcome::answered || how == AttemptOutcome::error || how == AttemptOutcome::overloaded;
-    bool lost = how == AttemptOutcome::unreachable || how == AttemptOutcome::reset || how == AttemptOutcome::timed_out;
+    bool met = how == AttemptOutcome::answered || how == AttemptOutcome::error ||
+               how == AttemptOutcome::overloaded;
+    bool lost = how == AttemptOutcome::unreachable || how == AttemptOutcome::reset ||
+                how == AttemptOutcome::timed_out;
     if (met) {
         r.failures = 0, r.met = now;
         if (std::exchange(r.unreached, false))
@@ -281,7 +285,8 @@
 
 // ---- Time.
 Time Subscription::next_due() const {
-    Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_) : reconnect_backoff_.due();
+    Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_)
+                   : reconnect_backoff_.due();
     // The right runs out at a moment of its own, told before anything is done in it.
     if (stage_ < 2)
         due = std::min(due, lease_until_ + (stage_ == 0 ? 0 : fade_) + 1);
--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -96,13 +96,16 @@
     void volume(VolumeId id, control::Volume v) override {
         note(control::put(id, v)), copy_.put(id, std::move(v));
     }
-    void part(VolumeId id, control::Part p) override { note(control::put(id, p)), copy_.put(id, p); }
+    void part(VolumeId id, control::Part p) override {
+        note(control::put(id, p)), copy_.put(id, p);
+    }
     void no_node(NodeId id) override { note(control::drop(id)), copy_.drop(id); }
     void no_plan(PlanId id) override { note(control::drop(id)), copy_.drop(id); }
     void no_volume(VolumeId id) override { note(control::drop_volume(id)), copy_.drop_volume(id); }
     void no_part(VolumeId id) override { note(control::drop_part(id)), copy_.drop_part(id); }
     void ends(control::Version version, std::uint64_t count) override;
-    void renewed(Time at, control::Term term, Time lease, Time fade, control::Version least) override;
+    void renewed(Time at, control::Term term, Time lease, Time fade,
+                 control::Version least) override;
     void witness_asked(NodeId node) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override {
         if (!from_disk_)
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -8,8 +8,9 @@
 
 namespace knotvane::edge {
 
-Server::Server(loop::Loop &loop, settings::File &file,
-               const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler)
+Server::Server(
+    loop::Loop &loop, settings::File &file,
+    const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler)
     : loop_(loop) {
     std::string listen;
     std::uint64_t seed = 0;
@@ -62,8 +63,8 @@
     if (planner.empty())
         return;
     planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-    subscription_ = std::make_unique<Subscription>(*this, control::EdgeId{id_}, listener_->address(),
-                                                   seed, renew_every, trust);
+    subscription_ = std::make_unique<Subscription>(*this, control::EdgeId{id_},
+                                                   listener_->address(), seed, renew_every, trust);
     planner_->on_up = [this] { subscription_->up(loop::now()); };
     planner_->on_down = [this] { subscription_->down(loop::now()); };
     planner_->on_bytes = [this](std::string_view in) { subscription_->bytes(loop::now(), in); };
@@ -76,7 +77,8 @@
     if (subscription_)
         subscription_->volume_used(loop::now(), volume, on);
 }
-void Server::cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) {
+void Server::cut_told(VolumeId as, control::SnapshotStep step,
+                      control::EdgeIncarnation incarnation) {
     if (subscription_)
         subscription_->cut_told(as, step, incarnation);
 }
@@ -147,7 +149,7 @@
         return;
     for (auto &n : list.nodes)
         core_->endpoint_listed(n.id, on_the_way ? on_the_way(n.id, n.address) : n.address, n.shard,
-                           n.zone, n.state, n.started);
+                               n.zone, n.state, n.started);
     core_->endpoint_list_end();
     log::line(log::info, "node list taken",
               {{"edge", std::to_string(id_)},
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -20,9 +20,9 @@
 public:
     // Sets up from settings that were checked; `scheduler` makes the decisions. Throws
     // std::runtime_error where the address can't be listened on.
-    Server(
-        loop::Loop &loop, settings::File &file,
-        const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)> &scheduler);
+    Server(loop::Loop &loop, settings::File &file,
+           const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>
+               &scheduler);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
     Core &core() { return *core_; }
@@ -46,7 +46,8 @@
     void say(std::string text) override;
     void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) override;
     void volume_used(VolumeId volume, bool on) override;
-    void cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) override;
+    void cut_told(VolumeId as, control::SnapshotStep step,
+                  control::EdgeIncarnation incarnation) override;
     void dial() override { planner_->dial(); }
     void hang_up() override { planner_->hang_up(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -52,8 +52,8 @@
         std::string volume = s->text("volume", "");
         Time due = s->time("due"), timeout = s->time("client_timeout");
         double value = s->number("value", 0, 1e9, 1), late = s->number("late_part", 0, 1, 0);
-        auto repeat =
-            static_cast<Idempotency>(s->choice("repeat", {"reissuable", "numbered", "at_most_once"}, 0));
+        auto repeat = static_cast<Idempotency>(
+            s->choice("repeat", {"reissuable", "numbered", "at_most_once"}, 0));
         Time window = s->time("window", 0), rest = s->time("key_rest", 0);
         if (due <= 0 || due > timeout)
             s->fault("due", "expected above 0 and at most client_timeout");
@@ -75,10 +75,16 @@
         all_of[command] |= volume.empty() && !s->has("up_to");
         if (!core)
             continue;
-        core->scheduler().add_workload(id, due, timeout, value, late);
-        core->scheduler().set_repeat(id, repeat, DeduplicationScope::shard, window);
-        if (writes)
-            core->scheduler().set_turns(id, rest);
+        WorkloadConfig workload;
+        workload.latency_objective = due;
+        workload.value = value;
+        workload.late_value_fraction = late;
+        workload.idempotency = repeat;
+        workload.deduplication_scope = DeduplicationScope::shard;
+        workload.deduplication_window = window;
+        workload.ordered_by_key = writes;
+        workload.key_rest = rest;
+        core->scheduler().set_workload(id, workload);
         core->add_workload(id, static_cast<Command>(command), static_cast<std::uint32_t>(up_to),
                            volume, timeout, repeat == Idempotency::deduplicated ? window : 0);
     }
@@ -142,15 +148,12 @@
 }
 
 void read_service(settings::File &file, Core *core) {
-    auto *to = core ? &core->scheduler() : nullptr;
+    SchedulerConfig config;
     auto &edge = file.one("edge", true);
     auto &layout = file.one("layout", true);
-    if (to) {
-        to->set_place(PeerId{static_cast<std::uint32_t>(edge.count("id", 0, 1 << 20))},
-                      static_cast<std::uint32_t>(edge.count("edges", 1, 1 << 20, 1)),
-                      ZoneId{static_cast<std::uint32_t>(edge.count("zone", 0, 255, 0))});
-        to->set_clock(ms, 0);
-    }
+    config.self = PeerId{static_cast<std::uint32_t>(edge.count("id", 0, 1 << 20))};
+    config.scheduler_count = static_cast<std::uint32_t>(edge.count("edges", 1, 1 << 20, 1));
+    edge.count("zone", 0, 255, 0); // checked; the decisions don't use it
     auto &units = file.one("units", false);
     double largest =
         1 + static_cast<double>(layout.bytes("extent", 1)) /
@@ -158,8 +161,9 @@
     double mean = units.number("mean", 0, any, 2), share = units.number("share_worth", 0, 1, 0.35),
            spare = units.number("spare_worth", 0, 1, 0.08);
     double copy = units.number("copy", 0, any, 0);
-    if (to)
-        to->set_units(mean, largest + copy, share, spare), core->set_copy(copy);
+    config.units = {mean, largest + copy, share, spare};
+    if (core)
+        core->set_copy(copy);
     Named named;
     // With a planner these come from it, and sections here would only contradict it.
     named.by_planner = edge.has("planner");
@@ -176,7 +180,7 @@
     if ((each > 0 || free > 0) != (span > 0))
         shots.fault("further_span", "goes with further_each or further_free");
     auto &nodes = file.one("nodes", false);
-    Time grace = nodes.time("drain_grace", 250 * ms);
+    nodes.time("drain_grace", 250 * ms); // checked; the decisions don't use it
     double cold_units = nodes.number("cold_units", 0, any, 0),
            start = nodes.number("start_part", 0, 1, 1);
     Time cold_span = nodes.time("cold_span", 0), warm = nodes.time("warm_after", 0);
@@ -195,15 +199,14 @@
         door.fault("largest_request", "expected 64KiB to 32MiB");
     if (bytes < 2 * request)
         door.fault("most_bytes", "expected at least twice the largest request");
-    if (!to)
+    if (!core)
         return;
-    to->set_shots(static_cast<std::uint32_t>(most), parallel, off);
-    if (span > 0)
-        to->set_further_shots(each, free, span);
-    to->set_denials(denial);
-    to->set_clients(marked);
-    to->set_list(false, 0, grace);
-    to->set_cold(cold_units, cold_span, warm, start);
+    config.max_retry_after = denial;
+    config.clients_mark_repeats = marked;
+    config.attempts = {static_cast<std::uint32_t>(most), parallel, off};
+    config.retry_budget = {each, free, span};
+    config.slow_start = {cold_units, cold_span, warm, start};
+    core->scheduler().configure(config);
     core->set_links(each_links, connect, stall, idle, most_out);
     core->set_door(static_cast<std::uint32_t>(flying), static_cast<std::uint32_t>(request), tasks,
                    bytes);
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "common/ids.hpp"
-#include "scheduling/node_record.hpp"
+#include "common/node_state.hpp"
 #include "edge/endpoint_file.hpp"
 #include "edge/server.hpp"
 #include "loop/loop.hpp"
@@ -66,7 +66,8 @@
 std::string default_scheduling();
 std::string default_service();
 
-using MakeScheduler = std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>;
+using MakeScheduler =
+    std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>;
 
 class Fleet {
     struct NodeHost {
--- a/src/http_gateway/client_connections.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -84,8 +84,9 @@
 
 } // namespace
 
-Clients::Clients(Transport &transport, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
-                 std::vector<std::string> plans, std::size_t most)
+Clients::Clients(Transport &transport, RequestsTold &told, Conns &conns,
+                 std::vector<std::string> workloads, std::vector<std::string> plans,
+                 std::size_t most)
     : transport_(transport), told_(told), conns_(conns), most_(std::max<std::size_t>(most, 1)) {
     for (std::uint32_t i = 0; i < workloads.size(); ++i)
         workloads_[workloads[i]] = WorkloadId{i};
--- a/src/http_gateway/client_connections.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -39,8 +39,8 @@
 class Clients {
 public:
     // `workloads`, `plans`: names in the order of their ids. `most`: connections at once.
-    Clients(Transport &transport, RequestsTold &told, Conns &conns, std::vector<std::string> workloads,
-            std::vector<std::string> plans, std::size_t most);
+    Clients(Transport &transport, RequestsTold &told, Conns &conns,
+            std::vector<std::string> workloads, std::vector<std::string> plans, std::size_t most);
 
     bool owns(ConnId conn) const { return clients_.contains(conn); }
     // A connection that was accepted; one in excess makes the least useful one go, or is not taken.
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -163,12 +163,13 @@
         auto after = [&](Time t) {
             return t == 0 ? std::string("-") : std::to_string((t - s.began) / us);
         };
-        transport_.trace("attempt request=" + std::to_string(key.first.value) + " attempt=" +
-                     std::to_string(key.second.value) + " node=" + std::to_string(s.node.value) +
-                     " conn=" + std::to_string(s.conn.value) + " how=" +
-                     std::to_string(static_cast<int>(how)) + " at=" + std::to_string(s.began / us) +
-                     " connected=" + after(s.connected) + " written=" + after(s.written) +
-                     " first=" + after(s.first) + " over=" + after(now));
+        transport_.trace(
+            "attempt request=" + std::to_string(key.first.value) +
+            " attempt=" + std::to_string(key.second.value) +
+            " node=" + std::to_string(s.node.value) + " conn=" + std::to_string(s.conn.value) +
+            " how=" + std::to_string(static_cast<int>(how)) +
+            " at=" + std::to_string(s.began / us) + " connected=" + after(s.connected) +
+            " written=" + after(s.written) + " first=" + after(s.first) + " over=" + after(now));
     }
     told_.attempt_over(now, key.first, key.second, s.node, how, now - s.began, std::move(body));
 }
@@ -256,7 +257,7 @@
     if (!link.busy) {
         if (transport_.traces())
             transport_.trace("stray conn=" + std::to_string(conn.value) +
-                         " after=" + std::to_string((now - link.rests) / us));
+                             " after=" + std::to_string((now - link.rests) / us));
         return drop(conn);
     }
     if (Attempt &s = attempts_.at(link.attempt); s.first == 0)
@@ -285,9 +286,9 @@
     }
     if (how == AttemptOutcome::error && transport_.traces())
         transport_.trace("error conn=" + std::to_string(conn.value) +
-                     " status=" + std::to_string(link.in.status()) +
-                     " length=" + std::string(link.in.header("Content-Length").value_or("-")) +
-                     " fault=" + (*link.in.fault() ? link.in.fault() : "-"));
+                         " status=" + std::to_string(link.in.status()) +
+                         " length=" + std::string(link.in.header("Content-Length").value_or("-")) +
+                         " fault=" + (*link.in.fault() ? link.in.fault() : "-"));
     if (keep)
         rest(now, conn, link);
     else
@@ -306,9 +307,10 @@
             continue;
         auto &s = attempts_.at(key);
         // An answer that stopped short is spoilt: the node has done with it, and no more will come.
-        AttemptOutcome how = s.until > now ? handed ? AttemptOutcome::error : AttemptOutcome::unreachable
-                      : handed      ? AttemptOutcome::timed_out
-                                    : AttemptOutcome::not_sent;
+        AttemptOutcome how = s.until > now
+                                 ? handed ? AttemptOutcome::error : AttemptOutcome::unreachable
+                             : handed ? AttemptOutcome::timed_out
+                                      : AttemptOutcome::not_sent;
         over(now, key, how);
     }
 }
--- a/src/http_gateway/connection_pool.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -30,9 +30,10 @@
     virtual ~AttemptsTold() = default;
     // Asked before an attempt's first byte, and nowhere else: is somebody owed an answer, may the
     // node have it now?
-    virtual bool may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const = 0;
-    virtual void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node, AttemptOutcome how,
-                              Time took, std::string body) = 0;
+    virtual bool may_send_attempt(Time now, RequestId request, AttemptId attempt,
+                                  NodeId node) const = 0;
+    virtual void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node,
+                              AttemptOutcome how, Time took, std::string body) = 0;
 };
 
 class Pools {
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -39,12 +39,13 @@
 
 } // namespace
 
-Core::Core(Transport &transport, const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
+Core::Core(Transport &transport,
+           const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
            const scheduler_setup::Options &settings, std::vector<std::string> workloads,
            std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
            std::size_t sockets)
-    : transport_(transport),
-      clients_(transport, *this, conns_, std::move(workloads), std::move(plans), for_clients(sockets)),
+    : transport_(transport), clients_(transport, *this, conns_, std::move(workloads),
+                                      std::move(plans), for_clients(sockets)),
       pools_(transport, *this, conns_, bound(settings, "Permissions.ConnectTimeoutS"),
              bound(settings, "Permissions.ConnIdleS"), for_nodes(sockets)),
       discovery_(transport, *this, conns_, std::move(zones),
@@ -61,7 +62,7 @@
 
 std::string Core::start(Time now, const std::string &known, const std::string &discovery) {
     now_ = now;
-    scheduler_->ready(now);
+    scheduler_->start(now);
     return discovery_.start(now, known, discovery);
 }
 void Core::stop(Time now) {
@@ -115,7 +116,7 @@
         while (!alarms_.empty() && alarms_.begin()->first <= now) {
             auto id = alarms_.begin()->second;
             alarms_.erase(alarms_.begin());
-            scheduler_->alarm(now, id);
+            scheduler_->timer_expired(now, id);
         }
         clients_.resume(now);
         scheduler_->settle(now);
@@ -146,7 +147,7 @@
     auto busy = pools_.busy();
     for (auto &[node, n] : counted_)
         transport_.trace("node id=" + std::to_string(node.value) + " counted=" + std::to_string(n) +
-                     " open=" + std::to_string(busy[node]));
+                         " open=" + std::to_string(busy[node]));
 }
 Time Core::next_due() const {
     Time at = std::min({clients_.next_due(), pools_.next_due(), discovery_.next_due()});
@@ -164,14 +165,14 @@
     if (transport_.traces()) {
         --counted_[o.node];
         transport_.trace("told request=" + std::to_string(o.request.value) +
-                     " attempt=" + std::to_string(o.attempt.value) +
-                     " late=" + std::to_string((now - o.since) / us));
+                         " attempt=" + std::to_string(o.attempt.value) +
+                         " late=" + std::to_string((now - o.since) / us));
     }
     if (o.how == AttemptOutcome::answered)
         if (auto client = end(o.request))
             clients_.answer(now, *client, std::move(o.body));
-    scheduler_->attempt_completed(now, o.request, o.attempt, o.node, o.how, o.took,
-                           requests_.at(o.request).ended, -1, 0, {});
+    scheduler_->attempt_completed(
+        now, {o.request, o.attempt, o.node, o.how, o.took, requests_.at(o.request).ended});
     forget_if_done(o.request);
 }
 // The request needs no answer any more; gives who is owed one, if anybody still is.
@@ -206,17 +207,11 @@
         clients_.refuse(now_, *client, retry_after);
     forget_if_done(request);
 }
-void Core::error(RequestId request) {
+void Core::fail(RequestId request) {
     if (auto client = end(request))
         clients_.error(now_, *client);
     forget_if_done(request);
 }
-void Core::probe(NodeId) {
-    transport_.say("a probe was asked for, which this front does not make");
-}
-void Core::tell_all(std::string_view) {
-    transport_.say("a message to peers was asked for, which this front does not send");
-}
 
 bool Core::may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const {
     auto t = requests_.find(request);
@@ -224,8 +219,8 @@
     return t != requests_.end() && !t->second.ended && n != nodes_.end() && n->second &&
            scheduler_->may_send_attempt(now, request, attempt);
 }
-void Core::attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node, AttemptOutcome how,
-                        Time took, std::string body) {
+void Core::attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node,
+                        AttemptOutcome how, Time took, std::string body) {
     overs_.push_back({request, attempt, node, how, took, now, std::move(body)});
 }
 void Core::request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
@@ -236,8 +231,19 @@
     RequestId id{++last_request_};
     requests_.emplace(id, Request{client, std::move(work), deadline});
     asked_[client] = id;
-    scheduler_->request_received(now, id, workload, volume, plan, shard, key, units, hosts, writes,
-                           repeated, deadline);
+    RequestInfo info;
+    info.id = id;
+    info.workload = workload;
+    info.volume = volume;
+    info.plan = plan;
+    info.shard = shard;
+    info.key = key;
+    info.units = units;
+    info.sharers = hosts;
+    info.writes = writes;
+    info.repeated = repeated;
+    info.client_timeout = deadline;
+    scheduler_->request_received(now, info);
 }
 void Core::request_left(Time now, ConnId client) {
     auto asked = asked_.find(client);
@@ -247,7 +253,7 @@
     end(request);
     pools_.withdraw(now,
                     request); // also where attempts may not be called off: these were not made yet
-    scheduler_->request_canceled(now, request, true);
+    scheduler_->request_canceled(now, request, CancelReason::client_disconnected);
     forget_if_done(request);
 }
 
@@ -259,7 +265,7 @@
     scheduler_->endpoint_list_begin(now, kind);
 }
 void Core::endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                       NodeState state, Time started) {
+                           NodeState state, Time started) {
     left_out_.erase(node);
     if (state == NodeState::removed) {
         nodes_.erase(node), pools_.node_gone(now_, node);
@@ -269,7 +275,7 @@
         if (state == NodeState::draining)
             pools_.node_drains(now_, node);
     }
-    scheduler_->endpoint_listed(node, shard, zone, state, started);
+    scheduler_->endpoint_listed({node, shard, zone, state, started});
 }
 void Core::endpoint_list_end() {
     for (auto node : left_out_)
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -13,19 +13,23 @@
 #include <vector>
 
 #include "http_gateway/client_connections.hpp"
-#include "http_gateway/discovery.hpp"
 #include "http_gateway/connection_pool.hpp"
+#include "http_gateway/discovery.hpp"
 #include "http_gateway/transport.hpp"
-#include "scheduling/scheduler.hpp"
 #include "scheduler_setup/options.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::http_gateway {
 
-class Core final : public SchedulerActions, public AttemptsTold, public RequestsTold, public ListTold {
+class Core final : public SchedulerActions,
+                   public AttemptsTold,
+                   public RequestsTold,
+                   public ListTold {
 public:
-    // `sockets`: descriptors the process may hold. Throws scheduler_setup::Malformed on settings that are
-    // wrong.
-    Core(Transport &transport, const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
+    // `sockets`: descriptors the process may hold. Throws scheduler_setup::Malformed on settings
+    // that are wrong.
+    Core(Transport &transport,
+         const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
          const scheduler_setup::Options &settings, std::vector<std::string> workloads,
          std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
          std::size_t sockets);
@@ -60,17 +64,14 @@
     void start_attempt(RequestId request, NodeId node, Time timeout) override;
     void cancel_attempt(RequestId request, AttemptId attempt) override;
     void reject(RequestId request, Time retry_after) override;
-    void error(RequestId request) override;
+    void fail(RequestId request) override;
     void set_timer(TimerId alarm, Time wait) override { alarms_.insert({now_ + wait, alarm}); }
     void watch_endpoints() override {} // the watch always stands or is being set up
-    void ask_list() override {}
-    void probe(NodeId node) override;
-    void tell_all(std::string_view text) override;
-    void note(std::string_view text) override { transport_.say(std::string(text)); }
 
-    bool may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const override;
-    void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node, AttemptOutcome how, Time took,
-                      std::string body) override;
+    bool may_send_attempt(Time now, RequestId request, AttemptId attempt,
+                          NodeId node) const override;
+    void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node,
+                      AttemptOutcome how, Time took, std::string body) override;
     void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
                       ShardId shard, KeyId key, double units, double hosts, bool writes,
                       bool repeated, Time deadline, std::shared_ptr<const Work> work) override;
@@ -78,7 +79,7 @@
     bool serves() const override { return discovery_.listed() && !stopping_; }
     void endpoint_list_begin(Time now, EndpointListKind kind) override;
     void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                     NodeState state, Time started) override;
+                         NodeState state, Time started) override;
     void endpoint_list_end() override;
 
 private:
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -37,8 +37,8 @@
 
 } // namespace
 
-Discovery::Discovery(Transport &transport, ListTold &told, Conns &conns, std::vector<std::string> zones,
-                     bool on_request, std::uint64_t seed)
+Discovery::Discovery(Transport &transport, ListTold &told, Conns &conns,
+                     std::vector<std::string> zones, bool on_request, std::uint64_t seed)
     : transport_(transport), told_(told), conns_(conns), on_request_(on_request), seed_(seed) {
     for (std::uint32_t i = 0; i < zones.size(); ++i)
         zones_[zones[i]] = ZoneId{i};
@@ -114,10 +114,10 @@
         }
         named.insert(e.id);
         told_.endpoint_listed(it->second, e.address, e.shard, e.zone,
-                          left                   ? NodeState::removed
-                          : e.state == "leaving" ? NodeState::draining
-                                                 : NodeState::ready,
-                          e.started);
+                              left                   ? NodeState::removed
+                              : e.state == "leaving" ? NodeState::draining
+                                                     : NodeState::ready,
+                              e.started);
         if (left)
             ids_.erase(it);
     }
@@ -138,7 +138,7 @@
             http::Decoder(http::Side::answers, most_head, most_object),
             JsonStream(most_object),
             ReconnectBackoff(on_request_ ? first_wait_shared : first_wait,
-                   on_request_ ? longest_wait_shared : longest_wait, seed_ + ++watches_)};
+                             on_request_ ? longest_wait_shared : longest_wait, seed_ + ++watches_)};
 }
 Time Discovery::silent_at(const Watch &w) const {
     return w.heard + (w.spoke ? silence : on_request_ ? answers_within_shared : answers_within);
@@ -156,7 +156,8 @@
         transport_.close(then_->conn);
     Watch &w = (now_ ? then_ : now_).emplace(make(address));
     if (on_request_)
-        w.reconnect_backoff.lost(now); // all schedulers may start, or be sent elsewhere, in one moment
+        w.reconnect_backoff.lost(
+            now); // all schedulers may start, or be sent elsewhere, in one moment
     else
         dial(now, w);
 }
@@ -198,7 +199,7 @@
         return;
     w->connected = true, w->heard = now;
     transport_.send(conn, "GET /v1/servers?stream=1&index=" + std::to_string(generation_) +
-                          " HTTP/1.1\r\nHost: discovery\r\n\r\n");
+                              " HTTP/1.1\r\nHost: discovery\r\n\r\n");
 }
 void Discovery::failed(Time now, ConnId conn) {
     if (of(conn))
--- a/src/http_gateway/discovery.hpp
+++ b/src/http_gateway/discovery.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "scheduling/node_record.hpp"
+#include "common/node_state.hpp"
 #include "common/reconnect_backoff.hpp"
 #include "http/decoder.hpp"
 #include "http_gateway/json_stream.hpp"
@@ -25,8 +25,8 @@
 public:
     virtual ~ListTold() = default;
     virtual void endpoint_list_begin(Time now, EndpointListKind kind) = 0;
-    virtual void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                             NodeState state, Time started) = 0;
+    virtual void endpoint_listed(NodeId node, const std::string &address, ShardId shard,
+                                 ZoneId zone, NodeState state, Time started) = 0;
     virtual void endpoint_list_end() = 0;
 };
 
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -7,9 +7,10 @@
 
 namespace knotvane::http_gateway {
 
-Server::Server(loop::Loop &loop, std::string path, const Config &config,
-               const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler,
-               bool traces)
+Server::Server(
+    loop::Loop &loop, std::string path, const Config &config,
+    const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler,
+    bool traces)
     : loop_(loop), path_(std::move(path)), traces_(traces) {
     core_ = std::make_unique<Core>(
         *this, [&](SchedulerActions &a) { return scheduler(a, config.seed()); }, config.settings(),
--- a/src/http_gateway/server.hpp
+++ b/src/http_gateway/server.hpp
@@ -5,22 +5,22 @@
 #include <memory>
 #include <string>
 
-#include "loop/loop.hpp"
-#include "loop/sockets.hpp"
 #include "http_gateway/config.hpp"
 #include "http_gateway/core.hpp"
+#include "loop/loop.hpp"
+#include "loop/sockets.hpp"
 
 namespace knotvane::http_gateway {
 
 class Server final : public Transport {
 public:
     // `path`: where the configuration is, for when it is told to read it again. Throws
-    // std::runtime_error where the address can't be listened on, scheduler_setup::Malformed on settings that
-    // are wrong.
-    Server(
-        loop::Loop &loop, std::string path, const Config &config,
-        const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)> &scheduler,
-        bool traces);
+    // std::runtime_error where the address can't be listened on, scheduler_setup::Malformed on
+    // settings that are wrong.
+    Server(loop::Loop &loop, std::string path, const Config &config,
+           const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>
+               &scheduler,
+           bool traces);
     ~Server() override;
     // Ends the loop once nothing is open.
     void stop();
--- a/src/nbd/server.cpp
+++ b/src/nbd/server.cpp
@@ -460,8 +460,7 @@
     bytes({});
 }
 
-void Session::extents(Cookie id,
-                      const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs) {
+void Session::extents(Cookie id, const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs) {
     auto it = flying_.find(id);
     if (it == flying_.end())
         return;
--- a/src/nbd/server.hpp
+++ b/src/nbd/server.hpp
@@ -32,8 +32,8 @@
     virtual void opened(std::string_view name) = 0;
     virtual void read(Cookie id, std::uint64_t offset, std::uint32_t length, bool in_one) = 0;
     virtual void write(Cookie id, std::uint64_t offset, std::string_view data, bool fua) = 0;
-    virtual void zero(Cookie id, std::uint64_t offset, std::uint32_t length, bool fua,
-                      bool no_hole, bool fast) = 0;
+    virtual void zero(Cookie id, std::uint64_t offset, std::uint32_t length, bool fua, bool no_hole,
+                      bool fast) = 0;
     virtual void trim(Cookie id, std::uint64_t offset, std::uint32_t length, bool fua) = 0;
     virtual void flush(Cookie id) = 0;
     virtual void cache(Cookie id, std::uint64_t offset, std::uint32_t length) = 0;
--- a/src/node/disk.cpp
+++ b/src/node/disk.cpp
@@ -23,16 +23,17 @@
     node_protocol::Reader reader;
 
     Peer(Disk &d, ConnId c) : disk(d), conn(c) {}
-    bool frame(node_protocol::Kind kind, std::uint8_t flags, node_protocol::Status, std::uint64_t tag,
-               VolumeId volume, std::uint64_t offset, std::uint32_t length, std::uint32_t units,
-               std::uint64_t incarnation, std::uint64_t number, Time not_after, ShardId shard,
-               std::string_view payload, std::uint32_t epoch) override {
+    bool frame(node_protocol::Kind kind, std::uint8_t flags, node_protocol::Status,
+               std::uint64_t tag, VolumeId volume, std::uint64_t offset, std::uint32_t length,
+               std::uint32_t units, std::uint64_t incarnation, std::uint64_t number, Time not_after,
+               ShardId shard, std::string_view payload, std::uint32_t epoch) override {
         if (kind == node_protocol::Kind::hello) {
             greeted = true;
-            disk.shell_.send(conn, node_protocol::make(node_protocol::Kind::welcome, 0, node_protocol::Status::ok,
-                                                disk.id_.value, VolumeId{0},
-                                                static_cast<std::uint64_t>(disk.started_), 0, 0,
-                                                disk.store_.incarnation(), 0, now, disk.shard_, {}));
+            disk.shell_.send(
+                conn, node_protocol::make(node_protocol::Kind::welcome, 0,
+                                          node_protocol::Status::ok, disk.id_.value, VolumeId{0},
+                                          static_cast<std::uint64_t>(disk.started_), 0, 0,
+                                          disk.store_.incarnation(), 0, now, disk.shard_, {}));
             return true;
         }
         if (!greeted) {
@@ -50,8 +51,8 @@
             }
             return true;
         }
-        Ask ask{conn,   kind,           flags, tag,    volume,    offset,
-                length, units / 1000.0, incarnation,  number, not_after, std::string(payload),
+        Ask ask{conn,   kind,           flags,       tag,    volume,    offset,
+                length, units / 1000.0, incarnation, number, not_after, std::string(payload),
                 epoch};
         if (shard != disk.shard_) {
             disk.answer(now, ask, node_protocol::Status::misdirected);
@@ -284,7 +285,8 @@
                 return answer(now, ask, node_protocol::Status::stale, {}, sealed);
             both = store_.opened(ask.volume);
             auto late = late_.find(ask.volume);
-            bool counts = late != late_.end() && late->second.contains(control::EdgeIncarnation{ask.incarnation});
+            bool counts = late != late_.end() &&
+                          late->second.contains(control::EdgeIncarnation{ask.incarnation});
             // Guards against a change that is in the cut here and out of it at another node. While
             // the cut is open an edge that is not known to have stopped waits: told of the epoch it
             // would begin changes of it at nodes that have not cut yet.
@@ -331,9 +333,9 @@
     auto it = peers_.find(ask.conn);
     if (it == peers_.end() || it->second->mute)
         return;
-    auto bytes =
-        node_protocol::make(node_protocol::Kind::answer, 0, status, ask.tag, ask.volume, ask.offset, ask.length,
-                     0, store_.incarnation(), ask.number, now, shard_, payload, epoch);
+    auto bytes = node_protocol::make(node_protocol::Kind::answer, 0, status, ask.tag, ask.volume,
+                                     ask.offset, ask.length, 0, store_.incarnation(), ask.number,
+                                     now, shard_, payload, epoch);
     if (status != node_protocol::Status::full) { // the faults of answers meet work that was done
         if (hit(Fault::mute, now)) {
             it->second->mute = true;
--- a/src/node/disk.hpp
+++ b/src/node/disk.hpp
@@ -16,8 +16,8 @@
 #include "common/ids.hpp"
 #include "common/time.hpp"
 #include "control/cluster_state.hpp"
-#include "node_protocol/frame.hpp"
 #include "node/background.hpp"
+#include "node_protocol/frame.hpp"
 #include "store/store.hpp"
 
 namespace knotvane::node {
@@ -130,8 +130,8 @@
     bool bears(Time now, double units);
     void start(Time now);
     void serve(Time now, Ask &ask);
-    void answer(Time now, const Ask &ask, node_protocol::Status status, std::string_view payload = {},
-                std::uint32_t epoch = 0);
+    void answer(Time now, const Ask &ask, node_protocol::Status status,
+                std::string_view payload = {}, std::uint32_t epoch = 0);
     void tidy(Time now);
     void drop(ConnId conn, bool reset);
     double capacity(Time now) const;
--- a/src/node/registration.cpp
+++ b/src/node/registration.cpp
@@ -60,20 +60,21 @@
 } // namespace
 void Registration::cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
                             const std::vector<control::EdgeIncarnation> &late) {
-    line_.send(control::tell_cut(as, control::SnapshotStep::opened,
-                               line_.open_cut ? line_.open_cut(of, as, epoch, late) : fell_short));
+    line_.send(
+        control::tell_cut(as, control::SnapshotStep::opened,
+                          line_.open_cut ? line_.open_cut(of, as, epoch, late) : fell_short));
 }
 void Registration::cut_seal(VolumeId of, VolumeId as) {
     line_.send(control::tell_cut(as, control::SnapshotStep::sealed,
-                               line_.seal && line_.seal(of, as) ? well : fell_short));
+                                 line_.seal && line_.seal(of, as) ? well : fell_short));
 }
 void Registration::cut_drop(VolumeId as) {
     line_.send(control::tell_cut(as, control::SnapshotStep::dropped,
-                               line_.drop && line_.drop(as) ? well : fell_short));
+                                 line_.drop && line_.drop(as) ? well : fell_short));
 }
 void Registration::cut_clone(VolumeId of, VolumeId as) {
     line_.send(control::tell_cut(as, control::SnapshotStep::cloned,
-                               line_.clone ? line_.clone(of, as) : fell_short));
+                                 line_.clone ? line_.clone(of, as) : fell_short));
 }
 void Registration::diff_asked(std::uint64_t question, VolumeId a, VolumeId b, std::uint64_t from) {
     std::vector<std::uint64_t> flat;
--- a/src/node_protocol/frame.hpp
+++ b/src/node_protocol/frame.hpp
@@ -17,9 +17,9 @@
                  // its clock
     read = 3,
     write = 4,
-    zero = 5,     // the range reads as zeroes after it
-    flush = 6,    // all that was answered before it is durable
-    status = 7,   // which parts of the range hold data
+    zero = 5,           // the range reads as zeroes after it
+    flush = 6,          // all that was answered before it is durable
+    status = 7,         // which parts of the range hold data
     cancel_attempt = 8, // of the ask with this tag: not to be started
     answer = 9,
 };
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-Core::Core(Shell &shell, StateStore &state_store, Time lease, Time margin, Time fade, Time silent_for,
-           Time out_after, Time back_after, Time drain_time)
+Core::Core(Shell &shell, StateStore &state_store, Time lease, Time margin, Time fade,
+           Time silent_for, Time out_after, Time back_after, Time drain_time)
     : shell_(shell), state_store_(state_store), silent_for_(silent_for), out_after_(out_after),
       back_after_(back_after), drain_time_(drain_time), leases_(lease, margin, fade) {}
 Core::~Core() = default;
@@ -160,8 +160,8 @@
         parts_.unknown(control::whole_limit);
         unknown_until_ = now + leases_.lease() + leases_.lease() / 10 + sec;
     }
-    started_up_ =
-        state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(), wanted_.version);
+    started_up_ = state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
+                                      wanted_.version);
     return started_up_;
 }
 
@@ -275,7 +275,7 @@
 void Core::keep_wanted() {
     for (auto &[id, n] : wanted_.nodes)
         state_store_.keep(StateStore::Row::wanted, id.value, 0, Version{1},
-                     control::node_hello(id, n.shard, n.zone, n.address, n.draining, 0));
+                          control::node_hello(id, n.shard, n.zone, n.address, n.draining, 0));
 }
 
 // ---- Connections.
@@ -512,7 +512,8 @@
         auto was = state_.table().nodes.find(id);
         if (was == state_.table().nodes.end() || was->second.state != state)
             shell_.say("node " + text(id) + " is " + name(state));
-        state_.put(id, control::Node{p.address(), w.shard, w.zone, state, p.started(), p.incarnation()});
+        state_.put(
+            id, control::Node{p.address(), w.shard, w.zone, state, p.started(), p.incarnation()});
         if (state == NodeState::draining)
             draining_since_.try_emplace(id, state_.next(), now_);
         else
@@ -531,9 +532,9 @@
             if (!h)
                 return state_store_.drop(StateStore::Row::hold, edge.value, volume.value);
             state_store_.keep(StateStore::Row::hold, edge.value, volume.value, version,
-                         std::to_string(h->part) + " " + std::to_string(h->bound) + " " +
-                             text(h->since) + " " + std::to_string(h->serves) + " " +
-                             std::to_string(parts_.is_lapsed(edge)));
+                              std::to_string(h->part) + " " + std::to_string(h->bound) + " " +
+                                  text(h->since) + " " + std::to_string(h->serves) + " " +
+                                  std::to_string(parts_.is_lapsed(edge)));
         });
     using Kind = State::Kind;
     for (auto &key : state_.changed()) {
@@ -549,10 +550,10 @@
         auto &t = state_.table();
         PlanId plan{static_cast<std::uint32_t>(key.id)};
         state_store_.keep(row, key.id, 0, version,
-                     key.kind == Kind::plan ? control::put(plan, t.plans.at(plan))
-                     : key.kind == Kind::volume
-                         ? control::put(VolumeId{key.id}, t.volumes.at(VolumeId{key.id}))
-                         : control::put(NodeId{key.id}, t.nodes.at(NodeId{key.id})));
+                          key.kind == Kind::plan ? control::put(plan, t.plans.at(plan))
+                          : key.kind == Kind::volume
+                              ? control::put(VolumeId{key.id}, t.volumes.at(VolumeId{key.id}))
+                              : control::put(NodeId{key.id}, t.nodes.at(NodeId{key.id})));
     }
     if (state_.close())
         commit_due_ = true;
@@ -624,7 +625,7 @@
         // Nothing is told that is not durable: a planner that comes back from its store must know
         // all that it said.
         if (!state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
-                            wanted_.version))
+                                 wanted_.version))
             return;
         commit_due_ = false;
     }
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "control/messages.hpp"
-#include "planner/snapshot_coordinator.hpp"
 #include "planner/membership.hpp"
 #include "planner/quota_allocation.hpp"
+#include "planner/snapshot_coordinator.hpp"
 #include "planner/versioned_state.hpp"
 
 namespace knotvane::planner {
@@ -50,7 +50,8 @@
                         std::uint64_t settings) = 0;
 };
 
-// What the settings files want, checked in itself (planner/desired_state_files.hpp). Lines are for refusals.
+// What the settings files want, checked in itself (planner/desired_state_files.hpp). Lines are for
+// refusals.
 struct Wanted {
     struct Node {
         ShardId shard;
@@ -114,8 +115,8 @@
                     std::uint64_t instance, std::uint64_t lineage, Version version,
                     const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving);
     void renew(Session &side, Time at, Term term, Version version);
-    void node_hello(Session &side, NodeId node, ShardId shard, ZoneId zone, const std::string &address,
-                    std::uint64_t incarnation, Time age);
+    void node_hello(Session &side, NodeId node, ShardId shard, ZoneId zone,
+                    const std::string &address, std::uint64_t incarnation, Time age);
     void drain_asked(Session &side, NodeId node, bool draining, std::uint8_t how);
     // ---- Snapshots and clones.
     // One that an operator waits for.
--- a/src/planner/core_snapshots.cpp
+++ b/src/planner/core_snapshots.cpp
@@ -76,7 +76,8 @@
     if (auto old = find(full)) {
         auto &f = state_.table().volumes.at(*old);
         return full + " is there already" +
-               (f.is_snapshot() ? ", taken " + std::to_string((now_ - f.taken) / sec) + "s ago" : "");
+               (f.is_snapshot() ? ", taken " + std::to_string((now_ - f.taken) / sec) + "s ago"
+                                : "");
     }
     for (auto &[id, other] : pending_)
         if (other.fact.name == full)
@@ -109,8 +110,8 @@
         return why.empty() ? "there are no nodes" : why;
     return {};
 }
-void Core::cut_asked(Session &side, std::uint8_t what, const std::string &name, const std::string &as,
-                     const std::string &plan) {
+void Core::cut_asked(Session &side, std::uint8_t what, const std::string &name,
+                     const std::string &as, const std::string &plan) {
     auto refuse = [&](const std::string &why) {
         shell_.send(side.id, control::effect(false, false, why));
     };
@@ -154,7 +155,8 @@
         p.epoch = std::max(last + 1, static_cast<std::uint32_t>(now_ / sec));
     }
     undo_rows_[as] = {p.of, p.epoch};
-    state_store_.keep(StateStore::Row::undo, as.value, p.of.value, Version{1}, std::to_string(p.epoch));
+    state_store_.keep(StateStore::Row::undo, as.value, p.of.value, Version{1},
+                      std::to_string(p.epoch));
     commit_due_ = true;
     pending_[as] = std::move(p);
 }
@@ -208,8 +210,8 @@
             shell_.say(p.fact.name + " is whole");
             after_commit_.emplace_back(
                 p.side, control::effect(true, true,
-                                      p.fact.name + ": " + (p.clone ? "cloned" : "taken") + " in " +
-                                          std::to_string((now_ - p.began) / ms) + "ms"));
+                                        p.fact.name + ": " + (p.clone ? "cloned" : "taken") +
+                                            " in " + std::to_string((now_ - p.began) / ms) + "ms"));
             continue;
         }
         cuts_.undo(as, all_shards());
@@ -219,8 +221,8 @@
             prepare(std::move(p));
         } else {
             after_commit_.emplace_back(
-                p.side,
-                control::effect(true, false, p.fact.name + ": " + p.why + "; nothing is left of it"));
+                p.side, control::effect(true, false,
+                                        p.fact.name + ": " + p.why + "; nothing is left of it"));
         }
     }
     std::vector<std::uint64_t> late;
@@ -253,8 +255,8 @@
     shell_.say("operator: drop " + fact.name);
     commit_due_ = true;
     after_commit_.emplace_back(
-        side.id,
-        control::effect(true, true, fact.name + ": dropped; its space comes back in the background"));
+        side.id, control::effect(true, true,
+                                 fact.name + ": dropped; its space comes back in the background"));
 }
 void Core::undone(VolumeId as) {
     auto it = undo_rows_.find(as);
--- a/src/planner/membership.cpp
+++ b/src/planner/membership.cpp
@@ -45,7 +45,8 @@
     return n;
 }
 
-void Presence::heard(Time now, const std::string &address, std::uint64_t incarnation, Time started) {
+void Presence::heard(Time now, const std::string &address, std::uint64_t incarnation,
+                     Time started) {
     bool another = incarnation != incarnation_ || !ever_heard();
     heard_ = now, address_ = address;
     // What edges met was the life before. Of one life the first start told stays: told again it
@@ -55,7 +56,8 @@
         in_ = true, bad_ = good_ = false, unreached_.clear(), reached_.clear();
     }
 }
-void Presence::assume(Time now, const std::string &address, std::uint64_t incarnation, Time started) {
+void Presence::assume(Time now, const std::string &address, std::uint64_t incarnation,
+                      Time started) {
     heard_ = now, address_ = address, incarnation_ = incarnation, started_ = started, in_ = true;
 }
 void Presence::witness(EdgeId edge, bool reached) {
--- a/src/planner/snapshot_coordinator.cpp
+++ b/src/planner/snapshot_coordinator.cpp
@@ -124,7 +124,8 @@
     orders_.failed(as, why, again);
 }
 
-void Cuts::edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as, SnapshotStep what) {
+void Cuts::edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as,
+                     SnapshotStep what) {
     auto it = attempts_.find(as);
     if (it == attempts_.end())
         return;
--- a/src/planner/snapshot_coordinator.hpp
+++ b/src/planner/snapshot_coordinator.hpp
@@ -18,8 +18,8 @@
 
 namespace knotvane::planner {
 
-using control::SnapshotStep;
 using control::EdgeId;
+using control::SnapshotStep;
 
 class Cuts {
 public:
@@ -51,7 +51,8 @@
     void undo(VolumeId as, std::set<ShardId> shards);
 
     // `life`: of the edge's process, as nodes know it.
-    void edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as, SnapshotStep step);
+    void edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as,
+                   SnapshotStep step);
     void node_told(Time now, NodeId node, ShardId shard, VolumeId as, SnapshotStep step,
                    std::uint8_t how);
     // The connection went: what it was to do for a cut that is not whole may not have come about.
--- a/src/rules/judge.cpp
+++ b/src/rules/judge.cpp
@@ -86,10 +86,10 @@
             return true;
         for (auto &s : t->second.shots)
             if (s.tag == tag && s.wire == id && s.out) {
-                bool proved =
-                    !off &&
-                    (status == node_protocol::Status::full || status == node_protocol::Status::too_late ||
-                     status == node_protocol::Status::misdirected || status == node_protocol::Status::stale);
+                bool proved = !off && (status == node_protocol::Status::full ||
+                                       status == node_protocol::Status::too_late ||
+                                       status == node_protocol::Status::misdirected ||
+                                       status == node_protocol::Status::stale);
                 bool known = !off && status != node_protocol::Status::called_off;
                 if (!off && status == node_protocol::Status::ok) {
                     if (auto &r = t->second.request) {
@@ -666,7 +666,8 @@
     bool writes = node_protocol::changes(t.kind);
     if (writes && !known)
         t.rest_until = std::max(
-            t.rest_until, now + figures_[t.kind == node_protocol::Kind::write ? 1 : 2].key_rest - slack_);
+            t.rest_until,
+            now + figures_[t.kind == node_protocol::Kind::write ? 1 : 2].key_rest - slack_);
 }
 
 void Judge::closed(Time now, WireId id, bool by_edge) {
--- a/src/rules/judge.hpp
+++ b/src/rules/judge.hpp
@@ -16,10 +16,10 @@
 #include <vector>
 
 #include "common/ids.hpp"
-#include "scheduling/node_record.hpp"
-#include "scheduling/request.hpp"
+#include "common/node_state.hpp"
 #include "common/time.hpp"
 #include "node_protocol/frame.hpp"
+#include "scheduling/request.hpp"
 
 namespace knotvane::rules {
 
@@ -37,7 +37,8 @@
     ~Judge();
     // `command`: 0 read, 1 write, 2 zero, 3 flush, 4 status, as the edge's; the longest time of a
     // command counts.
-    void set_workload(int command, Time client_timeout, Idempotency repeat, Time window, Time key_rest);
+    void set_workload(int command, Time client_timeout, Idempotency repeat, Time window,
+                      Time key_rest);
     // Where the edges cut requests into tasks: multiples of these many bytes.
     void set_cut(std::uint64_t reads, std::uint64_t writes);
     void set_shots(std::uint32_t most, bool parallel);
--- a/src/scheduler_setup/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -6,7 +6,7 @@
 namespace knotvane::scheduler_setup {
 namespace {
 
-Idempotency repeat_of(const std::string &s, const std::string &path) {
+Idempotency idempotency(const std::string &s, const std::string &path) {
     if (s == "idempotent" || s.empty())
         return Idempotency::idempotent;
     if (s == "deduplicated")
@@ -16,7 +16,7 @@
     throw Malformed("setting " + path + ": unknown effect: " + s.substr(0, 80));
 }
 
-DeduplicationScope group_of(const std::string &s, const std::string &path) {
+DeduplicationScope deduplication_scope(const std::string &s, const std::string &path) {
     if (s == "all" || s.empty())
         return DeduplicationScope::all;
     if (s == "zone")
@@ -26,64 +26,87 @@
     throw Malformed("setting " + path + ": unknown group: " + s.substr(0, 80));
 }
 
-Column column_of(const std::string &s) {
-    if (s == "active")
-        return Column::active;
-    if (s == "waiting")
-        return Column::waiting;
-    if (s == "cpu")
-        return Column::busy;
-    if (s == "avg_ms")
-        return Column::latency;
-    if (s == "rps")
-        return Column::served;
-    return s == "err_rps" ? Column::errors : Column::other;
+WorkloadConfig workload_config(const Options &options, std::uint32_t index) {
+    const std::string prefix = "Classes." + std::to_string(index) + ".";
+    // Without an objective of its own a class is in time until its deadline.
+    const char *objective = options.has(prefix + "TargetS") ? "TargetS" : "DeadlineS";
+    WorkloadConfig workload;
+    workload.latency_objective = options.time(prefix + objective);
+    workload.value = options.number(prefix + "Points");
+    workload.late_value_fraction = options.number(prefix + "LateWorth");
+    workload.idempotency = idempotency(options.text(prefix + "Effect"), prefix + "Effect");
+    workload.deduplication_scope =
+        deduplication_scope(options.text(prefix + "Group"), prefix + "Group");
+    workload.deduplication_window = options.time(prefix + "RepeatWindowS");
+    workload.ordered_by_key = options.flag(prefix + "InTurn");
+    if (workload.ordered_by_key)
+        workload.key_rest = options.time("Rules.KeyRestS");
+    return workload;
 }
 
-} // namespace
-
-void set_up(Scheduler &to, const Options &o) {
-    to.set_place(PeerId{o.count("Index")}, std::max(1u, o.count("Balancers", 1)),
-                 ZoneId{o.count("Locality")});
-    to.set_clock(o.time("StepS"), o.time("Rules.GraceToAnswerS"));
-    for (std::uint32_t i = 0; i < o.count("Classes.count"); ++i) {
-        std::string at = "Classes." + std::to_string(i) + ".";
-        WorkloadId id{i};
-        // Without a target of its own a class is in time until its deadline.
-        to.add_workload(id, o.time(at + (o.has(at + "TargetS") ? "TargetS" : "DeadlineS")),
-                        o.time(at + "DeadlineS"), o.number(at + "Points"),
-                        o.number(at + "LateWorth"));
-        to.set_repeat(id, repeat_of(o.text(at + "Effect"), at + "Effect"),
-                      group_of(o.text(at + "Group"), at + "Group"), o.time(at + "RepeatWindowS"));
-        if (o.flag(at + "InTurn"))
-            to.set_turns(id, o.time("Rules.KeyRestS"));
+PlanConfig plan_config(const Options &options, std::uint32_t index) {
+    const std::string prefix = "Contracts." + std::to_string(index) + ".";
+    PlanConfig plan;
+    plan.weight = options.number(prefix + "Shares", 1);
+    plan.usual_rate = options.number(prefix + "UsualRate");
+    plan.reserved_rate = options.number(prefix + "Guaranteed");
+    plan.price = options.number(prefix + "Price", 1);
+    if (options.number(prefix + "CeilingRate") > 0) {
+        plan.limit_rate = options.number(prefix + "CeilingRate");
+        plan.limit_burst = options.number(prefix + "Burst");
     }
-    for (std::uint32_t i = 0; i < o.count("Contracts.count"); ++i) {
-        std::string at = "Contracts." + std::to_string(i) + ".";
-        PlanId id{i};
-        to.add_plan(id, o.number(at + "Shares", 1), o.number(at + "UsualRate"),
-                    o.number(at + "Guaranteed"), o.number(at + "Price", 1));
-        if (o.number(at + "CeilingRate") > 0)
-            to.set_limit(id, o.number(at + "CeilingRate"), o.number(at + "Burst"));
+    return plan;
+}
+
+RetryBudgetConfig retry_budget_config(const Options &options) {
+    RetryBudgetConfig budget;
+    if (options.has("Rules.ResendSpanS")) {
+        budget.retries_per_request = options.number("Rules.ResendRatio");
+        budget.free_retries = options.number("Rules.BudgetFree");
+        budget.window = options.time("Rules.ResendSpanS");
     }
-    to.set_units(o.number("Extra.UnitMean"), o.number("Extra.UnitsTop"),
-                 o.number("Extra.ShareWorth"), o.number("Extra.SpareWorth"));
-    to.set_shots(o.count("Permissions.MaxAttempts", 1), o.flag("Permissions.ParallelTries"),
-                 o.flag("Permissions.Cancel"));
-    if (o.has("Rules.ResendSpanS"))
-        to.set_further_shots(o.number("Rules.ResendRatio"), o.number("Rules.BudgetFree"),
-                             o.time("Rules.ResendSpanS"));
-    to.set_denials(o.flag("Permissions.RetryAfter") ? o.time("Permissions.MaxRetryAfterS") : 0);
-    to.set_clients(o.flag("Clients.MarksRetry"));
-    to.set_list(o.text("RegistryMode") == "on_request", o.time("Rules.AskWithinS"),
-                o.time("Rules.DrainGraceS"));
-    to.set_cold(o.number("Extra.ColdUnits"), o.time("Rules.FallS"), o.time("Rules.WarmAfterS"),
-                o.number("Rules.StartCapacity"));
-    to.set_probes(o.flag("Permissions.Probes"));
-    to.set_peers(o.flag("Permissions.Peers"));
-    for (const auto &name : o.list("Report.Columns"))
-        to.add_report_column(column_of(name));
-    to.set_usage(o.time("Extra.MeteringS"), o.flag("Extra.TellsElsewhere"));
+    return budget;
+}
+
+SlowStartConfig slow_start_config(const Options &options) {
+    SlowStartConfig slow_start;
+    slow_start.units = options.number("Extra.ColdUnits");
+    slow_start.window = options.time("Rules.FallS");
+    slow_start.duration = options.time("Rules.WarmAfterS");
+    slow_start.initial_capacity = options.number("Rules.StartCapacity");
+    return slow_start;
+}
+
+SchedulerConfig scheduler_config(const Options &options) {
+    SchedulerConfig config;
+    config.self = PeerId{options.count("Index")};
+    config.scheduler_count = std::max(1u, options.count("Balancers", 1));
+    config.time_step = options.time("StepS");
+    if (options.flag("Permissions.RetryAfter"))
+        config.max_retry_after = options.time("Permissions.MaxRetryAfterS");
+    config.clients_mark_repeats = options.flag("Clients.MarksRetry");
+    config.units.mean = options.number("Extra.UnitMean");
+    config.units.largest = options.number("Extra.UnitsTop");
+    config.units.share_value = options.number("Extra.ShareWorth");
+    config.units.spare_value = options.number("Extra.SpareWorth");
+    config.attempts.max_attempts = options.count("Permissions.MaxAttempts", 1);
+    config.attempts.allow_parallel = options.flag("Permissions.ParallelTries");
+    config.attempts.cancel_abandoned = options.flag("Permissions.Cancel");
+    config.retry_budget = retry_budget_config(options);
+    config.slow_start = slow_start_config(options);
+    config.endpoint_list.on_request = options.text("RegistryMode") == "on_request";
+    config.endpoint_list.max_age = options.time("Rules.AskWithinS");
+    return config;
+}
+
+} // namespace
+
+void set_up(Scheduler &scheduler, const Options &options) {
+    scheduler.configure(scheduler_config(options));
+    for (std::uint32_t i = 0; i < options.count("Classes.count"); ++i)
+        scheduler.set_workload(WorkloadId{i}, workload_config(options, i));
+    for (std::uint32_t i = 0; i < options.count("Contracts.count"); ++i)
+        scheduler.set_plan(PlanId{i}, plan_config(options, i));
 }
 
 } // namespace knotvane::scheduler_setup
--- a/src/scheduler_setup/setup.hpp
+++ b/src/scheduler_setup/setup.hpp
@@ -2,8 +2,8 @@
 // run them.
 #pragma once
 
-#include "scheduling/scheduler.hpp"
 #include "scheduler_setup/options.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::scheduler_setup {
 
--- a/src/scheduling/node_record.hpp
+++ b/src/scheduling/node_record.hpp
@@ -5,13 +5,12 @@
 #include <tuple>
 #include <utility>
 
-#include "scheduling/samples.hpp"
+#include "common/node_state.hpp"
 #include "scheduling/request.hpp"
+#include "scheduling/samples.hpp"
 
 namespace knotvane {
 
-enum class NodeState { draining, removed, ready };
-
 struct NodeSeen {
     NodeId id;
     ShardId shard;
@@ -20,7 +19,7 @@
     Time started = 0;
     Time cold_until = 0;
     bool listed = false;
-    Recent sent, asked;                                       // units
+    Recent sent, asked;                                             // units
     std::set<std::pair<Time, std::pair<RequestId, AttemptId>>> out; // by the time sent
     std::set<Time>
         ghosts; // when shots were sent that ended unanswered: their work may still be there
--- a/src/scheduling/request.hpp
+++ b/src/scheduling/request.hpp
@@ -5,27 +5,10 @@
 
 #include "common/ids.hpp"
 #include "common/time.hpp"
+#include "scheduling/config.hpp"
 
 namespace knotvane {
 
-// What a repeat of a task does: it may run again; repeats are dropped by a group of nodes; it must
-// never run twice.
-enum class Idempotency { idempotent, deduplicated, at_most_once };
-// The nodes that drop repeats of a numbered task.
-enum class DeduplicationScope { all, zone, shard };
-
-struct Workload {
-    double value = 1, late_part = 0;
-    Time due = 0, repeat_window = 0, key_rest = 0;
-    Idempotency repeat = Idempotency::idempotent;
-    DeduplicationScope group = DeduplicationScope::all;
-    bool in_turn = false;
-};
-
-struct Plan {
-    double weight = 1, usual = 0, reserve = 0, price = 1, limit_rate = 0, limit_burst = 0;
-};
-
 struct Shot {
     NodeId node;
     ShardId shard;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -396,24 +396,25 @@
 
 // Whether one more shot after the first so many can do no harm at that node. Guards against effects
 // that happen twice.
-bool harmless(const Task &task, std::size_t made, const Workload &w, const Node &node, Time now,
-              Time margin) {
-    if (w.repeat == Idempotency::idempotent)
+bool harmless(const Task &task, std::size_t made, const WorkloadConfig &w, const Node &node,
+              Time now, Time margin) {
+    if (w.idempotency == Idempotency::idempotent)
         return true;
     for (std::size_t i = 0; i < made; ++i) {
         const Shot &s = task.shots[i];
         if (s.proved_not_run)
             continue;
-        if (w.repeat == Idempotency::at_most_once || now + margin >= s.sent + w.repeat_window)
+        if (w.idempotency == Idempotency::at_most_once ||
+            now + margin >= s.sent + w.deduplication_window)
             return false;
-        if ((w.group == DeduplicationScope::shard && s.shard != node.shard) ||
-            (w.group == DeduplicationScope::zone && s.zone != node.zone))
+        if ((w.deduplication_scope == DeduplicationScope::shard && s.shard != node.shard) ||
+            (w.deduplication_scope == DeduplicationScope::zone && s.zone != node.zone))
             return false;
     }
     return true;
 }
 
-bool may_shoot(const Task &task, const Workload &w, const Node &node, std::uint32_t most,
+bool may_shoot(const Task &task, const WorkloadConfig &w, const Node &node, std::uint32_t most,
                bool parallel, Time now, Time margin) {
     if (task.shots.size() >= most || (!parallel && task.any_out()))
         return false;
@@ -425,48 +426,41 @@
     Knotvane(SchedulerActions &actions, std::uint64_t seed)
         : do_(actions), chance_(static_cast<std::uint32_t>(seed ^ (seed >> 32))) {}
 
-    void set_place(PeerId self, std::uint32_t n, ZoneId) override { self_ = self, schedulers_ = n; }
-    void set_clock(Time step, Time) override { step_ = std::max(step, ms); }
-    void add_workload(WorkloadId id, Time due, Time, double value, double late_part) override {
-        workloads_[id].due = due, workloads_[id].value = value,
-        workloads_[id].late_part = late_part;
-    }
-    void set_repeat(WorkloadId id, Idempotency repeat, DeduplicationScope group, Time window) override {
-        workloads_[id].repeat = repeat, workloads_[id].group = group,
-        workloads_[id].repeat_window = window;
-    }
-    void set_turns(WorkloadId id, Time key_rest) override {
-        workloads_[id].in_turn = true, workloads_[id].key_rest = key_rest;
-    }
-    void add_plan(PlanId id, double weight, double usual, double reserve, double price) override {
-        plans_[id].weight = std::max(weight, 1e-6), plans_[id].reserve = reserve;
-        plans_[id].usual = usual, plans_[id].price = price;
+    void configure(const SchedulerConfig &config) override {
+        self_ = config.self;
+        schedulers_ = config.scheduler_count;
+        step_ = std::max(config.time_step, ms);
+        mean_ = config.units.mean > 0 ? config.units.mean : 1;
+        largest_ = std::max(1.0, config.units.largest);
+        share_worth_ = config.units.share_value > 0 ? config.units.share_value : 1;
+        spare_worth_ = config.units.spare_value;
+        most_shots_ = config.attempts.max_attempts;
+        parallel_ = config.attempts.allow_parallel;
+        may_call_off_ = config.attempts.cancel_abandoned;
+        further_.each = config.retry_budget.retries_per_request;
+        further_.free = config.retry_budget.free_retries;
+        further_.span = config.retry_budget.window;
+        longest_wait_ = config.max_retry_after;
+        marked_ = config.clients_mark_repeats;
+        on_request_ = config.endpoint_list.on_request;
+        ask_within_ = config.endpoint_list.max_age;
+        cold_units_ = config.slow_start.units;
+        cold_span_ = config.slow_start.window;
+        warm_after_ = config.slow_start.duration;
+        start_part_ =
+            config.slow_start.initial_capacity > 0 ? config.slow_start.initial_capacity : 1;
+    }
+    void set_workload(WorkloadId id, const WorkloadConfig &workload) override {
+        workloads_[id] = workload;
+    }
+    void set_plan(PlanId id, const PlanConfig &config) override {
+        plans_[id] = config;
+        plans_[id].weight = std::max(config.weight, 1e-6);
         shares_ = usual_ = 0;
         for (auto &[_, plan] : plans_)
-            shares_ += plan.weight, usual_ += plan.usual;
+            shares_ += plan.weight, usual_ += plan.usual_rate;
     }
-    void set_limit(PlanId id, double rate, double burst) override {
-        plans_[id].limit_rate = rate, plans_[id].limit_burst = burst;
-    }
-    void set_units(double mean, double largest, double share_worth, double spare_worth) override {
-        mean_ = mean > 0 ? mean : 1, largest_ = std::max(1.0, largest);
-        share_worth_ = share_worth > 0 ? share_worth : 1;
-        spare_worth_ = spare_worth;
-    }
-    void set_shots(std::uint32_t most, bool parallel, bool may_call_off) override {
-        most_shots_ = most, parallel_ = parallel, may_call_off_ = may_call_off;
-    }
-    void set_further_shots(double each, double free, Time span) override {
-        further_.each = each, further_.free = free, further_.span = span;
-    }
-    void set_denials(Time longest_wait) override { longest_wait_ = longest_wait; }
-    void set_clients(bool mark_repeats) override { marked_ = mark_repeats; }
-    void set_list(bool ask, Time within, Time) override { on_request_ = ask, ask_within_ = within; }
-    void set_cold(double units, Time span, Time warm_after, double start_part) override {
-        cold_units_ = units, cold_span_ = span, warm_after_ = warm_after,
-        start_part_ = start_part > 0 ? start_part : 1;
-    }
-    void ready(Time now) override {
+    void start(Time now) override {
         born_ = now;
         if (on_request_)
             follow(now);
@@ -478,10 +472,14 @@
         for (auto &[id, node] : nodes_)
             node.listed = false;
     }
-    void endpoint_listed(NodeId id, ShardId shard, ZoneId zone, NodeState state,
-                     Time started) override {
-        Node &node = nodes_.try_emplace(id, id, schedulers_, largest_).first->second;
-        node.listed = true, node.shard = shard, node.zone = zone, node.state = state;
+    void endpoint_listed(const Endpoint &endpoint) override {
+        Node &node =
+            nodes_.try_emplace(endpoint.node, endpoint.node, schedulers_, largest_).first->second;
+        node.listed = true;
+        node.shard = endpoint.shard;
+        node.zone = endpoint.zone;
+        node.state = endpoint.state;
+        Time started = endpoint.started_at;
         if (started > node.started) { // a restart: what was silent before says nothing of it now
             node.started = started, node.heard = now_, node.silent = false;
             node.cold_until = std::max(node.cold_until, started + warm_after_);
@@ -513,26 +511,32 @@
         limits_.try_emplace(volume, 0, 0, now).first->second.hand(now, hosts);
     }
 
-    void request_received(Time now, RequestId id, WorkloadId workload, VolumeId volume, PlanId plan,
-                    ShardId shard, KeyId key, double units, double hosts, bool writes,
-                    bool repeated, Time client_timeout) override {
+    void request_received(Time now, const RequestInfo &request) override {
         now_ = now;
         further_.taken.add(now, 1), further_.taken.since(now - further_.span);
+        RequestId id = request.id;
         Task &t = tasks_[id];
-        t.id = id, t.workload = workload, t.volume = volume, t.plan = plan, t.shard = shard,
-        t.key = key;
-        t.units = std::max(units, 0.0), t.hosts = std::max(hosts, 1.0), t.writes = writes,
+        t.id = id;
+        t.workload = request.workload;
+        t.volume = request.volume;
+        t.plan = request.plan;
+        t.shard = request.shard;
+        t.key = request.key;
+        t.units = std::max(request.units, 0.0);
+        t.hosts = std::max(request.sharers, 1.0);
+        t.writes = request.writes;
         t.taken = now;
-        t.repeated = repeated, t.lot = static_cast<double>(chance_()) / chance_.max();
+        t.repeated = request.repeated;
+        t.lot = static_cast<double>(chance_()) / chance_.max();
         // Two steps early, so that the batch in which the answer leaves comes before the client is
         // gone.
-        t.last_call = client_timeout - 2 * step_;
-        t.due = t.first_due = std::min(now + workloads_[workload].due, t.last_call);
+        t.last_call = request.client_timeout - 2 * step_;
+        t.due = t.first_due = std::min(now + workloads_[t.workload].latency_objective, t.last_call);
         // Asked before, and ended without an answer: the due time is still the first try's, where
         // clients don't mark their repeats, too. Harm: tasks alike in volume, data, workload and
         // size count as one.
         auto before = unanswered_.extract(alike(t));
-        if (before && key != no_key && repeated == marked_) {
+        if (before && t.key != no_key && t.repeated == marked_) {
             t.first_due = std::min(before.mapped(), t.due);
             t.repeated = t.first_due <= now;
             t.due = t.repeated ? t.due : t.first_due;
@@ -542,9 +546,13 @@
             turns_.join(t.key, id);
         moving_.insert(id);
     }
-    void attempt_completed(Time now, RequestId id, AttemptId shot, NodeId, AttemptOutcome how, Time took, bool ended,
-                    double, double, std::span<const float>) override {
+    void attempt_completed(Time now, const AttemptResult &result) override {
         now_ = now;
+        RequestId id = result.request;
+        AttemptId shot = result.attempt;
+        AttemptOutcome how = result.outcome;
+        Time took = result.duration;
+        bool ended = result.client_answered;
         auto it = tasks_.find(id);
         if (it == tasks_.end() || shot.value >= it->second.shots.size() ||
             !it->second.shots[shot.value].out)
@@ -552,11 +560,11 @@
         Task &t = it->second;
         Shot &s = t.shots[shot.value];
         s.out = false;
-        s.proved_not_run =
-            how == AttemptOutcome::overloaded || how == AttemptOutcome::unreachable || how == AttemptOutcome::not_sent;
+        s.proved_not_run = how == AttemptOutcome::overloaded ||
+                           how == AttemptOutcome::unreachable || how == AttemptOutcome::not_sent;
         hear(nodes_.at(s.node), t, shot, how, took);
-        if (in_turn(t) &&
-            (how == AttemptOutcome::timed_out || how == AttemptOutcome::reset || how == AttemptOutcome::canceled))
+        if (in_turn(t) && (how == AttemptOutcome::timed_out || how == AttemptOutcome::reset ||
+                           how == AttemptOutcome::canceled))
             turns_.rest(t.key, now + workloads_[t.workload].key_rest);
         if (ended && !t.ended)
             stayed_.add({t.volume, now - t.taken}), end(t);
@@ -564,12 +572,12 @@
             again(t);
         forget_if_done(it);
     }
-    void request_canceled(Time now, RequestId id, bool by_client) override {
+    void request_canceled(Time now, RequestId id, CancelReason reason) override {
         now_ = now;
         auto it = tasks_.find(id);
         if (it == tasks_.end() || it->second.ended)
             return;
-        if (by_client)
+        if (reason == CancelReason::client_disconnected)
             left_.add({now, it->second.volume, now - it->second.taken});
         unanswered_[alike(it->second)] = it->second.first_due;
         end(it->second);
@@ -586,7 +594,7 @@
         return node.state == NodeState::ready &&
                harmless(t, shot.value, workloads_.at(t.workload), node, now, 2 * step_);
     }
-    void alarm(Time now, TimerId) override {
+    void timer_expired(Time now, TimerId) override {
         if (now >= next_alarm_)
             next_alarm_ = never;
     }
@@ -618,11 +626,11 @@
     static Alike alike(const Task &t) { return {t.volume, t.key, t.workload, t.units}; }
     // ---- Intake: one final answer for each task, never late.
     void give_up(Task &t, Time retry_after) {
-        const Workload &w = workloads_[t.workload];
-        if (may_deny(t, w.repeat, w.group))
+        const WorkloadConfig &w = workloads_[t.workload];
+        if (may_deny(t, w.idempotency, w.deduplication_scope))
             do_.reject(t.id, std::min(retry_after, longest_wait_));
         else
-            do_.error(t.id);
+            do_.fail(t.id);
         unanswered_[alike(t)] = t.first_due;
         end(t);
     }
@@ -658,10 +666,10 @@
     // Value first; a client's repeat is past its due time, or nearly, and earns what a late answer
     // does.
     Volumes::Rank rank(const Task &t) {
-        const Workload &w = workloads_[t.workload];
-        return {-w.value * (t.repeated ? w.late_part : 1), t.due, t.id};
+        const WorkloadConfig &w = workloads_[t.workload];
+        return {-w.value * (t.repeated ? w.late_value_fraction : 1), t.due, t.id};
     }
-    bool in_turn(const Task &t) { return workloads_[t.workload].in_turn && t.key != no_key; }
+    bool in_turn(const Task &t) { return workloads_[t.workload].ordered_by_key && t.key != no_key; }
 
     // ---- Turn, limit and placement: each passes the task on or keeps it.
     void advance() {
@@ -683,7 +691,7 @@
         }
     }
     bool pass_limit(Task &t) {
-        const Plan &plan = plans_[t.plan];
+        const PlanConfig &plan = plans_[t.plan];
         if (plan.limit_rate <= 0 || t.passed_limit)
             return true;
         auto &part =
@@ -713,14 +721,14 @@
     }
     // Share, and reserve at what a unit inside it earns over one inside the share. By the share
     // alone a large reserve is served no better than none.
-    double weight(const Plan &plan) const {
-        return plan.weight + plan.reserve / share_worth_ * shares_ / std::max(usual_, 1e-9);
+    double weight(const PlanConfig &plan) const {
+        return plan.weight + plan.reserved_rate / share_worth_ * shares_ / std::max(usual_, 1e-9);
     }
     // What a unit is worth in the mean where a volume asks that much in all: the reserve in full,
     // up to the size that it was planned for as share, the rest as spare.
-    double worth(const Plan &p, double asked) const {
-        double reserve = std::min(asked, p.reserve),
-               share = std::min(asked, std::max(p.usual, p.reserve)) - reserve;
+    double worth(const PlanConfig &p, double asked) const {
+        double reserve = std::min(asked, p.reserved_rate),
+               share = std::min(asked, std::max(p.usual_rate, p.reserved_rate)) - reserve;
         return p.price *
                (reserve + share_worth_ * share + spare_worth_ * (asked - reserve - share)) / asked;
     }
@@ -729,7 +737,7 @@
     double weighs(const Node &node) {
         double all = 0, sum = 0;
         for (auto &[id, plan] : plans_)
-            sum += worth(plan, std::max(plan.usual, 1e-6));
+            sum += worth(plan, std::max(plan.usual_rate, 1e-6));
         for (auto &[v, line] : node.volumes.lines())
             if (!line.tasks.empty()) {
                 const Task &t = tasks_.at(std::get<RequestId>(*line.tasks.begin()));
@@ -1022,15 +1030,16 @@
     double spare_worth_ = 0, start_part_ = 1, elsewhere_ = 0;
     bool parallel_ = false, marked_ = false, may_call_off_ = false, on_request_ = false,
          whole_ = false, refuse_ = false;
-    std::map<WorkloadId, Workload> workloads_;
-    std::map<PlanId, Plan> plans_;
+    std::map<WorkloadId, WorkloadConfig> workloads_;
+    std::map<PlanId, PlanConfig> plans_;
     std::map<RequestId, Task> tasks_;
     std::map<NodeId, Node> nodes_;
     std::vector<Node *> ready_;
-    std::map<ShardId, Node *> holds_;         // the youngest ready node of each shard
-    std::set<NodeId> busy_;                   // with something waiting or out
-    std::set<RequestId> moving_;                 // in turn, limit or placement
-    std::set<std::pair<Time, RequestId>> calls_; // every task that is owed an answer, by its last call
+    std::map<ShardId, Node *> holds_; // the youngest ready node of each shard
+    std::set<NodeId> busy_;           // with something waiting or out
+    std::set<RequestId> moving_;      // in turn, limit or placement
+    std::set<std::pair<Time, RequestId>>
+        calls_; // every task that is owed an answer, by its last call
     std::map<VolumeId, LimitPart> limits_;
     Samples<std::tuple<Time, VolumeId, Time>, 32>
         left_;                                      // clients who left: when, whose, after how long
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -93,7 +93,8 @@
     void say(std::string) override {}
     void attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) override;
     void volume_used(VolumeId v, bool on) override;
-    void cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) override;
+    void cut_told(VolumeId as, control::SnapshotStep step,
+                  control::EdgeIncarnation incarnation) override;
     // ---- edge::Line
     void dial() override;
     void hang_up() override;
@@ -226,8 +227,8 @@
     }
     void planner_start() {
         state_store.lives_on();
-        core = std::make_unique<planner::Core>(*this, state_store, 3 * sec, 250 * ms, 20 * sec, 500 * ms,
-                                               200 * ms, 200 * ms, sec);
+        core = std::make_unique<planner::Core>(*this, state_store, 3 * sec, 250 * ms, 20 * sec,
+                                               500 * ms, 200 * ms, 200 * ms, sec);
         for (auto &[key, row] : state_store.rows) {
             auto [kind, a, b] = key;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
@@ -235,8 +236,8 @@
         }
         bool fresh = state_store.term == planner::Term{0};
         if (!core->start(now, planner::Term{state_store.term.value + 1}, ++instances,
-                         fresh ? day.seed + 1 : state_store.lineage, state_store.version, state_store.oldest,
-                         state_store.settings, false))
+                         fresh ? day.seed + 1 : state_store.lineage, state_store.version,
+                         state_store.oldest, state_store.settings, false))
             return planner_die();
         std::vector<std::pair<int, std::string>> faults;
         core->want(now, wanted(), faults);
@@ -483,8 +484,9 @@
         std::set<control::EdgeIncarnation> who(late.begin(), late.end());
         if (w.day.nodes_let_in)
             for (std::uint32_t e = 0; e < w.day.edges; ++e)
-                who.insert(w.edges[e]->core ? control::EdgeIncarnation{w.edges[e]->core->incarnation()}
-                                            : control::EdgeIncarnation{});
+                who.insert(w.edges[e]->core
+                               ? control::EdgeIncarnation{w.edges[e]->core->incarnation()}
+                               : control::EdgeIncarnation{});
         if (w.day.nodes_cut_once) {
             // As a store that knows nothing of late changes: sealed at once.
             auto how = store.cut(of, as, true);
@@ -530,22 +532,29 @@
         *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); }, id,
         w.day.seed + lives * 1000, extent, span, unit, w.all_shards());
     auto &s = core->scheduler();
-    s.set_place(PeerId{static_cast<std::uint32_t>(id)}, w.day.edges, ZoneId{0});
-    s.set_clock(ms, 10 * ms);
+    SchedulerConfig config;
+    config.self = PeerId{static_cast<std::uint32_t>(id)};
+    config.scheduler_count = w.day.edges;
+    config.max_retry_after = sec;
+    config.units = {2, 9, 0.35, 0.08};
+    config.attempts = {3, false, true};
+    s.configure(config);
     for (std::uint32_t i = 0; i < 5; ++i) {
         bool writes = i == 1 || i == 2;
-        s.add_workload(WorkloadId{i}, 300 * ms, client_timeout, 1, 0.1);
-        s.set_repeat(WorkloadId{i}, writes ? Idempotency::deduplicated : Idempotency::idempotent, DeduplicationScope::shard,
-                     writes ? window : 0);
-        if (writes)
-            s.set_turns(WorkloadId{i}, key_rest);
+        WorkloadConfig workload;
+        workload.latency_objective = 300 * ms;
+        workload.late_value_fraction = 0.1;
+        workload.deduplication_scope = DeduplicationScope::shard;
+        if (writes) {
+            workload.idempotency = Idempotency::deduplicated;
+            workload.deduplication_window = window;
+            workload.ordered_by_key = true;
+            workload.key_rest = key_rest;
+        }
+        s.set_workload(WorkloadId{i}, workload);
         core->add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
                            writes ? window : 0);
     }
-    s.set_units(2, 9, 0.35, 0.08);
-    s.set_shots(3, false, true);
-    s.set_denials(sec);
-    s.set_list(false, 0, 250 * ms);
     core->set_links(2, 250 * ms, 300 * ms, 2 * sec, 1 << 20);
     core->set_door(16, 64 << 10, 256, 4 << 20);
     core->ready(w.now);
@@ -708,10 +717,12 @@
 }
 void EdgeHost::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     if (w.day.edges_begin_on)
-        return sub->cut_told(as, control::SnapshotStep::ready, control::EdgeIncarnation{core->incarnation()});
+        return sub->cut_told(as, control::SnapshotStep::ready,
+                             control::EdgeIncarnation{core->incarnation()});
     core->cut_hold(w.now, of, as, epoch, longest);
     if (w.day.nobody_waits)
-        sub->cut_told(as, control::SnapshotStep::drained, control::EdgeIncarnation{core->incarnation()});
+        sub->cut_told(as, control::SnapshotStep::drained,
+                      control::EdgeIncarnation{core->incarnation()});
 }
 void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
     if (w.day.edges_begin_on) {
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -356,7 +356,8 @@
             run(e);
         }
     }
-    void taken(EdgeHost &e, const control::ClusterState &table, const std::map<NodeId, Time> &started) {
+    void taken(EdgeHost &e, const control::ClusterState &table,
+               const std::map<NodeId, Time> &started) {
         auto &copy = e.sub->copy();
         if (copy.term() < e.term || copy.version() < e.version)
             broken("edge " + std::to_string(e.id.value) + " went back from version " +
@@ -649,7 +650,7 @@
             if (part == e.sub->copy().table().parts.end())
                 continue;
             e.quota_share_changed(v, static_cast<double>(control::whole_limit) /
-                               std::max(1u, part->second.millionths));
+                                         std::max(1u, part->second.millionths));
         }
     }
 };
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -183,8 +183,8 @@
         if (!e.core->endpoint_list_begin(now, version))
             return;
         for (auto &[id, state] : listed) {
-            e.core->endpoint_listed(id, std::to_string(id.value), shards[id], ZoneId{0}, state.first,
-                                state.second);
+            e.core->endpoint_listed(id, std::to_string(id.value), shards[id], ZoneId{0},
+                                    state.first, state.second);
             judge.told(now, rules::EdgeId{e.index}, id, state.first);
         }
         e.core->endpoint_list_end();
@@ -208,29 +208,40 @@
 
     void set_up(edge::Core &core, std::size_t index) {
         auto &s = core.scheduler();
-        s.set_place(PeerId{static_cast<std::uint32_t>(index)}, day.edges, ZoneId{0});
-        s.set_clock(ms, 10 * ms);
-        auto repeat = day.at_most_once ? Idempotency::at_most_once : Idempotency::deduplicated;
+        SchedulerConfig config;
+        config.self = PeerId{static_cast<std::uint32_t>(index)};
+        config.scheduler_count = day.edges;
+        config.max_retry_after = sec;
+        config.units = {2, 9, 0.35, 0.08};
+        config.attempts = {3, false, true};
+        config.retry_budget = {0.3, 4, 2 * sec};
+        config.slow_start = {60, sec, 3 * sec, 0.25};
+        s.configure(config);
         for (std::uint32_t i = 0; i < 5; ++i) {
             bool writes = i == 1 || i == 2;
+            WorkloadConfig workload;
+            workload.latency_objective = 300 * ms;
+            workload.value = writes ? 2 : 1;
+            workload.late_value_fraction = 0.1;
+            workload.deduplication_scope = DeduplicationScope::shard;
+            if (writes) {
+                workload.idempotency =
+                    day.at_most_once ? Idempotency::at_most_once : Idempotency::deduplicated;
+                workload.deduplication_window = window;
+                workload.ordered_by_key = !day.without_turns;
+                workload.key_rest = day.at_most_once ? client_timeout + 100 * ms : key_rest;
+            }
             WorkloadId id{i};
-            s.add_workload(id, 300 * ms, client_timeout, writes ? 2 : 1, 0.1);
-            s.set_repeat(id, writes ? repeat : Idempotency::idempotent, DeduplicationScope::shard,
-                         writes ? window : 0);
-            if (writes && !day.without_turns)
-                s.set_turns(id, day.at_most_once ? client_timeout + 100 * ms : key_rest);
+            s.set_workload(id, workload);
             core.add_workload(id, static_cast<edge::Command>(i), ~0u, "", client_timeout,
                               writes && !day.at_most_once && !day.without_marks ? window : 0);
         }
-        s.add_plan(PlanId{0}, 1, 100, 50, 1);
-        if (day.limits)
-            s.set_limit(PlanId{0}, limit_rate, limit_burst);
-        s.set_units(2, 9, 0.35, 0.08);
-        s.set_shots(3, false, true);
-        s.set_further_shots(0.3, 4, 2 * sec);
-        s.set_denials(sec);
-        s.set_list(false, 0, drain_grace);
-        s.set_cold(60, sec, 3 * sec, 0.25);
+        PlanConfig plan{1, 100, 50, 1, 0, 0};
+        if (day.limits) {
+            plan.limit_rate = limit_rate;
+            plan.limit_burst = limit_burst;
+        }
+        s.set_plan(PlanId{0}, plan);
         core.set_links(2, connect_time, 300 * ms, 2 * sec, small_buffers() ? 32 << 10 : 1 << 20);
         core.set_door(16, 64 << 10, 64, 1 << 20);
         core.add_volume(VolumeId{index + 1}, "v", volume_size, 512, PlanId{0}, 1);
@@ -570,8 +581,8 @@
         edges.push_back(std::make_unique<EdgeHost>(*this, i));
         auto &e = *edges.back();
         e.core = std::make_unique<edge::Core>(
-            e, [&](SchedulerActions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed, extent,
-            span, unit, all);
+            e, [&](SchedulerActions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed,
+            extent, span, unit, all);
         set_up(*e.core, i);
         if (day.limits && !small_buffers())
             judge.set_limit(VolumeId{i + 1}, limit_rate, limit_burst,
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -4,8 +4,8 @@
 #include <cstring>
 
 #include "scheduler_setup/options.hpp"
-#include "scheduler_setup/setup.hpp"
 #include "scheduler_setup/record_writer.hpp"
+#include "scheduler_setup/setup.hpp"
 
 namespace knotvane::simulator_adapter {
 namespace {
@@ -29,17 +29,11 @@
     void reject(RequestId task, Time retry_after) override {
         Record(bytes, 268).put(task.value).time(retry_after);
     }
-    void error(RequestId task) override { Record(bytes, 263).put(task.value); }
+    void fail(RequestId task) override { Record(bytes, 263).put(task.value); }
     void set_timer(TimerId alarm, Time wait) override {
         Record(bytes, 260).put(alarm.value).time(wait);
     }
     void watch_endpoints() override { Record(bytes, 265).put(std::uint8_t{1}); }
-    void ask_list() override { Record(bytes, 262); }
-    void probe(NodeId node) override { Record(bytes, 258).address(node.value); }
-    void tell_all(std::string_view text) override {
-        Record(bytes, 267).put(std::uint32_t{0xffffffff}).text(text);
-    }
-    void note(std::string_view text) override { Record(bytes, 266).text(text); }
 };
 
 // The order of an outcome's numbers on the wire is that of the enumerators.
@@ -49,11 +43,11 @@
     return static_cast<AttemptOutcome>(rc);
 }
 
-std::vector<float> report_of(Reader &in) {
-    std::vector<float> values(in.get<std::uint8_t>("report size"));
-    for (auto &v : values)
-        v = in.need<float>("report value");
-    return values;
+// Load reports are checked and not used.
+void check_report(Reader &in) {
+    auto size = in.get<std::uint8_t>("report size");
+    for (std::uint8_t i = 0; i < size; ++i)
+        in.need<float>("report value");
 }
 
 ShardId shard_of(float placement) {
@@ -87,18 +81,19 @@
     if (slot >= census_.size())
         throw Malformed("list number " + std::to_string(slot) + " is past 15");
     auto n = in.get<std::uint32_t>("list size");
-    std::vector<Entry> entries;
+    std::vector<Endpoint> entries;
     for (std::uint32_t i = 0; i < n; ++i) {
         Reader e(in.take(24, "list entry"));
-        Entry entry;
+        Endpoint entry;
         entry.shard = ShardId{e.need<std::uint16_t>("shard")};
         entry.node = NodeId{e.address("node")};
         entry.zone = ZoneId{e.need<std::uint8_t>("zone")};
-        entry.state = e.need<std::uint8_t>("state");
+        auto state = e.need<std::uint8_t>("state");
         e.need<float>("size");
-        entry.started = e.time("start");
-        if (entry.state > 2)
-            throw Malformed("node state " + std::to_string(entry.state) + " is unknown");
+        entry.started_at = e.time("start");
+        if (state > 2)
+            throw Malformed("node state " + std::to_string(state) + " is unknown");
+        entry.state = static_cast<NodeState>(state);
         entries.push_back(entry);
     }
     census_[slot] = std::move(entries);
@@ -110,7 +105,7 @@
     auto born = std::make_unique<Instance>();
     born->scheduler = make_scheduler(born->out, seed);
     scheduler_setup::set_up(*born->scheduler, options);
-    born->scheduler->ready(now_);
+    born->scheduler->start(now_);
     instances_[*target_] = std::move(born);
 }
 
@@ -126,7 +121,7 @@
         throw Malformed("list number " + std::to_string(slot) + " was never given");
     to.endpoint_list_begin(now_, how == 3 ? EndpointListKind::delta : EndpointListKind::full);
     for (const auto &e : *census_[slot])
-        to.endpoint_listed(e.node, e.shard, e.zone, static_cast<NodeState>(e.state), e.started);
+        to.endpoint_listed(e);
     to.endpoint_list_end();
 }
 
@@ -156,55 +151,55 @@
         membership(to, in);
         break;
     case 258: {
-        RequestId task{in.need<std::uint64_t>("task")};
+        RequestInfo request;
+        request.id = RequestId{in.need<std::uint64_t>("task")};
         auto bits = in.get<std::uint8_t>("bits");
-        WorkloadId workload{in.get<std::uint16_t>("workload")};
-        double hosts = in.get<float>("hosts");
-        VolumeId volume{in.get<std::uint64_t>("volume")};
-        ShardId shard = shard_of(in.empty() ? -1.0f : in.get<float>("shard"));
-        KeyId key{in.get<std::uint64_t>("key")};
-        PlanId plan{in.get<std::uint32_t>("plan")};
-        Time client_timeout = in.time("client timeout");
-        double units = in.get<float>("units");
-        if (!std::isfinite(hosts) || !std::isfinite(units))
+        request.repeated = (bits & 2) != 0;
+        request.writes = (bits & 4) != 0;
+        request.workload = WorkloadId{in.get<std::uint16_t>("workload")};
+        request.sharers = in.get<float>("hosts");
+        request.volume = VolumeId{in.get<std::uint64_t>("volume")};
+        request.shard = shard_of(in.empty() ? -1.0f : in.get<float>("shard"));
+        request.key = KeyId{in.get<std::uint64_t>("key")};
+        request.plan = PlanId{in.get<std::uint32_t>("plan")};
+        request.client_timeout = in.time("client timeout");
+        request.units = in.get<float>("units");
+        if (!std::isfinite(request.sharers) || !std::isfinite(request.units))
             throw Malformed("task: hosts or units is not a number");
-        to.request_received(now_, task, workload, volume, plan, shard, key, units, hosts, (bits & 4) != 0,
-                      (bits & 2) != 0, client_timeout);
+        to.request_received(now_, request);
         break;
     }
     case 260: {
-        RequestId task{in.need<std::uint64_t>("task")};
-        AttemptId shot{in.need<std::uint8_t>("shot")};
-        NodeId node{in.address("node")};
-        AttemptOutcome how = outcome_of(in.need<std::uint16_t>("outcome"));
-        Time took = in.time("time taken");
-        bool ended = in.get<std::uint8_t>("last") != 0;
-        auto used = in.get<std::uint16_t>("use");
-        auto elsewhere = in.get<std::uint16_t>("others");
-        auto report = report_of(in);
-        to.attempt_completed(now_, task, shot, node, how, took, ended, (used - 1) / 100.0, elsewhere,
-                      report);
+        AttemptResult result;
+        result.request = RequestId{in.need<std::uint64_t>("task")};
+        result.attempt = AttemptId{in.need<std::uint8_t>("shot")};
+        result.node = NodeId{in.address("node")};
+        result.outcome = outcome_of(in.need<std::uint16_t>("outcome"));
+        result.duration = in.time("time taken");
+        result.client_answered = in.get<std::uint8_t>("last") != 0;
+        in.get<std::uint16_t>("use");
+        in.get<std::uint16_t>("others");
+        check_report(in);
+        to.attempt_completed(now_, result);
         break;
     }
     case 261:
-        to.request_canceled(now_, RequestId{in.need<std::uint64_t>("task")}, true);
+        to.request_canceled(now_, RequestId{in.need<std::uint64_t>("task")},
+                            CancelReason::client_disconnected);
         break;
     case 262:
-        to.alarm(now_, TimerId{in.get<std::uint32_t>("alarm")});
+        to.timer_expired(now_, TimerId{in.get<std::uint32_t>("alarm")});
         break;
-    case 263: {
-        NodeId node{in.address("node")};
-        auto rc = in.get<std::uint16_t>("result");
-        Time took = in.time("time taken");
-        auto report = report_of(in);
-        to.probe_ended(now_, node, rc == 0, took, report);
+    case 263: // a health check's end: none is ever started
+        in.address("node");
+        in.get<std::uint16_t>("result");
+        in.time("time taken");
+        check_report(in);
         break;
-    }
-    case 264: {
-        PeerId from{in.need<std::uint16_t>("sender")};
-        to.peer_told(now_, from, in.take(in.get<std::uint16_t>("size"), "text"));
+    case 264: // a peer's message: not used
+        in.need<std::uint16_t>("sender");
+        in.take(in.get<std::uint16_t>("size"), "text");
         break;
-    }
     default: // a stream's start: no workload here streams
         break;
     }
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "scheduling/scheduler.hpp"
 #include "scheduler_setup/record_reader.hpp"
+#include "scheduling/scheduler.hpp"
 
 namespace knotvane::simulator_adapter {
 
@@ -19,19 +19,12 @@
 public:
     Host();
     ~Host();
-    // One frame in, header included; its reply out. Throws scheduler_setup::Malformed on what the wire does
-    // not allow.
+    // One frame in, header included; its reply out. Throws scheduler_setup::Malformed on what the
+    // wire does not allow.
     std::string reply_to(std::string_view frame);
 
 private:
     struct Instance;
-    struct Entry {
-        NodeId node;
-        ShardId shard;
-        ZoneId zone;
-        std::uint8_t state;
-        Time started;
-    };
 
     void census(scheduler_setup::Reader in);
     void event(std::uint16_t code, scheduler_setup::Reader in);
@@ -43,7 +36,7 @@
     std::optional<std::uint32_t> target_;
     std::vector<std::uint32_t> touched_;
     std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
-    std::array<std::optional<std::vector<Entry>>, 16> census_;
+    std::array<std::optional<std::vector<Endpoint>>, 16> census_;
 };
 
 } // namespace knotvane::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -43,11 +43,11 @@
             if (got < 4)
                 throw knotvane::scheduler_setup::Malformed("stream ends inside a frame's length");
             if (length < header)
-                throw knotvane::scheduler_setup::Malformed("frame length " + std::to_string(length) +
-                                                " is under its header's 12");
+                throw knotvane::scheduler_setup::Malformed(
+                    "frame length " + std::to_string(length) + " is under its header's 12");
             if (read_onto(frame, length - 4) < length - 4)
                 throw knotvane::scheduler_setup::Malformed("stream ends inside a frame of " +
-                                                std::to_string(length) + " bytes");
+                                                           std::to_string(length) + " bytes");
             std::string reply = host.reply_to(frame);
             if (std::fwrite(reply.data(), 1, reply.size(), stdout) < reply.size() ||
                 std::fflush(stdout) != 0) {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -587,8 +587,8 @@
         put(branches, walk(walk, b.root.get()));
         put(branches, static_cast<std::uint32_t>(b.levels));
         put(branches, b.of.value);
-        put(branches,
-            static_cast<std::uint8_t>((b.is_snapshot ? 1 : 0) | (b.frozen ? 2 : 0) | (b.open ? 4 : 0)));
+        put(branches, static_cast<std::uint8_t>((b.is_snapshot ? 1 : 0) | (b.frozen ? 2 : 0) |
+                                                (b.open ? 4 : 0)));
         put(branches, b.epoch);
         put(branches, b.sealed);
     }
--- a/tests/edge/core_snapshots_test.cpp
+++ b/tests/edge/core_snapshots_test.cpp
@@ -28,18 +28,25 @@
 
     explicit Rig(double copy = 0) {
         auto &s = core.scheduler();
-        s.set_place(PeerId{0}, 1, ZoneId{0});
-        s.set_clock(ms, 0);
+        SchedulerConfig config;
+        config.max_retry_after = sec;
+        config.units = {2, 9, 0.35, 0.08};
+        config.attempts = {3, false, true};
+        s.configure(config);
         for (std::uint32_t i = 0; i < 5; ++i) {
-            s.add_workload(WorkloadId{i}, sec, 3 * sec, 1, 0.1);
-            s.set_repeat(WorkloadId{i}, i == 1 || i == 2 ? Idempotency::deduplicated : Idempotency::idempotent,
-                         DeduplicationScope::shard, i == 1 || i == 2 ? sec : 0);
+            bool deduplicated = i == 1 || i == 2;
+            WorkloadConfig workload;
+            workload.latency_objective = sec;
+            workload.late_value_fraction = 0.1;
+            workload.deduplication_scope = DeduplicationScope::shard;
+            if (deduplicated) {
+                workload.idempotency = Idempotency::deduplicated;
+                workload.deduplication_window = sec;
+            }
+            s.set_workload(WorkloadId{i}, workload);
             core.add_workload(WorkloadId{i}, static_cast<Command>(i), ~0u, "", 3 * sec,
-                              i == 1 || i == 2 ? sec : 0);
+                              deduplicated ? sec : 0);
         }
-        s.set_units(2, 9, 0.35, 0.08);
-        s.set_shots(3, false, true);
-        s.set_denials(sec);
         core.set_copy(copy);
         control::Volume f;
         f.name = "v", f.size = 64 << 20;
@@ -51,8 +58,8 @@
         core.endpoint_list_begin(now, 1);
         for (std::uint64_t n : {1, 2})
             core.endpoint_listed(NodeId{n}, std::to_string(n),
-                             ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0}, NodeState::ready,
-                             0);
+                                 ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0},
+                                 NodeState::ready, 0);
         core.endpoint_list_end();
         core.client_came(now, ClientId{1});
         settle();
@@ -70,8 +77,8 @@
     }
     void node_says(std::uint64_t tag, node_protocol::Status status, std::uint32_t epoch = 0) {
         core.link_bytes(now, link_of.at(tag),
-                        node_protocol::make(node_protocol::Kind::answer, 0, status, tag, v, 0, 0, 0, 1, 0, 0,
-                                     ShardId{0}, {}, epoch));
+                        node_protocol::make(node_protocol::Kind::answer, 0, status, tag, v, 0, 0, 0,
+                                            1, 0, 0, ShardId{0}, {}, epoch));
         settle();
     }
     // ---- Shell
@@ -100,9 +107,9 @@
         }
         settle();
     }
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t tag, VolumeId,
-               std::uint64_t, std::uint32_t, std::uint32_t units, std::uint64_t, std::uint64_t,
-               Time, ShardId, std::string_view, std::uint32_t epoch) override {
+    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t tag,
+               VolumeId, std::uint64_t, std::uint32_t, std::uint32_t units, std::uint64_t,
+               std::uint64_t, Time, ShardId, std::string_view, std::uint32_t epoch) override {
         if (kind == node_protocol::Kind::hello || kind == node_protocol::Kind::cancel_attempt)
             return true;
         link_of[tag] = reading;
--- a/tests/edge/core_test.cpp
+++ b/tests/edge/core_test.cpp
@@ -131,9 +131,9 @@
         auto &out = l.w.sent[l.link];
         Time got = 0;
         for (int i = 7; i >= 0; --i)
-            got = got << 8 |
-                  static_cast<unsigned char>(
-                      out[out.size() - node_protocol::header_size + 64 + static_cast<std::size_t>(i)]);
+            got =
+                got << 8 | static_cast<unsigned char>(out[out.size() - node_protocol::header_size +
+                                                          64 + static_cast<std::size_t>(i)]);
         CHECK(got == 7 * sec + 470 * ms);
     }
     TEST_CASE("an idle connection is closed") {
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -19,8 +19,8 @@
     void connect(LinkId l, const std::string &) override { connected.push_back(l); }
     void send(LinkId l, std::string b) override { sent[l] += b; }
     void close(LinkId l) override { closed.push_back(l); }
-    void shot_over(Time, RequestId t, AttemptId, NodeId, AttemptOutcome how, node_protocol::Status, std::uint64_t,
-                   std::string_view payload, std::uint32_t) override {
+    void shot_over(Time, RequestId t, AttemptId, NodeId, AttemptOutcome how, node_protocol::Status,
+                   std::uint64_t, std::string_view payload, std::uint32_t) override {
         static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
                                                 "unreachable", "reset", "called_off", "unsent"};
         told.push_back(std::to_string(t.value) + " " + names[static_cast<int>(how)] + " " +
@@ -30,12 +30,13 @@
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
-    return node_protocol::make(node_protocol::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0, clock,
-                        ShardId{0}, {});
+    return node_protocol::make(node_protocol::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0,
+                               clock, ShardId{0}, {});
 }
-inline std::string answer(std::uint64_t tag, node_protocol::Status status, std::string_view payload = {}) {
-    return node_protocol::make(node_protocol::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1, 0, 0,
-                        ShardId{0}, payload);
+inline std::string answer(std::uint64_t tag, node_protocol::Status status,
+                          std::string_view payload = {}) {
+    return node_protocol::make(node_protocol::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1,
+                               0, 0, ShardId{0}, payload);
 }
 
 // Links to node 1, greeted on one connection.
@@ -43,8 +44,8 @@
     Wired w;
     Links links;
     LinkId link{1};
-    std::shared_ptr<Work> work = std::make_shared<Work>(
-        Work{node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
+    std::shared_ptr<Work> work = std::make_shared<Work>(Work{
+        node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
     explicit Linked(bool up = true, std::size_t most_out = 1 << 20)
         : links(w, w, 0, 1, 1, 100 * ms, 200 * ms, 10 * sec, most_out) {
         links.nodes({{NodeId{1}, "a"}});
--- a/tests/edge/planner_client_test.cpp
+++ b/tests/edge/planner_client_test.cpp
@@ -37,7 +37,8 @@
 };
 
 std::string node(NodeState state, std::uint64_t incarnation = 1, Time started = 0) {
-    return control::put(NodeId{1}, control::Node{"a", ShardId{0}, ZoneId{0}, state, started, incarnation});
+    return control::put(NodeId{1},
+                        control::Node{"a", ShardId{0}, ZoneId{0}, state, started, incarnation});
 }
 std::string news(std::uint64_t version, std::uint64_t from, const std::string &what,
                  std::uint64_t count, Time planner_now = 0, std::uint64_t term = 1,
@@ -57,7 +58,8 @@
         s.up(0);
         s.volume_used(0, VolumeId{7}, true);
         s.bytes(0,
-                news(1, 0, node(NodeState::ready) + control::put(VolumeId{7}, control::Part{500000, 2}),
+                news(1, 0,
+                     node(NodeState::ready) + control::put(VolumeId{7}, control::Part{500000, 2}),
                      2));
         s.bytes(0, control::renewed(0, Term{1}, sec, 10 * sec, Version{1}));
     }
@@ -177,8 +179,8 @@
         f.line.sent.clear();
         f.s.bytes(ms, news(9, 5, node(NodeState::removed), 1));
         CHECK(f.line.sent == control::ask());
-        f.s.bytes(ms,
-                  control::begins(Term{1}, 1, 1, Version{9}, Version{0}, 0) + node(NodeState::removed));
+        f.s.bytes(ms, control::begins(Term{1}, 1, 1, Version{9}, Version{0}, 0) +
+                          node(NodeState::removed));
         f.s.down(2 * ms);
         CHECK(f.line.nodes.at(NodeId{1}) == NodeState::ready);
     }
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -18,7 +18,8 @@
     void send_planner(std::string) override {}
     void keep_plan(std::string, bool) override {}
     void say(std::string) override { ++said; }
-    void plan_taken(const control::ClusterState &, bool, bool, const std::map<NodeId, Time> &) override {
+    void plan_taken(const control::ClusterState &, bool, bool,
+                    const std::map<NodeId, Time> &) override {
         ++taken;
     }
     void quota_share_changed(VolumeId, double) override {}
--- a/tests/gateway/door_test.cpp
+++ b/tests/gateway/door_test.cpp
@@ -41,18 +41,20 @@
 TEST_CASE("256 connections of 128 writes each stay under the stated bound, and end") {
     constexpr std::size_t most_bytes = 8 << 20, connections = 256, each = 128, size = 16384;
     Closed shell;
-    edge::Core core(shell, [](SchedulerActions &a) { return make_scheduler(a, 1); }, 0, 1, 256 << 10,
-                    64 << 10, 64 << 10, {ShardId{0}});
+    edge::Core core(shell, [](SchedulerActions &a) { return make_scheduler(a, 1); }, 0, 1,
+                    256 << 10, 64 << 10, 64 << 10, {ShardId{0}});
     auto &s = core.scheduler();
-    s.set_place(PeerId{0}, 1, ZoneId{0});
-    s.set_clock(ms, 0);
-    s.add_plan(PlanId{0}, 1, 100, 0, 1);
-    s.set_units(2, 5, 1, 1);
-    s.set_shots(3, false, true);
-    s.set_denials(sec);
+    SchedulerConfig config;
+    config.max_retry_after = sec;
+    config.units = {2, 5, 1, 1};
+    config.attempts = {3, false, true};
+    s.configure(config);
+    s.set_plan(PlanId{0}, {1, 100, 0, 1, 0, 0});
     for (std::uint32_t i = 0; i < 5; ++i) {
-        s.add_workload(WorkloadId{i}, sec, 2 * sec, 1, 0);
-        s.set_repeat(WorkloadId{i}, Idempotency::idempotent, DeduplicationScope::shard, 0);
+        WorkloadConfig workload;
+        workload.latency_objective = sec;
+        workload.deduplication_scope = DeduplicationScope::shard;
+        s.set_workload(WorkloadId{i}, workload);
         core.add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", 2 * sec, 0);
     }
     core.set_door(each, 1 << 20, 1 << 20, most_bytes);
@@ -94,8 +96,8 @@
 TEST_CASE("a client that leaves is told to the decisions once, however much it had at work") {
     struct Counting final : day::Unhearing {
         int left = 0, others = 0;
-        void request_canceled(Time, RequestId, bool by_client) override {
-            ++(by_client ? left : others);
+        void request_canceled(Time, RequestId, CancelReason reason) override {
+            ++(reason == CancelReason::client_disconnected ? left : others);
         }
     };
     Closed shell;
--- a/tests/http_gateway/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -514,7 +514,8 @@
     for (std::string field : {"listen", "discovery", "seed", "sockets", "settings"}) {
         auto bad = good;
         bad.replace(bad.find("\"" + field), 1, "\"x");
-        CHECK_THROWS_WITH_AS(Config{bad}, doctest::Contains(field.c_str()), scheduler_setup::Malformed);
+        CHECK_THROWS_WITH_AS(Config{bad}, doctest::Contains(field.c_str()),
+                             scheduler_setup::Malformed);
     }
     CHECK_THROWS_AS(Config{"[]"}, scheduler_setup::Malformed);
     CHECK_THROWS_AS(Config{"{"}, scheduler_setup::Malformed);
--- a/tests/http_gateway/discovery_test.cpp
+++ b/tests/http_gateway/discovery_test.cpp
@@ -244,8 +244,8 @@
             Written w;
             Core core(
                 w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-                scheduler_setup::Options(settings_text() + shared), {"read", "write"}, {"gold"}, {"a", "b"},
-                seed, 256);
+                scheduler_setup::Options(settings_text() + shared), {"read", "write"}, {"gold"},
+                {"a", "b"}, seed, 256);
             core.start(1000 * sec, list_of(41, node_entry("s1", "n1", 5)), "d1");
             CHECK(w.connected.empty());
             firsts.insert(core.next_due());
@@ -346,7 +346,8 @@
         explicit Fresh(const std::string &known)
             : core(
                   w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-                  scheduler_setup::Options(settings_text()), {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
+                  scheduler_setup::Options(settings_text()), {"read", "write"}, {"gold"},
+                  {"a", "b"}, 1, 256) {
             core.start(now, known, "d1");
             core.settle(now);
         }
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -120,8 +120,9 @@
     // `more`: lines of settings, which count over the usual ones.
     explicit Front(const std::string &more = "", const std::string &usual = settings_text())
         : core(
-              w, [](SchedulerActions &a) { return make_scheduler(a, 7); }, scheduler_setup::Options(usual + more),
-              {"read", "write"}, {"gold"}, {"a", "b"}, 1, 256) {
+              w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
+              scheduler_setup::Options(usual + more), {"read", "write"}, {"gold"}, {"a", "b"}, 1,
+              256) {
         core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
         if (w.to("d1").value == 0)
             settle(
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -44,8 +44,8 @@
         r.write(2 * sec, r.a, 1, 77, 9 * sec, 'x'); // a connection of the life before: not heard
         r.disk.came(2 * sec, ConnId{3});
         r.disk.bytes(2 * sec, ConnId{3},
-                     node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
-                                  ShardId{0}, {}));
+                     node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0,
+                                         1, 0, 0, ShardId{0}, {}));
         r.write(3 * sec, ConnId{3}, 5, 77, 9 * sec, 'x');
         r.read(3 * sec, ConnId{3}, 6);
         CHECK(r.told.answers == Lines{"2 0 ", "3 0 ", "5 0 ", "6 0 yyyy"});
@@ -148,8 +148,8 @@
     TEST_CASE("bytes that are no frames end their connection with a reason") {
         CHECK(rc::check([](std::uint16_t at, std::uint8_t bit) {
             Rig r;
-            auto f = node_protocol::make(node_protocol::Kind::write, 0, {}, 1, VolumeId{5}, 0, 512, 1000, 0, 0, 0,
-                                  ShardId{0}, std::string(512, 'x'));
+            auto f = node_protocol::make(node_protocol::Kind::write, 0, {}, 1, VolumeId{5}, 0, 512,
+                                         1000, 0, 0, 0, ShardId{0}, std::string(512, 'x'));
             f[at % f.size()] ^= static_cast<char>(1 << (bit % 8));
             r.disk.bytes(0, r.a, f);
             RC_ASSERT(r.told.answers.empty());
--- a/tests/node/snapshot_test.cpp
+++ b/tests/node/snapshot_test.cpp
@@ -17,9 +17,10 @@
                 std::uint64_t number = 0, node_protocol::Kind kind = node_protocol::Kind::write) {
         bool zero = kind == node_protocol::Kind::zero;
         disk.bytes(0, a,
-                   node_protocol::make(kind, number > 0 ? node_protocol::flag_numbered : std::uint8_t{0}, {}, tag,
-                                v, 0, 4096, 1000, incarnation, number, sec, ShardId{0},
-                                zero ? "" : std::string(4096, fill), epoch));
+                   node_protocol::make(kind,
+                                       number > 0 ? node_protocol::flag_numbered : std::uint8_t{0},
+                                       {}, tag, v, 0, 4096, 1000, incarnation, number, sec,
+                                       ShardId{0}, zero ? "" : std::string(4096, fill), epoch));
     }
     std::string holds(VolumeId id) {
         std::string got;
@@ -105,8 +106,8 @@
         r.disk.restart(0, false);
         r.disk.came(0, r.a);
         r.disk.bytes(0, r.a,
-                     node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
-                                  ShardId{0}, {}));
+                     node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0,
+                                         1, 0, 0, ShardId{0}, {}));
         r.change(3, 11, 0, 'a');
         CHECK(r.last() == "3 7 ");
     }
@@ -125,8 +126,8 @@
         Cutting r;
         r.disk.open_cut(v, snap, 4, {}), r.disk.seal(v, snap), r.disk.drop(snap);
         r.disk.bytes(0, r.a,
-                     node_protocol::make(node_protocol::Kind::read, node_protocol::flag_cut, {}, 1, snap, 0, 512, 1000,
-                                  0, 0, 0, ShardId{0}, {}));
+                     node_protocol::make(node_protocol::Kind::read, node_protocol::flag_cut, {}, 1,
+                                         snap, 0, 512, 1000, 0, 0, 0, ShardId{0}, {}));
         CHECK(r.last() == "1 1 ");
     }
     TEST_CASE("a full store says so, and the change is not done") {
@@ -138,12 +139,12 @@
         ConnId a{1};
         disk.came(0, a);
         disk.bytes(0, a,
-                   node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0, 1, 0, 0,
-                                ShardId{0}, {}));
+                   node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0, 0,
+                                       1, 0, 0, ShardId{0}, {}));
         for (std::uint64_t i = 1; i <= 12; ++i)
             disk.bytes(0, a,
-                       node_protocol::make(node_protocol::Kind::write, 0, {}, i, v, i * 4096, 4096, 1000, 1, 0, 0,
-                                    ShardId{0}, std::string(4096, 'x')));
+                       node_protocol::make(node_protocol::Kind::write, 0, {}, i, v, i * 4096, 4096,
+                                           1000, 1, 0, 0, ShardId{0}, std::string(4096, 'x')));
         CHECK(told.answers.back() == "12 8 ");
         CHECK(small.check().empty());
     }
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -4,6 +4,7 @@
 
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "planner/core.hpp"
@@ -92,7 +93,7 @@
     void node(Time now, std::uint64_t id, std::uint64_t incarnation = 1, Time age = 3600 * sec) {
         say(now, 100 + id + 1000 * incarnation,
             control::node_hello(NodeId{id}, ShardId{static_cast<std::int32_t>(id) - 1}, ZoneId{0},
-                              "n", incarnation, age));
+                                "n", incarnation, age));
     }
     void say(Time now, std::uint64_t side, const std::string &bytes) {
         if (seen.insert(side).second)
@@ -104,7 +105,7 @@
         auto &c = edges[edge].copy;
         say(now, edge,
             control::edge_hello(EdgeId{edge}, "e", c.term(), c.instance(), c.lineage(), c.version(),
-                              {}, serving));
+                                {}, serving));
         core.settle(now);
         read(edge);
     }
--- a/tests/planner/snapshot_coordinator_test.cpp
+++ b/tests/planner/snapshot_coordinator_test.cpp
@@ -145,7 +145,8 @@
                 c.opened();
             if (step > 1)
                 for (std::uint64_t e : {1, 2})
-                    c.edge(3 * ms, e, SnapshotStep::moved), c.edge(3 * ms, e, SnapshotStep::drained);
+                    c.edge(3 * ms, e, SnapshotStep::moved),
+                        c.edge(3 * ms, e, SnapshotStep::drained);
             c.o.take();
             c.cuts.node_gone(4 * ms, NodeId{2});
             CHECK(c.o.take().back() == "failed again: node 2 was lost on the way");
@@ -179,7 +180,8 @@
         Cutting c;
         c.o.take();
         c.node(ms, 1, SnapshotStep::opened), c.node(ms, 1, SnapshotStep::sealed);
-        c.edge(ms, 9, SnapshotStep::ready), c.edge(ms, 1, SnapshotStep::ready), c.edge(ms, 1, SnapshotStep::ready);
+        c.edge(ms, 9, SnapshotStep::ready), c.edge(ms, 1, SnapshotStep::ready),
+            c.edge(ms, 1, SnapshotStep::ready);
         CHECK(c.o.take().empty());
         c.edge(ms, 2, SnapshotStep::ready);
         CHECK(c.o.take().size() == 2);
@@ -191,7 +193,8 @@
         cuts.undo(as, {ShardId{0}, ShardId{1}});
         cuts.tick(0, {{NodeId{1}, ShardId{0}}});
         CHECK(o.take() == Lines{"drop 1"});
-        cuts.node_told(ms, NodeId{1}, ShardId{0}, as, SnapshotStep::dropped, 4); // its medium failed
+        cuts.node_told(ms, NodeId{1}, ShardId{0}, as, SnapshotStep::dropped,
+                       4); // its medium failed
         cuts.tick(sec, {{NodeId{1}, ShardId{0}}});
         CHECK(o.take().empty());
         cuts.tick(2 * sec, {{NodeId{1}, ShardId{0}}});
@@ -227,7 +230,8 @@
             answers.push_back(control::tell_cut(a, SnapshotStep::cloned, 0));
         }
         void cut_drop(VolumeId a) override {
-            heard.push_back("drop"), answers.push_back(control::tell_cut(a, SnapshotStep::dropped, 0));
+            heard.push_back("drop"),
+                answers.push_back(control::tell_cut(a, SnapshotStep::dropped, 0));
         }
         void unexpected(const char *) override {}
     };
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -60,16 +60,16 @@
                        WireId wire = WireId{2}, int shard = 0, std::uint32_t units = 1000,
                        char fill = 'x') {
         j.bytes(at, wire, true,
-                node_protocol::make(kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0,
-                             ShardId{shard},
-                             kind == node_protocol::Kind::write ? std::string(512, fill) : ""));
+                node_protocol::make(
+                    kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0, ShardId{shard},
+                    kind == node_protocol::Kind::write ? std::string(512, fill) : ""));
         return tag;
     }
     void answer(Time at, std::uint64_t t, node_protocol::Status status = node_protocol::Status::ok,
                 WireId wire = WireId{2}) {
         j.bytes(at, wire, false,
-                node_protocol::make(node_protocol::Kind::answer, 0, status, t, VolumeId{5}, 0, 512, 0, 1, 0, 0,
-                             ShardId{0}, {}));
+                node_protocol::make(node_protocol::Kind::answer, 0, status, t, VolumeId{5}, 0, 512,
+                                    0, 1, 0, 0, ShardId{0}, {}));
     }
     std::uint64_t broken(Rule rule) {
         j.finish(100 * sec);
@@ -78,7 +78,8 @@
     // A write done as it should be.
     void write(Time at, std::uint64_t id, std::uint64_t offset, char fill) {
         ask(at, nbd::cmd_write, id, offset, fill);
-        answer(at + 2, shot(at + 1, node_protocol::Kind::write, id, offset, WireId{2}, 0, 1000, fill));
+        answer(at + 2,
+               shot(at + 1, node_protocol::Kind::write, id, offset, WireId{2}, 0, 1000, fill));
         reply(at + 3, id);
     }
 };
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -163,8 +163,10 @@
     TEST_CASE("2: a numbered task goes again only inside its group and window") {
         Task t;
         t.shots.push_back({NodeId{1}, ShardId{1}, ZoneId{0}, 0, false, false});
-        Workload w;
-        w.repeat = Idempotency::deduplicated, w.group = DeduplicationScope::shard, w.repeat_window = sec;
+        WorkloadConfig w;
+        w.idempotency = Idempotency::deduplicated;
+        w.deduplication_scope = DeduplicationScope::shard;
+        w.deduplication_window = sec;
         Node same(NodeId{9}, 1, 8), other(NodeId{2}, 1, 8);
         same.shard = ShardId{1}, other.shard = ShardId{2};
         CHECK(may_shoot(t, w, same, 3, false, 900 * ms, 4 * ms));
@@ -175,9 +177,9 @@
         Task t;
         t.shots.push_back({NodeId{1}, ShardId{1}, ZoneId{0}, 0, true, false});
         Node n(NodeId{1}, 1, 8);
-        CHECK_FALSE(may_shoot(t, Workload{}, n, 3, false, 0, 0));
-        CHECK(may_shoot(t, Workload{}, n, 3, true, 0, 0));
-        CHECK_FALSE(may_shoot(t, Workload{}, n, 1, true, 0, 0));
+        CHECK_FALSE(may_shoot(t, WorkloadConfig{}, n, 3, false, 0, 0));
+        CHECK(may_shoot(t, WorkloadConfig{}, n, 3, true, 0, 0));
+        CHECK_FALSE(may_shoot(t, WorkloadConfig{}, n, 1, true, 0, 0));
     }
     TEST_CASE("3: nothing goes to a node that drains") {
         Bench t;
@@ -197,8 +199,9 @@
     }
     TEST_CASE("3: a list that must be asked is followed") {
         Bench t;
-        t.s->set_list(true, 10 * sec, sec);
-        t.s->ready(0);
+        t.config.endpoint_list = {true, 10 * sec};
+        t.s->configure(t.config);
+        t.s->start(0);
         CHECK(t.did.count("follow") == 1);
     }
     TEST_CASE("4: a cold node gets this scheduler's part of what it bears in any span") {
@@ -214,7 +217,7 @@
     TEST_CASE(
         "4: a scheduler just started sends nothing to a cold node, having forgotten what it sent") {
         Bench t;
-        t.s->ready(100 * sec);
+        t.s->start(100 * sec);
         t.list(100 * sec, NodeState::ready, 99 * sec);
         t.task(100 * sec, 1);
         t.s->settle(100 * sec);
@@ -222,7 +225,10 @@
     }
     TEST_CASE("5: tasks with one key go one at a time, in order, with a rest after a time-out") {
         Bench t;
-        t.s->set_turns(WorkloadId{0}, 100 * ms);
+        WorkloadConfig ordered = Bench::workload();
+        ordered.ordered_by_key = true;
+        ordered.key_rest = 100 * ms;
+        t.s->set_workload(WorkloadId{0}, ordered);
         t.list(0);
         t.task(0, 1, 1, 42);
         t.task(0, 2, 1, 42);
@@ -383,7 +389,8 @@
     }
     TEST_CASE("a cold node's part grows with its age") {
         Bench t;
-        t.s->set_cold(8, sec, 10 * sec, 0.1);
+        t.config.slow_start = {8, sec, 10 * sec, 0.1};
+        t.s->configure(t.config);
         t.list(9 * sec, NodeState::ready, sec);
         t.task(9 * sec, 1, 1, 0, 8);
         t.s->settle(9 * sec);
@@ -405,7 +412,7 @@
             t.task(0, i);
         t.s->settle(0);
         for (std::uint64_t i = 3; i < 12; ++i)
-            t.s->request_canceled(150 * ms, RequestId{i}, true);
+            t.s->request_canceled(150 * ms, RequestId{i}, CancelReason::client_disconnected);
         t.s->settle(151 * ms);
         CHECK(t.did.count("deny") == 3);
     }
@@ -415,11 +422,19 @@
         for (std::uint64_t i = 1; i < 12; ++i)
             t.task(0, i);
         for (std::uint64_t i = 20; i < 24; ++i) // another volume's
-            t.s->request_received(0, RequestId{i}, WorkloadId{0}, VolumeId{6}, PlanId{0}, ShardId{1}, no_key,
-                            2, 2, false, false, 2 * sec);
+        {
+            RequestInfo request;
+            request.id = RequestId{i};
+            request.volume = VolumeId{6};
+            request.shard = ShardId{1};
+            request.units = 2;
+            request.sharers = 2;
+            request.client_timeout = 2 * sec;
+            t.s->request_received(0, request);
+        }
         t.s->settle(0);
         for (std::uint64_t i = 1; i < 12; ++i)
-            t.s->request_canceled(ms, RequestId{i}, true);
+            t.s->request_canceled(ms, RequestId{i}, CancelReason::client_disconnected);
         t.s->settle(2 * ms);
         CHECK(t.did.count("deny 2") == 0);
     }
@@ -437,7 +452,7 @@
                 t.task(20 * ms, i);
             t.s->settle(20 * ms);
             for (std::uint64_t i = 3; i < 12; ++i)
-                t.s->request_canceled(22 * ms, RequestId{i}, true);
+                t.s->request_canceled(22 * ms, RequestId{i}, CancelReason::client_disconnected);
             t.s->settle(23 * ms);
             CHECK(t.did.count("deny") == (others_stay ? 0 : 3));
         }
@@ -473,9 +488,13 @@
             std::ranlux24_base chance(seed);
             for (std::uint32_t i = 0; i < n; ++i) {
                 auto &s = *all[i].s;
-                s.set_place(PeerId{i}, n, ZoneId{0}), s.set_units(mean, 8, 0.3, 0.05);
-                s.set_cold(units, span, static_cast<Time>(warm) * sec, start);
-                s.ready(0);
+                SchedulerConfig &config = all[i].config;
+                config.self = PeerId{i};
+                config.scheduler_count = n;
+                config.units = {mean, 8, 0.3, 0.05};
+                config.slow_start = {units, span, static_cast<Time>(warm) * sec, start};
+                s.configure(config);
+                s.start(0);
                 all[i].list(0, NodeState::ready,
                             3 * sec); // past what a scheduler spares of its own start
             }
@@ -580,7 +599,7 @@
             t.task(0, i);
         t.s->settle(0);
         for (std::uint64_t i = 3; i < 12; ++i)
-            t.s->request_canceled(150 * ms, RequestId{i}, false);
+            t.s->request_canceled(150 * ms, RequestId{i}, CancelReason::abandoned);
         t.s->settle(151 * ms);
         CHECK(t.did.count("deny") == 0);
     }
@@ -596,7 +615,7 @@
     }
     TEST_CASE("a repeat whose first try is past its due time makes room for first tries") {
         Bench t;
-        t.s->add_workload(WorkloadId{0}, 100 * ms, 2 * sec, 1, 0.1);
+        t.s->set_workload(WorkloadId{0}, Bench::workload(100 * ms));
         t.list(0);
         t.task(0, 1);
         t.task(0, 2);
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -2,9 +2,9 @@
 #include <cstring>
 #include <doctest/doctest.h>
 
-#include "simulator_adapter/adapter.hpp"
 #include "scheduler_setup/options.hpp"
 #include "scheduler_setup/record_writer.hpp"
+#include "simulator_adapter/adapter.hpp"
 
 using namespace knotvane;
 using scheduler_setup::Malformed;
