--- a/scripts/deploy_build/registry.py
+++ b/scripts/deploy_build/registry.py
@@ -104,7 +104,9 @@
     def _resolve(self, names: tuple[str, ...], source: str) -> frozenset[Package]:
         # The plan tells MD5 unless it is told otherwise.
         options = [f"-oDir::Cache::archives={self._no_archives}", "-oAcquire::ForceHash=SHA256"]
-        result = self._apt("install", "--print-uris", *options, *names)
+        # Another process that fetches the lists anew replaces them file by file.
+        with self._locked():
+            result = self._apt("install", "--print-uris", *options, *names)
         if result.returncode == 0:
             return frozenset(_planned_downloads(result.stdout))
         unknown = re.search(r"(?:Unable to locate package|Package) '?([^\s']+)'?", result.stderr)
