--- /dev/null
+++ b/tests/lint/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of scripts/lint and of its list of exceptions."""
