--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -116,7 +116,7 @@
     tests/gateway/snapshot_test.cpp
   LIBS knotvane_day PkgConfig::nbd nlohmann_json::nlohmann_json)
 # Their sockets and clocks are real: beside other tests they would wait for a processor.
-set_tests_properties(gateway platform PROPERTIES RUN_SERIAL ON)
+set_tests_properties(gateway http_gateway PROPERTIES RUN_SERIAL ON)
 # They start the planner's program.
 add_dependencies(gateway_tests knotvane-planner)
 package_tests(
