--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -1,14 +1,42 @@
 find_package(doctest REQUIRED)
-add_executable(
-  decisions_tests
-  tests/main.cpp
-  tests/scheduling/scheduler_test.cpp
-  tests/simulator_adapter/adapter_test.cpp
-  src/simulator_adapter/adapter.cpp
-  src/scheduler_setup/setup.cpp)
-target_include_directories(decisions_tests PRIVATE src)
-target_link_libraries(decisions_tests PRIVATE doctest::doctest)
-add_test(NAME decisions COMMAND decisions_tests)
+# A package's tests: one binary, named after it.
+function(package_tests name)
+  cmake_parse_arguments(package "" "" "SOURCES;LIBS" ${ARGN})
+  add_executable(${name}_tests tests/main.cpp ${package_SOURCES})
+  target_link_libraries(${name}_tests PRIVATE ${package_LIBS} doctest::doctest)
+  if(KNOTVANE_PROGRAM)
+    target_link_libraries(${name}_tests PRIVATE rapidcheck)
+  endif()
+  add_test(NAME ${name} COMMAND ${name}_tests)
+  # One seed for the property tests: the same verdict every time.
+  set_tests_properties(${name} PROPERTIES TIMEOUT 240 ENVIRONMENT "RC_PARAMS=seed=20261201")
+endfunction()
+
+# The decisions and the simulator's adapter need no package but the tests' framework.
+package_tests(
+  scheduling
+  SOURCES
+    tests/scheduling/concurrency_window_test.cpp
+    tests/scheduling/early_disconnects_test.cpp
+    tests/scheduling/endpoint_list_poll_test.cpp
+    tests/scheduling/fair_queue_test.cpp
+    tests/scheduling/key_order_test.cpp
+    tests/scheduling/latency_estimate_test.cpp
+    tests/scheduling/load_shedding_test.cpp
+    tests/scheduling/node_health_test.cpp
+    tests/scheduling/overload_hold_test.cpp
+    tests/scheduling/placement_test.cpp
+    tests/scheduling/quota_share_test.cpp
+    tests/scheduling/repeat_detector_test.cpp
+    tests/scheduling/retry_budget_test.cpp
+    tests/scheduling/retry_policy_test.cpp
+    tests/scheduling/scheduler_core_test.cpp
+    tests/scheduling/slow_start_test.cpp
+  LIBS knotvane_scheduling)
+package_tests(
+  simulator_adapter
+  SOURCES tests/simulator_adapter/adapter_test.cpp
+  LIBS knotvane_simulator_adapter)
 add_test(NAME known_red COMMAND ${CMAKE_SOURCE_DIR}/tests/known_red_test)
 
 # The lists of packages and the check of the deploy build itself.
@@ -47,16 +75,6 @@
 endif()
 pkg_check_modules(nbd REQUIRED IMPORTED_TARGET libnbd)
 
-# A package's tests: one binary, named after it.
-function(package_tests name)
-  cmake_parse_arguments(package "" "" "SOURCES;LIBS" ${ARGN})
-  add_executable(${name}_tests tests/main.cpp ${package_SOURCES})
-  target_link_libraries(${name}_tests PRIVATE ${package_LIBS} doctest::doctest rapidcheck)
-  add_test(NAME ${name} COMMAND ${name}_tests)
-  # One seed for the property tests: the same verdict every time.
-  set_tests_properties(${name} PROPERTIES TIMEOUT 240 ENVIRONMENT "RC_PARAMS=seed=20261201")
-endfunction()
-
 # A fuzz target run on a fixed set of inputs.
 function(fixed_fuzz name)
   cmake_parse_arguments(fuzz "" "" "SOURCES;LIBS" ${ARGN})
--- /dev/null
+++ b/src/scheduling/endpoint_list_poll.cpp
@@ -0,0 +1,28 @@
+#include "scheduling/endpoint_list_poll.hpp"
+
+#include <algorithm>
+
+namespace knotvane::scheduling {
+namespace {
+
+constexpr Time shortest_retry_delay = 500 * ms;
+constexpr Time retry_jitter_step = ms;
+constexpr std::uint32_t retry_jitter_steps = 1000;
+
+} // namespace
+
+void EndpointListPoll::failed(Time now, RandomGenerator &random) {
+    retry_at_ = now + shortest_retry_delay +
+                static_cast<Time>(random() % retry_jitter_steps) * retry_jitter_step;
+}
+
+bool EndpointListPoll::due(Time now) const {
+    return config_.on_request && (now >= retry_at_ || now - updated_at_ > config_.max_age);
+}
+
+Time EndpointListPoll::next_check() const {
+    Time too_old_at = config_.on_request ? updated_at_ + config_.max_age + ms : never;
+    return std::min(retry_at_, too_old_at);
+}
+
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/src/scheduling/endpoint_list_poll.hpp
@@ -0,0 +1,42 @@
+/// \file
+/// When the endpoint list is asked for.
+#pragma once
+
+#include "common/time.hpp"
+#include "scheduling/config.hpp"
+#include "scheduling/never.hpp"
+#include "scheduling/random.hpp"
+
+namespace knotvane::scheduling {
+
+/// Asks for the endpoint list again where it comes on request and is too old, or where a request
+/// for it failed.
+class EndpointListPoll {
+public:
+    void configure(const EndpointListConfig &config) { config_ = config; }
+
+    bool on_request() const { return config_.on_request; }
+
+    /// The list was asked for, or came.
+    void updated(Time now) {
+        updated_at_ = now;
+        retry_at_ = never;
+    }
+
+    /// It couldn't be asked for: it is again in half a second to one and a half, not in step with
+    /// other schedulers, so that failing calls don't keep its source busy.
+    void failed(Time now, RandomGenerator &random);
+
+    /// @return whether to ask for the list now.
+    bool due(Time now) const;
+
+    /// @return when due() may next be true.
+    Time next_check() const;
+
+private:
+    EndpointListConfig config_;
+    Time updated_at_ = 0;
+    Time retry_at_ = never;
+};
+
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/src/scheduling/load_shedding.cpp
@@ -0,0 +1,52 @@
+#include "scheduling/load_shedding.hpp"
+
+#include <cstddef>
+#include <set>
+
+#include "scheduling/never.hpp"
+
+namespace knotvane::scheduling {
+namespace {
+
+using Positions = std::set<QueuePosition>;
+
+void add_soon_disconnected(Positions &late, const NodeRecord &node, const RequestTable &requests,
+                           const EarlyDisconnects &disconnects, Time now) {
+    for (const auto &[id, volume] : node.queue.volumes()) {
+        Time limit = volume.requests.empty() ? unlimited_wait : disconnects.wait_limit(id, now);
+        for (const QueueRank &rank : volume.requests) {
+            const Request &request = requests.at(rank.request);
+            if (now + node.latency.expected(request.units) > request.received_at + limit)
+                late.insert({id, rank});
+        }
+    }
+}
+
+} // namespace
+
+std::vector<RequestId> requests_to_shed(const NodeRecord &node, const RequestTable &requests,
+                                        const EarlyDisconnects &disconnects, Time now) {
+    auto expected = [&](double units) { return node.latency.expected(units); };
+    Positions late = node.waiting.late(now, expected);
+    if (disconnects.many(now))
+        add_soon_disconnected(late, node, requests, disconnects, now);
+
+    const Positions &repeats = node.waiting.repeats();
+    std::vector<RequestId> result;
+    std::size_t late_first_requests = 0;
+    for (const QueuePosition &position : late) {
+        result.push_back(position.rank.request);
+        if (!repeats.contains(position))
+            ++late_first_requests;
+    }
+
+    bool first_requests_wait = node.waiting.first_requests() > late_first_requests;
+    if (!first_requests_wait || !node.window.full(node.health.counted_in_flight()))
+        return result;
+    for (const QueuePosition &position : repeats)
+        if (!late.contains(position))
+            result.push_back(position.rank.request);
+    return result;
+}
+
+} // namespace knotvane::scheduling
--- a/src/scheduling/node_record.hpp
+++ b/src/scheduling/node_record.hpp
@@ -1,40 +1,56 @@
-// What a scheduler has seen of a node.
+/// \file
+/// A node as one scheduler sees it.
 #pragma once
 
-#include <set>
-#include <tuple>
-#include <utility>
+#include <cstdint>
 
+#include "common/ids.hpp"
 #include "common/node_state.hpp"
+#include "common/time.hpp"
+#include "scheduling/concurrency_window.hpp"
+#include "scheduling/fair_queue.hpp"
+#include "scheduling/latency_estimate.hpp"
+#include "scheduling/node_health.hpp"
+#include "scheduling/overload_hold.hpp"
 #include "scheduling/request.hpp"
-#include "scheduling/samples.hpp"
+#include "scheduling/slow_start.hpp"
+#include "scheduling/waiting_index.hpp"
 
-namespace knotvane {
+namespace knotvane::scheduling {
 
-struct NodeSeen {
-    NodeId id;
-    ShardId shard;
-    ZoneId zone;
+/// Sums of units that are added and taken off again end near 0, not at it: below this nothing is
+/// there.
+inline constexpr double negligible_units = 1e-9;
+
+struct NodeRecord {
+    /// @param schedulers that share the node.
+    /// @param largest_request in units.
+    NodeRecord(NodeId id, std::uint32_t schedulers, double largest_request)
+        : queue(largest_request), window(schedulers) {
+        location.node = id;
+    }
+
+    bool nothing_waits() const { return units_waiting < negligible_units; }
+
+    // By the endpoint list.
+    NodeLocation location;
     NodeState state = NodeState::removed;
-    Time started = 0;
-    Time cold_until = 0;
+    Time started_at = 0;
+    /// The list that is being read names it.
     bool listed = false;
-    Recent sent, asked;                                             // units
-    std::set<std::pair<Time, std::pair<RequestId, AttemptId>>> out; // by the time sent
-    std::set<Time>
-        ghosts; // when shots were sent that ended unanswered: their work may still be there
-    std::size_t overdue = 0; // of those out, when last looked at
-    double units_waiting = 0, units_out = 0;
-    Time heard = 0, last_shot = 0, hold_until = 0;
-    Time lost = -1'000'000 * sec; // when a shot was last found lost
-    Time overtaken = 0;           // when the last sent of those answered was sent
-    std::uint32_t refusals = 0;   // unreachable, one after another with no answer between
-    std::uint32_t fulls = 1;      // how many times a hold is its first, for "full" again and again
-    bool silent = false, refused = false;
-    Samples<Time, 32> took; // of the last answers
-    Samples<std::tuple<Time, double, double>, 32>
-        answers;               // when, units, and how long it took in seconds
-    double unit = 0, wait = 0; // seconds, from these, when last looked at
+
+    // What waits, and what bounds what is in flight.
+    FairQueue queue;
+    WaitingIndex waiting;
+    ConcurrencyWindow window;
+    OverloadHold overload_hold;
+    double units_waiting = 0;
+    double units_in_flight = 0;
+
+    // What attempts showed.
+    NodeHealth health;
+    LatencyEstimate latency;
+    NodeSlowStart slow_start;
 };
 
-} // namespace knotvane
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/src/scheduling/overload_hold.hpp
@@ -0,0 +1,33 @@
+/// \file
+/// How long a node that answered "overloaded" gets nothing.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+
+#include "common/time.hpp"
+
+namespace knotvane::scheduling {
+
+/// A place at an overloaded node is free when something was done there: it gets nothing for the
+/// time that one request takes, and for twice as long each further time without an answer between,
+/// until all schedulers together send one in that time. Guards against a node that stays full of
+/// work which is too late.
+class OverloadHold {
+public:
+    /// @param expected_duration of the request that was turned away.
+    void overloaded(Time now, Time expected_duration, std::uint32_t schedulers) {
+        until_ = now + expected_duration * multiplier_;
+        multiplier_ = std::min(multiplier_ * 2, schedulers);
+    }
+
+    void answered() { multiplier_ = 1; }
+
+    bool active(Time now) const { return now < until_; }
+
+private:
+    Time until_ = 0;
+    std::uint32_t multiplier_ = 1;
+};
+
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/src/scheduling/plan_table.cpp
@@ -0,0 +1,45 @@
+#include "scheduling/plan_table.hpp"
+
+#include <algorithm>
+
+namespace knotvane::scheduling {
+namespace {
+
+// Keeps a division by the usual rates defined where none was set.
+constexpr double least_total_rate = 1e-9;
+
+} // namespace
+
+void PlanTable::set(PlanId id, const PlanConfig &config) {
+    PlanConfig &changed = plans_[id];
+    changed = config;
+    changed.weight = std::max(config.weight, least_weight);
+    total_weight_ = 0;
+    total_usual_rate_ = 0;
+    for (const auto &[_, plan] : plans_) {
+        total_weight_ += plan.weight;
+        total_usual_rate_ += plan.usual_rate;
+    }
+}
+
+double PlanTable::queue_weight(const PlanConfig &plan) const {
+    return plan.weight + plan.reserved_rate / units_.share_value * total_weight_ /
+                             std::max(total_usual_rate_, least_total_rate);
+}
+
+double PlanTable::unit_value(const PlanConfig &plan, double requested) const {
+    double reserve = std::min(requested, plan.reserved_rate);
+    double share = std::min(requested, std::max(plan.usual_rate, plan.reserved_rate)) - reserve;
+    double spare = requested - reserve - share;
+    return plan.price * (reserve + units_.share_value * share + units_.spare_value * spare) /
+           requested;
+}
+
+double PlanTable::total_usual_value() const {
+    double total = 0;
+    for (const auto &[_, plan] : plans_)
+        total += unit_value(plan, std::max(plan.usual_rate, least_rate));
+    return total;
+}
+
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/src/scheduling/quota_share.cpp
@@ -0,0 +1,54 @@
+#include "scheduling/quota_share.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace knotvane::scheduling {
+
+QuotaShare::QuotaShare(double rate, double burst, Time now)
+    : rate_(rate), burst_(burst), refilled_at_(now) {}
+
+QuotaDecision QuotaShare::take(Time now, double units, double sharers) {
+    refill(now, granted_ ? sharers_ : std::max(sharers_, sharers));
+    if (units > level_) {
+        // A share that isn't granted yet is waited for.
+        bool never_fits = !std::isinf(sharers_) && units > burst_ / sharers_;
+        return never_fits ? QuotaDecision::never_fits : QuotaDecision::wait;
+    }
+    level_ -= units;
+    reserved_ += units;
+    return QuotaDecision::admitted;
+}
+
+void QuotaShare::sent(double units) {
+    reserved_ -= units;
+}
+
+void QuotaShare::give_back(double units) {
+    reserved_ -= units;
+    level_ += units;
+}
+
+void QuotaShare::grant(Time now, double sharers) {
+    // What came in until now came in at the smaller of the two shares.
+    refill(now, std::max(sharers_, sharers));
+    refill(now, sharers);
+    granted_ = true;
+}
+
+void QuotaShare::set_limit(Time now, double rate, double burst) {
+    if (rate == rate_ && burst == burst_)
+        return;
+    refill(now, sharers_);
+    rate_ = rate;
+    burst_ = burst;
+}
+
+void QuotaShare::refill(Time now, double sharers) {
+    sharers_ = sharers;
+    level_ = std::min(level_ + rate_ / sharers_ * seconds(now - refilled_at_),
+                      burst_ / sharers_ - reserved_);
+    refilled_at_ = now;
+}
+
+} // namespace knotvane::scheduling
--- a/src/scheduling/request.hpp
+++ b/src/scheduling/request.hpp
@@ -1,27 +1,43 @@
-// What is kept of a task and of its shots, and what is told of its workload and its plan.
+/// \file
+/// What a scheduler keeps of a request and of its attempts.
 #pragma once
 
+#include <algorithm>
 #include <vector>
 
 #include "common/ids.hpp"
 #include "common/time.hpp"
 #include "scheduling/config.hpp"
 
-namespace knotvane {
+namespace knotvane::scheduling {
 
-struct Shot {
+/// A node and the deduplication scopes that it belongs to.
+struct NodeLocation {
     NodeId node;
     ShardId shard;
     ZoneId zone;
-    Time sent = 0;
-    bool out = true;
-    bool proved_not_run = false;
 };
 
-// Where a task waits; `shooting` waits for a shot's outcome.
-enum class Stage { turn, limit, placement, queue, shooting };
+/// One execution of a request at a node.
+struct Attempt {
+    NodeLocation location;
+    Time started_at = 0;
+    bool in_flight = true;
+    /// Its outcome proves that the node did not execute it.
+    bool not_executed = false;
+};
+
+/// What a request waits for, in the order in which it passes the stages.
+enum class RequestStage {
+    key_order, ///< Earlier requests of its key.
+    quota,     ///< Units of its volume's limit.
+    placement, ///< A node that is ready.
+    queue,     ///< Its turn at the node's fair queue.
+    attempt    ///< The outcome of an attempt.
+};
 
-struct Task {
+/// A client's request until it has its answer and no attempt in flight.
+struct Request {
     RequestId id;
     WorkloadId workload;
     VolumeId volume;
@@ -29,32 +45,38 @@
     ShardId shard;
     KeyId key;
     double units = 0;
-    double hosts = 1;
-    double lot = 0; // drawn for it, from 0 to 1
+    /// Schedulers that share its volume's limit, as far as the client knows.
+    double sharers = 1;
+    /// Drawn for it, 0 to 1: the chance of admission to a node in slow start that lets it in.
+    double admission_lot = 0;
     bool writes = false;
+    /// It repeats a request whose answer was due already.
     bool repeated = false;
-    Time taken = 0;
-    Time due = 0;
-    Time first_due = 0; // of the client's first try, where this one is known to be a repeat
-    Time last_call = 0; // its final answer leaves at this time at the latest
-    Stage stage = Stage::turn;
-    NodeId node; // whose queue it waits in
+    Time received_at = 0;
+    /// Until when an answer earns its full value.
+    Time latency_deadline = 0;
+    /// The latency deadline of the client's first request, where this one is known to repeat it.
+    Time first_latency_deadline = 0;
+    /// Its final answer leaves at this time at the latest.
+    Time answer_deadline = 0;
+    RequestStage stage = RequestStage::key_order;
+    /// Whose queue it waits in, at stage queue.
+    NodeId node;
+    /// It has its answer, or needs none any more.
     bool ended = false;
-    bool passed_limit = false;
-    std::vector<Shot> shots;
-
-    bool any_out() const {
-        for (const auto &s : shots)
-            if (s.out)
-                return true;
-        return false;
+    /// Its volume's quota has been charged.
+    bool quota_taken = false;
+    std::vector<Attempt> attempts;
+
+    bool any_in_flight() const {
+        return std::any_of(attempts.begin(), attempts.end(),
+                           [](const Attempt &attempt) { return attempt.in_flight; });
     }
-    bool may_have_run() const {
-        for (const auto &s : shots)
-            if (!s.proved_not_run)
-                return true;
-        return false;
+
+    bool may_have_executed() const {
+        return std::any_of(attempts.begin(), attempts.end(),
+                           [](const Attempt &attempt) { return !attempt.not_executed; });
     }
 };
 
-} // namespace knotvane
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/src/scheduling/scheduler_core.cpp
@@ -0,0 +1,538 @@
+#include "scheduling/scheduler_core.hpp"
+
+#include <algorithm>
+#include <iterator>
+
+#include "scheduling/load_shedding.hpp"
+
+namespace knotvane::scheduling {
+namespace {
+
+constexpr TimerId only_timer{1};
+
+// Waiting requests are looked at this often: the finest time that any rule here tells apart.
+constexpr Time waiting_interval = 5 * ms;
+
+// Nodes with attempts in flight and nothing waiting are looked at this often.
+constexpr Time in_flight_interval = 50 * ms;
+
+// What a volume requests is averaged over this time. Surges last longer; a volume with one request
+// in ten seconds shows in it at times.
+constexpr Time demand_window = 5 * sec;
+
+SchedulerConfig with_defaults(SchedulerConfig config) {
+    config.time_step = std::max(config.time_step, ms);
+    if (!(config.units.mean > 0))
+        config.units.mean = 1;
+    config.units.largest = std::max(1.0, config.units.largest);
+    if (!(config.units.share_value > 0))
+        config.units.share_value = 1;
+    if (!(config.slow_start.initial_capacity > 0))
+        config.slow_start.initial_capacity = 1;
+    return config;
+}
+
+// Times per unit are those of a unit at least: what a smaller request takes isn't its units' work.
+double at_least_one(double units) {
+    return std::max(units, 1.0);
+}
+
+} // namespace
+
+RequestScheduler::RequestScheduler(SchedulerActions &actions, std::uint64_t seed)
+    : actions_(actions), random_(static_cast<std::uint32_t>(seed ^ (seed >> 32))) {}
+
+void RequestScheduler::configure(const SchedulerConfig &config) {
+    config_ = with_defaults(config);
+    plans_.configure(config_.units);
+    slow_start_.configure(config_);
+    retry_budget_.configure(config_.retry_budget);
+    endpoint_list_poll_.configure(config_.endpoint_list);
+}
+
+void RequestScheduler::set_workload(WorkloadId id, const WorkloadConfig &workload) {
+    workloads_[id] = workload;
+}
+
+void RequestScheduler::set_plan(PlanId id, const PlanConfig &plan) {
+    plans_.set(id, plan);
+}
+
+void RequestScheduler::start(Time now) {
+    started_at_ = now;
+    slow_start_.start(now);
+    if (endpoint_list_poll_.on_request())
+        watch_endpoints(now);
+}
+
+void RequestScheduler::settle(Time now) {
+    now_ = now;
+    if (endpoint_list_poll_.due(now))
+        watch_endpoints(now);
+
+    give_up_late();
+    for (RequestId id : requests_.unplaced())
+        advance(requests_.at(id));
+    for (auto it = busy_nodes_.begin(); it != busy_nodes_.end();) {
+        NodeRecord &node = nodes_.at(*it);
+        dispatch(node);
+        bool idle = !node.health.any_in_flight() && node.nothing_waits();
+        it = idle ? busy_nodes_.erase(it) : std::next(it);
+    }
+
+    key_order_.prune(now);
+    repeat_detector_.prune(now);
+    set_timer();
+}
+
+// Requests.
+
+void RequestScheduler::request_received(Time now, const RequestInfo &info) {
+    now_ = now;
+    retry_budget_.request_received(now);
+    Request &request = requests_.add(info.id);
+    request.workload = info.workload;
+    request.volume = info.volume;
+    request.plan = info.plan;
+    request.shard = info.shard;
+    request.key = info.key;
+    request.units = std::max(info.units, 0.0);
+    request.sharers = std::max(info.sharers, 1.0);
+    request.writes = info.writes;
+    request.repeated = info.repeated;
+    request.received_at = now;
+    request.admission_lot =
+        static_cast<double>(random_()) / static_cast<double>(RandomGenerator::max());
+
+    // Two steps early, so that the answer leaves with a batch that comes before the client is gone.
+    request.answer_deadline = info.client_timeout - 2 * config_.time_step;
+    request.latency_deadline =
+        std::min(now + workloads_[request.workload].latency_objective, request.answer_deadline);
+    repeat_detector_.recognize(request, config_.clients_mark_repeats);
+
+    requests_.set_unanswered(request);
+    if (ordered(request))
+        key_order_.enqueue(request.key, request.id);
+    requests_.set_unplaced(request);
+}
+
+void RequestScheduler::request_canceled(Time now, RequestId id, CancelReason reason) {
+    now_ = now;
+    Request *request = requests_.find(id);
+    if (!request || request->ended)
+        return;
+    if (reason == CancelReason::client_disconnected)
+        early_disconnects_.client_disconnected(now, request->volume, now - request->received_at);
+    repeat_detector_.ended_unanswered(*request);
+    finish(*request);
+    forget_if_done(*request);
+}
+
+void RequestScheduler::advance(Request &request) {
+    if (request.stage == RequestStage::key_order &&
+        (!ordered(request) || key_order_.may_run(request.key, request.id, now_)))
+        request.stage = RequestStage::quota;
+
+    QuotaDecision quota = QuotaDecision::wait;
+    if (request.stage == RequestStage::quota)
+        quota = take_quota(request);
+    if (quota == QuotaDecision::admitted)
+        request.stage = RequestStage::placement;
+
+    NodeRecord *node = nullptr;
+    if (request.stage == RequestStage::placement)
+        node = placement_.choose(request.shard, now_, random_);
+    if (node)
+        enqueue(*node, request);
+    else if (now_ >= request.latency_deadline || quota == QuotaDecision::never_fits)
+        give_up(request, config_.max_retry_after);
+    forget_if_done(request);
+}
+
+QuotaDecision RequestScheduler::take_quota(Request &request) {
+    const PlanConfig &plan = plans_.get(request.plan);
+    if (plan.limit_rate <= 0 || request.quota_taken)
+        return QuotaDecision::admitted;
+    QuotaShare &share =
+        quota_shares_.try_emplace(request.volume, plan.limit_rate, plan.limit_burst, started_at_)
+            .first->second;
+    share.set_limit(now_, plan.limit_rate, plan.limit_burst);
+    QuotaDecision decision = share.take(now_, request.units, request.sharers);
+    request.quota_taken = decision == QuotaDecision::admitted;
+    return decision;
+}
+
+void RequestScheduler::quota_share_changed(Time now, VolumeId volume, double sharers) {
+    now_ = now;
+    quota_shares_.try_emplace(volume, 0, 0, now).first->second.grant(now, sharers);
+}
+
+void RequestScheduler::enqueue(NodeRecord &node, Request &request) {
+    requests_.clear_unplaced(request);
+    request.stage = RequestStage::queue;
+    request.node = node.location.node;
+    node.units_waiting += request.units;
+    busy_nodes_.insert(node.location.node);
+    if (request.attempts.empty()) {
+        SlowStart::request_enqueued(node.slow_start, now_, request.units);
+        WindowedSum &requested = requested_[request.volume];
+        requested.add(now_, request.units);
+        requested.since(now_ - demand_window);
+    }
+    QueueRank place = rank(request);
+    node.queue.enqueue(request.volume, plans_.queue_weight(plans_.get(request.plan)), place);
+    node.waiting.add(request.units, request.repeated, {request.volume, place});
+}
+
+bool RequestScheduler::ordered(const Request &request) {
+    return workloads_[request.workload].ordered_by_key && request.key != no_key;
+}
+
+// Value first: a client's repeat is past its deadline, or nearly, and earns what a late answer
+// does.
+QueueRank RequestScheduler::rank(const Request &request) {
+    const WorkloadConfig &workload = workloads_[request.workload];
+    double fraction = request.repeated ? workload.late_value_fraction : 1;
+    return {-workload.value * fraction, request.latency_deadline, request.id};
+}
+
+// A node's queue.
+
+void RequestScheduler::dispatch(NodeRecord &node) {
+    if (node.state != NodeState::ready)
+        return;
+    node.health.update(now_, node.latency);
+    if (node.nothing_waits())
+        return;
+    node.latency.update(now_, typical_unit_time_.seconds_per_unit());
+    shed_load(node);
+
+    while (auto volume = node.queue.select(now_)) {
+        const QueueRank place = *node.queue.volumes().at(*volume).requests.begin();
+        Request &request = requests_.at(place.request);
+        if (!request.attempts.empty() && !may_retry(request, node)) {
+            give_up(request, config_.max_retry_after);
+            forget_if_done(request);
+            continue;
+        }
+        double charge = FairQueue::charge_of(request.units, request.writes);
+        if (!node.queue.fits(charge)) {
+            node.queue.exhaust(now_);
+            continue;
+        }
+        if (!has_room(node, request))
+            return;
+        node.queue.sent(place, request.units, charge);
+        node.waiting.remove(request.units, {*volume, place});
+        start_attempt(node, request);
+    }
+}
+
+void RequestScheduler::shed_load(NodeRecord &node) {
+    for (RequestId id : requests_to_shed(node, requests_, early_disconnects_, now_)) {
+        Request &request = requests_.at(id);
+        give_up(request, config_.max_retry_after);
+        forget_if_done(request);
+    }
+}
+
+bool RequestScheduler::has_room(NodeRecord &node, const Request &request) {
+    double value = node.window.paces() ? relative_value(node) : 1;
+    if (!node.window.has_room(node.health.occupied_places(now_),
+                              now_ - node.health.last_attempt_at(),
+                              node.latency.expected(request.units), value))
+        return false;
+    if (node.overload_hold.active(now_))
+        return false;
+    bool unresponsive = node.health.unresponsive();
+    if (unresponsive && !node.health.trial_allowed(now_, {config_.self, config_.scheduler_count}))
+        return false;
+    if (!unresponsive && !node.slow_start.active(now_))
+        return true;
+    return slow_start_.admits(node.slow_start, now_, unresponsive, request.units,
+                              request.admission_lot);
+}
+
+// What all volumes that wait at the node are worth, against the mean of the plans.
+double RequestScheduler::relative_value(const NodeRecord &node) {
+    double plans_value = plans_.total_usual_value();
+    double waiting_value = 0;
+    for (const auto &[id, volume] : node.queue.volumes()) {
+        if (volume.requests.empty())
+            continue;
+        const Request &request = requests_.at(volume.requests.begin()->request);
+        double rate = requested_[id].since(now_ - demand_window) / seconds(demand_window);
+        waiting_value += plans_.unit_value(plans_.get(request.plan),
+                                           std::max(rate * request.sharers, least_rate));
+    }
+    return waiting_value * plans_.size() / plans_value;
+}
+
+void RequestScheduler::start_attempt(NodeRecord &node, Request &request) {
+    if (!request.attempts.empty())
+        retry_budget_.retry_started(now_);
+    else if (request.quota_taken)
+        quota_shares_.at(request.volume).sent(request.units);
+    slow_start_.attempt_started(node.slow_start, now_, request.units);
+    node.units_waiting -= request.units;
+    node.units_in_flight += request.units;
+    AttemptId attempt{static_cast<std::uint32_t>(request.attempts.size())};
+    node.health.attempt_started({now_, request.id, attempt});
+    request.attempts.push_back({node.location, now_, true, false});
+    request.stage = RequestStage::attempt;
+    actions_.start_attempt(request.id, node.location.node, 0);
+}
+
+// Attempts and answers.
+
+void RequestScheduler::attempt_completed(Time now, const AttemptResult &result) {
+    now_ = now;
+    Request *request = requests_.find(result.request);
+    if (!request || result.attempt.value >= request->attempts.size())
+        return;
+    Attempt &attempt = request->attempts[result.attempt.value];
+    if (!attempt.in_flight)
+        return;
+    attempt.in_flight = false;
+    attempt.not_executed = proves_not_executed(result.outcome);
+    record_outcome(nodes_.at(attempt.location.node), *request, result);
+
+    bool may_still_run = result.outcome == AttemptOutcome::timed_out ||
+                         result.outcome == AttemptOutcome::reset ||
+                         result.outcome == AttemptOutcome::canceled;
+    if (may_still_run && ordered(*request))
+        key_order_.rest(request->key, now + workloads_[request->workload].key_rest);
+
+    if (result.client_answered && !request->ended) {
+        early_disconnects_.client_answered(request->volume, now - request->received_at);
+        finish(*request);
+    } else if (!request->ended && !request->any_in_flight()) {
+        retry(*request);
+    }
+    forget_if_done(*request);
+}
+
+void RequestScheduler::record_outcome(NodeRecord &node, const Request &request,
+                                      const AttemptResult &result) {
+    Time started_at = request.attempts[result.attempt.value].started_at;
+    Time duration = result.duration;
+    double units = at_least_one(request.units);
+    // It took half of its latency objective or longer.
+    bool slow = 2 * duration > request.latency_deadline - request.received_at;
+
+    node.units_in_flight -= request.units;
+    node.queue.attempt_ended(request.volume);
+    node.health.attempt_ended({started_at, request.id, result.attempt});
+    switch (result.outcome) {
+    case AttemptOutcome::timed_out:
+    case AttemptOutcome::canceled:
+        // It took this long at least: without it the window would see the quick answers only, and
+        // grow.
+        node.window.answered(now_, units, duration, slow);
+        if (!node.health.overtaken(started_at))
+            node.latency.abandoned(now_, units, duration);
+        node.health.abandoned(now_, started_at, duration, node.latency.response_timeout());
+        break;
+    case AttemptOutcome::answered:
+        record_response(node);
+        node.health.answered(started_at);
+        node.overload_hold.answered();
+        node.latency.answered(now_, units, duration);
+        typical_unit_time_.add(units, duration);
+        node.window.answered(now_, units, duration, slow);
+        break;
+    case AttemptOutcome::error:
+        record_response(node);
+        break;
+    case AttemptOutcome::overloaded:
+        node.window.halve(now_, node.latency.median_duration());
+        node.overload_hold.overloaded(now_, node.latency.expected(request.units),
+                                      config_.scheduler_count);
+        break;
+    case AttemptOutcome::unreachable:
+        node.health.unreachable(started_at);
+        break;
+    case AttemptOutcome::reset:
+    case AttemptOutcome::not_sent:
+        break;
+    }
+}
+
+void RequestScheduler::record_response(NodeRecord &node) {
+    // Its process may have restarted before the endpoint list says so.
+    if (node.health.responded(now_))
+        slow_start_.node_started(node.slow_start, now_);
+}
+
+// An attempt ended without an answer: another one if it is harmless and may be in time.
+void RequestScheduler::retry(Request &request) {
+    leave_queue(request);
+    request.stage = RequestStage::placement;
+    NodeRecord *node = placement_.choose(request.shard, now_, random_);
+    if (node && may_retry(request, *node))
+        enqueue(*node, request);
+    else
+        give_up(request, config_.max_retry_after);
+}
+
+bool RequestScheduler::may_retry(const Request &request, const NodeRecord &node) {
+    return may_start_attempt(request, workloads_[request.workload], config_.attempts,
+                             repeat_target(node, now_)) &&
+           retry_budget_.allows_retry(now_) &&
+           now_ + node.latency.expected(request.units) < request.latency_deadline;
+}
+
+RepeatTarget RequestScheduler::repeat_target(const NodeRecord &node, Time now) const {
+    return {node.location, now, 2 * config_.time_step};
+}
+
+// Its connection may have come up late: the client left, the node drains, or the window in which
+// nodes drop repeats is over.
+bool RequestScheduler::may_send_attempt(Time now, RequestId id, AttemptId attempt) const {
+    const Request *request = requests_.find(id);
+    if (!request || request->ended)
+        return false;
+    const NodeRecord &node = nodes_.at(request->attempts[attempt.value].location.node);
+    return node.state == NodeState::ready &&
+           repeat_is_harmless(*request, attempt.value, workloads_.at(request->workload),
+                              repeat_target(node, now));
+}
+
+void RequestScheduler::give_up_late() {
+    while (auto id = requests_.past_answer_deadline(now_)) {
+        Request &request = requests_.at(*id);
+        // The client is about to leave anyway.
+        give_up(request, 0);
+        forget_if_done(request);
+    }
+}
+
+void RequestScheduler::give_up(Request &request, Time retry_after) {
+    if (may_reject(request, workloads_[request.workload]))
+        actions_.reject(request.id, std::min(retry_after, config_.max_retry_after));
+    else
+        actions_.fail(request.id);
+    repeat_detector_.ended_unanswered(request);
+    finish(request);
+}
+
+void RequestScheduler::finish(Request &request) {
+    leave_queue(request);
+    if (request.quota_taken && request.attempts.empty())
+        quota_shares_.at(request.volume).give_back(request.units);
+    requests_.clear_unanswered(request);
+    request.ended = true;
+    if (!config_.attempts.cancel_abandoned)
+        return;
+    for (std::uint32_t i = 0; i < request.attempts.size(); ++i)
+        if (request.attempts[i].in_flight)
+            actions_.cancel_attempt(request.id, AttemptId{i});
+}
+
+void RequestScheduler::leave_queue(Request &request) {
+    requests_.clear_unplaced(request);
+    if (request.stage != RequestStage::queue)
+        return;
+    NodeRecord &node = nodes_.at(request.node);
+    QueueRank place = rank(request);
+    node.queue.remove(request.volume, place);
+    node.waiting.remove(request.units, {request.volume, place});
+    node.units_waiting -= request.units;
+}
+
+// Only when no attempt of a request is in flight the next one of its key may go.
+void RequestScheduler::forget_if_done(Request &request) {
+    if (!request.ended || request.any_in_flight())
+        return;
+    if (ordered(request))
+        key_order_.remove(request.key, request.id);
+    requests_.erase(request.id);
+}
+
+// The endpoint list and the timer.
+
+void RequestScheduler::endpoint_list_begin(Time now, EndpointListKind kind) {
+    now_ = now;
+    endpoint_list_poll_.updated(now);
+    endpoint_list_kind_ = kind;
+    for (auto &[id, node] : nodes_)
+        node.listed = false;
+}
+
+void RequestScheduler::endpoint_listed(const Endpoint &endpoint) {
+    NodeRecord &node = nodes_
+                           .try_emplace(endpoint.node, endpoint.node, config_.scheduler_count,
+                                        config_.units.largest)
+                           .first->second;
+    node.listed = true;
+    node.location.shard = endpoint.shard;
+    node.location.zone = endpoint.zone;
+    node.state = endpoint.state;
+    if (endpoint.started_at > node.started_at) {
+        node.started_at = endpoint.started_at;
+        node.health.restarted(now_);
+        slow_start_.node_started(node.slow_start, endpoint.started_at);
+    }
+}
+
+void RequestScheduler::endpoint_list_end() {
+    placement_.clear();
+    for (auto &[id, node] : nodes_) {
+        if (endpoint_list_kind_ == EndpointListKind::full && !node.listed)
+            node.state = NodeState::removed;
+        if (node.state == NodeState::ready)
+            placement_.add(node);
+        else
+            requeue_elsewhere(node);
+    }
+}
+
+void RequestScheduler::endpoint_list_failed(Time now) {
+    endpoint_list_poll_.failed(now, random_);
+}
+
+// What waits at a node that drains or is removed goes back to placement.
+void RequestScheduler::requeue_elsewhere(NodeRecord &node) {
+    for (auto &[id, request] : requests_.all()) {
+        if (request.stage != RequestStage::queue || request.node != node.location.node ||
+            request.ended)
+            continue;
+        leave_queue(request);
+        request.stage = RequestStage::placement;
+        requests_.set_unplaced(request);
+    }
+}
+
+void RequestScheduler::watch_endpoints(Time now) {
+    endpoint_list_poll_.updated(now);
+    actions_.watch_endpoints();
+}
+
+void RequestScheduler::timer_expired(Time now, TimerId /*timer*/) {
+    if (now >= timer_due_)
+        timer_due_ = never;
+}
+
+void RequestScheduler::set_timer() {
+    Time due = std::min(endpoint_list_poll_.next_check(), requests_.next_answer_deadline());
+    if (requests_.any_unplaced())
+        due = std::min(due, now_ + waiting_interval);
+    for (NodeId id : busy_nodes_) {
+        bool waiting = nodes_.at(id).units_waiting > negligible_units;
+        due = std::min(due, now_ + (waiting ? waiting_interval : in_flight_interval));
+    }
+    if (due >= timer_due_)
+        return;
+    actions_.set_timer(only_timer, std::max<Time>(due - now_, 0));
+    timer_due_ = due;
+}
+
+} // namespace knotvane::scheduling
+
+namespace knotvane {
+
+std::unique_ptr<Scheduler> make_scheduler(SchedulerActions &actions, std::uint64_t seed) {
+    return std::make_unique<scheduling::RequestScheduler>(actions, seed);
+}
+
+} // namespace knotvane
--- /dev/null
+++ b/src/scheduling/scheduler_core.hpp
@@ -0,0 +1,136 @@
+/// \file
+/// The scheduler: joins the rules of this package into the way of a request.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <set>
+
+#include "scheduling/early_disconnects.hpp"
+#include "scheduling/endpoint_list_poll.hpp"
+#include "scheduling/key_order.hpp"
+#include "scheduling/latency_estimate.hpp"
+#include "scheduling/never.hpp"
+#include "scheduling/node_record.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/plan_table.hpp"
+#include "scheduling/quota_share.hpp"
+#include "scheduling/random.hpp"
+#include "scheduling/repeat_detector.hpp"
+#include "scheduling/request_table.hpp"
+#include "scheduling/retry_budget.hpp"
+#include "scheduling/retry_policy.hpp"
+#include "scheduling/scheduler.hpp"
+#include "scheduling/slow_start.hpp"
+#include "scheduling/windowed_sum.hpp"
+
+namespace knotvane::scheduling {
+
+/// The way of a request, from its receipt to its answer:
+///
+///     request_received          deadlines, repeats              (repeat_detector)
+///     settle -> advance         earlier requests of its key     (key_order)
+///                               units of its volume's limit     (quota_share)
+///                               a node that is ready            (placement)
+///                               enqueue
+///     settle -> dispatch        is the node alive?              (node_health)
+///                               what can't be in time goes      (load_shedding)
+///                               the next of the node's volumes  (fair_queue, budget_feedback)
+///                               may it be executed again?       (retry_policy, retry_budget)
+///                               room at the node                (concurrency_window,
+///                                                                overload_hold, slow_start)
+///                               start_attempt
+///     attempt_completed         what it shows of the node       (record_outcome)
+///                               the client has its answer: finish
+///                               it has none: retry, else give_up
+///
+/// A request that can't go on waits at its stage. It is given up by its answer deadline at the
+/// latest: rejected with a Retry-After, or failed where it may have been executed.
+class RequestScheduler final : public Scheduler {
+public:
+    /// @param actions must outlive the scheduler.
+    /// @param seed of all random choices.
+    RequestScheduler(SchedulerActions &actions, std::uint64_t seed);
+
+    void configure(const SchedulerConfig &config) override;
+    void set_workload(WorkloadId id, const WorkloadConfig &workload) override;
+    void set_plan(PlanId id, const PlanConfig &plan) override;
+    void start(Time now) override;
+
+    void endpoint_list_begin(Time now, EndpointListKind kind) override;
+    void endpoint_listed(const Endpoint &endpoint) override;
+    void endpoint_list_end() override;
+    void endpoint_list_failed(Time now) override;
+
+    void quota_share_changed(Time now, VolumeId volume, double sharers) override;
+
+    void request_received(Time now, const RequestInfo &info) override;
+    void attempt_completed(Time now, const AttemptResult &result) override;
+    void request_canceled(Time now, RequestId id, CancelReason reason) override;
+    bool may_send_attempt(Time now, RequestId id, AttemptId attempt) const override;
+
+    void timer_expired(Time now, TimerId timer) override;
+    void settle(Time now) override;
+
+private:
+    // The stages from a request's receipt to its attempt, each of which passes it on or keeps it.
+    void advance(Request &request);
+    QuotaDecision take_quota(Request &request);
+    void enqueue(NodeRecord &node, Request &request);
+    void dispatch(NodeRecord &node);
+    void shed_load(NodeRecord &node);
+    bool has_room(NodeRecord &node, const Request &request);
+    void start_attempt(NodeRecord &node, Request &request);
+
+    // From an attempt's outcome to the request's answer.
+    void record_outcome(NodeRecord &node, const Request &request, const AttemptResult &result);
+    void record_response(NodeRecord &node);
+    void retry(Request &request);
+    bool may_retry(const Request &request, const NodeRecord &node);
+    void give_up(Request &request, Time retry_after);
+    void give_up_late();
+    void finish(Request &request);
+    void leave_queue(Request &request);
+    void forget_if_done(Request &request);
+
+    // What the stages ask.
+    bool ordered(const Request &request);
+    QueueRank rank(const Request &request);
+    double relative_value(const NodeRecord &node);
+    RepeatTarget repeat_target(const NodeRecord &node, Time now) const;
+
+    void requeue_elsewhere(NodeRecord &node);
+    void watch_endpoints(Time now);
+    void set_timer();
+
+    SchedulerActions &actions_;
+    RandomGenerator random_;
+    // With defaults filled in.
+    SchedulerConfig config_;
+    std::map<WorkloadId, WorkloadConfig> workloads_;
+    PlanTable plans_;
+
+    Time now_ = 0;
+    Time started_at_ = 0;
+    Time timer_due_ = never;
+
+    EndpointListPoll endpoint_list_poll_;
+    EndpointListKind endpoint_list_kind_ = EndpointListKind::delta;
+    std::map<NodeId, NodeRecord> nodes_;
+    // Nodes with something waiting or in flight.
+    std::set<NodeId> busy_nodes_;
+    Placement placement_;
+    SlowStart slow_start_;
+    TypicalUnitTime typical_unit_time_;
+
+    RequestTable requests_;
+    KeyOrder key_order_;
+    std::map<VolumeId, QuotaShare> quota_shares_;
+    // Units that were requested, by volume.
+    std::map<VolumeId, WindowedSum> requested_;
+    RetryBudget retry_budget_;
+    EarlyDisconnects early_disconnects_;
+    RepeatDetector repeat_detector_;
+};
+
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/fair_queue_test.cpp
@@ -0,0 +1,100 @@
+#include "scheduling/fair_queue.hpp"
+
+#include <doctest/doctest.h>
+
+namespace knotvane::scheduling {
+namespace {
+
+constexpr VolumeId first_volume{1};
+constexpr VolumeId second_volume{2};
+
+QueueRank rank(std::uint64_t id) {
+    return {0, static_cast<Time>(id) * ms, RequestId{id}};
+}
+
+TEST_CASE("the eligible volume with the least finish tag is served first") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(second_volume, 2, rank(2)); // finish tags 8 / 1 and 8 / 2
+    CHECK(*queue.select(0) == second_volume);
+}
+
+TEST_CASE("a written unit is charged as ten read units") {
+    CHECK(FairQueue::charge_of(3, true) == 30);
+    CHECK(FairQueue::charge_of(3, false) == 3);
+}
+
+TEST_CASE("virtual time grows by the charge over the weights of waiting volumes") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(second_volume, 3, rank(2));
+    queue.select(0);
+    queue.sent(rank(2), 4, 4);
+    CHECK(queue.virtual_time() == doctest::Approx(1));
+}
+
+TEST_CASE("virtual time never trails the least start tag") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(first_volume, 1, rank(2));
+    queue.select(0);
+    queue.sent(rank(1), 4, 40);
+    queue.exhaust(0);
+    queue.select(0);
+    CHECK(queue.virtual_time() == doctest::Approx(40));
+}
+
+TEST_CASE("a service that times out is charged its whole budget") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(first_volume, 1, rank(2));
+    queue.select(0);
+    queue.sent(rank(1), 2, 2);
+    queue.select(125 * ms);
+    CHECK(queue.volumes().at(first_volume).start_tag == doctest::Approx(8));
+}
+
+TEST_CASE("a volume that empties is charged what it sent") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.select(0);
+    queue.sent(rank(1), 2, 2);
+    queue.select(1);
+    CHECK(queue.volumes().at(first_volume).finish_tag == doctest::Approx(2));
+}
+
+TEST_CASE("a budget bounds the charges of a service, but the first request always goes") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(first_volume, 1, rank(2));
+    queue.select(0);
+    CHECK(queue.fits(80));
+    queue.sent(rank(1), 6, 6);
+    CHECK_FALSE(queue.fits(3));
+}
+
+TEST_CASE("exhaustion quadruples a budget, a time-out and attempts in flight double it") {
+    FairQueue queue(1); // new at half of a maximum that is still one largest request: 1
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(first_volume, 1, rank(2));
+    queue.select(0);
+    queue.sent(rank(1), 100, 1);
+    queue.exhaust(50 * ms); // 100 units in 50 ms: 2000 a second, 250 in a slice
+    CHECK(queue.max_budget() == doctest::Approx(250));
+    CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(4));
+    queue.select(50 * ms);
+    queue.select(175 * ms); // cut off by the slice
+    CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(8));
+    CHECK(queue.rate() == doctest::Approx(1750)); // seven eighths: nothing was sent in that service
+    queue.sent(rank(2), 1, 1);
+    queue.select(180 * ms); // emptied with attempts in flight
+    CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(16));
+    queue.attempt_ended(first_volume);
+    queue.attempt_ended(first_volume);
+    queue.enqueue(second_volume, 1, rank(3));
+    CHECK(queue.volumes().at(second_volume).budget ==
+          doctest::Approx(1750 * 0.125 / 2)); // new: half the maximum
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/latency_estimate_test.cpp
@@ -0,0 +1,50 @@
+#include "scheduling/latency_estimate.hpp"
+
+#include <doctest/doctest.h>
+
+#include "scheduler_fixture.hpp"
+
+namespace knotvane::scheduling {
+namespace {
+
+// A node that was slow for a moment gets nothing while it is expected to be slow. If its answers
+// counted for good, nothing would ever be sent that could show it to be quick again.
+TEST_CASE("old answers tell of no wait") {
+    LatencyEstimate latency;
+    latency.answered(0, 2, 900 * ms);
+    latency.update(100 * ms, 0.01);
+    CHECK(latency.expected(2) == doctest::Approx(900e6));
+    latency.update(2 * sec, 0.01);
+    CHECK(latency.expected(2) == doctest::Approx(20e6));
+}
+
+TEST_CASE("the wait of a small request isn't multiplied by a large one's units") {
+    LatencyEstimate latency;
+    latency.answered(0, 1, 110 * ms);
+    latency.update(ms, 0.01);
+    CHECK(latency.expected(8) == doctest::Approx(180e6));
+}
+
+TEST_CASE("where eight answers came in four seconds their median time per unit is expected") {
+    LatencyEstimate latency;
+    for (int i = 0; i < 8; ++i)
+        latency.answered(0, 2, 100 * ms);
+    latency.update(sec, 0.01);
+    CHECK(latency.expected(4) == doctest::Approx(200e6));
+}
+
+// At a node that became slow all clients leave before their answer. If only answers counted, the
+// estimate would stay that of the quick ones, and requests would go on that can't be in time.
+TEST_CASE("an attempt whose client left counts in the expected time where it took longer") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    fixture.complete(600 * ms, 1, AttemptOutcome::canceled, 600 * ms);
+    fixture.receive(600 * ms, 2);
+    fixture.scheduler->settle(601 * ms);
+    CHECK(fixture.actions.count("reject 2") == 1);
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/node_health_test.cpp
@@ -0,0 +1,134 @@
+#include <doctest/doctest.h>
+
+#include "scheduler_fixture.hpp"
+
+namespace knotvane::scheduling {
+namespace {
+
+// A node that hangs keeps its connections and answers nothing. Without a bound the scheduler would
+// fill it with requests that are all late when it wakes.
+TEST_CASE("a node with two overdue attempts gets no more than trial attempts") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.receive(0, 2);
+    fixture.scheduler->settle(0);
+    for (std::uint64_t i = 3; i < 10; ++i)
+        fixture.receive(600 * ms, i);
+    fixture.scheduler->settle(600 * ms);
+    CHECK(fixture.actions.count("start") <= 3);
+}
+
+// A network that drops some answers loses single attempts at nodes that live. If one were enough,
+// most nodes would pass for hanging, and lost attempts would fill the window.
+TEST_CASE("one lost attempt neither takes a place of the window nor makes its node unresponsive") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    for (std::uint64_t i = 2; i < 10; ++i)
+        fixture.receive(600 * ms, i);
+    fixture.scheduler->settle(600 * ms);
+    CHECK(fixture.actions.count("start") == 3);
+}
+
+TEST_CASE("after a lost attempt the window has one more place") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    fixture.receive(ms, 2);
+    fixture.scheduler->settle(ms);
+    fixture.complete(11 * ms, 2, AttemptOutcome::answered);
+    fixture.complete(900 * ms, 1, AttemptOutcome::timed_out, 900 * ms);
+    for (std::uint64_t i = 3; i < 10; ++i)
+        fixture.receive(901 * ms, i);
+    fixture.scheduler->settle(901 * ms);
+    CHECK(fixture.actions.count("start") == 5); // two, then a window of two and one more place
+}
+
+// Clients leave a node that hangs, so that no attempt stays in flight long enough to be overdue.
+// The attempts that they left count instead.
+TEST_CASE("abandoned attempts with no response make a node unresponsive, too") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    fixture.receive(ms, 2);
+    fixture.scheduler->settle(ms);
+    fixture.complete(100 * ms, 1, AttemptOutcome::canceled, 100 * ms);
+    fixture.complete(100 * ms, 2, AttemptOutcome::canceled, 99 * ms);
+    fixture.receive(700 * ms, 3);
+    fixture.scheduler->settle(700 * ms);
+    CHECK(fixture.actions.count("start") == 2);
+}
+
+// Where connections come up late or never, two that were lost together made a node that answered
+// others pass for one that had just started.
+TEST_CASE("connections lost while the node answers others don't start its slow start") {
+    for (bool answers : {true, false}) {
+        SchedulerFixture fixture;
+        fixture.list_endpoints(0);
+        for (std::uint64_t i = 1; i < 40; ++i) { // until more than two may be in flight
+            fixture.receive(3 * sec, i);
+            fixture.scheduler->settle(3 * sec);
+            fixture.complete(3 * sec + ms, i, AttemptOutcome::answered, ms);
+        }
+        for (std::uint64_t i = 40; i < 43; ++i)
+            fixture.receive(4 * sec, i);
+        fixture.scheduler->settle(4 * sec);
+        REQUIRE(fixture.actions.count("start 42") == 1);
+        if (answers)
+            fixture.complete(4 * sec + 50 * ms, 42, AttemptOutcome::answered, 50 * ms);
+        for (std::uint64_t i = 40; i < 42; ++i)
+            fixture.complete(4 * sec + 100 * ms, i, AttemptOutcome::unreachable, 100 * ms);
+        if (!answers)
+            fixture.complete(4 * sec + 150 * ms, 42, AttemptOutcome::answered, 150 * ms);
+        for (std::uint64_t i = 50; i < 70; ++i) {
+            fixture.receive(5 * sec, i, 1, 0, 4);
+            fixture.scheduler->settle(5 * sec);
+            fixture.complete(5 * sec + ms, i, AttemptOutcome::answered, ms);
+        }
+        CHECK((fixture.actions.count("start") >= 60) == answers);
+    }
+}
+
+// Now and then one connection is lost. When one was enough, most nodes of a day passed for new.
+TEST_CASE("one unreachable attempt doesn't start a slow start; two in a row do") {
+    for (int lost : {1, 2}) {
+        SchedulerFixture fixture;
+        fixture.list_endpoints(0);
+        fixture.receive(3 * sec, 1);
+        fixture.scheduler->settle(3 * sec);
+        for (std::uint32_t i = 0; i < static_cast<std::uint32_t>(lost); ++i) {
+            fixture.complete(3 * sec, 1, AttemptOutcome::unreachable, us, i);
+            fixture.scheduler->settle(3 * sec + 600 * ms * i);
+        }
+        fixture.scheduler->settle(4 * sec);
+        fixture.complete(4 * sec, 1, AttemptOutcome::answered, ms,
+                         static_cast<std::uint32_t>(lost));
+        // Its share in slow start is 16 units within two seconds; the window allows more.
+        for (std::uint64_t i = 10; i < 30; ++i) {
+            fixture.receive(4 * sec, i, 1, 0, 4);
+            fixture.scheduler->settle(4 * sec);
+            fixture.complete(4 * sec + ms, i, AttemptOutcome::answered, ms);
+        }
+        CHECK((fixture.actions.count("start") >= 20) == (lost == 1));
+    }
+}
+
+// A node goes on working on a request whose client has left. If its place were free at once, the
+// node would fill with work that nobody waits for.
+TEST_CASE("an attempt that its client left keeps its place in the window") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    for (std::uint64_t i = 1; i < 6; ++i)
+        fixture.receive(0, i);
+    fixture.scheduler->settle(0);
+    fixture.complete(10 * ms, 1, AttemptOutcome::canceled);
+    fixture.scheduler->settle(10 * ms);
+    CHECK(fixture.actions.count("start") == 2);
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/overload_hold_test.cpp
@@ -0,0 +1,29 @@
+#include <doctest/doctest.h>
+
+#include "scheduler_fixture.hpp"
+
+namespace knotvane::scheduling {
+namespace {
+
+// If every scheduler tried a full node again as soon as it could, the node would stay full of work
+// that is late already.
+TEST_CASE("a node that is overloaded again is held for longer") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    fixture.complete(10 * ms, 1, AttemptOutcome::answered);
+    fixture.receive(20 * ms, 2);
+    fixture.scheduler->settle(20 * ms);
+    fixture.complete(21 * ms, 2, AttemptOutcome::overloaded, ms);
+    fixture.scheduler->settle(32 * ms);
+    CHECK(fixture.actions.count("start 2") == 2);
+    fixture.complete(33 * ms, 2, AttemptOutcome::overloaded, ms, 1);
+    fixture.scheduler->settle(45 * ms);
+    CHECK(fixture.actions.count("start 2") == 2);
+    fixture.scheduler->settle(54 * ms);
+    CHECK(fixture.actions.count("start 2") == 3);
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/retry_policy_test.cpp
@@ -0,0 +1,68 @@
+#include "scheduling/retry_policy.hpp"
+
+#include <doctest/doctest.h>
+
+namespace knotvane::scheduling {
+namespace {
+
+WorkloadConfig workload_of(Idempotency idempotency,
+                           DeduplicationScope scope = DeduplicationScope::all) {
+    WorkloadConfig workload;
+    workload.idempotency = idempotency;
+    workload.deduplication_scope = scope;
+    return workload;
+}
+
+Request request_with(const Attempt &attempt) {
+    Request request;
+    request.attempts.push_back(attempt);
+    return request;
+}
+
+// If a client were told that nothing was done while an attempt still ran, it would ask again and
+// its write would be executed twice.
+TEST_CASE("no rejection where an attempt may have been executed and no scope drops the repeat") {
+    Request request = request_with({});
+    CHECK_FALSE(may_reject(request, workload_of(Idempotency::at_most_once)));
+    CHECK_FALSE(
+        may_reject(request, workload_of(Idempotency::deduplicated, DeduplicationScope::shard)));
+    CHECK(may_reject(request, workload_of(Idempotency::deduplicated, DeduplicationScope::all)));
+    request.attempts[0].not_executed = true;
+    CHECK(may_reject(request, workload_of(Idempotency::at_most_once)));
+}
+
+// Nodes forget an idempotency key after its window, and share it within its scope only: a repeat
+// past either would be executed a second time.
+TEST_CASE("a deduplicated request is repeated only within its scope and window") {
+    Request request = request_with({{NodeId{1}, ShardId{1}, ZoneId{0}}, 0, false, false});
+    WorkloadConfig workload = workload_of(Idempotency::deduplicated, DeduplicationScope::shard);
+    workload.deduplication_window = sec;
+    const AttemptConfig limits = {3, false, false};
+    const NodeLocation same_shard = {NodeId{9}, ShardId{1}, ZoneId{0}};
+    const NodeLocation other_shard = {NodeId{2}, ShardId{2}, ZoneId{0}};
+    CHECK(may_start_attempt(request, workload, limits, {same_shard, 900 * ms, 4 * ms}));
+    CHECK_FALSE(may_start_attempt(request, workload, limits, {same_shard, 999 * ms, 4 * ms}));
+    CHECK_FALSE(may_start_attempt(request, workload, limits, {other_shard, 0, 0}));
+}
+
+TEST_CASE("no parallel attempts where they are forbidden, and no more than the maximum") {
+    Request request = request_with({{NodeId{1}, ShardId{1}, ZoneId{0}}, 0, true, false});
+    const RepeatTarget target = {{NodeId{1}, ShardId{0}, ZoneId{0}}, 0, 0};
+    CHECK_FALSE(may_start_attempt(request, {}, {3, false, false}, target));
+    CHECK(may_start_attempt(request, {}, {3, true, false}, target));
+    CHECK_FALSE(may_start_attempt(request, {}, {1, true, false}, target));
+}
+
+TEST_CASE("only an overloaded, unreachable or unsent attempt proves that it was not executed") {
+    CHECK(proves_not_executed(AttemptOutcome::overloaded));
+    CHECK(proves_not_executed(AttemptOutcome::unreachable));
+    CHECK(proves_not_executed(AttemptOutcome::not_sent));
+    CHECK_FALSE(proves_not_executed(AttemptOutcome::answered));
+    CHECK_FALSE(proves_not_executed(AttemptOutcome::error));
+    CHECK_FALSE(proves_not_executed(AttemptOutcome::timed_out));
+    CHECK_FALSE(proves_not_executed(AttemptOutcome::reset));
+    CHECK_FALSE(proves_not_executed(AttemptOutcome::canceled));
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/scheduler_fixture.hpp
@@ -0,0 +1,106 @@
+/// \file
+/// What the tests of this package share: recorded actions, and a scheduler set up by hand.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "scheduling/scheduler.hpp"
+
+namespace knotvane::scheduling {
+
+/// Records each action as a line, in order.
+struct RecordedActions final : SchedulerActions {
+    std::vector<std::string> lines;
+
+    void start_attempt(RequestId request, NodeId node, Time /*timeout*/) override {
+        record("start " + std::to_string(request.value) + " " + std::to_string(node.value));
+    }
+
+    void cancel_attempt(RequestId request, AttemptId /*attempt*/) override {
+        record("cancel " + std::to_string(request.value));
+    }
+
+    void reject(RequestId request, Time /*retry_after*/) override {
+        record("reject " + std::to_string(request.value));
+    }
+
+    void fail(RequestId request) override { record("fail " + std::to_string(request.value)); }
+
+    void set_timer(TimerId /*timer*/, Time /*delay*/) override {}
+
+    void watch_endpoints() override { record("watch"); }
+
+    /// @return the number of lines that begin so.
+    std::size_t count(const std::string &prefix) const {
+        return static_cast<std::size_t>(
+            std::count_if(lines.begin(), lines.end(),
+                          [&](const std::string &line) { return line.starts_with(prefix); }));
+    }
+
+private:
+    void record(std::string line) { lines.push_back(std::move(line)); }
+};
+
+/// One of two schedulers of two nodes, with one plain workload (0) and one plan (0); tests change
+/// what they need.
+struct SchedulerFixture {
+    RecordedActions actions;
+    std::unique_ptr<Scheduler> scheduler = make_scheduler(actions, 7);
+    SchedulerConfig config;
+
+    SchedulerFixture() {
+        config.scheduler_count = 2;
+        config.time_step = 2 * ms;
+        config.units = {2, 8, 0.3, 0.05};
+        config.attempts = {3, false, false};
+        config.slow_start = {32, 2 * sec, 10 * sec, 0.25};
+        scheduler->configure(config);
+        scheduler->set_workload(WorkloadId{0}, workload());
+        scheduler->set_plan(PlanId{0}, {1, 10, 0, 1, 0, 0});
+    }
+
+    static WorkloadConfig workload(Time latency_objective = 500 * ms) {
+        WorkloadConfig config;
+        config.latency_objective = latency_objective;
+        config.late_value_fraction = 0.1;
+        return config;
+    }
+
+    /// A full endpoint list: nodes 1 and 2, each with the shard of its number.
+    void list_endpoints(Time now, NodeState first_state = NodeState::ready,
+                        Time first_started_at = 0) {
+        scheduler->endpoint_list_begin(now, EndpointListKind::full);
+        scheduler->endpoint_listed(
+            {NodeId{1}, ShardId{1}, ZoneId{0}, first_state, first_started_at});
+        scheduler->endpoint_listed({NodeId{2}, ShardId{2}, ZoneId{0}, NodeState::ready, 0});
+        scheduler->endpoint_list_end();
+    }
+
+    /// A request of volume 5 whose client waits for two seconds.
+    void receive(Time now, std::uint64_t id, int shard = 1, std::uint64_t key = 0,
+                 double units = 2) {
+        RequestInfo request;
+        request.id = RequestId{id};
+        request.volume = VolumeId{5};
+        request.shard = ShardId{shard};
+        request.key = KeyId{key};
+        request.units = units;
+        request.sharers = 2;
+        request.client_timeout = now + 2 * sec;
+        scheduler->request_received(now, request);
+    }
+
+    void complete(Time now, std::uint64_t id, AttemptOutcome outcome, Time duration = 10 * ms,
+                  std::uint32_t attempt = 0) {
+        scheduler->attempt_completed(now, {RequestId{id}, AttemptId{attempt}, NodeId{1}, outcome,
+                                           duration, outcome == AttemptOutcome::answered});
+    }
+};
+
+} // namespace knotvane::scheduling
