--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -16,6 +16,7 @@
 package_tests(
   scheduling
   SOURCES
+    tests/scheduling/budget_feedback_test.cpp
     tests/scheduling/concurrency_window_test.cpp
     tests/scheduling/early_disconnects_test.cpp
     tests/scheduling/endpoint_list_poll_test.cpp
@@ -26,12 +27,17 @@
     tests/scheduling/node_health_test.cpp
     tests/scheduling/overload_hold_test.cpp
     tests/scheduling/placement_test.cpp
+    tests/scheduling/plan_table_test.cpp
     tests/scheduling/quota_share_test.cpp
+    tests/scheduling/recent_samples_test.cpp
     tests/scheduling/repeat_detector_test.cpp
+    tests/scheduling/request_table_test.cpp
     tests/scheduling/retry_budget_test.cpp
     tests/scheduling/retry_policy_test.cpp
     tests/scheduling/scheduler_core_test.cpp
     tests/scheduling/slow_start_test.cpp
+    tests/scheduling/waiting_index_test.cpp
+    tests/scheduling/windowed_sum_test.cpp
   LIBS knotvane_scheduling)
 package_tests(
   simulator_adapter
--- /dev/null
+++ b/src/scheduling/attempt_outcome.cpp
@@ -0,0 +1,70 @@
+#include "scheduling/attempt_outcome.hpp"
+
+#include <algorithm>
+
+namespace knotvane::scheduling {
+namespace {
+
+void record_abandoned(NodeRecord &node, const Request &request, const AttemptResult &result,
+                      Time now, bool slow) {
+    Time started_at = request.attempts[result.attempt.value].started_at;
+    double units = units_of_work(request);
+    // It took this long at least: without it the window would see the quick answers only, and grow.
+    node.window.answered(now, units, result.duration, slow);
+    if (!node.health.overtaken(started_at))
+        node.latency.abandoned(now, units, result.duration);
+    node.health.abandoned(now, started_at, result.duration, node.latency.response_timeout());
+}
+
+void record_answer(NodeRecord &node, const Request &request, const AttemptResult &result, Time now,
+                   bool slow) {
+    double units = units_of_work(request);
+    node.health.answered(request.attempts[result.attempt.value].started_at);
+    node.overload_hold.answered();
+    node.latency.answered(now, units, result.duration);
+    node.window.answered(now, units, result.duration, slow);
+}
+
+} // namespace
+
+bool record_outcome(NodeRecord &node, const Request &request, const AttemptResult &result, Time now,
+                    std::uint32_t schedulers) {
+    Time started_at = request.attempts[result.attempt.value].started_at;
+    // It took half of its latency objective or longer.
+    bool slow = 2 * result.duration > request.latency_deadline - request.received_at;
+
+    node.units_in_flight -= request.units;
+    node.queue.attempt_ended(request.volume);
+    node.health.attempt_ended({started_at, request.id, result.attempt});
+    bool may_have_restarted = false;
+    switch (result.outcome) {
+    case AttemptOutcome::timed_out:
+    case AttemptOutcome::canceled:
+        record_abandoned(node, request, result, now, slow);
+        break;
+    case AttemptOutcome::answered:
+        may_have_restarted = node.health.responded(now);
+        record_answer(node, request, result, now, slow);
+        break;
+    case AttemptOutcome::error:
+        may_have_restarted = node.health.responded(now);
+        break;
+    case AttemptOutcome::overloaded:
+        node.window.halve(now, node.latency.median_duration());
+        node.overload_hold.overloaded(now, node.latency.expected(request.units), schedulers);
+        break;
+    case AttemptOutcome::unreachable:
+        node.health.unreachable(started_at);
+        break;
+    case AttemptOutcome::reset:
+    case AttemptOutcome::not_sent:
+        break;
+    }
+    return may_have_restarted;
+}
+
+double units_of_work(const Request &request) {
+    return std::max(request.units, 1.0);
+}
+
+} // namespace knotvane::scheduling
--- a/src/scheduling/concurrency_window.cpp
+++ b/src/scheduling/concurrency_window.cpp
@@ -10,7 +10,7 @@
 constexpr double node_floor = 4;
 constexpr double ceiling = 32;
 
-// Answers older than this tell of another load.
+// Answers older than this belong to another load.
 constexpr Time reading_age = 2 * sec;
 
 // The design's: the window grows while a reading is below this many times the best.
@@ -21,8 +21,8 @@
 ConcurrencyWindow::ConcurrencyWindow(std::uint32_t schedulers)
     : floor_(node_floor / schedulers), size_(std::max(1.0, floor_)) {}
 
-bool ConcurrencyWindow::has_room(std::size_t in_flight, Time since_last, Time expected_duration,
-                                 double relative_value) const {
+bool ConcurrencyWindow::has_capacity(std::size_t in_flight, Time since_last, Time expected_duration,
+                                     double relative_value) const {
     if (size_ >= 1)
         return static_cast<double>(in_flight) < std::floor(size_);
     return in_flight == 0 && seconds(since_last) * std::max(floor_, size_ * relative_value) >=
--- a/src/scheduling/concurrency_window.hpp
+++ b/src/scheduling/concurrency_window.hpp
@@ -33,11 +33,11 @@
     ///     of one is the shorter the more that is, so that schedulers which meet at a node keep
     ///     weights among each other, too. Read if paces().
     /// @return whether one more attempt may start.
-    bool has_room(std::size_t in_flight, Time since_last, Time expected_duration,
-                  double relative_value) const;
+    bool has_capacity(std::size_t in_flight, Time since_last, Time expected_duration,
+                      double relative_value) const;
 
     /// @return whether the window is of at least one attempt and holds no more of them.
-    bool full(std::size_t in_flight) const { return !has_room(in_flight, 0, 1, 1); }
+    bool full(std::size_t in_flight) const { return !has_capacity(in_flight, 0, 1, 1); }
 
     bool paces() const { return size_ < 1; }
 
@@ -50,7 +50,7 @@
     ///     reading yet, and with a window of one or below.
     void answered(Time now, double units, Time duration, bool slow);
 
-    /// Halves the window, but once in a round trip: answers of one jam tell of it once.
+    /// Halves the window, but once in a round trip: all answers of one jam show the same jam.
     void halve(Time now, Time round_trip);
 
 private:
--- a/src/scheduling/early_disconnects.cpp
+++ b/src/scheduling/early_disconnects.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t many_disconnects = 8;
 constexpr Time disconnect_window = 2 * sec;
 
-// Disconnects of so many volumes tell of all volumes.
+// Disconnects of so many volumes count for all volumes.
 constexpr std::size_t many_volumes = 4;
 
 constexpr double quick_quarter = 0.25;
@@ -42,15 +42,15 @@
         if (disconnect.volume == volume)
             waits_of_volume.add(disconnect.waited);
     }
-    bool tells_of_all = volumes.size() >= many_volumes;
-    const auto &relevant = tells_of_all ? waits : waits_of_volume;
+    bool counts_for_all = volumes.size() >= many_volumes;
+    const auto &relevant = counts_for_all ? waits : waits_of_volume;
     if (relevant.size() < many_disconnects)
         return unlimited_wait;
 
     Time limit = relevant.quantile(quick_quarter);
     std::size_t stayed_longer = 0;
     for (const Answer &answer : answered_)
-        if ((tells_of_all || answer.volume == volume) && answer.waited > limit)
+        if ((counts_for_all || answer.volume == volume) && answer.waited > limit)
             ++stayed_longer;
     return stayed_longer >= relevant.size() ? unlimited_wait : limit;
 }
--- a/src/scheduling/early_disconnects.hpp
+++ b/src/scheduling/early_disconnects.hpp
@@ -11,10 +11,10 @@
 /// While many clients disconnect early, requests are given up by when clients go. Guards against
 /// serving just those whose client is about to go.
 ///
-/// Disconnects of one volume's clients tell of that volume alone, those of four or more volumes of
-/// all: a client that hangs up again and again must not shorten the wait of everybody. Disconnects
-/// count only while fewer clients were answered after a longer wait: guards against clients that
-/// leave right after they asked, whatever is done for them.
+/// Disconnects of one volume's clients count for that volume alone, those of four or more volumes
+/// of all: a client that hangs up again and again must not shorten the wait of everybody.
+/// Disconnects count only while fewer clients were answered after a longer wait: guards against
+/// clients that leave right after they asked, whatever is done for them.
 class EarlyDisconnects {
 public:
     void client_disconnected(Time now, VolumeId volume, Time waited);
--- a/src/scheduling/latency_estimate.cpp
+++ b/src/scheduling/latency_estimate.cpp
@@ -6,14 +6,14 @@
 namespace knotvane::scheduling {
 namespace {
 
-// Answers of the quick quarter met no queue: they tell what the work itself takes.
+// Answers of the quick quarter met no queue: they show what the work itself takes.
 constexpr double quick_quarter = 0.25;
 
-// Answers within this time tell of the load of now.
+// Answers within this time show the present load.
 constexpr Time fresh_age = 4 * sec;
 
-// An answer tells of the wait for as long as it took, and for this many seconds more, so that a few
-// answers meet.
+// An answer counts for the wait for as long as it took, and for this many seconds more, so that a
+// few answers meet.
 constexpr double wait_extra_seconds = 0.25;
 
 // As many answers as make a reading of the window.
--- a/src/scheduling/latency_estimate.hpp
+++ b/src/scheduling/latency_estimate.hpp
@@ -27,7 +27,7 @@
 /// The expected time of a request at one node, once it is sent: a wait and a time per unit.
 ///
 /// The time per unit is that of the quick quarter of the last answers; the wait is the median of
-/// what answers took beyond that. An answer tells of the wait for about as long as it took; after
+/// what answers took beyond that. An answer counts for the wait for about as long as it took; after
 /// that no wait is expected and the next request finds out. Guards against shunning a node for good
 /// for what it was, where answers are rare. With enough answers in a few seconds their median time
 /// per unit stands for both.
--- a/src/scheduling/node_health.cpp
+++ b/src/scheduling/node_health.cpp
@@ -9,9 +9,9 @@
 // After a lost attempt the window has one more place for as long.
 constexpr Time spare_place_duration = 2 * sec;
 
-// Long enough for a trial attempt to be answered before the next scheduler's turn.
-constexpr Time trial_turn = 250 * ms;
-// All schedulers have their turn within what a client waits.
+// Long enough for a trial attempt to be answered before the next scheduler's slot.
+constexpr Time trial_slot = 250 * ms;
+// All schedulers have their slot within what a client waits.
 constexpr Time longest_trial_round = 2 * sec;
 
 // No process was seen back sooner.
@@ -40,10 +40,10 @@
 }
 
 bool NodeHealth::trial_allowed(Time now, const TrialRotation &rotation) const {
-    Time turn_duration = std::min<Time>(trial_turn, longest_trial_round / rotation.schedulers);
-    auto turn = static_cast<std::uint64_t>(now / turn_duration);
-    return turn % rotation.schedulers == rotation.self.value &&
-           now - last_attempt_at_ >= trial_turn;
+    Time slot_duration = std::min<Time>(trial_slot, longest_trial_round / rotation.schedulers);
+    auto slot = static_cast<std::uint64_t>(now / slot_duration);
+    return slot % rotation.schedulers == rotation.self.value &&
+           now - last_attempt_at_ >= trial_slot;
 }
 
 void NodeHealth::attempt_started(const AttemptInFlight &attempt) {
--- a/src/scheduling/node_health.hpp
+++ b/src/scheduling/node_health.hpp
@@ -59,8 +59,8 @@
     /// @return whether an attempt that started then was overtaken.
     bool overtaken(Time started_at) const { return started_at < last_answered_start_; }
 
-    /// @return whether this scheduler may send an unresponsive node a trial attempt now. Schedulers
-    ///     take turns by their numbers.
+    /// @return whether this scheduler may send an unresponsive node a trial attempt now. Each
+    ///     scheduler has a slot of time, by its number.
     bool trial_allowed(Time now, const TrialRotation &rotation) const;
 
     void attempt_started(const AttemptInFlight &attempt);
--- a/src/scheduling/request.hpp
+++ b/src/scheduling/request.hpp
@@ -32,7 +32,7 @@
     key_order, ///< Earlier requests of its key.
     quota,     ///< Units of its volume's limit.
     placement, ///< A node that is ready.
-    queue,     ///< Its turn at the node's fair queue.
+    queue,     ///< Its service in the node's fair queue.
     attempt    ///< The outcome of an attempt.
 };
 
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
+#include "scheduling/attempt_outcome.hpp"
 #include "scheduling/load_shedding.hpp"
 
 namespace knotvane::scheduling {
@@ -32,11 +33,6 @@
     return config;
 }
 
-// Times per unit are those of a unit at least: what a smaller request takes isn't its units' work.
-double at_least_one(double units) {
-    return std::max(units, 1.0);
-}
-
 } // namespace
 
 RequestScheduler::RequestScheduler(SchedulerActions &actions, std::uint64_t seed)
@@ -141,7 +137,7 @@
 
     NodeRecord *node = nullptr;
     if (request.stage == RequestStage::placement)
-        node = placement_.choose(request.shard, now_, random_);
+        node = nodes_.placement().choose(request.shard, now_, random_);
     if (node)
         enqueue(*node, request);
     else if (now_ >= request.latency_deadline || quota == QuotaDecision::never_fits)
@@ -220,7 +216,7 @@
             node.queue.exhaust(now_);
             continue;
         }
-        if (!has_room(node, request))
+        if (!has_capacity(node, request))
             return;
         node.queue.sent(place, request.units, charge);
         node.waiting.remove(request.units, {*volume, place});
@@ -236,11 +232,11 @@
     }
 }
 
-bool RequestScheduler::has_room(NodeRecord &node, const Request &request) {
+bool RequestScheduler::has_capacity(NodeRecord &node, const Request &request) {
     double value = node.window.paces() ? relative_value(node) : 1;
-    if (!node.window.has_room(node.health.occupied_places(now_),
-                              now_ - node.health.last_attempt_at(),
-                              node.latency.expected(request.units), value))
+    if (!node.window.has_capacity(node.health.occupied_places(now_),
+                                  now_ - node.health.last_attempt_at(),
+                                  node.latency.expected(request.units), value))
         return false;
     if (node.overload_hold.active(now_))
         return false;
@@ -295,7 +291,14 @@
         return;
     attempt.in_flight = false;
     attempt.not_executed = proves_not_executed(result.outcome);
-    record_outcome(nodes_.at(attempt.location.node), *request, result);
+
+    NodeRecord &node = nodes_.at(attempt.location.node);
+    bool may_have_restarted = record_outcome(node, *request, result, now, config_.scheduler_count);
+    // The endpoint list may say so later.
+    if (may_have_restarted)
+        slow_start_.node_started(node.slow_start, now);
+    if (result.outcome == AttemptOutcome::answered)
+        typical_unit_time_.add(units_of_work(*request), result.duration);
 
     bool may_still_run = result.outcome == AttemptOutcome::timed_out ||
                          result.outcome == AttemptOutcome::reset ||
@@ -312,63 +315,11 @@
     forget_if_done(*request);
 }
 
-void RequestScheduler::record_outcome(NodeRecord &node, const Request &request,
-                                      const AttemptResult &result) {
-    Time started_at = request.attempts[result.attempt.value].started_at;
-    Time duration = result.duration;
-    double units = at_least_one(request.units);
-    // It took half of its latency objective or longer.
-    bool slow = 2 * duration > request.latency_deadline - request.received_at;
-
-    node.units_in_flight -= request.units;
-    node.queue.attempt_ended(request.volume);
-    node.health.attempt_ended({started_at, request.id, result.attempt});
-    switch (result.outcome) {
-    case AttemptOutcome::timed_out:
-    case AttemptOutcome::canceled:
-        // It took this long at least: without it the window would see the quick answers only, and
-        // grow.
-        node.window.answered(now_, units, duration, slow);
-        if (!node.health.overtaken(started_at))
-            node.latency.abandoned(now_, units, duration);
-        node.health.abandoned(now_, started_at, duration, node.latency.response_timeout());
-        break;
-    case AttemptOutcome::answered:
-        record_response(node);
-        node.health.answered(started_at);
-        node.overload_hold.answered();
-        node.latency.answered(now_, units, duration);
-        typical_unit_time_.add(units, duration);
-        node.window.answered(now_, units, duration, slow);
-        break;
-    case AttemptOutcome::error:
-        record_response(node);
-        break;
-    case AttemptOutcome::overloaded:
-        node.window.halve(now_, node.latency.median_duration());
-        node.overload_hold.overloaded(now_, node.latency.expected(request.units),
-                                      config_.scheduler_count);
-        break;
-    case AttemptOutcome::unreachable:
-        node.health.unreachable(started_at);
-        break;
-    case AttemptOutcome::reset:
-    case AttemptOutcome::not_sent:
-        break;
-    }
-}
-
-void RequestScheduler::record_response(NodeRecord &node) {
-    // Its process may have restarted before the endpoint list says so.
-    if (node.health.responded(now_))
-        slow_start_.node_started(node.slow_start, now_);
-}
-
 // An attempt ended without an answer: another one if it is harmless and may be in time.
 void RequestScheduler::retry(Request &request) {
     leave_queue(request);
     request.stage = RequestStage::placement;
-    NodeRecord *node = placement_.choose(request.shard, now_, random_);
+    NodeRecord *node = nodes_.placement().choose(request.shard, now_, random_);
     if (node && may_retry(request, *node))
         enqueue(*node, request);
     else
@@ -454,37 +405,16 @@
 void RequestScheduler::endpoint_list_begin(Time now, EndpointListKind kind) {
     now_ = now;
     endpoint_list_poll_.updated(now);
-    endpoint_list_kind_ = kind;
-    for (auto &[id, node] : nodes_)
-        node.listed = false;
+    nodes_.begin_list(kind);
 }
 
 void RequestScheduler::endpoint_listed(const Endpoint &endpoint) {
-    NodeRecord &node = nodes_
-                           .try_emplace(endpoint.node, endpoint.node, config_.scheduler_count,
-                                        config_.units.largest)
-                           .first->second;
-    node.listed = true;
-    node.location.shard = endpoint.shard;
-    node.location.zone = endpoint.zone;
-    node.state = endpoint.state;
-    if (endpoint.started_at > node.started_at) {
-        node.started_at = endpoint.started_at;
-        node.health.restarted(now_);
-        slow_start_.node_started(node.slow_start, endpoint.started_at);
-    }
+    nodes_.list(endpoint, now_, config_, slow_start_);
 }
 
 void RequestScheduler::endpoint_list_end() {
-    placement_.clear();
-    for (auto &[id, node] : nodes_) {
-        if (endpoint_list_kind_ == EndpointListKind::full && !node.listed)
-            node.state = NodeState::removed;
-        if (node.state == NodeState::ready)
-            placement_.add(node);
-        else
-            requeue_elsewhere(node);
-    }
+    for (NodeRecord *node : nodes_.end_list())
+        requeue_elsewhere(*node);
 }
 
 void RequestScheduler::endpoint_list_failed(Time now) {
@@ -492,7 +422,7 @@
 }
 
 // What waits at a node that drains or is removed goes back to placement.
-void RequestScheduler::requeue_elsewhere(NodeRecord &node) {
+void RequestScheduler::requeue_elsewhere(const NodeRecord &node) {
     for (auto &[id, request] : requests_.all()) {
         if (request.stage != RequestStage::queue || request.node != node.location.node ||
             request.ended)
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -12,7 +12,7 @@
 #include "scheduling/latency_estimate.hpp"
 #include "scheduling/never.hpp"
 #include "scheduling/node_record.hpp"
-#include "scheduling/placement.hpp"
+#include "scheduling/node_table.hpp"
 #include "scheduling/plan_table.hpp"
 #include "scheduling/quota_share.hpp"
 #include "scheduling/random.hpp"
@@ -31,16 +31,16 @@
 ///     request_received          deadlines, repeats              (repeat_detector)
 ///     settle -> advance         earlier requests of its key     (key_order)
 ///                               units of its volume's limit     (quota_share)
-///                               a node that is ready            (placement)
+///                               a node that is ready            (node_table, placement)
 ///                               enqueue
 ///     settle -> dispatch        is the node alive?              (node_health)
 ///                               what can't be in time goes      (load_shedding)
 ///                               the next of the node's volumes  (fair_queue, budget_feedback)
 ///                               may it be executed again?       (retry_policy, retry_budget)
-///                               room at the node                (concurrency_window,
+///                               capacity at the node            (concurrency_window,
 ///                                                                overload_hold, slow_start)
 ///                               start_attempt
-///     attempt_completed         what it shows of the node       (record_outcome)
+///     attempt_completed         what it shows of the node       (attempt_outcome)
 ///                               the client has its answer: finish
 ///                               it has none: retry, else give_up
 ///
@@ -79,12 +79,10 @@
     void enqueue(NodeRecord &node, Request &request);
     void dispatch(NodeRecord &node);
     void shed_load(NodeRecord &node);
-    bool has_room(NodeRecord &node, const Request &request);
+    bool has_capacity(NodeRecord &node, const Request &request);
     void start_attempt(NodeRecord &node, Request &request);
 
     // From an attempt's outcome to the request's answer.
-    void record_outcome(NodeRecord &node, const Request &request, const AttemptResult &result);
-    void record_response(NodeRecord &node);
     void retry(Request &request);
     bool may_retry(const Request &request, const NodeRecord &node);
     void give_up(Request &request, Time retry_after);
@@ -99,7 +97,7 @@
     double relative_value(const NodeRecord &node);
     RepeatTarget repeat_target(const NodeRecord &node, Time now) const;
 
-    void requeue_elsewhere(NodeRecord &node);
+    void requeue_elsewhere(const NodeRecord &node);
     void watch_endpoints(Time now);
     void set_timer();
 
@@ -115,11 +113,9 @@
     Time timer_due_ = never;
 
     EndpointListPoll endpoint_list_poll_;
-    EndpointListKind endpoint_list_kind_ = EndpointListKind::delta;
-    std::map<NodeId, NodeRecord> nodes_;
+    NodeTable nodes_;
     // Nodes with something waiting or in flight.
     std::set<NodeId> busy_nodes_;
-    Placement placement_;
     SlowStart slow_start_;
     TypicalUnitTime typical_unit_time_;
 
--- /dev/null
+++ b/tests/scheduling/budget_feedback_test.cpp
@@ -0,0 +1,42 @@
+#include "scheduling/budget_feedback.hpp"
+
+#include <doctest/doctest.h>
+
+namespace knotvane::scheduling {
+namespace {
+
+TEST_CASE("the rate rises at once, and falls by an eighth of the difference") {
+    ServiceRateEstimator estimator;
+    estimator.add_service(10, 100 * ms, false);
+    CHECK(estimator.rate() == doctest::Approx(100));
+    estimator.add_service(30, 100 * ms, true);
+    CHECK(estimator.rate() == doctest::Approx(100 * 7.0 / 8 + 300.0 / 8));
+    double before = estimator.rate();
+    estimator.add_service(1, 100 * ms, true); // exhausted: says nothing of a slower node
+    CHECK(estimator.rate() == doctest::Approx(before));
+    estimator.add_service(1, 100 * ms, false);
+    CHECK(estimator.rate() == doctest::Approx(before * 7 / 8 + 10.0 / 8));
+}
+
+TEST_CASE("a service of less than 20 ms says nothing of the rate") {
+    ServiceRateEstimator estimator;
+    estimator.add_service(10, 20 * ms - 1, false);
+    CHECK(estimator.rate() == 0);
+    estimator.add_service(10, 20 * ms, false);
+    CHECK(estimator.rate() == doctest::Approx(500));
+}
+
+TEST_CASE("the paper's feedback sets the next budget") {
+    CHECK(next_budget(ServiceEnd::exhausted, false, 8, 80) == doctest::Approx(32));
+    CHECK(next_budget(ServiceEnd::timed_out, false, 8, 80) == doctest::Approx(16));
+    CHECK(next_budget(ServiceEnd::emptied, true, 8, 80) == doctest::Approx(16));
+    CHECK(next_budget(ServiceEnd::emptied, false, 18, 80) == doctest::Approx(8));
+}
+
+TEST_CASE("the largest budget is a slice at the rate, and holds the largest request") {
+    CHECK(maximum_budget(8, 1000) == doctest::Approx(125));
+    CHECK(maximum_budget(8, 10) == doctest::Approx(8));
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- a/tests/scheduling/concurrency_window_test.cpp
+++ b/tests/scheduling/concurrency_window_test.cpp
@@ -39,16 +39,16 @@
 TEST_CASE("a window below one rests after an attempt, the shorter the more its volumes are worth") {
     ConcurrencyWindow window(80);
     window.answered(sec, 2, 400 * ms, true);
-    CHECK_FALSE(window.has_room(0, 190 * ms, 100 * ms, 1));
-    CHECK(window.has_room(0, 200 * ms, 100 * ms, 1));
-    CHECK(window.has_room(0, 100 * ms, 100 * ms, 2));
-    CHECK_FALSE(window.has_room(1, sec, 100 * ms, 1));
+    CHECK_FALSE(window.has_capacity(0, 190 * ms, 100 * ms, 1));
+    CHECK(window.has_capacity(0, 200 * ms, 100 * ms, 1));
+    CHECK(window.has_capacity(0, 100 * ms, 100 * ms, 2));
+    CHECK_FALSE(window.has_capacity(1, sec, 100 * ms, 1));
 }
 
 TEST_CASE("whatever its volumes are worth, a scheduler keeps its share of the floor") {
     ConcurrencyWindow window(5); // four fifths
     window.answered(sec, 2, 400 * ms, true);
-    CHECK(window.has_room(0, 125 * ms, 100 * ms, 0.01));
+    CHECK(window.has_capacity(0, 125 * ms, 100 * ms, 0.01));
 }
 
 } // namespace
--- a/tests/scheduling/early_disconnects_test.cpp
+++ b/tests/scheduling/early_disconnects_test.cpp
@@ -1,6 +1,11 @@
+#include "scheduling/early_disconnects.hpp"
+
 #include <doctest/doctest.h>
 
+#include <cstdint>
+
 #include "scheduler_fixture.hpp"
+#include "scheduling/never.hpp"
 
 namespace knotvane::scheduling {
 namespace {
@@ -81,5 +86,42 @@
     CHECK(fixture.actions.count("reject") == 0);
 }
 
+constexpr VolumeId volume{1};
+
+TEST_CASE("eight disconnects in two seconds limit the wait to their quick quarter") {
+    EarlyDisconnects disconnects;
+    for (Time i = 1; i <= 7; ++i)
+        disconnects.client_disconnected(0, volume, i * 10 * ms);
+    CHECK_FALSE(disconnects.many(0));
+    CHECK(disconnects.wait_limit(volume, 0) == unlimited_wait);
+    disconnects.client_disconnected(0, volume, 80 * ms);
+    CHECK(disconnects.many(0));
+    CHECK(disconnects.wait_limit(volume, 0) == 20 * ms);
+    CHECK_FALSE(disconnects.many(2 * sec));
+    CHECK(disconnects.wait_limit(volume, 2 * sec) == unlimited_wait);
+}
+
+TEST_CASE("disconnects of four volumes limit the wait of all, of three that of none but theirs") {
+    for (std::uint64_t volumes : {3U, 4U}) {
+        EarlyDisconnects disconnects;
+        for (std::uint64_t i = 0; i < 12; ++i)
+            disconnects.client_disconnected(0, VolumeId{i % volumes}, 10 * ms);
+        bool limited = disconnects.wait_limit(VolumeId{9}, 0) == 10 * ms;
+        CHECK(limited == (volumes == 4));
+    }
+}
+
+TEST_CASE("as many clients that were answered after a longer wait lift the limit") {
+    EarlyDisconnects disconnects;
+    for (int i = 0; i < 8; ++i)
+        disconnects.client_disconnected(0, volume, 10 * ms);
+    for (int i = 0; i < 7; ++i)
+        disconnects.client_answered(volume, 11 * ms);
+    disconnects.client_answered(volume, 10 * ms);
+    CHECK(disconnects.wait_limit(volume, 0) == 10 * ms);
+    disconnects.client_answered(volume, 11 * ms);
+    CHECK(disconnects.wait_limit(volume, 0) == unlimited_wait);
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/key_order_test.cpp
+++ b/tests/scheduling/key_order_test.cpp
@@ -1,3 +1,5 @@
+#include "scheduling/key_order.hpp"
+
 #include <doctest/doctest.h>
 
 #include "scheduler_fixture.hpp"
@@ -24,5 +26,32 @@
     CHECK(fixture.actions.count("start 3") == 0);
 }
 
+TEST_CASE("only the first request of a key may run; the next may when it is removed") {
+    constexpr KeyId key{42};
+    constexpr KeyId other_key{43};
+    KeyOrder order;
+    order.enqueue(key, RequestId{2});
+    order.enqueue(key, RequestId{1});
+    order.enqueue(other_key, RequestId{3});
+    CHECK(order.may_run(key, RequestId{2}, 0));
+    CHECK_FALSE(order.may_run(key, RequestId{1}, 0));
+    CHECK(order.may_run(other_key, RequestId{3}, 0));
+    order.remove(key, RequestId{2});
+    CHECK(order.may_run(key, RequestId{1}, 0));
+}
+
+TEST_CASE("a key's rest outlasts its requests, and the longer of two rests counts") {
+    constexpr KeyId key{42};
+    KeyOrder order;
+    order.enqueue(key, RequestId{1});
+    order.rest(key, 100 * ms);
+    order.rest(key, 50 * ms);
+    order.remove(key, RequestId{1});
+    order.prune(99 * ms);
+    order.enqueue(key, RequestId{2});
+    CHECK_FALSE(order.may_run(key, RequestId{2}, 99 * ms));
+    CHECK(order.may_run(key, RequestId{2}, 100 * ms));
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/latency_estimate_test.cpp
+++ b/tests/scheduling/latency_estimate_test.cpp
@@ -46,5 +46,26 @@
     CHECK(fixture.actions.count("reject 2") == 1);
 }
 
+TEST_CASE("an abandoned attempt counts only where it took longer than expected") {
+    LatencyEstimate latency;
+    latency.update(0, 0.1);
+    REQUIRE(latency.expected(1) == 100 * ms);
+    latency.abandoned(0, 1, 100 * ms);
+    latency.update(1, 0.1);
+    CHECK(latency.expected(1) == 100 * ms);
+    latency.abandoned(1, 1, 300 * ms);
+    latency.update(2, 0.1);
+    CHECK(latency.wait() == doctest::Approx(0.2));
+    CHECK(latency.expected(1) == 300 * ms);
+}
+
+TEST_CASE("a node may be silent for three times its slowest answer, and for half a second") {
+    LatencyEstimate latency;
+    CHECK(latency.response_timeout() == 500 * ms);
+    latency.answered(0, 1, 400 * ms);
+    latency.answered(0, 1, 10 * ms);
+    CHECK(latency.response_timeout() == 1200 * ms);
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/node_health_test.cpp
+++ b/tests/scheduling/node_health_test.cpp
@@ -1,3 +1,5 @@
+#include "scheduling/node_health.hpp"
+
 #include <doctest/doctest.h>
 
 #include "scheduler_fixture.hpp"
@@ -130,5 +132,103 @@
     CHECK(fixture.actions.count("start") == 2);
 }
 
+AttemptInFlight attempt_at(Time started_at, std::uint64_t request = 1) {
+    return {started_at, RequestId{request}, AttemptId{0}};
+}
+
+TEST_CASE("two overdue attempts with nothing heard make a node unresponsive, one doesn't") {
+    LatencyEstimate latency; // the response timeout is half a second
+    NodeHealth health;
+    health.attempt_started(attempt_at(0, 1));
+    health.update(500 * ms + 1, latency);
+    CHECK_FALSE(health.unresponsive());
+    CHECK(health.counted_in_flight() == 0);
+    health.attempt_started(attempt_at(ms, 2));
+    health.update(501 * ms, latency); // the second isn't overdue yet
+    CHECK_FALSE(health.unresponsive());
+    health.update(501 * ms + 1, latency);
+    CHECK(health.unresponsive());
+    health.responded(502 * ms);
+    CHECK_FALSE(health.unresponsive());
+}
+
+TEST_CASE("an overtaken attempt is overdue past three median durations") {
+    LatencyEstimate latency;
+    latency.answered(0, 1, 10 * ms);
+    NodeHealth health;
+    health.attempt_started(attempt_at(0, 1));
+    health.update(31 * ms, latency);
+    CHECK(health.counted_in_flight() == 1);
+    health.answered(5 * ms); // one that started later
+    health.update(30 * ms, latency);
+    CHECK(health.counted_in_flight() == 1);
+    health.update(30 * ms + 1, latency);
+    CHECK(health.counted_in_flight() == 0);
+}
+
+TEST_CASE("abandoned work takes a place until a later attempt is answered") {
+    NodeHealth health;
+    health.attempt_started(attempt_at(10 * ms));
+    health.abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
+    CHECK(health.occupied_places(20 * ms) == 2);
+    health.answered(4 * ms);
+    CHECK(health.occupied_places(20 * ms) == 2);
+    health.answered(6 * ms);
+    CHECK(health.occupied_places(20 * ms) == 1);
+    // An attempt that was overtaken before it was abandoned leaves no work behind.
+    health.abandoned(30 * ms, 5 * ms, 25 * ms, 500 * ms);
+    CHECK(health.occupied_places(30 * ms) == 1);
+}
+
+TEST_CASE("with nothing in flight one attempt may always go") {
+    NodeHealth health;
+    health.abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
+    CHECK(health.occupied_places(20 * ms) == 0);
+}
+
+TEST_CASE("a lost attempt gives the window one more place for two seconds") {
+    NodeHealth health;
+    health.answered(10 * ms);
+    health.attempt_started(attempt_at(600 * ms));
+    health.abandoned(600 * ms, 0, 600 * ms, 500 * ms);
+    CHECK(health.occupied_places(600 * ms) == 0);
+    CHECK(health.occupied_places(2599 * ms) == 0);
+    CHECK(health.occupied_places(2600 * ms) == 1);
+}
+
+TEST_CASE("an answer after refused connections or a long silence may be a new process's") {
+    NodeHealth refused;
+    refused.unreachable(0);
+    refused.unreachable(0);
+    CHECK(refused.unresponsive());
+    CHECK(refused.responded(ms));
+    CHECK_FALSE(refused.responded(2 * ms));
+
+    for (Time silence : {2 * sec, 2 * sec + 1}) {
+        NodeHealth silent;
+        silent.attempt_started(attempt_at(0, 1));
+        silent.attempt_started(attempt_at(0, 2));
+        silent.update(sec, LatencyEstimate());
+        REQUIRE(silent.unresponsive());
+        CHECK(silent.responded(silence) == (silence > 2 * sec));
+    }
+}
+
+TEST_CASE("schedulers send trial attempts in turns") {
+    NodeHealth health;
+    const TrialRotation first = {PeerId{0}, 2};
+    const TrialRotation second = {PeerId{1}, 2};
+    CHECK(health.trial_allowed(500 * ms, first));
+    CHECK_FALSE(health.trial_allowed(500 * ms, second));
+    CHECK(health.trial_allowed(750 * ms, second));
+    // All of twenty schedulers have their turn, of 100 ms, within two seconds.
+    CHECK(health.trial_allowed(1900 * ms, {PeerId{19}, 20}));
+    CHECK_FALSE(health.trial_allowed(1900 * ms, {PeerId{18}, 20}));
+    // But one scheduler's trials are a turn of 250 ms apart.
+    health.attempt_started(attempt_at(500 * ms));
+    CHECK_FALSE(health.trial_allowed(749 * ms, {PeerId{0}, 1}));
+    CHECK(health.trial_allowed(750 * ms, {PeerId{0}, 1}));
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/overload_hold_test.cpp
+++ b/tests/scheduling/overload_hold_test.cpp
@@ -1,3 +1,5 @@
+#include "scheduling/overload_hold.hpp"
+
 #include <doctest/doctest.h>
 
 #include "scheduler_fixture.hpp"
@@ -25,5 +27,18 @@
     CHECK(fixture.actions.count("start 2") == 3);
 }
 
+TEST_CASE("each overload doubles the hold, up to the number of schedulers; an answer ends that") {
+    OverloadHold hold;
+    CHECK_FALSE(hold.active(0));
+    for (Time multiplier : {1, 2, 3, 3}) {
+        hold.overloaded(0, 10 * ms, 3);
+        CHECK(hold.active(multiplier * 10 * ms - 1));
+        CHECK_FALSE(hold.active(multiplier * 10 * ms));
+    }
+    hold.answered();
+    hold.overloaded(0, 10 * ms, 3);
+    CHECK_FALSE(hold.active(10 * ms));
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/placement_test.cpp
+++ b/tests/scheduling/placement_test.cpp
@@ -1,5 +1,9 @@
+#include "scheduling/placement.hpp"
+
 #include <doctest/doctest.h>
 
+#include <cstdint>
+
 #include "scheduler_fixture.hpp"
 
 namespace knotvane::scheduling {
@@ -13,5 +17,69 @@
     CHECK(fixture.actions.count("start 1 2") == 1);
 }
 
+NodeRecord node_of(std::uint64_t id, std::int32_t shard, Time started_at = 0) {
+    NodeRecord node(NodeId{id}, 1, 8);
+    node.location.shard = ShardId{shard};
+    node.started_at = started_at;
+    return node;
+}
+
+TEST_CASE("of nodes with one shard the one that started last holds it") {
+    NodeRecord older = node_of(1, 5, sec);
+    NodeRecord newer = node_of(2, 5, 2 * sec);
+    RandomGenerator random(1);
+    Placement placement;
+    placement.add(newer);
+    placement.add(older);
+    CHECK(placement.choose(ShardId{5}, 0, random) == &newer);
+    CHECK(placement.choose(ShardId{6}, 0, random) == nullptr);
+}
+
+TEST_CASE("where no node is ready nothing is placed, and nothing is drawn") {
+    RandomGenerator random(1);
+    RandomGenerator unused(1);
+    CHECK(Placement().choose(no_shard, 0, random) == nullptr);
+    CHECK(random == unused);
+}
+
+TEST_CASE("a new object goes to the cheaper of two nodes drawn, and both draws are used") {
+    NodeRecord cheap = node_of(1, 1);
+    NodeRecord costly = node_of(2, 2);
+    for (NodeRecord *node : {&cheap, &costly})
+        node->latency.answered(0, 1, 100 * ms);
+    cheap.latency.update(0, 0.1);
+    costly.latency.update(0, 0.1);
+    costly.units_waiting = 8;
+    Placement placement;
+    placement.add(cheap);
+    placement.add(costly);
+    for (std::uint32_t seed = 1; seed <= 20; ++seed) {
+        RandomGenerator random(seed);
+        RandomGenerator draws(seed);
+        bool first_is_cheap = draws() % 2 == 0;
+        bool second_is_cheap = draws() % 2 == 0;
+        NodeRecord *expected = first_is_cheap || second_is_cheap ? &cheap : &costly;
+        CHECK(placement.choose(no_shard, 0, random) == expected);
+        CHECK(random == draws);
+    }
+}
+
+TEST_CASE("a node in slow start costs more than any queue, an unresponsive one more still") {
+    NodeRecord queued = node_of(1, 1);
+    queued.units_waiting = 1000;
+    queued.units_in_flight = 100;
+    queued.latency.answered(0, 1, 10 * ms);
+    queued.latency.update(10 * sec, 0.5); // half a second a unit, no wait any more
+    CHECK(placement_cost(queued, 0) == doctest::Approx(1101 * 0.5));
+    NodeRecord starting = node_of(2, 2);
+    starting.slow_start.until = sec;
+    NodeRecord unresponsive = node_of(3, 3);
+    unresponsive.health.unreachable(0);
+    unresponsive.health.unreachable(0);
+    CHECK(placement_cost(starting, 0) > placement_cost(queued, 0));
+    CHECK(placement_cost(unresponsive, 0) > placement_cost(starting, 0));
+    CHECK(placement_cost(starting, sec) < placement_cost(queued, sec));
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/scheduler_fixture.hpp
+++ b/tests/scheduling/scheduler_fixture.hpp
@@ -74,7 +74,7 @@
 
     /// A full endpoint list: nodes 1 and 2, each with the shard of its number.
     void list_endpoints(Time now, NodeState first_state = NodeState::ready,
-                        Time first_started_at = 0) {
+                        Time first_started_at = 0) const {
         scheduler->endpoint_list_begin(now, EndpointListKind::full);
         scheduler->endpoint_listed(
             {NodeId{1}, ShardId{1}, ZoneId{0}, first_state, first_started_at});
@@ -84,7 +84,7 @@
 
     /// A request of volume 5 whose client waits for two seconds.
     void receive(Time now, std::uint64_t id, int shard = 1, std::uint64_t key = 0,
-                 double units = 2) {
+                 double units = 2) const {
         RequestInfo request;
         request.id = RequestId{id};
         request.volume = VolumeId{5};
@@ -97,7 +97,7 @@
     }
 
     void complete(Time now, std::uint64_t id, AttemptOutcome outcome, Time duration = 10 * ms,
-                  std::uint32_t attempt = 0) {
+                  std::uint32_t attempt = 0) const {
         scheduler->attempt_completed(now, {RequestId{id}, AttemptId{attempt}, NodeId{1}, outcome,
                                            duration, outcome == AttemptOutcome::answered});
     }
--- a/tests/scheduling/slow_start_test.cpp
+++ b/tests/scheduling/slow_start_test.cpp
@@ -184,5 +184,26 @@
         check_sum_of_shares(300, seed);
 }
 
+TEST_CASE("a node that doesn't answer bears no more than at its start") {
+    SchedulerConfig config;
+    config.units = {1, 2, 1, 0};
+    config.slow_start = {8, sec, 10 * sec, 0.1};
+    SlowStart slow_start;
+    slow_start.configure(config);
+    NodeSlowStart node;
+    slow_start.node_started(node, 0);
+    // 8 units, and root 8 and 1 of the margin: 11 at the start, twenty and more in half a second.
+    CHECK_FALSE(slow_start.admits(node, 5 * sec, true, 12, 0));
+    CHECK(slow_start.admits(node, 5 * sec, true, 11, 0));
+    CHECK(slow_start.admits(node, 5 * sec, false, 12, 0));
+}
+
+TEST_CASE("without a bound in the settings a node in slow start bears any request") {
+    SlowStart slow_start;
+    slow_start.configure(SchedulerConfig());
+    NodeSlowStart node;
+    CHECK(slow_start.admits(node, sec, false, 1000, 1));
+}
+
 } // namespace
 } // namespace knotvane::scheduling
