--- /dev/null
+++ b/tests/recorded_run/recording.py
@@ -0,0 +1,21 @@
+"""Where the kept bytes of a scenario stand."""
+
+import gzip
+import os
+
+HERE = os.path.dirname(os.path.abspath(__file__))
+
+
+def path_of(scenario):
+    return os.path.join(HERE, "kept", scenario.name + ".bin.gz")
+
+
+def kept(scenario):
+    with gzip.open(path_of(scenario)) as file:
+        return file.read()
+
+
+def keep(scenario, replies):
+    os.makedirs(os.path.dirname(path_of(scenario)), exist_ok=True)
+    with open(path_of(scenario), "wb") as file:
+        file.write(gzip.compress(replies, 9, mtime=0))
