--- a/src/core/task.hpp
+++ b/src/scheduling/request.hpp
@@ -3,29 +3,12 @@
 
 #include <vector>
 
-#include "core/ids.hpp"
-#include "core/time.hpp"
+#include "common/ids.hpp"
+#include "common/time.hpp"
+#include "scheduling/config.hpp"
 
 namespace knotvane {
 
-// What a repeat of a task does: it may run again; repeats are dropped by a group of nodes; it must
-// never run twice.
-enum class Repeat { reissuable, numbered, at_most_once };
-// The nodes that drop repeats of a numbered task.
-enum class Group { all, zone, shard };
-
-struct Workload {
-    double value = 1, late_part = 0;
-    Time due = 0, repeat_window = 0, key_rest = 0;
-    Repeat repeat = Repeat::reissuable;
-    Group group = Group::all;
-    bool in_turn = false;
-};
-
-struct Plan {
-    double weight = 1, usual = 0, reserve = 0, price = 1, limit_rate = 0, limit_burst = 0;
-};
-
 struct Shot {
     NodeId node;
     ShardId shard;
@@ -39,7 +22,7 @@
 enum class Stage { turn, limit, placement, queue, shooting };
 
 struct Task {
-    TaskId id;
+    RequestId id;
     WorkloadId workload;
     VolumeId volume;
     PlanId plan;
--- a/src/policy.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -16,7 +16,7 @@
 //   one takes
 //   6. doomed work: what was abandoned at a node stays in the window, and a full node is held for a
 //   moment
-#include "policy.hpp"
+#include "scheduling/scheduler.hpp"
 
 #include <cmath>
 #include <deque>
@@ -26,8 +26,8 @@
 #include <random>
 #include <set>
 
-#include "core/node.hpp"
-#include "core/samples.hpp"
+#include "scheduling/node_record.hpp"
+#include "scheduling/samples.hpp"
 
 namespace knotvane {
 
@@ -36,8 +36,8 @@
 // ---- Turn by key: tasks with one key run one at a time, in the order in which they were taken.
 class Turns {
 public:
-    void join(KeyId key, TaskId task) { lines_[key].tasks.push_back(task); }
-    bool may_go(KeyId key, TaskId task, Time now) const {
+    void join(KeyId key, RequestId task) { lines_[key].tasks.push_back(task); }
+    bool may_go(KeyId key, RequestId task, Time now) const {
         auto it = lines_.find(key);
         return it == lines_.end() ||
                (it->second.tasks.front() == task && now >= it->second.rest_until);
@@ -47,7 +47,7 @@
     void rest(KeyId key, Time until) {
         lines_[key].rest_until = std::max(lines_[key].rest_until, until);
     }
-    void leave(KeyId key, TaskId task) { std::erase(lines_[key].tasks, task); }
+    void leave(KeyId key, RequestId task) { std::erase(lines_[key].tasks, task); }
     void prune(Time now) {
         std::erase_if(
             lines_, [&](auto &l) { return l.second.tasks.empty() && now >= l.second.rest_until; });
@@ -55,7 +55,7 @@
 
 private:
     struct Line {
-        std::deque<TaskId> tasks;
+        std::deque<RequestId> tasks;
         Time rest_until = 0;
     };
     std::map<KeyId, Line> lines_;
@@ -189,7 +189,7 @@
         20 * ms;                               // the paper's: shorter turns say nothing of the rate
     static constexpr double write_charge = 10; // the paper's
     using Rank =
-        std::tuple<double, Time, TaskId>; // most value a unit, earliest due time, then as taken
+        std::tuple<double, Time, RequestId>; // most value a unit, earliest due time, then as taken
     struct Line {
         double weight = 1, start = 0, finish = 0, budget = 0;
         std::size_t out = 0;
@@ -389,31 +389,32 @@
 
 // Whether telling the client that trying again is harmless is true. Guards against effects that
 // happen twice.
-bool may_deny(const Task &task, Repeat repeat, Group group) {
-    return repeat == Repeat::reissuable || !task.may_have_run() ||
-           (repeat == Repeat::numbered && group == Group::all);
+bool may_deny(const Task &task, Idempotency repeat, DeduplicationScope group) {
+    return repeat == Idempotency::idempotent || !task.may_have_run() ||
+           (repeat == Idempotency::deduplicated && group == DeduplicationScope::all);
 }
 
 // Whether one more shot after the first so many can do no harm at that node. Guards against effects
 // that happen twice.
-bool harmless(const Task &task, std::size_t made, const Workload &w, const Node &node, Time now,
-              Time margin) {
-    if (w.repeat == Repeat::reissuable)
+bool harmless(const Task &task, std::size_t made, const WorkloadConfig &w, const Node &node,
+              Time now, Time margin) {
+    if (w.idempotency == Idempotency::idempotent)
         return true;
     for (std::size_t i = 0; i < made; ++i) {
         const Shot &s = task.shots[i];
         if (s.proved_not_run)
             continue;
-        if (w.repeat == Repeat::at_most_once || now + margin >= s.sent + w.repeat_window)
+        if (w.idempotency == Idempotency::at_most_once ||
+            now + margin >= s.sent + w.deduplication_window)
             return false;
-        if ((w.group == Group::shard && s.shard != node.shard) ||
-            (w.group == Group::zone && s.zone != node.zone))
+        if ((w.deduplication_scope == DeduplicationScope::shard && s.shard != node.shard) ||
+            (w.deduplication_scope == DeduplicationScope::zone && s.zone != node.zone))
             return false;
     }
     return true;
 }
 
-bool may_shoot(const Task &task, const Workload &w, const Node &node, std::uint32_t most,
+bool may_shoot(const Task &task, const WorkloadConfig &w, const Node &node, std::uint32_t most,
                bool parallel, Time now, Time margin) {
     if (task.shots.size() >= most || (!parallel && task.any_out()))
         return false;
@@ -422,76 +423,73 @@
 
 class Knotvane final : public Scheduler {
 public:
-    Knotvane(Actions &actions, std::uint64_t seed)
+    Knotvane(SchedulerActions &actions, std::uint64_t seed)
         : do_(actions), chance_(static_cast<std::uint32_t>(seed ^ (seed >> 32))) {}
 
-    void set_place(PeerId self, std::uint32_t n, ZoneId) override { self_ = self, schedulers_ = n; }
-    void set_clock(Time step, Time) override { step_ = std::max(step, ms); }
-    void add_workload(WorkloadId id, Time due, Time, double value, double late_part) override {
-        workloads_[id].due = due, workloads_[id].value = value,
-        workloads_[id].late_part = late_part;
-    }
-    void set_repeat(WorkloadId id, Repeat repeat, Group group, Time window) override {
-        workloads_[id].repeat = repeat, workloads_[id].group = group,
-        workloads_[id].repeat_window = window;
-    }
-    void set_turns(WorkloadId id, Time key_rest) override {
-        workloads_[id].in_turn = true, workloads_[id].key_rest = key_rest;
-    }
-    void add_plan(PlanId id, double weight, double usual, double reserve, double price) override {
-        plans_[id].weight = std::max(weight, 1e-6), plans_[id].reserve = reserve;
-        plans_[id].usual = usual, plans_[id].price = price;
+    void configure(const SchedulerConfig &config) override {
+        self_ = config.self;
+        schedulers_ = config.scheduler_count;
+        step_ = std::max(config.time_step, ms);
+        mean_ = config.units.mean > 0 ? config.units.mean : 1;
+        largest_ = std::max(1.0, config.units.largest);
+        share_worth_ = config.units.share_value > 0 ? config.units.share_value : 1;
+        spare_worth_ = config.units.spare_value;
+        most_shots_ = config.attempts.max_attempts;
+        parallel_ = config.attempts.allow_parallel;
+        may_call_off_ = config.attempts.cancel_abandoned;
+        further_.each = config.retry_budget.retries_per_request;
+        further_.free = config.retry_budget.free_retries;
+        further_.span = config.retry_budget.window;
+        longest_wait_ = config.max_retry_after;
+        marked_ = config.clients_mark_repeats;
+        on_request_ = config.endpoint_list.on_request;
+        ask_within_ = config.endpoint_list.max_age;
+        cold_units_ = config.slow_start.units;
+        cold_span_ = config.slow_start.window;
+        warm_after_ = config.slow_start.duration;
+        start_part_ =
+            config.slow_start.initial_capacity > 0 ? config.slow_start.initial_capacity : 1;
+    }
+    void set_workload(WorkloadId id, const WorkloadConfig &workload) override {
+        workloads_[id] = workload;
+    }
+    void set_plan(PlanId id, const PlanConfig &config) override {
+        plans_[id] = config;
+        plans_[id].weight = std::max(config.weight, 1e-6);
         shares_ = usual_ = 0;
         for (auto &[_, plan] : plans_)
-            shares_ += plan.weight, usual_ += plan.usual;
+            shares_ += plan.weight, usual_ += plan.usual_rate;
     }
-    void set_limit(PlanId id, double rate, double burst) override {
-        plans_[id].limit_rate = rate, plans_[id].limit_burst = burst;
-    }
-    void set_units(double mean, double largest, double share_worth, double spare_worth) override {
-        mean_ = mean > 0 ? mean : 1, largest_ = std::max(1.0, largest);
-        share_worth_ = share_worth > 0 ? share_worth : 1;
-        spare_worth_ = spare_worth;
-    }
-    void set_shots(std::uint32_t most, bool parallel, bool may_call_off) override {
-        most_shots_ = most, parallel_ = parallel, may_call_off_ = may_call_off;
-    }
-    void set_further_shots(double each, double free, Time span) override {
-        further_.each = each, further_.free = free, further_.span = span;
-    }
-    void set_denials(Time longest_wait) override { longest_wait_ = longest_wait; }
-    void set_clients(bool mark_repeats) override { marked_ = mark_repeats; }
-    void set_list(bool ask, Time within, Time) override { on_request_ = ask, ask_within_ = within; }
-    void set_cold(double units, Time span, Time warm_after, double start_part) override {
-        cold_units_ = units, cold_span_ = span, warm_after_ = warm_after,
-        start_part_ = start_part > 0 ? start_part : 1;
-    }
-    void ready(Time now) override {
+    void start(Time now) override {
         born_ = now;
         if (on_request_)
             follow(now);
     }
 
-    void list_begins(Time now, ListKind kind) override {
+    void endpoint_list_begin(Time now, EndpointListKind kind) override {
         now_ = heard_list_ = now, ask_at_ = never;
-        whole_ = kind == ListKind::whole;
+        whole_ = kind == EndpointListKind::full;
         for (auto &[id, node] : nodes_)
             node.listed = false;
     }
-    void node_listed(NodeId id, ShardId shard, ZoneId zone, NodeState state,
-                     Time started) override {
-        Node &node = nodes_.try_emplace(id, id, schedulers_, largest_).first->second;
-        node.listed = true, node.shard = shard, node.zone = zone, node.state = state;
+    void endpoint_listed(const Endpoint &endpoint) override {
+        Node &node =
+            nodes_.try_emplace(endpoint.node, endpoint.node, schedulers_, largest_).first->second;
+        node.listed = true;
+        node.shard = endpoint.shard;
+        node.zone = endpoint.zone;
+        node.state = endpoint.state;
+        Time started = endpoint.started_at;
         if (started > node.started) { // a restart: what was silent before says nothing of it now
             node.started = started, node.heard = now_, node.silent = false;
             node.cold_until = std::max(node.cold_until, started + warm_after_);
         }
     }
-    void list_ends() override {
+    void endpoint_list_end() override {
         ready_.clear(), holds_.clear();
         for (auto &[id, node] : nodes_) {
             if (whole_ && !node.listed) // a whole list that leaves a node out has removed it
-                node.state = NodeState::gone;
+                node.state = NodeState::removed;
             if (node.state != NodeState::ready) {
                 empty_queue(node);
                 continue;
@@ -502,37 +500,43 @@
                 holder = &node;
         }
     }
-    void list_failed(Time now) override {
+    void endpoint_list_failed(Time now) override {
         // A second apart and not in step with others, so that failing calls do not keep the list
         // busy.
         ask_at_ = now + 500 * ms + static_cast<Time>(chance_() % 1000) * ms;
     }
 
-    void part_told(Time now, VolumeId volume, double hosts) override {
+    void quota_share_changed(Time now, VolumeId volume, double hosts) override {
         now_ = now;
         limits_.try_emplace(volume, 0, 0, now).first->second.hand(now, hosts);
     }
 
-    void task_taken(Time now, TaskId id, WorkloadId workload, VolumeId volume, PlanId plan,
-                    ShardId shard, KeyId key, double units, double hosts, bool writes,
-                    bool repeated, Time client_timeout) override {
+    void request_received(Time now, const RequestInfo &request) override {
         now_ = now;
         further_.taken.add(now, 1), further_.taken.since(now - further_.span);
+        RequestId id = request.id;
         Task &t = tasks_[id];
-        t.id = id, t.workload = workload, t.volume = volume, t.plan = plan, t.shard = shard,
-        t.key = key;
-        t.units = std::max(units, 0.0), t.hosts = std::max(hosts, 1.0), t.writes = writes,
+        t.id = id;
+        t.workload = request.workload;
+        t.volume = request.volume;
+        t.plan = request.plan;
+        t.shard = request.shard;
+        t.key = request.key;
+        t.units = std::max(request.units, 0.0);
+        t.hosts = std::max(request.sharers, 1.0);
+        t.writes = request.writes;
         t.taken = now;
-        t.repeated = repeated, t.lot = static_cast<double>(chance_()) / chance_.max();
+        t.repeated = request.repeated;
+        t.lot = static_cast<double>(chance_()) / chance_.max();
         // Two steps early, so that the batch in which the answer leaves comes before the client is
         // gone.
-        t.last_call = client_timeout - 2 * step_;
-        t.due = t.first_due = std::min(now + workloads_[workload].due, t.last_call);
+        t.last_call = request.client_timeout - 2 * step_;
+        t.due = t.first_due = std::min(now + workloads_[t.workload].latency_objective, t.last_call);
         // Asked before, and ended without an answer: the due time is still the first try's, where
         // clients don't mark their repeats, too. Harm: tasks alike in volume, data, workload and
         // size count as one.
         auto before = unanswered_.extract(alike(t));
-        if (before && key != no_key && repeated == marked_) {
+        if (before && t.key != no_key && t.repeated == marked_) {
             t.first_due = std::min(before.mapped(), t.due);
             t.repeated = t.first_due <= now;
             t.due = t.repeated ? t.due : t.first_due;
@@ -542,9 +546,13 @@
             turns_.join(t.key, id);
         moving_.insert(id);
     }
-    void shot_ended(Time now, TaskId id, ShotId shot, NodeId, Outcome how, Time took, bool ended,
-                    double, double, std::span<const float>) override {
+    void attempt_completed(Time now, const AttemptResult &result) override {
         now_ = now;
+        RequestId id = result.request;
+        AttemptId shot = result.attempt;
+        AttemptOutcome how = result.outcome;
+        Time took = result.duration;
+        bool ended = result.client_answered;
         auto it = tasks_.find(id);
         if (it == tasks_.end() || shot.value >= it->second.shots.size() ||
             !it->second.shots[shot.value].out)
@@ -552,11 +560,11 @@
         Task &t = it->second;
         Shot &s = t.shots[shot.value];
         s.out = false;
-        s.proved_not_run =
-            how == Outcome::full || how == Outcome::unreachable || how == Outcome::unsent;
+        s.proved_not_run = how == AttemptOutcome::overloaded ||
+                           how == AttemptOutcome::unreachable || how == AttemptOutcome::not_sent;
         hear(nodes_.at(s.node), t, shot, how, took);
-        if (in_turn(t) &&
-            (how == Outcome::timed_out || how == Outcome::reset || how == Outcome::called_off))
+        if (in_turn(t) && (how == AttemptOutcome::timed_out || how == AttemptOutcome::reset ||
+                           how == AttemptOutcome::canceled))
             turns_.rest(t.key, now + workloads_[t.workload].key_rest);
         if (ended && !t.ended)
             stayed_.add({t.volume, now - t.taken}), end(t);
@@ -564,12 +572,12 @@
             again(t);
         forget_if_done(it);
     }
-    void task_withdrawn(Time now, TaskId id, bool by_client) override {
+    void request_canceled(Time now, RequestId id, CancelReason reason) override {
         now_ = now;
         auto it = tasks_.find(id);
         if (it == tasks_.end() || it->second.ended)
             return;
-        if (by_client)
+        if (reason == CancelReason::client_disconnected)
             left_.add({now, it->second.volume, now - it->second.taken});
         unanswered_[alike(it->second)] = it->second.first_due;
         end(it->second);
@@ -577,7 +585,7 @@
     }
     // Its connection may have come up late: the client left, the node drains, the window for
     // repeats is over.
-    bool may_begin(Time now, TaskId id, ShotId shot) const override {
+    bool may_send_attempt(Time now, RequestId id, AttemptId shot) const override {
         auto it = tasks_.find(id);
         if (it == tasks_.end() || it->second.ended)
             return false;
@@ -586,7 +594,7 @@
         return node.state == NodeState::ready &&
                harmless(t, shot.value, workloads_.at(t.workload), node, now, 2 * step_);
     }
-    void alarm(Time now, AlarmId) override {
+    void timer_expired(Time now, TimerId) override {
         if (now >= next_alarm_)
             next_alarm_ = never;
     }
@@ -617,12 +625,12 @@
     using Alike = std::tuple<VolumeId, KeyId, WorkloadId, double>;
     static Alike alike(const Task &t) { return {t.volume, t.key, t.workload, t.units}; }
     // ---- Intake: one final answer for each task, never late.
-    void give_up(Task &t, Time come_back_after) {
-        const Workload &w = workloads_[t.workload];
-        if (may_deny(t, w.repeat, w.group))
-            do_.deny(t.id, std::min(come_back_after, longest_wait_));
+    void give_up(Task &t, Time retry_after) {
+        const WorkloadConfig &w = workloads_[t.workload];
+        if (may_deny(t, w.idempotency, w.deduplication_scope))
+            do_.reject(t.id, std::min(retry_after, longest_wait_));
         else
-            do_.error(t.id);
+            do_.fail(t.id);
         unanswered_[alike(t)] = t.first_due;
         end(t);
     }
@@ -634,7 +642,7 @@
         if (may_call_off_)
             for (std::uint32_t i = 0; i < t.shots.size(); ++i)
                 if (t.shots[i].out)
-                    do_.call_off(t.id, ShotId{i});
+                    do_.cancel_attempt(t.id, AttemptId{i});
     }
     void leave_stage(Task &t) {
         moving_.erase(t.id);
@@ -647,7 +655,7 @@
     }
     // A task is done with when it has its answer and no shot out; only then does its key's next one
     // go.
-    void forget_if_done(std::map<TaskId, Task>::iterator it) {
+    void forget_if_done(std::map<RequestId, Task>::iterator it) {
         Task &t = it->second;
         if (!t.ended || t.any_out())
             return;
@@ -658,14 +666,14 @@
     // Value first; a client's repeat is past its due time, or nearly, and earns what a late answer
     // does.
     Volumes::Rank rank(const Task &t) {
-        const Workload &w = workloads_[t.workload];
-        return {-w.value * (t.repeated ? w.late_part : 1), t.due, t.id};
+        const WorkloadConfig &w = workloads_[t.workload];
+        return {-w.value * (t.repeated ? w.late_value_fraction : 1), t.due, t.id};
     }
-    bool in_turn(const Task &t) { return workloads_[t.workload].in_turn && t.key != no_key; }
+    bool in_turn(const Task &t) { return workloads_[t.workload].ordered_by_key && t.key != no_key; }
 
     // ---- Turn, limit and placement: each passes the task on or keeps it.
     void advance() {
-        std::vector<TaskId> all(moving_.begin(), moving_.end());
+        std::vector<RequestId> all(moving_.begin(), moving_.end());
         for (auto id : all) {
             auto it = tasks_.find(id);
             Task &t = it->second;
@@ -683,7 +691,7 @@
         }
     }
     bool pass_limit(Task &t) {
-        const Plan &plan = plans_[t.plan];
+        const PlanConfig &plan = plans_[t.plan];
         if (plan.limit_rate <= 0 || t.passed_limit)
             return true;
         auto &part =
@@ -713,14 +721,14 @@
     }
     // Share, and reserve at what a unit inside it earns over one inside the share. By the share
     // alone a large reserve is served no better than none.
-    double weight(const Plan &plan) const {
-        return plan.weight + plan.reserve / share_worth_ * shares_ / std::max(usual_, 1e-9);
+    double weight(const PlanConfig &plan) const {
+        return plan.weight + plan.reserved_rate / share_worth_ * shares_ / std::max(usual_, 1e-9);
     }
     // What a unit is worth in the mean where a volume asks that much in all: the reserve in full,
     // up to the size that it was planned for as share, the rest as spare.
-    double worth(const Plan &p, double asked) const {
-        double reserve = std::min(asked, p.reserve),
-               share = std::min(asked, std::max(p.usual, p.reserve)) - reserve;
+    double worth(const PlanConfig &p, double asked) const {
+        double reserve = std::min(asked, p.reserved_rate),
+               share = std::min(asked, std::max(p.usual_rate, p.reserved_rate)) - reserve;
         return p.price *
                (reserve + share_worth_ * share + spare_worth_ * (asked - reserve - share)) / asked;
     }
@@ -729,10 +737,10 @@
     double weighs(const Node &node) {
         double all = 0, sum = 0;
         for (auto &[id, plan] : plans_)
-            sum += worth(plan, std::max(plan.usual, 1e-6));
+            sum += worth(plan, std::max(plan.usual_rate, 1e-6));
         for (auto &[v, line] : node.volumes.lines())
             if (!line.tasks.empty()) {
-                const Task &t = tasks_.at(std::get<TaskId>(*line.tasks.begin()));
+                const Task &t = tasks_.at(std::get<RequestId>(*line.tasks.begin()));
                 double asked = asked_[v].since(now_ - surge) / seconds(surge);
                 all += worth(plans_[t.plan], std::max(asked * t.hosts, 1e-6));
             }
@@ -768,7 +776,7 @@
         node.reckon(now_, elsewhere_);
         drop_late(node);
         while (auto v = node.volumes.choose(now_)) {
-            Task &t = tasks_.at(std::get<TaskId>(*node.volumes.lines().at(*v).tasks.begin()));
+            Task &t = tasks_.at(std::get<RequestId>(*node.volumes.lines().at(*v).tasks.begin()));
             if (!t.shots.empty() && !may_go_again(t, node)) {
                 auto it = tasks_.find(t.id);
                 give_up(t, longest_wait_);
@@ -792,7 +800,7 @@
                 return;
             node.volumes.sent(rank(t), t.units, charge);
             node.waiting.remove(t.units, t.due, {t.volume, rank(t)});
-            shoot(node, t);
+            start_attempt(node, t);
         }
     }
     // How long a volume's clients wait now, where many leave early (eight in two seconds): the
@@ -828,14 +836,14 @@
             for (auto &[v, line] : node.volumes.lines()) {
                 Time wait = line.tasks.empty() ? never / 2 : clients_wait(v);
                 for (auto &rank : line.tasks)
-                    if (const Task &t = tasks_.at(std::get<TaskId>(rank));
+                    if (const Task &t = tasks_.at(std::get<RequestId>(rank));
                         now_ + node.expected(t.units) > t.taken + wait)
                         late.insert({v, rank});
             }
-        std::vector<TaskId> ends;
+        std::vector<RequestId> ends;
         std::size_t late_firsts = 0;
         for (auto &[v, rank] : late) {
-            ends.push_back(std::get<TaskId>(rank));
+            ends.push_back(std::get<RequestId>(rank));
             late_firsts += !node.waiting.repeats().contains({v, rank});
         }
         // A repeat earns a late answer's part at most: where first tries wait, it makes room for
@@ -844,7 +852,7 @@
             node.waiting.firsts() > late_firsts)
             for (auto &place : node.waiting.repeats())
                 if (!late.contains(place))
-                    ends.push_back(std::get<TaskId>(place.second));
+                    ends.push_back(std::get<RequestId>(place.second));
         for (auto id : ends) {
             auto it = tasks_.find(id);
             give_up(it->second, longest_wait_), forget_if_done(it);
@@ -895,7 +903,7 @@
     }
 
     // ---- Shots.
-    void shoot(Node &node, Task &t) {
+    void start_attempt(Node &node, Task &t) {
         if (!t.shots.empty())
             further_.shots.add(now_, 1);
         else if (t.passed_limit)
@@ -905,16 +913,16 @@
         node.units_waiting -= t.units, node.units_out += t.units;
         if (node.out.empty())
             node.heard = now_;
-        node.out.insert({now_, {t.id, ShotId{static_cast<std::uint32_t>(t.shots.size())}}});
+        node.out.insert({now_, {t.id, AttemptId{static_cast<std::uint32_t>(t.shots.size())}}});
         t.shots.push_back({node.id, node.shard, node.zone, now_, true, false});
         t.stage = Stage::shooting;
-        do_.shoot(t.id, node.id, 0);
+        do_.start_attempt(t.id, node.id, 0);
     }
-    void hear(Node &node, Task &t, ShotId shot, Outcome how, Time took) {
+    void hear(Node &node, Task &t, AttemptId shot, AttemptOutcome how, Time took) {
         node.out.erase({t.shots[shot.value].sent, {t.id, shot}});
         node.units_out -= t.units;
         node.volumes.returned(t.volume);
-        if (how == Outcome::timed_out || how == Outcome::called_off) {
+        if (how == AttemptOutcome::timed_out || how == AttemptOutcome::canceled) {
             if (t.shots[shot.value].sent >= node.overtaken)
                 node.ghosts.insert(t.shots[shot.value].sent);
             // It took this long at least: without it the window hears of the quick answers only,
@@ -927,7 +935,7 @@
             if (took > node.patience() && t.shots[shot.value].sent < node.overtaken)
                 node.lost = now_;
         }
-        if (how == Outcome::answered || how == Outcome::error) {
+        if (how == AttemptOutcome::answered || how == AttemptOutcome::error) {
             // It may have restarted before the list says so: cold if it refused a connection or was
             // silent for longer than nodes pause. A reset alone is no sign: its cause may lie on
             // the way.
@@ -937,7 +945,7 @@
             node.silent = node.refused = false;
             node.heard = now_, node.refusals = 0;
         }
-        if (how == Outcome::answered) {
+        if (how == AttemptOutcome::answered) {
             node.overtaken = std::max(node.overtaken, t.shots[shot.value].sent);
             node.ghosts.erase(node.ghosts.begin(), node.ghosts.lower_bound(node.overtaken));
             node.took.add(took), node.fulls = 1;
@@ -946,14 +954,14 @@
             unit_time_.add(seconds(took) / std::max(t.units, 1.0)),
                 elsewhere_ = unit_time_.quantile(0.25);
             node.window.answered(now_, std::max(t.units, 1.0), took, 2 * took > t.due - t.taken);
-        } else if (how == Outcome::full) {
+        } else if (how == AttemptOutcome::overloaded) {
             node.window.halve(now_, node.took.quantile(0.5));
             // A place is free when something was done. Each further time twice as long, until all
             // schedulers together send one in the time that one takes: else it stays full of doomed
             // work.
             node.hold_until = now_ + node.expected(t.units) * node.fulls;
             node.fulls = std::min(node.fulls * 2, schedulers_);
-        } else if (how == Outcome::unreachable) {
+        } else if (how == AttemptOutcome::unreachable) {
             // One lost connection is no sign: where the network drops some, most nodes would pass
             // for cold. Nor is one that never came up while the node answered others: it was lost
             // on the way.
@@ -997,7 +1005,7 @@
     // ---- The list and the alarm.
     void follow(Time now) {
         heard_list_ = now, ask_at_ = never;
-        do_.follow_list();
+        do_.watch_endpoints();
     }
     void wake() {
         // Waiting tasks are looked at each few milliseconds: the finest any gate here tells apart.
@@ -1008,10 +1016,10 @@
         for (auto id : busy_)
             at = std::min(at, now_ + (nodes_.at(id).units_waiting > 1e-9 ? look : watch_out));
         if (at < next_alarm_)
-            do_.set_alarm(AlarmId{1}, std::max<Time>(at - now_, 0)), next_alarm_ = at;
+            do_.set_timer(TimerId{1}, std::max<Time>(at - now_, 0)), next_alarm_ = at;
     }
 
-    Actions &do_;
+    SchedulerActions &do_;
     std::ranlux24_base chance_;
     PeerId self_;
     std::uint32_t schedulers_ = 1, most_shots_ = 1;
@@ -1022,15 +1030,16 @@
     double spare_worth_ = 0, start_part_ = 1, elsewhere_ = 0;
     bool parallel_ = false, marked_ = false, may_call_off_ = false, on_request_ = false,
          whole_ = false, refuse_ = false;
-    std::map<WorkloadId, Workload> workloads_;
-    std::map<PlanId, Plan> plans_;
-    std::map<TaskId, Task> tasks_;
+    std::map<WorkloadId, WorkloadConfig> workloads_;
+    std::map<PlanId, PlanConfig> plans_;
+    std::map<RequestId, Task> tasks_;
     std::map<NodeId, Node> nodes_;
     std::vector<Node *> ready_;
-    std::map<ShardId, Node *> holds_;         // the youngest ready node of each shard
-    std::set<NodeId> busy_;                   // with something waiting or out
-    std::set<TaskId> moving_;                 // in turn, limit or placement
-    std::set<std::pair<Time, TaskId>> calls_; // every task that is owed an answer, by its last call
+    std::map<ShardId, Node *> holds_; // the youngest ready node of each shard
+    std::set<NodeId> busy_;           // with something waiting or out
+    std::set<RequestId> moving_;      // in turn, limit or placement
+    std::set<std::pair<Time, RequestId>>
+        calls_; // every task that is owed an answer, by its last call
     std::map<VolumeId, LimitPart> limits_;
     Samples<std::tuple<Time, VolumeId, Time>, 32>
         left_;                                      // clients who left: when, whose, after how long
@@ -1043,7 +1052,7 @@
     FurtherShots further_;
 };
 
-std::unique_ptr<Scheduler> make_scheduler(Actions &actions, std::uint64_t seed) {
+std::unique_ptr<Scheduler> make_scheduler(SchedulerActions &actions, std::uint64_t seed) {
     return std::make_unique<Knotvane>(actions, seed);
 }
 
--- a/src/drill/host.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -10,40 +10,33 @@
 #include <string_view>
 #include <vector>
 
-#include "policy.hpp"
-#include "wire/reader.hpp"
+#include "scheduler_setup/record_reader.hpp"
+#include "scheduling/scheduler.hpp"
 
-namespace knotvane::drill {
+namespace knotvane::simulator_adapter {
 
 class Host {
 public:
     Host();
     ~Host();
-    // One frame in, header included; its reply out. Throws wire::Malformed on what the wire does
-    // not allow.
+    // One frame in, header included; its reply out. Throws scheduler_setup::Malformed on what the
+    // wire does not allow.
     std::string reply_to(std::string_view frame);
 
 private:
     struct Instance;
-    struct Entry {
-        NodeId node;
-        ShardId shard;
-        ZoneId zone;
-        std::uint8_t state;
-        Time started;
-    };
-
-    void census(wire::Reader in);
-    void event(std::uint16_t code, wire::Reader in);
-    void boot(wire::Reader &in);
-    void membership(Scheduler &to, wire::Reader &in);
+
+    void census(scheduler_setup::Reader in);
+    void event(std::uint16_t code, scheduler_setup::Reader in);
+    void boot(scheduler_setup::Reader &in);
+    void membership(Scheduler &to, scheduler_setup::Reader &in);
     Instance &instance();
 
     Time now_ = 0;
     std::optional<std::uint32_t> target_;
     std::vector<std::uint32_t> touched_;
     std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
-    std::array<std::optional<std::vector<Entry>>, 16> census_;
+    std::array<std::optional<std::vector<Endpoint>>, 16> census_;
 };
 
-} // namespace knotvane::drill
+} // namespace knotvane::simulator_adapter
