--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -9,10 +9,17 @@
 target_include_directories(decisions_tests PRIVATE src)
 target_link_libraries(decisions_tests PRIVATE doctest::doctest)
 add_test(NAME decisions COMMAND decisions_tests)
+find_package(Python3 3.11 REQUIRED COMPONENTS Interpreter)
+# Recorded runs of the decisions over the simulator's wire: the same bytes, whatever is refactored.
+add_test(
+  NAME recorded_run
+  COMMAND ${CMAKE_COMMAND} -E env KNOTVANE_DRILL=$<TARGET_FILE:knotvane_drill> ${Python3_EXECUTABLE} -B -m unittest -v
+          tests.recorded_run.recorded_run_test
+  WORKING_DIRECTORY ${CMAKE_SOURCE_DIR})
+set_tests_properties(recorded_run PROPERTIES TIMEOUT 120)
 add_test(NAME known_red COMMAND ${CMAKE_SOURCE_DIR}/tests/known_red_test)
 
 # The lists of packages and the check of the deploy build itself.
-find_package(Python3 3.11 REQUIRED COMPONENTS Interpreter)
 add_test(
   NAME deploy_lists
   COMMAND Python3::Interpreter -B -m unittest -v tests.deploy.package_lists_test tests.deploy.setup_test
--- a/tests/recorded_run/run.py
+++ b/tests/recorded_run/run.py
@@ -23,13 +23,13 @@
     """All reply frames of the scenario, one after another."""
     site = Site(scenario)
     site.begin()
-    step = int(scenario.step * SECOND)
+    step = round(scenario.step * SECOND)
     replies = []
     with subprocess.Popen([program], stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process:
         try:
             while site.queue and site.queue[0][0] < scenario.seconds * SECOND:
                 # A frame at the next whole step at which something happens.
-                site.now = -(-site.queue[0][0] // step) * step
+                site.now = max(-(-site.queue[0][0] // step), site.now // step + 1) * step
                 records, target = [], None
                 while site.queue and site.queue[0][0] <= site.now:
                     _, _, what, values = heapq.heappop(site.queue)
--- a/tests/recorded_run/scenarios.py
+++ b/tests/recorded_run/scenarios.py
@@ -208,6 +208,6 @@
         leave=0,
         volumes=40,
         workloads=(Workload(target=0.2, deadline=0.4), WRITE),
-        settings={"StepS": 0.01},
+        step=0.01,
     ),
 )
--- a/tests/recorded_run/site.py
+++ b/tests/recorded_run/site.py
@@ -163,7 +163,8 @@
             self.at(0, "boot", index)
             if self.scenario.settings.get("RegistryMode") != "on_request":
                 self.at(0, "list", index, wire.LIST_WHOLE)
-            self.at(self.between(0, 20 * MS), "arrival", index)
+            due = self.between(0, 20 * MS)
+            self.at(due, "arrival", index, due)
         for second, number, way in self.scenario.faults:
             self.at(int(second * SECOND), "fault", number, way)
 
@@ -188,11 +189,12 @@
             return index, [wire.membership(kind, self.versions, 0)]
         return index, [self.endpoint_list(told), wire.membership(kind, self.versions, 0)]
 
-    def on_arrival(self, index):
+    def on_arrival(self, index, due):
         scenario = self.scenario
         since, until, times = scenario.surge
         rate = scenario.rate * (times if since * SECOND <= self.now < until * SECOND else 1)
-        self.at(self.now + int(self.chance.random() * 2 * SECOND / rate) + 1, "arrival", index)
+        due += int(self.chance.random() * 2 * SECOND / rate) + 1
+        self.at(due, "arrival", index, due)
         volume = self.below(scenario.volumes)
         units = self.between(1, scenario.largest) if self.below(4) == 0 else self.between(1, 2)
         asked = {
@@ -297,7 +299,9 @@
     def act(self, index, action):
         fields = action.fields
         if action.code == wire.SET_ALARM:
-            until = self.now + round(fields["wait"] * SECOND)
+            # A wait of nothing ends with the next step: time must go on.
+            step = round(self.scenario.step * SECOND)
+            until = max(self.now + round(fields["wait"] * SECOND), self.now + step)
             self.alarms[index, fields["alarm"]] = until
             self.at(until, "alarm", index, fields["alarm"], until)
         elif action.code == wire.ROUTE:
--- a/tests/recorded_run/wire.py
+++ b/tests/recorded_run/wire.py
@@ -106,8 +106,8 @@
     actions, at = [], 4
     while at + 6 <= len(reply):
         code, length = struct.unpack_from("<HI", reply, at)
-        body = reply[at + 6 : at + 6 + length]
-        at += 6 + length
+        start, at = at + 6, at + 6 + length
+        body = reply[start:at]
         name, layout = ACTION_FIELDS.get(code, ("UNKNOWN", ()))
         expected = struct.calcsize("<" + "".join(form for _, form in layout))
         if name == "UNKNOWN" or expected != length:
@@ -126,6 +126,6 @@
     frames, at = [], 0
     while at < len(run):
         (length,) = struct.unpack_from("<I", run, at)
-        frames.append(run[at : at + length])
-        at += length
+        start, at = at, at + length
+        frames.append(run[start:at])
     return frames
