--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -17,10 +17,10 @@
 namespace {
 
 // Reads straight from a node, a number in flight, for a while.
-struct Direct final : node_protocol::Sink {
+struct Direct final : node_protocol::FrameHandler {
     loop::Loop &loop;
     std::shared_ptr<loop::Socket> socket;
-    node_protocol::Reader reader;
+    node_protocol::FrameReader reader;
     std::map<std::uint64_t, Time> out;
     std::vector<Time> took;
     std::uint64_t tag = 0;
@@ -37,27 +37,32 @@
         };
         socket->connect(address, [this, length](bool) {
             ends = loop::now() + length;
-            socket->send(node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0,
-                                             0, 0, 1, 0, 0, shard, {}));
+            socket->send(node_protocol::encode({.kind = node_protocol::FrameKind::hello,
+                                                .volume = VolumeId{1},
+                                                .incarnation = 1,
+                                                .shard = shard}));
             socket->flush();
         });
     }
     ~Direct() { socket->close(true); }
     void ask() {
         out[++tag] = loop::now();
-        socket->send(node_protocol::make(node_protocol::Kind::read, 0, {}, tag, VolumeId{1},
-                                         tag * 7 % 64 * 4096, 4096, 1000, 0, 0, 0, shard, {}));
+        socket->send(node_protocol::encode({.kind = node_protocol::FrameKind::read,
+                                            .tag = tag,
+                                            .volume = VolumeId{1},
+                                            .offset = tag * 7 % 64 * 4096,
+                                            .length = 4096,
+                                            .milliunits = 1000,
+                                            .shard = shard}));
     }
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t t,
-               VolumeId, std::uint64_t, std::uint32_t, std::uint32_t, std::uint64_t, std::uint64_t,
-               Time, ShardId, std::string_view, std::uint32_t) override {
-        if (kind == node_protocol::Kind::welcome) {
+    bool on_frame(const node_protocol::Frame &frame) override {
+        if (frame.kind == node_protocol::FrameKind::welcome) {
             for (std::size_t i = 0; i < flying; ++i)
                 ask();
             return true;
         }
-        took.push_back(loop::now() - out[t]);
-        out.erase(t);
+        took.push_back(loop::now() - out[frame.tag]);
+        out.erase(frame.tag);
         if (loop::now() < ends)
             ask();
         else
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -26,7 +26,7 @@
         (argc > 1 ? std::string(argv[1]) : std::filesystem::temp_directory_path().string()) +
         "/knotvane-store-bench";
     std::filesystem::remove(path);
-    constexpr std::uint64_t size = 10ull << 30, data = 1ull << 30, b = store::Store::block;
+    constexpr std::uint64_t size = 10ull << 30, data = 1ull << 30, b = store::block_size;
     std::ranlux24_base chance(1);
     auto far = [&](std::uint64_t most) {
         return (std::uint64_t{chance()} << 24 | chance()) % most;
@@ -45,7 +45,10 @@
         for (auto v : {sparse, full}) {
             std::vector<double> took;
             for (int i = 0; i < 5; ++i)
-                took.push_back(ms_of([&] { s.cut(v, VolumeId{next++}, i % 2 == 0); }));
+                took.push_back(ms_of([&] {
+                    i % 2 == 0 ? s.take_snapshot(v, VolumeId{next++})
+                               : s.clone(v, VolumeId{next++});
+                }));
             std::printf("snapshot or clone of 10 GiB, %s: worst of five %.2f ms\n",
                         v == sparse ? "sparse" : "1 GiB of data",
                         *std::max_element(took.begin(), took.end()));
@@ -73,7 +76,7 @@
         for (int chain : {1, 10, 100}) {
             double wrote = 0, plain_wrote = 0;
             for (; taken < chain; ++taken)
-                s.cut(full, VolumeId{next++}, true), s.write(full, far(16384) * b * 10, block);
+                s.take_snapshot(full, VolumeId{next++}), s.write(full, far(16384) * b * 10, block);
             auto before = s.blocks_used();
             for (int round = 0; round < 3; ++round)
                 plain_wrote += writes(plain), wrote += writes(full);
@@ -86,7 +89,7 @@
                         "memory %.1f MiB for %llu blocks\n",
                         chain, plain_wrote / wrote, plain_read / read,
                         static_cast<unsigned long long>(copied),
-                        static_cast<double>(s.memory()) / (1 << 20),
+                        static_cast<double>(s.memory_bytes()) / (1 << 20),
                         static_cast<unsigned long long>(s.blocks_used()));
         }
     }
--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -25,9 +25,28 @@
   src/planner/core_snapshots.cpp
   src/planner/snapshot_coordinator.cpp)
 target_link_libraries(knotvane_planner PUBLIC knotvane_control PRIVATE nlohmann_json::nlohmann_json)
-add_library(knotvane_store src/store/medium.cpp src/store/store.cpp)
+add_library(
+  knotvane_store
+  src/store/block_allocator.cpp
+  src/store/checkpoint.cpp
+  src/store/deduplication_marks.cpp
+  src/store/extent_map.cpp
+  src/store/format.cpp
+  src/store/journal.cpp
+  src/store/medium.cpp
+  src/store/store.cpp
+  src/store/store_check.cpp
+  src/store/store_recovery.cpp
+  src/store/store_snapshots.cpp)
 target_link_libraries(knotvane_store PUBLIC knotvane_node_protocol)
-add_library(knotvane_node src/node/disk.cpp src/node/registration.cpp)
+add_library(
+  knotvane_node
+  src/node/fault_injection.cpp
+  src/node/pause_schedule.cpp
+  src/node/registration.cpp
+  src/node/request_execution.cpp
+  src/node/slow_start.cpp
+  src/node/storage_node.cpp)
 target_link_libraries(knotvane_node PUBLIC knotvane_control knotvane_store)
 add_library(knotvane_settings src/settings/ini.cpp src/settings/fleet_sections.cpp)
 target_include_directories(knotvane_settings PUBLIC src)
@@ -54,7 +73,7 @@
 target_link_libraries(knotvane_loop PUBLIC PkgConfig::uv Threads::Threads)
 add_library(knotvane_edge_settings src/edge/settings.cpp src/edge/endpoint_file.cpp src/edge/plan_cache_file.cpp)
 target_link_libraries(knotvane_edge_settings PUBLIC knotvane_edge knotvane_settings PRIVATE PkgConfig::xxhash)
-add_library(knotvane_servers src/edge/server.cpp src/node/server.cpp)
+add_library(knotvane_servers src/edge/server.cpp src/node/server.cpp src/node/settings.cpp)
 target_link_libraries(
   knotvane_servers
   PUBLIC knotvane_edge_settings knotvane_node knotvane_loop
--- a/src/cli/store.cpp
+++ b/src/cli/store.cpp
@@ -22,7 +22,7 @@
     try {
         // Opening a store writes to it; here what is written goes nowhere.
         auto file = store::file_medium(path, false);
-        auto over = store::untouched(*file);
+        auto over = store::overlay_medium(*file);
         store::Store s(*over);
         auto found = s.check();
         for (auto &f : found)
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -91,7 +91,7 @@
         unexpected("a cut");
     }
     virtual void cut_release(VolumeId /*of*/, VolumeId /*as*/) { unexpected("a cut"); }
-    // To nodes: see node::Disk.
+    // To nodes: see node::StorageNode.
     virtual void cut_open(VolumeId /*of*/, VolumeId /*as*/, std::uint32_t /*epoch*/,
                           const std::vector<EdgeIncarnation> & /*late*/) {
         unexpected("a cut");
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -20,8 +20,6 @@
 namespace knotvane::day {
 namespace {
 
-constexpr const char *node_faults[] = {"mute", "hang", "slow",   "reset", "refuse", "full",
-                                       "fail", "cut",  "garble", "late",  "rot"};
 constexpr const char *others[] = {"restart",       "drain",   "hold",      "split",
                                   "swallow",       "sever",   "late_list", "planner_kill",
                                   "planner_pause", "undrain", "snapshot"};
@@ -85,12 +83,11 @@
         x.edge = t->has("edge") ? t->count("edge", 0, s.edges - 1) : ~std::size_t{0};
         x.count = t->count("count", 0, 1000000, 0), x.size = t->number("size", 0, 1e6, 0);
         x.lose = t->flag("lose", false);
-        bool known = std::find(std::begin(node_faults), std::end(node_faults), x.kind) !=
-                         std::end(node_faults) ||
+        bool known = node::fault_kind_from_name(x.kind).has_value() ||
                      std::find(std::begin(others), std::end(others), x.kind) != std::end(others);
         if (!known) {
             std::string all;
-            for (auto *k : node_faults)
+            for (auto k : node::fault_kind_names)
                 all += std::string(k) + ", ";
             for (auto *k : others)
                 all += std::string(k) + (k == std::end(others)[-1] ? "" : ", ");
@@ -239,11 +236,9 @@
     auto id = fleet.node_id(t.node);
     log::line(log::info, "trouble", {{"kind", t.kind}, {"node", std::to_string(id.value)}});
     on_relay([&] { relay->put(record::Kind::note, id.value, 0, 0, t.kind); });
-    auto fault = std::find(std::begin(node_faults), std::end(node_faults), t.kind);
-    if (fault != std::end(node_faults)) {
+    if (auto fault = node::fault_kind_from_name(t.kind)) {
         fleet.with_node(t.node, [&](node::Server &n) {
-            n.disk().fault(static_cast<node::Fault>(fault - std::begin(node_faults)), now, until,
-                           t.count, t.size);
+            n.storage_node().inject_fault({*fault, now, until, t.count, t.size});
         });
     } else if (t.kind == "restart") {
         // Its connections end first: no answer of the life before can come after the loss was
@@ -251,7 +246,7 @@
         on_relay([&] { relay->block(id); });
         fleet.with_node(t.node, [&](node::Server &n) {
             n.listen(false);
-            n.disk().restart(loop::now(), t.lose);
+            n.storage_node().restart(loop::now(), t.lose);
             n.listen(false);
         });
         on_relay([&] {
@@ -261,9 +256,9 @@
         at(until, [this, node = t.node, id] {
             Time started = 0;
             fleet.with_node(node, [&](node::Server &n) {
-                n.disk().restart(loop::now(), false);
+                n.storage_node().restart(loop::now(), false);
                 n.listen(true);
-                started = n.disk().started();
+                started = n.storage_node().started_at();
             });
             on_relay([&] {
                 relay->put(record::Kind::started, id.value, 0, 0);
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -391,7 +391,7 @@
     while (length > 0 && requests_.contains(no)) {
         auto n = layout_.cut(offset, length, false);
         take(no, c, Command::read,
-             std::make_shared<Work>(Work{node_protocol::Kind::read,
+             std::make_shared<Work>(Work{node_protocol::FrameKind::read,
                                          c.volume->id,
                                          layout_.shard_of(c.volume->place, offset),
                                          offset,
@@ -440,7 +440,7 @@
                 v.own[span] = true, units += copy_;
         }
         auto work = std::make_shared<Work>(
-            Work{zeroes ? node_protocol::Kind::zero : node_protocol::Kind::write, v.id,
+            Work{zeroes ? node_protocol::FrameKind::zero : node_protocol::FrameKind::write, v.id,
                  layout_.shard_of(v.place, offset), offset, n, units, fua, 0, false, 0,
                  std::string(data.substr(0, zeroes ? 0 : n))});
         work->epoch = epoch;
@@ -463,7 +463,7 @@
     for (auto shard : shards)
         if (requests_.contains(no))
             take(no, c, Command::flush,
-                 std::make_shared<Work>(Work{node_protocol::Kind::flush,
+                 std::make_shared<Work>(Work{node_protocol::FrameKind::flush,
                                              c.volume->id,
                                              shard,
                                              0,
@@ -484,7 +484,7 @@
     auto n = layout_.cut(offset, length, false);
     auto no = open(c, id, Command::status, 0);
     take(no, c, Command::status,
-         std::make_shared<Work>(Work{node_protocol::Kind::status,
+         std::make_shared<Work>(Work{node_protocol::FrameKind::block_status,
                                      c.volume->id,
                                      layout_.shard_of(c.volume->place, offset),
                                      offset,
@@ -583,7 +583,7 @@
         return;
     }
     Time until = timeout > 0 ? std::min(now_ + timeout, t.client_timeout) : t.client_timeout;
-    if (shot == AttemptId{0} && node_protocol::changes(t.work->kind))
+    if (shot == AttemptId{0} && node_protocol::is_mutation(t.work->kind))
         // One moment for all its shots: past it no copy is done, and until it the node remembers
         // the mark. So there is no time at which a late copy meets neither.
         t.work->not_after = t.window > 0 ? now_ + t.window : t.client_timeout;
@@ -743,7 +743,7 @@
         // the same.
         const char *refused = nullptr;
         std::uint32_t error = nbd::e_io;
-        if (!was_ended && over.status == node_protocol::Status::stale && !outdated(t, over))
+        if (!was_ended && over.status == node_protocol::Status::stale_epoch && !outdated(t, over))
             refused =
                 "errored: a snapshot was taken in the middle of it; a part may have been done";
         if (!was_ended && over.status == node_protocol::Status::no_space)
@@ -774,7 +774,7 @@
                     clients_.at(client)->session.done(id);
                 }
             }
-        } else if (well && node_protocol::changes(t.work->kind)) {
+        } else if (well && node_protocol::is_mutation(t.work->kind)) {
             // Written though its client was told otherwise: a flush later must still cover it.
             opened_.at(t.work->volume).unflushed.written(t.work->shard, over.incarnation);
         }
--- a/src/edge/node_connections.cpp
+++ b/src/edge/node_connections.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-struct Links::Link final : node_protocol::Sink {
+struct Links::Link final : node_protocol::FrameHandler {
     Links &links;
     LinkId id;
     NodeId node;
@@ -23,41 +23,40 @@
     std::size_t out_bytes = 0, shots = 0;
     std::deque<std::uint64_t> pending;
     std::set<std::uint64_t> tags;
-    node_protocol::Reader reader;
+    node_protocol::FrameReader reader;
     std::string fault;
 
     Link(Links &l, LinkId i, NodeId n, Time t) : links(l), id(i), node(n), since(t), heard(t) {}
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status,
-               std::uint64_t tag, VolumeId, std::uint64_t, std::uint32_t, std::uint32_t,
-               std::uint64_t store_incarnation, std::uint64_t, Time clock, ShardId,
-               std::string_view payload, std::uint32_t epoch) override {
-        if (kind == node_protocol::Kind::welcome && stage == Stage::greeting) {
-            if (NodeId{tag} != node) {
-                fault = "node " + std::to_string(tag) + " answers where node " +
+    bool on_frame(const node_protocol::Frame &frame) override {
+        if (frame.kind == node_protocol::FrameKind::welcome && stage == Stage::greeting) {
+            if (NodeId{frame.tag} != node) {
+                fault = "node " + std::to_string(frame.tag) + " answers where node " +
                         std::to_string(node.value) + " is listed";
                 return false;
             }
             stage = Stage::up;
             // It took some time to come here: its clock is at least this far ahead. A not-after
             // time by this is never later for the node than for us.
-            clock_ahead = clock - now;
+            clock_ahead = frame.not_after - now;
             return true;
         }
-        if (kind != node_protocol::Kind::answer || stage != Stage::up) {
-            fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(kind));
+        if (frame.kind != node_protocol::FrameKind::answer || stage != Stage::up) {
+            fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(frame.kind));
             return false;
         }
-        if (!tags.contains(tag))
+        if (!tags.contains(frame.tag))
             return true; // its shot timed out or was called off
+        const auto status = frame.status;
         AttemptOutcome how =
-            status == node_protocol::Status::ok           ? AttemptOutcome::answered
-            : status == node_protocol::Status::full       ? AttemptOutcome::overloaded
-            : status == node_protocol::Status::called_off ? AttemptOutcome::canceled
-            : status == node_protocol::Status::too_late || status == node_protocol::Status::stale ||
+            status == node_protocol::Status::ok         ? AttemptOutcome::answered
+            : status == node_protocol::Status::rejected ? AttemptOutcome::overloaded
+            : status == node_protocol::Status::canceled ? AttemptOutcome::canceled
+            : status == node_protocol::Status::expired ||
+                    status == node_protocol::Status::stale_epoch ||
                     status == node_protocol::Status::misdirected
                 ? AttemptOutcome::not_sent // the node proves that it did not run and never will
                 : AttemptOutcome::error;
-        links.end(now, tag, how, status, store_incarnation, payload, epoch);
+        links.end(now, frame.tag, how, status, frame.incarnation, frame.payload, frame.epoch);
         return true;
     }
 };
@@ -143,12 +142,22 @@
         Shot &s = shots_.at(tag);
         const Work &w = *s.work;
         auto flags = (w.durable ? node_protocol::flag_durable : 0) |
-                     (w.deduplicated ? node_protocol::flag_numbered : 0) |
-                     (w.cut ? node_protocol::flag_cut : 0);
-        auto bytes = node_protocol::make(
-            w.kind, static_cast<std::uint8_t>(flags), {}, tag, w.volume, w.offset, w.length,
-            static_cast<std::uint32_t>(w.units * 1000), incarnation_, w.number,
-            w.not_after > 0 ? w.not_after + link.clock_ahead : 0, w.shard, w.payload, w.epoch);
+                     (w.deduplicated ? node_protocol::flag_deduplicated : 0) |
+                     (w.cut ? node_protocol::flag_snapshot : 0);
+        auto bytes = node_protocol::encode(
+            {.kind = w.kind,
+             .flags = static_cast<std::uint8_t>(flags),
+             .tag = tag,
+             .volume = w.volume,
+             .offset = w.offset,
+             .length = w.length,
+             .milliunits = static_cast<std::uint32_t>(w.units * 1000),
+             .incarnation = incarnation_,
+             .request_number = w.number,
+             .not_after = w.not_after > 0 ? w.not_after + link.clock_ahead : 0,
+             .shard = w.shard,
+             .payload = w.payload,
+             .epoch = w.epoch});
         link.out_bytes += bytes.size();
         s.out = true, s.sent = now;
         transport_.send(link.id, std::move(bytes));
@@ -205,8 +214,10 @@
         return end(now, tag, AttemptOutcome::not_sent, {}, 0,
                    {}); // nothing went out: that is proof
     if (auto l = links_.find(s.link); l != links_.end()) {
-        auto bytes = node_protocol::make(node_protocol::Kind::cancel_attempt, 0, {}, tag,
-                                         s.work->volume, 0, 0, 0, 0, 0, 0, s.work->shard, {});
+        auto bytes = node_protocol::encode({.kind = node_protocol::FrameKind::cancel_attempt,
+                                            .tag = tag,
+                                            .volume = s.work->volume,
+                                            .shard = s.work->shard});
         l->second->out_bytes += bytes.size();
         transport_.send(s.link, std::move(bytes));
     }
@@ -219,8 +230,10 @@
         return;
     it->second->stage = Stage::greeting;
     it->second->heard = now;
-    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0,
-                                     incarnation_, 0, 0, no_shard, {});
+    auto hello = node_protocol::encode({.kind = node_protocol::FrameKind::hello,
+                                        .volume = VolumeId{edge_},
+                                        .incarnation = incarnation_,
+                                        .shard = no_shard});
     it->second->out_bytes += hello.size();
     transport_.send(id, std::move(hello));
 }
@@ -244,7 +257,7 @@
         return close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
     }
     // In the middle of a frame it is looked at sooner.
-    if (link.reader.held() > 0 && link.watched > now + stall_) {
+    if (link.reader.buffered_bytes() > 0 && link.watched > now + stall_) {
         link.watched = now + stall_;
         watch_.insert({link.watched, id});
     }
@@ -301,7 +314,7 @@
             auto how = link.stage == Stage::connecting ? AttemptOutcome::unreachable
                                                        : AttemptOutcome::not_sent;
             close(now, id, how, how, true);
-        } else if (link.reader.held() > 0 && now >= link.heard + stall_) {
+        } else if (link.reader.buffered_bytes() > 0 && now >= link.heard + stall_) {
             // Guards against a node that falls silent in the middle of an answer: all behind it on
             // this connection would wait for what never comes, and the node would look silent
             // though it is not.
@@ -311,10 +324,10 @@
         } else if (link.shots == 0 && (link.leaving || now >= link.heard + idle_)) {
             close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
         } else {
-            link.watched = link.stage != Stage::up  ? link.since + connect_
-                           : link.reader.held() > 0 ? link.heard + stall_
-                           : link.leaving           ? never
-                                                    : std::max(link.heard, now) + idle_;
+            link.watched = link.stage != Stage::up            ? link.since + connect_
+                           : link.reader.buffered_bytes() > 0 ? link.heard + stall_
+                           : link.leaving                     ? never
+                                                              : std::max(link.heard, now) + idle_;
             if (link.watched < never)
                 watch_.insert({std::max(link.watched, now + 1), id});
             link.watched = std::max(link.watched, now + 1);
--- a/src/edge/node_connections.hpp
+++ b/src/edge/node_connections.hpp
@@ -21,7 +21,7 @@
 
 // What is asked of a node; the same for each shot of a task.
 struct Work {
-    node_protocol::Kind kind;
+    node_protocol::FrameKind kind;
     VolumeId volume;
     ShardId shard;
     std::uint64_t offset;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -369,7 +369,7 @@
         if (!nodes_[node]->server)
             return;
         call(*nodes_[node]->server);
-        nodes_[node]->server->stirred();
+        nodes_[node]->server->process_due();
     });
 }
 void Fleet::with_edge(std::size_t edge, const std::function<void(edge::Server &)> &call) {
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -1,4 +1,5 @@
-// A stand-in node on sockets: the disk's shell.
+/// \file
+/// The storage node program: a StorageNode on sockets, a store file and a planner's connection.
 #pragma once
 
 #include <memory>
@@ -7,49 +8,55 @@
 #include "loop/dialled.hpp"
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
-#include "node/disk.hpp"
 #include "node/registration.hpp"
-#include "settings/ini.hpp"
+#include "node/settings.hpp"
+#include "node/storage_node.hpp"
 
 namespace knotvane::node {
 
-// Reads a node's settings for their faults; with a disk, tells it what it is to be.
-void read_service(settings::File &file, Disk *disk);
-void check(settings::File &file);
-
-class Server final : public Shell {
+/// One node. Lives on the thread of its loop.
+class Server final : public Transport {
 public:
-    // Sets up from settings that were checked. Throws std::runtime_error where the address can't be
-    // listened on or the store can't be opened.
+    /// Opens the store and listens, by settings that were checked.
+    /// @throws std::runtime_error if the address can't be listened on or the store can't be opened.
     Server(loop::Loop &loop, settings::File &file);
+    /// Closes the store. If that fails, it is logged, and the next opening finds a store that may
+    /// have lost something.
     ~Server() override;
+
     const std::string &address() const { return address_; }
     NodeId id() const { return id_; }
     ShardId shard() const { return shard_; }
-    // From the loop's thread: what the disk is told there, and the moment's end after it.
-    Disk &disk() { return *disk_; }
     const Store &store() const { return *store_; }
-    void stirred();
 
-    void send(ConnId conn, std::string bytes) override;
-    void close(ConnId conn, bool reset) override;
+    /// For use on the loop's thread; process_due has to follow.
+    StorageNode &storage_node() { return *storage_node_; }
+    /// Does what became due by calls from outside the loop's events.
+    void process_due() { end_of_iteration(); }
+
+    void send(ConnectionId connection, std::string bytes) override;
+    void close(ConnectionId connection, bool reset) override;
     void listen(bool open) override;
-    void say(std::string text) override;
+    void log_event(std::string text) override;
 
 private:
-    Time end_of_moment();
+    void connect_planner(const Settings &settings);
+    void start_registration();
+    void accept(const std::shared_ptr<loop::Socket> &socket);
+    Time end_of_iteration();
+
     loop::Loop &loop_;
     NodeId id_;
     ShardId shard_;
     std::string address_;
     std::unique_ptr<Medium> medium_;
     std::unique_ptr<Store> store_;
-    std::unique_ptr<Disk> disk_;
+    std::unique_ptr<StorageNode> storage_node_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Dialled> planner_;
     std::unique_ptr<Registration> registration_; // with a planner
-    std::uint64_t next_conn_ = 0;
-    loop::Sockets<ConnId> conns_;
+    std::uint64_t last_connection_ = 0;
+    loop::Sockets<ConnectionId> connections_;
 };
 
 } // namespace knotvane::node
--- /dev/null
+++ b/src/node/slow_start.hpp
@@ -0,0 +1,44 @@
+/// \file
+/// A node's capacity while it warms up, and the overload that it does not survive meanwhile.
+#pragma once
+
+#include <deque>
+
+#include "common/time.hpp"
+#include "node/service_model.hpp"
+
+namespace knotvane::node {
+
+/// One node's warming up, from the start of its process.
+class SlowStart {
+public:
+    explicit SlowStart(Time started_at) : started_at_(started_at) {}
+
+    void configure(const SlowStartModel &model) { model_ = model; }
+
+    /// The process began anew.
+    void restart(Time now);
+
+    /// The share of its full capacity that the node has now, 0 to 1.
+    double capacity(Time now) const;
+
+    /// Counts a request of so many units.
+    /// @return false if the node is warming up and got more than it survives.
+    bool survives(Time now, double units, const ServiceModel &service);
+
+private:
+    struct Arrival {
+        Time at = 0;
+        double units = 0;
+    };
+
+    bool is_warm(Time now) const {
+        return model_.duration <= 0 || now >= started_at_ + model_.duration;
+    }
+
+    SlowStartModel model_;
+    Time started_at_;
+    std::deque<Arrival> arrivals_; // within the overload window, oldest first
+};
+
+} // namespace knotvane::node
--- a/src/rules/judge.cpp
+++ b/src/rules/judge.cpp
@@ -48,7 +48,7 @@
     Time lost_at = 0; // surely lost then
 };
 
-struct Judge::Wire final : node_protocol::Sink {
+struct Judge::Wire final : node_protocol::FrameHandler {
     Judge &judge;
     WireId id;
     EdgeId edge;
@@ -58,27 +58,30 @@
     bool greeted[2] = {false, false};
     bool export_name = false, no_zeroes = true, lost_track = false;
     std::map<std::uint64_t, Requestp> flying; // by cookie
-    node_protocol::Reader reader[2];
+    node_protocol::FrameReader reader[2];
     bool from_edge = false;
     Time now = 0, opened = 0, told_of_loss = 0;
     std::map<std::uint64_t, std::uint64_t> numbers; // a tag's task
 
     Wire(Judge &j, WireId i, EdgeId e) : judge(j), id(i), edge(e) {}
-    bool frame(node_protocol::Kind kind, std::uint8_t frame_flags, node_protocol::Status status,
-               std::uint64_t tag, VolumeId v, std::uint64_t offset, std::uint32_t length,
-               std::uint32_t units, std::uint64_t, std::uint64_t number, Time, ShardId shard,
-               std::string_view payload, std::uint32_t) override {
-        if (from_edge && kind >= node_protocol::Kind::read && kind <= node_protocol::Kind::status) {
-            numbers[tag] = number;
-            if (kind == node_protocol::Kind::flush || (frame_flags & node_protocol::flag_durable))
+    bool on_frame(const node_protocol::Frame &frame) override {
+        const auto kind = frame.kind;
+        const auto status = frame.status;
+        const auto tag = frame.tag;
+        if (from_edge && kind >= node_protocol::FrameKind::read &&
+            kind <= node_protocol::FrameKind::block_status) {
+            numbers[tag] = frame.request_number;
+            if (kind == node_protocol::FrameKind::flush ||
+                (frame.flags & node_protocol::flag_durable))
                 judge.flush_asked_[*node] = now;
-            judge.shot(now, *this, kind, tag, v, offset, length, units / 1000.0, number, shard,
-                       payload.size() >= block ? hash_of(payload.substr(0, block))
-                                               : hash_of_zeroes);
+            judge.shot(now, *this, kind, tag, frame.volume, frame.offset, frame.length,
+                       frame.milliunits / 1000.0, frame.request_number, frame.shard,
+                       frame.payload.size() >= block ? hash_of(frame.payload.substr(0, block))
+                                                     : hash_of_zeroes);
             return true;
         }
-        bool off = from_edge && kind == node_protocol::Kind::cancel_attempt;
-        if (!off && (from_edge || kind != node_protocol::Kind::answer))
+        bool off = from_edge && kind == node_protocol::FrameKind::cancel_attempt;
+        if (!off && (from_edge || kind != node_protocol::FrameKind::answer))
             return true;
         auto n = numbers.find(tag);
         auto t = n == numbers.end() ? judge.tasks_.end() : judge.tasks_.find({edge, n->second});
@@ -86,11 +89,11 @@
             return true;
         for (auto &s : t->second.shots)
             if (s.tag == tag && s.wire == id && s.out) {
-                bool proved = !off && (status == node_protocol::Status::full ||
-                                       status == node_protocol::Status::too_late ||
+                bool proved = !off && (status == node_protocol::Status::rejected ||
+                                       status == node_protocol::Status::expired ||
                                        status == node_protocol::Status::misdirected ||
-                                       status == node_protocol::Status::stale);
-                bool known = !off && status != node_protocol::Status::called_off;
+                                       status == node_protocol::Status::stale_epoch);
+                bool known = !off && status != node_protocol::Status::canceled;
                 if (!off && status == node_protocol::Status::ok) {
                     if (auto &r = t->second.request) {
                         r->parts_done.emplace_back(t->second.offset, t->second.length);
@@ -484,15 +487,15 @@
         std::erase_if(hist, [&](auto &x) { return x.first->end < last->start; });
 }
 
-void Judge::shot(Time now, Wire &w, node_protocol::Kind kind, std::uint64_t tag, VolumeId volume,
-                 std::uint64_t offset, std::uint32_t length, double units, std::uint64_t number,
-                 ShardId shard, std::uint64_t first) {
+void Judge::shot(Time now, Wire &w, node_protocol::FrameKind kind, std::uint64_t tag,
+                 VolumeId volume, std::uint64_t offset, std::uint32_t length, double units,
+                 std::uint64_t number, ShardId shard, std::uint64_t first) {
     ++shots_;
     auto [it, is_new] = tasks_.try_emplace({w.edge, number});
     TaskSeen &t = it->second;
-    int command = static_cast<int>(kind) - static_cast<int>(node_protocol::Kind::read);
+    int command = static_cast<int>(kind) - static_cast<int>(node_protocol::FrameKind::read);
     const Figures &f = figures_[static_cast<std::size_t>(command)];
-    bool writes = node_protocol::changes(kind);
+    bool writes = node_protocol::is_mutation(kind);
     if (is_new) {
         t.kind = kind, t.volume = volume, t.offset = offset, t.length = length;
         by_age_.emplace_back(now, it->first);
@@ -626,7 +629,7 @@
         TaskSeen &o = tasks_.at({edge, *it});
         // A shot that its edge timed out shows nowhere: it is taken for out as long as it may be,
         // and to rest.
-        const Figures &f = figures_[o.kind == node_protocol::Kind::write ? 1 : 2];
+        const Figures &f = figures_[o.kind == node_protocol::FrameKind::write ? 1 : 2];
         bool out = std::any_of(o.shots.begin(), o.shots.end(), [&](auto &s) {
             return s.out && now < s.sent + f.client_timeout + f.key_rest - slack_;
         });
@@ -663,11 +666,11 @@
 
 void Judge::shot_over(Time now, TaskSeen &t, ShotSeen &s, bool proved, bool known) {
     s.out = false, s.proved = proved;
-    bool writes = node_protocol::changes(t.kind);
+    bool writes = node_protocol::is_mutation(t.kind);
     if (writes && !known)
         t.rest_until = std::max(
             t.rest_until,
-            now + figures_[t.kind == node_protocol::Kind::write ? 1 : 2].key_rest - slack_);
+            now + figures_[t.kind == node_protocol::FrameKind::write ? 1 : 2].key_rest - slack_);
 }
 
 void Judge::closed(Time now, WireId id, bool by_edge) {
--- a/src/rules/judge.hpp
+++ b/src/rules/judge.hpp
@@ -94,7 +94,7 @@
     };
     using Requestp = std::shared_ptr<Request>;
     struct TaskSeen {
-        node_protocol::Kind kind;
+        node_protocol::FrameKind kind;
         VolumeId volume;
         std::uint64_t offset;
         std::uint32_t length;
@@ -112,7 +112,7 @@
     void got(Wire &w, std::uint64_t cookie, std::uint64_t offset, std::string_view data);
     void ended(Time now, Wire &w, std::uint64_t cookie, std::uint32_t error);
     void check_read(Time now, Request &r);
-    void shot(Time now, Wire &w, node_protocol::Kind kind, std::uint64_t tag, VolumeId volume,
+    void shot(Time now, Wire &w, node_protocol::FrameKind kind, std::uint64_t tag, VolumeId volume,
               std::uint64_t offset, std::uint32_t length, double units, std::uint64_t number,
               ShardId shard, std::uint64_t first);
     void shot_over(Time now, TaskSeen &t, ShotSeen &s, bool proved, bool known);
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -12,8 +12,8 @@
 #include "edge/planner_client.hpp"
 #include "load/session.hpp"
 #include "nbd/wire.hpp"
-#include "node/disk.hpp"
 #include "node/registration.hpp"
+#include "node/storage_node.hpp"
 #include "planner/core.hpp"
 #include "rules/history.hpp"
 #include "sim/keeper.hpp"
@@ -43,25 +43,25 @@
 
 struct World;
 
-struct NodeHost final : node::Shell {
+struct NodeHost final : node::Transport {
     World &w;
     NodeId id;
     ShardId shard;
     std::string bytes;
     std::unique_ptr<store::Medium> medium = store::memory_medium(bytes);
     store::Store store{*medium};
-    node::Disk disk;
+    node::StorageNode disk;
     std::unique_ptr<node::Registration> reg;
     WirePtr planner;
-    std::map<node::ConnId, WirePtr> conns;
+    std::map<node::ConnectionId, WirePtr> conns;
     bool listening = true;
     Time wake = never;
 
     NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now);
-    void send(node::ConnId conn, std::string out) override;
-    void close(node::ConnId conn, bool reset) override;
+    void send(node::ConnectionId conn, std::string out) override;
+    void close(node::ConnectionId conn, bool reset) override;
     void listen(bool open) override;
-    void say(std::string) override {}
+    void log_event(std::string) override {}
 };
 
 struct EdgeHost final : edge::Shell, edge::Line {
@@ -416,7 +416,7 @@
             auto shard = layout.shard_of(volume, b * block);
             auto &n = *nodes[static_cast<std::size_t>(shard.value)];
             std::string bytes;
-            if (!n.store.has(id)) {
+            if (!n.store.contains(id)) {
                 broken("snapshot " + std::to_string(id.value & 0xffff) + " is not at node " +
                        std::to_string(n.id.value));
                 return got;
@@ -453,7 +453,7 @@
 // ---- Nodes.
 NodeHost::NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now)
     : w(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
-    disk.set_speed(ms, 2, 4, 64);
+    disk.set_service_model({.unit_time = ms, .cores = 2, .slots = 4, .queue_capacity = 64});
     node::Registration::Line line;
     line.dial = [this] {
         w.at(w.now + w.delay(), [this] {
@@ -489,13 +489,13 @@
                                : control::EdgeIncarnation{});
         if (w.day.nodes_cut_once) {
             // As a store that knows nothing of late changes: sealed at once.
-            auto how = store.cut(of, as, true);
+            auto how = store.take_snapshot(of, as);
             return static_cast<std::uint8_t>(how);
         }
-        return static_cast<std::uint8_t>(disk.open_cut(of, as, epoch, std::move(who)));
+        return static_cast<std::uint8_t>(disk.open_snapshot(of, as, epoch, std::move(who)));
     };
-    line.seal = [this](VolumeId of, VolumeId as) { return disk.seal(of, as); };
-    line.drop = [this](VolumeId as) { return disk.drop(as); };
+    line.seal = [this](VolumeId of, VolumeId as) { return disk.seal_snapshot(of, as); };
+    line.drop = [this](VolumeId as) { return disk.drop_snapshot(as); };
     line.clone = [this](VolumeId of, VolumeId as) {
         return static_cast<std::uint8_t>(disk.clone(of, as));
     };
@@ -504,11 +504,11 @@
                                                seed + id.value, 100 * ms);
     reg->start(now, 1, now - 3600 * sec);
 }
-void NodeHost::send(node::ConnId conn, std::string out) {
+void NodeHost::send(node::ConnectionId conn, std::string out) {
     if (auto it = conns.find(conn); it != conns.end())
         w.send(it->second, 1, std::move(out));
 }
-void NodeHost::close(node::ConnId conn, bool) {
+void NodeHost::close(node::ConnectionId conn, bool) {
     auto it = conns.find(conn);
     if (it == conns.end())
         return;
@@ -602,13 +602,13 @@
                     core->link_failed(w.now, link);
             });
         }
-        node::ConnId conn{++w.next_conn};
+        node::ConnectionId conn{++w.next_conn};
         n.conns[conn] = wire;
         wire->hear[1] = [this, &n, conn](std::string_view b) {
-            n.disk.bytes(w.now, conn, b), w.stir(n);
+            n.disk.received(w.now, conn, b), w.stir(n);
         };
-        wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.gone(w.now, conn); };
-        n.disk.came(w.now, conn);
+        wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.disconnected(conn); };
+        n.disk.connected(w.now, conn);
         in([this, link, incarnation] {
             if (incarnation == lives && links.contains(link))
                 core->link_up(w.now, link);
@@ -914,12 +914,17 @@
         sever(e.links.begin()->second);
         break;
     default: {
-        static constexpr node::Fault kinds[] = {node::Fault::hang, node::Fault::slow,
-                                                node::Fault::late, node::Fault::mute,
-                                                node::Fault::full, node::Fault::cut};
+        static constexpr node::FaultKind kinds[] = {node::FaultKind::hang,
+                                                    node::FaultKind::slow,
+                                                    node::FaultKind::delay_answer,
+                                                    node::FaultKind::go_silent,
+                                                    node::FaultKind::reject_requests,
+                                                    node::FaultKind::truncate_answer};
         ++out.met["node faults"];
-        n.disk.fault(kinds[under(6)], now, now + 20 * ms + time_under(700 * ms), 0,
-                     lot(0.5) ? 0.2 : 6);
+        double magnitude = lot(0.5) ? 0.2 : 6;
+        Time until = now + 20 * ms + time_under(700 * ms);
+        n.disk.inject_fault(
+            {.kind = kinds[under(6)], .from = now, .until = until, .magnitude = magnitude});
         n.disk.tick(now);
         stir(n);
     }
@@ -969,11 +974,11 @@
         for (auto &[id, v] : core->state().table().volumes)
             if (v.is_snapshot())
                 expected.insert(id);
-        for (auto id : n->store.cuts())
+        for (auto id : n->store.snapshots())
             if (!expected.contains(id) && !core->busy_with(id))
                 broken("node " + std::to_string(n->id.value) + " holds a cut that was undone");
         for (auto id : expected)
-            if (!n->store.has(id))
+            if (!n->store.contains(id))
                 broken("node " + std::to_string(n->id.value) + " lacks a cut that is whole");
         for (auto &line : n->store.check())
             broken("node's store: " + line);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -7,7 +7,7 @@
 #include "edge/core.hpp"
 #include "load/session.hpp"
 #include "nbd/wire.hpp"
-#include "node/disk.hpp"
+#include "node/storage_node.hpp"
 
 namespace knotvane::sim {
 namespace {
@@ -36,28 +36,32 @@
     Time held_until = 0;
 };
 
-struct NodeHost final : node::Shell {
+struct NodeHost final : node::Transport {
     World &w;
     NodeId id;
     ShardId shard;
     std::string &bytes;
     std::unique_ptr<store::Medium> medium;
     store::Store store;
-    node::Disk disk;
+    node::StorageNode disk;
     bool listening = true;
     Time wake = never;
-    std::map<node::ConnId, std::pair<std::size_t, edge::LinkId>> peers; // edge, link
+    std::map<node::ConnectionId, std::pair<std::size_t, edge::LinkId>> peers; // edge, link
 
     NodeHost(World &world, NodeId i, ShardId s, std::string &b, std::uint64_t seed, Time now)
         : w(world), id(i), shard(s), bytes(b), medium(store::memory_medium(b)), store(*medium),
           disk(i, s, store, *this, seed, now) {
-        disk.set_speed(unit_time, 2, 4, 24);
-        disk.set_cold(0.25, 3 * sec, sec, 4);
+        disk.set_service_model(
+            {.unit_time = unit_time, .cores = 2, .slots = 4, .queue_capacity = 24});
+        disk.set_slow_start({.initial_capacity = 0.25,
+                             .duration = 3 * sec,
+                             .overload_window = sec,
+                             .overload_factor = 4});
     }
-    void send(node::ConnId conn, std::string out) override;
-    void close(node::ConnId conn, bool reset) override;
+    void send(node::ConnectionId conn, std::string out) override;
+    void close(node::ConnectionId conn, bool reset) override;
     void listen(bool open) override { listening = open; }
-    void say(std::string) override {}
+    void log_event(std::string) override {}
 };
 
 struct EdgeHost final : edge::Shell {
@@ -68,7 +72,7 @@
     struct Link {
         Conn conn;
         NodeId node;
-        node::ConnId at_node;
+        node::ConnectionId at_node;
         bool up = false;
     };
     std::map<edge::LinkId, std::shared_ptr<Link>> links;
@@ -252,7 +256,7 @@
     Result run();
 };
 
-void NodeHost::send(node::ConnId conn, std::string out) {
+void NodeHost::send(node::ConnectionId conn, std::string out) {
     auto it = peers.find(conn);
     if (it == peers.end())
         return;
@@ -271,7 +275,7 @@
                 e.w.settle(e);
             });
 }
-void NodeHost::close(node::ConnId conn, bool reset) {
+void NodeHost::close(node::ConnectionId conn, bool reset) {
     auto it = peers.find(conn);
     if (it == peers.end())
         return;
@@ -312,12 +316,12 @@
             core->link_failed(w.now, id);
             return w.settle(*this);
         }
-        link->at_node = node::ConnId{++w.next_conn};
+        link->at_node = node::ConnectionId{++w.next_conn};
         it->second->peers[link->at_node] = {index, id};
         w.judge.node_wire(w.now, rules::WireId{link->conn.id}, rules::EdgeId{index}, n);
         link->up = true;
         core->link_up(w.now, id);
-        it->second->disk.came(w.now, link->at_node);
+        it->second->disk.connected(w.now, link->at_node);
         w.settle(*this);
     });
 }
@@ -334,7 +338,7 @@
         // from.
         if (n == w.nodes.end() || !n->second->peers.contains(link->at_node))
             return;
-        n->second->disk.bytes(w.now, link->at_node, b);
+        n->second->disk.received(w.now, link->at_node, b);
         w.stir(*n->second);
     });
     w.at(w.now, [this, id, size] {
@@ -355,7 +359,7 @@
     w.at(std::max(link->conn.from_edge.last, w.now + w.delay()), [this, link] {
         if (auto n = w.nodes.find(link->node); n != w.nodes.end()) {
             n->second->peers.erase(link->at_node);
-            n->second->disk.gone(w.now, link->at_node);
+            n->second->disk.disconnected(link->at_node);
         }
     });
 }
@@ -495,10 +499,11 @@
         auto kind = under(10);
         ++result.met[names[kind]];
         bool counted = kind != 1 && kind != 4 && lot(0.5);
-        n.disk.fault(static_cast<node::Fault>(kind), now, now + 50 * ms + time_under(1500 * ms),
-                     counted ? 1 + under(4) : 0,
-                     kind == 2 ? 2 + static_cast<double>(under(20))
-                               : 0.05 * static_cast<double>(under(50)));
+        double magnitude =
+            kind == 2 ? 2 + static_cast<double>(under(20)) : 0.05 * static_cast<double>(under(50));
+        std::uint64_t count = counted ? 1 + under(4) : 0;
+        Time until = now + 50 * ms + time_under(1500 * ms);
+        n.disk.inject_fault({static_cast<node::FaultKind>(kind), now, until, count, magnitude});
         n.disk.tick(now);
         stir(n);
     } else if (pick < kinds[0] + kinds[1]) {
--- /dev/null
+++ b/src/store/deduplication_marks.hpp
@@ -0,0 +1,41 @@
+/// \file
+/// Which deduplicated changes were applied, so that a repeat of one is not done again.
+#pragma once
+
+#include <compare>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+
+#include "common/time.hpp"
+
+namespace knotvane::store {
+
+/// Identifies a change: an edge's incarnation, and the request's number within it.
+struct DeduplicationMark {
+    std::uint64_t incarnation = 0;
+    std::uint64_t request_number = 0;
+
+    auto operator<=>(const DeduplicationMark &) const = default;
+};
+
+/// The marks of applied changes, each until the time after which its change is refused anyway.
+class DeduplicationMarks {
+public:
+    /// Whether the mark is remembered. Forgets those whose time is over.
+    bool contains(const DeduplicationMark &mark, Time now);
+    void add(const DeduplicationMark &mark, Time not_after);
+    void clear();
+
+    std::size_t size() const { return not_after_.size(); }
+    const std::map<DeduplicationMark, Time> &all() const { return not_after_; }
+    std::size_t memory_bytes() const { return size() * bytes_per_mark; }
+
+private:
+    static constexpr std::size_t bytes_per_mark = 160; // with the nodes of both maps
+
+    std::map<DeduplicationMark, Time> not_after_;
+    std::multimap<Time, DeduplicationMark> by_not_after_;
+};
+
+} // namespace knotvane::store
--- a/src/store/medium.hpp
+++ b/src/store/medium.hpp
@@ -1,4 +1,5 @@
-// What a store keeps its bytes on: a file, or memory for tests and virtual time.
+/// \file
+/// What a store keeps its bytes on: a file, or memory for tests and simulations.
 #pragma once
 
 #include <cstdint>
@@ -6,25 +7,34 @@
 #include <string>
 #include <string_view>
 
+#include "store/error.hpp"
+
 namespace knotvane::store {
 
+/// A space of bytes that grows as it is written. Offsets and sizes are bytes.
 class Medium {
 public:
     virtual ~Medium() = default;
-    // Reads size bytes at an offset; what was never written reads as zeroes. Throws
-    // std::runtime_error.
-    virtual void read(std::uint64_t at, char *to, std::size_t size) = 0;
-    virtual void write(std::uint64_t at, std::string_view bytes) = 0;
-    // Returns when all that was written is durable.
+
+    /// Reads `size` bytes at an offset; what was never written reads as zeroes.
+    /// @throws StoreError of kind `medium`, as the other functions.
+    virtual void read(std::uint64_t offset, char *to, std::size_t size) = 0;
+    /// Writes at an offset. Not durable before the next sync.
+    virtual void write(std::uint64_t offset, std::string_view bytes) = 0;
+    /// Returns when all that was written is durable. After a failure it is not known what is.
     virtual void sync() = 0;
 };
 
-// A sparse file, made where it is absent. Throws std::runtime_error naming the path.
-std::unique_ptr<Medium> file_medium(const std::string &path, bool sync_for_real);
-// What is written stays in memory, over what lies below, which is only read: to look at a store and
-// change nothing.
-std::unique_ptr<Medium> untouched(Medium &below);
-// Bytes in memory, kept by the caller so that they outlive a restart.
+/// A sparse file, made if it is absent.
+/// @param is_durable whether sync waits for the disk; if not, a power failure loses what it may.
+/// @throws StoreError naming the path.
+std::unique_ptr<Medium> file_medium(const std::string &path, bool is_durable);
+
+/// Keeps what is written in memory over a medium that is only read: to examine a store and change
+/// nothing. `below` must outlive it.
+std::unique_ptr<Medium> overlay_medium(Medium &below);
+
+/// Bytes in memory. The caller owns them, so that they outlive a restart.
 std::unique_ptr<Medium> memory_medium(std::string &bytes);
 
 } // namespace knotvane::store
--- a/tests/edge/core_snapshots_test.cpp
+++ b/tests/edge/core_snapshots_test.cpp
@@ -12,7 +12,7 @@
 constexpr VolumeId v{7}, as{90};
 constexpr std::uint64_t extent = 256 << 10, span = 64 << 10;
 
-struct Rig final : Shell, load::Replies, node_protocol::Sink {
+struct Rig final : Shell, load::Replies, node_protocol::FrameHandler {
     Core core{*this,    [](SchedulerActions &a) { return make_scheduler(a, 1); },
               0,        5,
               extent,   span,
@@ -20,7 +20,7 @@
     control::ClusterState table;
     std::unique_ptr<load::Session> client = std::make_unique<load::Session>(*this, "v", true);
     Lines asked, ended_with, steps; // asked: "tag epoch units"
-    std::map<LinkId, node_protocol::Reader> readers;
+    std::map<LinkId, node_protocol::FrameReader> readers;
     std::map<LinkId, std::uint64_t> node_of;
     std::map<std::uint64_t, LinkId> link_of; // by tag
     LinkId reading{};
@@ -77,8 +77,12 @@
     }
     void node_says(std::uint64_t tag, node_protocol::Status status, std::uint32_t epoch = 0) {
         core.link_bytes(now, link_of.at(tag),
-                        node_protocol::make(node_protocol::Kind::answer, 0, status, tag, v, 0, 0, 0,
-                                            1, 0, 0, ShardId{0}, {}, epoch));
+                        node_protocol::encode({.kind = node_protocol::FrameKind::answer,
+                                               .status = status,
+                                               .tag = tag,
+                                               .volume = v,
+                                               .incarnation = 1,
+                                               .epoch = epoch}));
         settle();
     }
     // ---- Shell
@@ -107,14 +111,13 @@
         }
         settle();
     }
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status, std::uint64_t tag,
-               VolumeId, std::uint64_t, std::uint32_t, std::uint32_t units, std::uint64_t,
-               std::uint64_t, Time, ShardId, std::string_view, std::uint32_t epoch) override {
-        if (kind == node_protocol::Kind::hello || kind == node_protocol::Kind::cancel_attempt)
+    bool on_frame(const node_protocol::Frame &frame) override {
+        if (frame.kind == node_protocol::FrameKind::hello ||
+            frame.kind == node_protocol::FrameKind::cancel_attempt)
             return true;
-        link_of[tag] = reading;
-        asked.push_back(std::to_string(tag) + " " + std::to_string(epoch) + " " +
-                        std::to_string(units));
+        link_of[frame.tag] = reading;
+        asked.push_back(std::to_string(frame.tag) + " " + std::to_string(frame.epoch) + " " +
+                        std::to_string(frame.milliunits));
         return true;
     }
     // ---- Replies
@@ -170,7 +173,7 @@
     TEST_CASE("told that its epoch is over, a change of one part goes on in the one in force") {
         Rig r;
         r.write(1, 0, 4096), r.greet(), r.take_asked();
-        r.node_says(1, node_protocol::Status::stale, 6);
+        r.node_says(1, node_protocol::Status::stale_epoch, 6);
         r.now += 100 * ms, r.settle();
         CHECK(r.take_asked() == Lines{"2 6 1062"});
         r.node_says(2, node_protocol::Status::ok);
@@ -183,7 +186,7 @@
         Rig r;
         r.write(1, 0, 128 << 10), r.greet();
         REQUIRE(r.take_asked().size() == 2);
-        r.node_says(1, node_protocol::Status::stale, 6);
+        r.node_says(1, node_protocol::Status::stale_epoch, 6);
         CHECK(r.ended_with == Lines{"1 5"});
         r.node_says(2, node_protocol::Status::ok);
         CHECK(r.ended_with.size() == 1);
--- a/tests/edge/core_test.cpp
+++ b/tests/edge/core_test.cpp
@@ -17,8 +17,8 @@
         for (std::uint64_t t = 1; t <= 6; ++t)
             l.start_attempt(t);
         using node_protocol::Status;
-        Status s[] = {Status::ok,       Status::error,       Status::full,
-                      Status::too_late, Status::misdirected, Status::bad_checksum};
+        Status s[] = {Status::ok,      Status::error,       Status::rejected,
+                      Status::expired, Status::misdirected, Status::bad_checksum};
         for (std::uint64_t i = 0; i < 6; ++i)
             l.links.bytes(ms, l.link, answer(2 + i, s[i], i == 0 ? "data" : ""));
         CHECK(l.w.told == Lines{"1 answered data", "2 error ", "3 full ", "4 unsent ", "5 unsent ",
@@ -123,7 +123,7 @@
     }
     TEST_CASE("a not-after time by the node's clock is never later than by ours") {
         Linked l(false);
-        l.work->kind = node_protocol::Kind::write, l.work->not_after = 500 * ms;
+        l.work->kind = node_protocol::FrameKind::write, l.work->not_after = 500 * ms;
         l.start_attempt(1);
         l.links.up(10 * ms, l.link);
         l.links.bytes(30 * ms, l.link,
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -30,13 +30,18 @@
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
-    return node_protocol::make(node_protocol::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0,
-                               clock, ShardId{0}, {});
+    return node_protocol::encode({.kind = node_protocol::FrameKind::welcome,
+                                  .tag = node,
+                                  .incarnation = 1,
+                                  .not_after = clock});
 }
 inline std::string answer(std::uint64_t tag, node_protocol::Status status,
                           std::string_view payload = {}) {
-    return node_protocol::make(node_protocol::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1,
-                               0, 0, ShardId{0}, payload);
+    return node_protocol::encode({.kind = node_protocol::FrameKind::answer,
+                                  .status = status,
+                                  .tag = tag,
+                                  .incarnation = 1,
+                                  .payload = payload});
 }
 
 // Links to node 1, greeted on one connection.
@@ -44,8 +49,17 @@
     Wired w;
     Links links;
     LinkId link{1};
-    std::shared_ptr<Work> work = std::make_shared<Work>(Work{
-        node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
+    std::shared_ptr<Work> work = std::make_shared<Work>(Work{node_protocol::FrameKind::read,
+                                                             VolumeId{5},
+                                                             ShardId{0},
+                                                             0,
+                                                             512,
+                                                             1,
+                                                             false,
+                                                             1,
+                                                             false,
+                                                             0,
+                                                             {}});
     explicit Linked(bool up = true, std::size_t most_out = 1 << 20)
         : links(w, w, 0, 1, 1, 100 * ms, 200 * ms, 10 * sec, most_out) {
         links.nodes({{NodeId{1}, "a"}});
--- a/tests/gateway/snapshot_test.cpp
+++ b/tests/gateway/snapshot_test.cpp
@@ -222,7 +222,7 @@
                 CHECK(there);
             for (std::size_t n = 0; n < 3; ++n)
                 p.fleet->with_node(n, [&](node::Server &node) {
-                    CHECK(node.store().cuts().size() == s["cuts"].size());
+                    CHECK(node.store().snapshots().size() == s["cuts"].size());
                 });
         }
         // Nodes come back to a planner within two seconds.
--- a/tests/node/helpers.hpp
+++ b/tests/node/helpers.hpp
@@ -5,30 +5,28 @@
 #include <string>
 #include <vector>
 
-#include "node/disk.hpp"
+#include "node/storage_node.hpp"
 
 namespace knotvane::node {
 
-struct Told final : Shell, node_protocol::Sink {
-    std::map<ConnId, std::string> sent;
+struct Told final : Transport, node_protocol::FrameHandler {
+    std::map<ConnectionId, std::string> sent;
     std::vector<std::string> answers, said; // "tag status payload"
-    std::vector<ConnId> closed;
-    std::map<ConnId, node_protocol::Reader> readers;
+    std::vector<ConnectionId> closed;
+    std::map<ConnectionId, node_protocol::FrameReader> readers;
     bool open = true;
-    void send(ConnId c, std::string b) override {
+    void send(ConnectionId c, std::string b) override {
         sent[c] += b;
         readers[c].feed(b, *this);
     }
-    void close(ConnId c, bool) override { closed.push_back(c); }
+    void close(ConnectionId c, bool) override { closed.push_back(c); }
     void listen(bool o) override { open = o; }
-    void say(std::string t) override { said.push_back(std::move(t)); }
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status,
-               std::uint64_t tag, VolumeId, std::uint64_t, std::uint32_t, std::uint32_t,
-               std::uint64_t, std::uint64_t, Time, ShardId, std::string_view payload,
-               std::uint32_t) override {
-        if (kind == node_protocol::Kind::answer)
-            answers.push_back(std::to_string(tag) + " " + std::to_string(static_cast<int>(status)) +
-                              " " + std::string(payload.substr(0, 4)));
+    void log_event(std::string t) override { said.push_back(std::move(t)); }
+    bool on_frame(const node_protocol::Frame &frame) override {
+        if (frame.kind == node_protocol::FrameKind::answer)
+            answers.push_back(std::to_string(frame.tag) + " " +
+                              std::to_string(static_cast<int>(frame.status)) + " " +
+                              std::string(frame.payload.substr(0, 4)));
         return true;
     }
 };
@@ -38,36 +36,54 @@
     std::unique_ptr<Medium> medium = store::memory_medium(bytes);
     Store store{*medium};
     Told told;
-    Disk disk{NodeId{1}, ShardId{0}, store, told, 7, 0};
-    ConnId a{1}, b{2};
+    StorageNode node{NodeId{1}, ShardId{0}, store, told, 7, 0};
+    ConnectionId a{1}, b{2};
     Rig() {
         for (auto c : {a, b}) {
-            disk.came(0, c);
-            disk.bytes(0, c,
-                       node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{1}, 0, 0,
-                                           0, 1, 0, 0, ShardId{0}, {}));
+            node.connected(0, c);
+            node.received(0, c,
+                          node_protocol::encode({.kind = node_protocol::FrameKind::hello,
+                                                 .volume = VolumeId{1},
+                                                 .incarnation = 1}));
         }
     }
-    void write(Time now, ConnId c, std::uint64_t tag, std::uint64_t number, Time not_after,
+    void write(Time now, ConnectionId c, std::uint64_t tag, std::uint64_t number, Time not_after,
                char fill, std::uint64_t offset = 0, std::uint32_t length = 512,
                std::uint8_t flags = 0) {
-        disk.bytes(now, c,
-                   node_protocol::make(node_protocol::Kind::write,
-                                       static_cast<std::uint8_t>(
-                                           flags | (number > 0 ? node_protocol::flag_numbered : 0)),
-                                       {}, tag, VolumeId{5}, offset, length, 1000, 9, number,
-                                       not_after, ShardId{0}, std::string(length, fill)));
+        node.received(
+            now, c,
+            node_protocol::encode({.kind = node_protocol::FrameKind::write,
+                                   .flags = static_cast<std::uint8_t>(
+                                       flags | (number > 0 ? node_protocol::flag_deduplicated : 0)),
+                                   .tag = tag,
+                                   .volume = VolumeId{5},
+                                   .offset = offset,
+                                   .length = length,
+                                   .milliunits = 1000,
+                                   .incarnation = 9,
+                                   .request_number = number,
+                                   .not_after = not_after,
+                                   .payload = std::string(length, fill)}));
     }
-    void read(Time now, ConnId c, std::uint64_t tag, std::uint64_t offset = 0,
+    void read(Time now, ConnectionId c, std::uint64_t tag, std::uint64_t offset = 0,
               std::uint32_t length = 512) {
-        disk.bytes(now, c,
-                   node_protocol::make(node_protocol::Kind::read, 0, {}, tag, VolumeId{5}, offset,
-                                       length, 1000, 0, 0, 0, ShardId{0}, {}));
+        node.received(now, c,
+                      node_protocol::encode({.kind = node_protocol::FrameKind::read,
+                                             .tag = tag,
+                                             .volume = VolumeId{5},
+                                             .offset = offset,
+                                             .length = length,
+                                             .milliunits = 1000}));
     }
-    void ask(Time now, node_protocol::Kind kind, std::uint64_t tag, ShardId shard = ShardId{0}) {
-        disk.bytes(
-            now, a,
-            node_protocol::make(kind, 0, {}, tag, VolumeId{5}, 0, 4096, 1000, 0, 0, 0, shard, {}));
+    void ask(Time now, node_protocol::FrameKind kind, std::uint64_t tag,
+             ShardId shard = ShardId{0}) {
+        node.received(now, a,
+                      node_protocol::encode({.kind = kind,
+                                             .tag = tag,
+                                             .volume = VolumeId{5},
+                                             .length = 4096,
+                                             .milliunits = 1000,
+                                             .shard = shard}));
     }
 };
 
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -56,20 +56,33 @@
         nbd::put(r, cookie);
         j.bytes(at, client, true, r + data);
     }
-    std::uint64_t shot(Time at, node_protocol::Kind kind, std::uint64_t task, std::uint64_t offset,
-                       WireId wire = WireId{2}, int shard = 0, std::uint32_t units = 1000,
-                       char fill = 'x') {
+    std::uint64_t shot(Time at, node_protocol::FrameKind kind, std::uint64_t task,
+                       std::uint64_t offset, WireId wire = WireId{2}, int shard = 0,
+                       std::uint32_t units = 1000, char fill = 'x') {
         j.bytes(at, wire, true,
-                node_protocol::make(
-                    kind, 0, {}, ++tag, VolumeId{5}, offset, 512, units, 1, task, 0, ShardId{shard},
-                    kind == node_protocol::Kind::write ? std::string(512, fill) : ""));
+                node_protocol::encode({.kind = kind,
+                                       .tag = ++tag,
+                                       .volume = VolumeId{5},
+                                       .offset = offset,
+                                       .length = 512,
+                                       .milliunits = units,
+                                       .incarnation = 1,
+                                       .request_number = task,
+                                       .shard = ShardId{shard},
+                                       .payload = kind == node_protocol::FrameKind::write
+                                                      ? std::string(512, fill)
+                                                      : ""}));
         return tag;
     }
     void answer(Time at, std::uint64_t t, node_protocol::Status status = node_protocol::Status::ok,
                 WireId wire = WireId{2}) {
         j.bytes(at, wire, false,
-                node_protocol::make(node_protocol::Kind::answer, 0, status, t, VolumeId{5}, 0, 512,
-                                    0, 1, 0, 0, ShardId{0}, {}));
+                node_protocol::encode({.kind = node_protocol::FrameKind::answer,
+                                       .status = status,
+                                       .tag = t,
+                                       .volume = VolumeId{5},
+                                       .length = 512,
+                                       .incarnation = 1}));
     }
     std::uint64_t broken(Rule rule) {
         j.finish(100 * sec);
@@ -79,11 +92,11 @@
     void write(Time at, std::uint64_t id, std::uint64_t offset, char fill) {
         ask(at, nbd::cmd_write, id, offset, fill);
         answer(at + 2,
-               shot(at + 1, node_protocol::Kind::write, id, offset, WireId{2}, 0, 1000, fill));
+               shot(at + 1, node_protocol::FrameKind::write, id, offset, WireId{2}, 0, 1000, fill));
         reply(at + 3, id);
     }
 };
-using node_protocol::Kind;
+using node_protocol::FrameKind;
 using node_protocol::Status;
 
 } // namespace
@@ -93,7 +106,7 @@
     s.write(sec, 1, 0, 'a');
     s.write(2 * sec, 2, 0, 'b');
     s.ask(3 * sec, nbd::cmd_read, 3, 0);
-    s.answer(3 * sec + 2, s.shot(3 * sec + 1, Kind::read, 3, 0));
+    s.answer(3 * sec + 2, s.shot(3 * sec + 1, FrameKind::read, 3, 0));
     s.reply(3 * sec + 3, 3, 0, std::string(512, 'b'));
     s.j.finish(10 * sec);
     CHECK(s.j.broken().empty());
@@ -110,10 +123,10 @@
     late.reply(3 * sec, 1, 5);
     CHECK(late.broken(Rule::answers) == 1);
     after.ask(sec, nbd::cmd_write, 1, 0);
-    auto t = after.shot(sec + 1, Kind::write, 1, 0);
-    after.answer(sec + 2, t, Status::full);
+    auto t = after.shot(sec + 1, FrameKind::write, 1, 0);
+    after.answer(sec + 2, t, Status::rejected);
     after.reply(sec + 3, 1, 5);
-    after.shot(sec + 9 * ms, Kind::write, 1, 0);
+    after.shot(sec + 9 * ms, FrameKind::write, 1, 0);
     CHECK(after.broken(Rule::answers) == 1);
     dropped.ask(sec, nbd::cmd_read, 1, 0);
     dropped.j.closed(sec + 1, dropped.client, true);
@@ -123,27 +136,28 @@
     Scene side, past, elsewhere, misled, many;
     for (auto *s : {&side, &past, &elsewhere, &misled, &many})
         s->ask(sec, nbd::cmd_write, 1, 0);
-    side.shot(sec + 1, Kind::write, 1, 0);
-    side.shot(sec + 2, Kind::write, 1, 0);
+    side.shot(sec + 1, FrameKind::write, 1, 0);
+    side.shot(sec + 2, FrameKind::write, 1, 0);
     CHECK(side.broken(Rule::effects) == 1);
-    past.answer(sec + 2, past.shot(sec + 1, Kind::write, 1, 0), Status::error);
-    past.shot(sec + 501 * ms, Kind::write, 1, 0);
+    past.answer(sec + 2, past.shot(sec + 1, FrameKind::write, 1, 0), Status::error);
+    past.shot(sec + 501 * ms, FrameKind::write, 1, 0);
     CHECK(past.broken(Rule::effects) == 1);
-    elsewhere.answer(sec + 2, elsewhere.shot(sec + 1, Kind::write, 1, 0), Status::error);
-    elsewhere.shot(sec + 3, Kind::write, 1, 0, WireId{3}, 1);
+    elsewhere.answer(sec + 2, elsewhere.shot(sec + 1, FrameKind::write, 1, 0), Status::error);
+    elsewhere.shot(sec + 3, FrameKind::write, 1, 0, WireId{3}, 1);
     CHECK(elsewhere.broken(Rule::effects) == 1);
-    misled.shot(sec + 1, Kind::write, 1, 0);
+    misled.shot(sec + 1, FrameKind::write, 1, 0);
     misled.reply(sec + 2, 1, nbd::e_nomem);
     CHECK(misled.broken(Rule::effects) == 1);
     for (Time i = 0; i < 4; ++i)
-        many.answer(sec + 2 * i + 1, many.shot(sec + 2 * i, Kind::write, 1, 0), Status::full);
+        many.answer(sec + 2 * i + 1, many.shot(sec + 2 * i, FrameKind::write, 1, 0),
+                    Status::rejected);
     CHECK(many.broken(Rule::effects) == 1);
 }
 TEST_CASE("two writes over the same range at once: what is written tells whose a shot is") {
     Scene s;
     s.ask(sec, nbd::cmd_write, 1, 0, 'a');
     s.ask(sec, nbd::cmd_write, 2, 0, 'b');
-    s.answer(sec + 2, s.shot(sec + 1, Kind::write, 2, 0, WireId{2}, 0, 1000, 'b'));
+    s.answer(sec + 2, s.shot(sec + 1, FrameKind::write, 2, 0, WireId{2}, 0, 1000, 'b'));
     s.reply(sec + 3, 2);
     s.reply(sec + 4, 1, nbd::e_nomem); // never sent: the denial is true
     CHECK(s.broken(Rule::effects) == 0);
@@ -152,8 +166,8 @@
     Scene s, t;
     for (auto *x : {&s, &t})
         x->j.told(sec, EdgeId{0}, NodeId{1}, NodeState::draining);
-    s.shot(sec + 250 * ms, Kind::read, 1, 0);
-    t.shot(sec + 251 * ms, Kind::read, 1, 0);
+    s.shot(sec + 250 * ms, FrameKind::read, 1, 0);
+    t.shot(sec + 251 * ms, FrameKind::read, 1, 0);
     CHECK(s.broken(Rule::drains) == 0);
     CHECK(t.broken(Rule::drains) == 1);
 }
@@ -162,9 +176,9 @@
     s.j.set_cold(100, 0.25, 10 * sec, sec, 2);
     s.j.started(sec, NodeId{1});
     for (std::uint64_t i = 1; i <= 58; ++i)
-        s.shot(sec + 1, Kind::read, i, 0);
+        s.shot(sec + 1, FrameKind::read, i, 0);
     CHECK(s.j.breaches(Rule::cold) == 0);
-    s.shot(sec + 1, Kind::read, 99, 0);
+    s.shot(sec + 1, FrameKind::read, 99, 0);
     CHECK(s.broken(Rule::cold) == 1);
 }
 TEST_CASE("rule 5: over the same bytes while one is out, rests, or came first") {
@@ -173,17 +187,17 @@
         s->ask(sec, nbd::cmd_write, 1, 0);
         s->ask(sec + 2 * ms, nbd::cmd_write, 2, 0);
     }
-    out.shot(sec + 3 * ms, Kind::write, 1, 0);
-    out.shot(sec + 4 * ms, Kind::write, 2, 0);
+    out.shot(sec + 3 * ms, FrameKind::write, 1, 0);
+    out.shot(sec + 4 * ms, FrameKind::write, 2, 0);
     CHECK(out.broken(Rule::order) >= 1);
-    rests.shot(sec + 3 * ms, Kind::write, 1, 0);
+    rests.shot(sec + 3 * ms, FrameKind::write, 1, 0);
     rests.j.closed(sec + 4 * ms, rests.node, false);
     rests.reply(sec + 5 * ms, 1, 5);
-    rests.shot(sec + 600 * ms, Kind::write, 2, 0, WireId{3});
+    rests.shot(sec + 600 * ms, FrameKind::write, 2, 0, WireId{3});
     CHECK(rests.broken(Rule::order) == 1);
     // The first request's shot is its own; the second's is not, for its piece was begun.
-    first.answer(sec + 3 * ms, first.shot(sec + 3 * ms, Kind::write, 1, 0), Status::full);
-    first.shot(sec + 4 * ms, Kind::write, 2, 0);
+    first.answer(sec + 3 * ms, first.shot(sec + 3 * ms, FrameKind::write, 1, 0), Status::rejected);
+    first.shot(sec + 4 * ms, FrameKind::write, 2, 0);
     CHECK(first.broken(Rule::order) == 1);
 }
 TEST_CASE("rule 6: more further shots than the budget") {
@@ -191,16 +205,16 @@
     s.j.set_further(0, 1, sec);
     s.ask(sec, nbd::cmd_read, 1, 0);
     for (Time i = 0; i < 3; ++i)
-        s.answer(sec + 2 * i + 1, s.shot(sec + 2 * i, Kind::read, 1, 0), Status::full);
+        s.answer(sec + 2 * i + 1, s.shot(sec + 2 * i, FrameKind::read, 1, 0), Status::rejected);
     CHECK(s.broken(Rule::further) == 1);
 }
 TEST_CASE("rule 7: past a volume's limit") {
     Scene s;
     s.j.set_limit(VolumeId{5}, 10, 20, 2);
     for (std::uint64_t i = 1; i <= 22; ++i)
-        s.shot(sec, Kind::read, i, 0);
+        s.shot(sec, FrameKind::read, i, 0);
     CHECK(s.j.breaches(Rule::limits) == 0);
-    s.shot(sec, Kind::read, 23, 0);
+    s.shot(sec, FrameKind::read, 23, 0);
     CHECK(s.broken(Rule::limits) == 1);
 }
 TEST_CASE("data: what was replaced, what nobody wrote, a flush over a loss") {
--- a/tests/store/helpers.hpp
+++ b/tests/store/helpers.hpp
@@ -14,8 +14,8 @@
 // a chosen call, and its durable bytes are then those of the last sync with any of the sectors
 // written since, in any mix.
 struct Cutting final : Medium {
-    struct Cut : std::runtime_error {
-        Cut() : std::runtime_error("the power is gone") {}
+    struct Cut : StoreError {
+        Cut() : StoreError(Kind::medium, "the power is gone") {}
     };
     static constexpr std::size_t sector = 512;
     std::string seen, durable;
@@ -31,7 +31,7 @@
             throw Cut();
         }
         if (fails >= 0 && fails-- == 0)
-            throw std::runtime_error("no space left on the medium");
+            throw StoreError(StoreError::Kind::medium, "no space left on the medium");
     }
     void read(std::uint64_t at, char *to, std::size_t size) override {
         std::fill_n(to, size, '\0');
@@ -74,7 +74,7 @@
 // Volumes as arrays of sectors, a letter each, since what is written is one letter all over; a copy
 // is a snapshot.
 using Model = std::map<VolumeId, std::string>;
-constexpr std::size_t volume_size = 80 * Store::block, sectors = volume_size / 512;
+constexpr std::size_t volume_size = 80 * block_size, sectors = volume_size / 512;
 
 inline Model held(Store &s, std::size_t volumes) {
     Model out;
@@ -110,7 +110,7 @@
                       n = std::min<std::uint64_t>(1 + chance() % 40, sectors - at);
         switch (chance() % 16) {
         case 0:
-            if (s.frozen(v))
+            if (s.is_frozen(v))
                 return false;
             (maybe = m)[v].replace(at, n, n, '\0');
             if (s.zero(v, at * 512, static_cast<std::uint32_t>(n * 512)))
@@ -119,12 +119,12 @@
         case 1: {
             bool freeze = chance() % 2;
             maybe = m;
-            if (!s.has(w) && v != w)
+            if (!s.contains(w) && v != w)
                 maybe[w] = m[v];
-            auto how = s.cut(v, w, freeze);
-            if (how == Store::Cut::done)
+            auto how = freeze ? s.take_snapshot(v, w) : s.clone(v, w);
+            if (how == SnapshotResult::created)
                 m[w] = m[v];
-            return how == Store::Cut::done;
+            return how == SnapshotResult::created;
         }
         case 2:
         case 3:
@@ -135,18 +135,18 @@
             return true;
         case 12: { // a cut in two steps
             maybe = m;
-            if (!s.has(w) && v != w)
+            if (!s.contains(w) && v != w)
                 maybe[w] = m[v];
-            if (s.open_cut(v, w, s.epoch(v) + 1) == Store::Cut::done)
+            if (s.open_snapshot(v, w, s.epoch(v) + 1) == SnapshotResult::created)
                 m[w] = m[v];
             return false;
         }
         case 13:
             maybe = m;
-            return s.seal(v);
+            return s.seal_snapshot(v);
         case 14:
         case 15: { // what comes late goes into both
-            auto as = s.opened(v);
+            auto as = s.open_snapshot_of(v);
             maybe = m;
             if (!as)
                 return false;
@@ -155,7 +155,7 @@
             if (zeroes)
                 letter = '\0';
             for (auto id : {v, *as})
-                if (!s.frozen(v))
+                if (!s.is_frozen(v))
                     maybe[id].replace(at, n, n, letter);
             bool well = zeroes ? s.zero_both(v, *as, at * 512, static_cast<std::uint32_t>(n * 512))
                                : s.write_both(v, *as, at * 512, std::string(n * 512, letter));
@@ -174,7 +174,7 @@
         default: {
             auto letter = static_cast<char>('a' + chance() % 26);
             maybe = m;
-            if (!s.frozen(v))
+            if (!s.is_frozen(v))
                 maybe[v].replace(at, n, n, letter);
             if (s.write(v, at * 512, std::string(n * 512, letter)))
                 m[v].replace(at, n, n, letter);
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -129,7 +129,7 @@
         auto medium = memory_medium(bytes);
         Store s(*medium);
         s.write(VolumeId{1}, 0, std::string(8192, 'x'));
-        s.rot(VolumeId{1}, 5000);
+        s.flip_bit(VolumeId{1}, 5000);
         std::string got;
         CHECK(s.read(VolumeId{1}, 0, 4096, got));
         CHECK_FALSE(s.read(VolumeId{1}, 4096, 512, got));
@@ -147,7 +147,7 @@
             s.write(VolumeId{1}, 100, std::string(9000, 'x'));
         }
         auto before = bytes;
-        auto over = untouched(*medium);
+        auto over = overlay_medium(*medium);
         Store look(*over);
         std::string got;
         CHECK(look.read(VolumeId{1}, 100, 9000, got));
@@ -160,19 +160,19 @@
         auto medium = memory_medium(bytes);
         Store s(*medium);
         s.write(VolumeId{1}, 0, std::string(512, 'a'));
-        s.remember(1, 1, 10 * sec, 0);
+        s.mark_applied({1, 1}, 10 * sec, 0);
         s.flush();
         s.write(VolumeId{1}, 0, std::string(512, 'b'));
         s.write(VolumeId{1}, 1 << 20, std::string(512, 'c'));
-        s.remember(1, 2, 10 * sec, 0);
+        s.mark_applied({1, 2}, 10 * sec, 0);
         auto incarnation = s.incarnation();
-        s.lose();
+        s.discard_unflushed();
         std::string got;
         s.read(VolumeId{1}, 0, 512, got);
         s.read(VolumeId{1}, 1 << 20, 512, got);
         CHECK(got == std::string(512, 'a') + std::string(512, '\0'));
-        CHECK(s.was_done(1, 1, 0));
-        CHECK_FALSE(s.was_done(1, 2, 0));
+        CHECK(s.was_applied({1, 1}, 0));
+        CHECK_FALSE(s.was_applied({1, 2}, 0));
         CHECK(s.incarnation() == incarnation + 1);
     }
     TEST_CASE("the life goes on over a close, and is another where the process just ended") {
@@ -197,11 +197,11 @@
         std::string bytes;
         auto medium = memory_medium(bytes);
         Store s(*medium);
-        s.remember(1, 7, 5 * sec, 0);
+        s.mark_applied({1, 7}, 5 * sec, 0);
         Store again(*medium);
-        CHECK(again.was_done(1, 7, 5 * sec));
-        CHECK_FALSE(again.was_done(1, 7, 5 * sec + 1));
-        CHECK(again.marks() == 0);
+        CHECK(again.was_applied({1, 7}, 5 * sec));
+        CHECK_FALSE(again.was_applied({1, 7}, 5 * sec + 1));
+        CHECK(again.mark_count() == 0);
     }
     TEST_CASE("a header or a tree that was changed is refused by name; one area's harm is not the "
               "other's") {
@@ -243,24 +243,24 @@
             return s.read(VolumeId{v}, offset, 1, got) ? got[0] : '!';
         }
         void fill(std::uint64_t v, char c, std::uint64_t blocks = 1, std::uint64_t from = 0) {
-            CHECK(s.write(VolumeId{v}, from * Store::block, std::string(blocks * Store::block, c)));
+            CHECK(s.write(VolumeId{v}, from * block_size, std::string(blocks * block_size, c)));
         }
     };
     TEST_CASE(
         "a resend is harmless, an id that is another's is refused, a snapshot is not written") {
         Held h;
         h.fill(1, 'a');
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::done);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{2}) == SnapshotResult::created);
         h.fill(1, 'b');
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::exists);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{2}) == SnapshotResult::already_exists);
         CHECK(h.at(2) == 'a');
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, false) == Store::Cut::taken);
-        CHECK(h.s.cut(VolumeId{3}, VolumeId{2}, true) == Store::Cut::taken);
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{1}, true) == Store::Cut::taken);
+        CHECK(h.s.clone(VolumeId{1}, VolumeId{2}) == SnapshotResult::id_taken);
+        CHECK(h.s.take_snapshot(VolumeId{3}, VolumeId{2}) == SnapshotResult::id_taken);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{1}) == SnapshotResult::id_taken);
         CHECK_FALSE(h.s.write(VolumeId{2}, 0, "x"));
         CHECK_FALSE(h.s.zero(VolumeId{2}, 0, 512));
-        CHECK(h.s.cut(VolumeId{2}, VolumeId{4}, false) ==
-              Store::Cut::done); // a clone of a snapshot
+        CHECK(h.s.clone(VolumeId{2}, VolumeId{4}) ==
+              SnapshotResult::created); // a clone of a snapshot
         h.fill(4, 'c');
         CHECK(h.at(2) == 'a');
         CHECK(h.at(4) == 'c');
@@ -271,12 +271,12 @@
         "what is unchanged is shared; space of a dropped snapshot comes back, so much at a time") {
         Held h;
         h.fill(1, 'a', 500);
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::done);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{2}) == SnapshotResult::created);
         CHECK(h.s.blocks_used() == 500);
-        CHECK(h.s.shared(VolumeId{1}, 0));
+        CHECK(h.s.is_shared(VolumeId{1}, 0));
         h.fill(1, 'b', 100);
-        CHECK_FALSE(h.s.shared(VolumeId{1}, 0));
-        CHECK(h.s.shared(VolumeId{1}, 499 * Store::block));
+        CHECK_FALSE(h.s.is_shared(VolumeId{1}, 0));
+        CHECK(h.s.is_shared(VolumeId{1}, 499 * block_size));
         CHECK(h.s.blocks_used() == 600);
         h.s.drop(VolumeId{2});
         CHECK(h.s.blocks_used() == 600);
@@ -290,12 +290,12 @@
     TEST_CASE("diff tells the ranges, and does not look into what is shared") {
         Held h;
         h.fill(1, 'a', 200);
-        h.s.cut(VolumeId{1}, VolumeId{2}, true);
+        h.s.take_snapshot(VolumeId{1}, VolumeId{2});
         h.fill(1, 'b', 2, 5);
         h.fill(1, 'b', 1, 190);
-        h.s.zero(VolumeId{1}, 100 * Store::block, Store::block);
-        h.s.write(VolumeId{1}, 5000 * Store::block, std::string(Store::block, 'z'));
-        std::uint64_t b = Store::block;
+        h.s.zero(VolumeId{1}, 100 * block_size, block_size);
+        h.s.write(VolumeId{1}, 5000 * block_size, std::string(block_size, 'z'));
+        std::uint64_t b = block_size;
         CHECK(h.s.diff(VolumeId{2}, VolumeId{1}) ==
               std::vector<std::pair<std::uint64_t, std::uint64_t>>{
                   {5 * b, 2 * b}, {100 * b, b}, {190 * b, b}, {5000 * b, b}});
@@ -305,11 +305,11 @@
               "makes room") {
         Held h(500);
         h.fill(1, 'a', 300);
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{2}, true) == Store::Cut::done);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{2}) == SnapshotResult::created);
         h.fill(1, 'b', 160);
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{3}, true) == Store::Cut::full);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{3}) == SnapshotResult::no_space);
         h.fill(1, 'c', 40, 200);
-        CHECK_FALSE(h.s.write(VolumeId{1}, 0, std::string(2 * Store::block, 'd')));
+        CHECK_FALSE(h.s.write(VolumeId{1}, 0, std::string(2 * block_size, 'd')));
         CHECK(h.at(1) == 'b');
         CHECK(h.at(2) == 'a');
         CHECK(h.s.check().empty());
@@ -317,6 +317,6 @@
         while (h.s.reclaim(100)) {
         }
         h.fill(1, 'd', 2);
-        CHECK(h.s.cut(VolumeId{1}, VolumeId{3}, true) == Store::Cut::done);
+        CHECK(h.s.take_snapshot(VolumeId{1}, VolumeId{3}) == SnapshotResult::created);
     }
 }
