--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -3,8 +3,12 @@
   decisions_tests
   tests/main.cpp
   tests/scheduling/scheduler_test.cpp
+  tests/scheduler_setup/checked_input_test.cpp
   tests/simulator_adapter/adapter_test.cpp
   src/simulator_adapter/adapter.cpp
+  src/simulator_adapter/record_actions.cpp
+  src/scheduler_setup/checked_input.cpp
+  src/scheduler_setup/options.cpp
   src/scheduler_setup/setup.cpp)
 target_include_directories(decisions_tests PRIVATE src)
 target_link_libraries(decisions_tests PRIVATE doctest::doctest)
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -67,7 +67,7 @@
         log::line(log::info, "serves", {{"address", server->address()}, {"name", first.name()}});
         loop.run();
         server.reset();
-    } catch (const scheduler_setup::Malformed &e) {
+    } catch (const scheduler_setup::MalformedInput &e) {
         std::fprintf(stderr, "%s: %s\n", config.c_str(), e.what());
         code = 2;
     } catch (const std::exception &e) {
--- a/src/http_gateway/config.cpp
+++ b/src/http_gateway/config.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using nlohmann::json;
-using scheduler_setup::Malformed;
+using scheduler_setup::MalformedInput;
 
 std::string plain(const json &v) {
     std::string s = v.is_string() ? v.get<std::string>() : v.is_null() ? std::string() : v.dump();
@@ -43,7 +43,7 @@
     const json &at(const char *field, bool fits(const json &), const char *what) const {
         auto it = doc.find(field);
         if (it == doc.end() || !fits(*it))
-            throw Malformed(std::string(field) + ": expected " + what);
+            throw MalformedInput(std::string(field) + ": expected " + what);
         return *it;
     }
     std::string text(const char *field) const {
@@ -51,7 +51,7 @@
                      field, [](const json &v) { return v.is_string(); }, "text")
                      .get<std::string>();
         if (s.empty())
-            throw Malformed(std::string(field) + ": empty");
+            throw MalformedInput(std::string(field) + ": empty");
         return s;
     }
 };
@@ -59,7 +59,7 @@
 Config::Config(std::string_view text) : parts_(std::make_unique<Parts>()) {
     parts_->doc = json::parse(text, nullptr, false);
     if (!parts_->doc.is_object())
-        throw Malformed("expected a JSON object");
+        throw MalformedInput("expected a JSON object");
     auto is_object = [](const json &v) { return v.is_object(); };
     parts_->at("settings", is_object, "an object");
     parts_->at("limits", is_object, "an object");
@@ -83,14 +83,14 @@
     std::uint64_t v = 0;
     auto [end, ec] = std::from_chars(s.data(), s.data() + s.size(), v, 16);
     if (ec != std::errc() || end != s.data() + s.size())
-        throw Malformed("seed: expected up to 16 hex digits: " + s.substr(0, 80));
+        throw MalformedInput("seed: expected up to 16 hex digits: " + s.substr(0, 80));
     return v;
 }
 std::size_t Config::sockets() const {
     const json &limits = parts_->doc["limits"];
     auto it = limits.find("sockets");
     if (it == limits.end() || !it->is_number_integer() || it->get<std::int64_t>() < 32)
-        throw Malformed("limits.sockets: expected a whole number, 32 or more");
+        throw MalformedInput("limits.sockets: expected a whole number, 32 or more");
     return it->get<std::size_t>();
 }
 std::string Config::known() const {
@@ -106,12 +106,12 @@
     std::vector<std::string> out;
     auto it = parts_->doc["settings"].find(list);
     if (it == parts_->doc["settings"].end() || !it->is_array())
-        throw Malformed("settings." + list + ": expected a list");
+        throw MalformedInput("settings." + list + ": expected a list");
     for (std::size_t i = 0; i < it->size(); ++i) {
         const json &v = (*it)[i];
         const json *name = v.is_object() && v.contains("Name") ? &v["Name"] : &v;
         if (!name->is_string())
-            throw Malformed("settings." + list + "." + std::to_string(i) + ": expected a name");
+            throw MalformedInput("settings." + list + "." + std::to_string(i) + ": expected a name");
         out.push_back(name->get<std::string>());
     }
     return out;
--- a/src/http_gateway/config.hpp
+++ b/src/http_gateway/config.hpp
@@ -13,7 +13,7 @@
 
 class Config {
 public:
-    // Throws scheduler_setup::Malformed, saying which field and what was expected.
+    // Throws scheduler_setup::MalformedInput, saying which field and what was expected.
     explicit Config(std::string_view json);
     ~Config();
     Config(Config &&) noexcept;
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -33,7 +33,7 @@
 Time bound(const scheduler_setup::Options &settings, const std::string &path) {
     Time t = settings.time(path);
     if (t < 0)
-        throw scheduler_setup::Malformed("setting " + path + ": expected seconds, 0 or more");
+        throw scheduler_setup::MalformedInput("setting " + path + ": expected seconds, 0 or more");
     return t > 0 ? t : Pools::unbounded;
 }
 
@@ -55,7 +55,7 @@
     for (std::uint32_t i = 0; i < settings.count("Classes.count"); ++i) {
         auto path = "Classes." + std::to_string(i) + ".DeadlineS";
         if (settings.time(path) <= 0)
-            throw scheduler_setup::Malformed("setting " + path + ": expected seconds above 0");
+            throw scheduler_setup::MalformedInput("setting " + path + ": expected seconds above 0");
         longest_ = std::max(longest_, settings.time(path));
     }
 }
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -26,7 +26,7 @@
                    public RequestsTold,
                    public ListTold {
 public:
-    // `sockets`: descriptors the process may hold. Throws scheduler_setup::Malformed on settings
+    // `sockets`: descriptors the process may hold. Throws scheduler_setup::MalformedInput on settings
     // that are wrong.
     Core(Transport &transport,
          const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -80,11 +80,11 @@
     auto text = settings::File::slurp(path_, fault);
     try {
         if (!fault.empty())
-            throw scheduler_setup::Malformed(fault);
+            throw scheduler_setup::MalformedInput(fault);
         Config config(text);
         core_->discovery_at(loop::now(), config.discovery());
         log::line(log::info, "configuration read again", {{"discovery", config.discovery()}});
-    } catch (const scheduler_setup::Malformed &e) {
+    } catch (const scheduler_setup::MalformedInput &e) {
         log::line(log::error, "configuration refused, the last one stays", {{"fault", e.what()}});
     }
 }
--- a/src/http_gateway/server.hpp
+++ b/src/http_gateway/server.hpp
@@ -15,7 +15,7 @@
 class Server final : public Transport {
 public:
     // `path`: where the configuration is, for when it is told to read it again. Throws
-    // std::runtime_error where the address can't be listened on, scheduler_setup::Malformed on
+    // std::runtime_error where the address can't be listened on, scheduler_setup::MalformedInput on
     // settings that are wrong.
     Server(loop::Loop &loop, std::string path, const Config &config,
            const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>
--- /dev/null
+++ b/src/scheduler_setup/checked_input.cpp
@@ -0,0 +1,20 @@
+#include "scheduler_setup/checked_input.hpp"
+
+#include <cmath>
+
+namespace knotvane::scheduler_setup {
+namespace {
+
+// Nanoseconds of a longer span don't fit a Time.
+constexpr double max_seconds = 9e9;
+constexpr double microseconds_per_second = 1e6;
+
+} // namespace
+
+Time time_from_seconds(double seconds, const std::string &name) {
+    if (!std::isfinite(seconds) || std::abs(seconds) > max_seconds)
+        throw MalformedInput(name + ": not a time");
+    return static_cast<Time>(std::llround(seconds * microseconds_per_second)) * us;
+}
+
+} // namespace knotvane::scheduler_setup
--- a/src/scheduler_setup/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -6,24 +6,27 @@
 namespace knotvane::scheduler_setup {
 namespace {
 
-Idempotency idempotency(const std::string &s, const std::string &path) {
-    if (s == "idempotent" || s.empty())
+// A value that can't be read is quoted in the error's message up to this many bytes.
+constexpr std::size_t max_quoted = 80;
+
+Idempotency idempotency(const std::string &name, const std::string &path) {
+    if (name == "idempotent" || name.empty())
         return Idempotency::idempotent;
-    if (s == "deduplicated")
+    if (name == "deduplicated")
         return Idempotency::deduplicated;
-    if (s == "at_most_once")
+    if (name == "at_most_once")
         return Idempotency::at_most_once;
-    throw Malformed("setting " + path + ": unknown effect: " + s.substr(0, 80));
+    throw MalformedInput("setting " + path + ": unknown effect: " + name.substr(0, max_quoted));
 }
 
-DeduplicationScope deduplication_scope(const std::string &s, const std::string &path) {
-    if (s == "all" || s.empty())
+DeduplicationScope deduplication_scope(const std::string &name, const std::string &path) {
+    if (name == "all" || name.empty())
         return DeduplicationScope::all;
-    if (s == "zone")
+    if (name == "zone")
         return DeduplicationScope::zone;
-    if (s == "cell")
+    if (name == "cell")
         return DeduplicationScope::shard;
-    throw Malformed("setting " + path + ": unknown group: " + s.substr(0, 80));
+    throw MalformedInput("setting " + path + ": unknown group: " + name.substr(0, max_quoted));
 }
 
 WorkloadConfig workload_config(const Options &options, std::uint32_t index) {
--- a/src/scheduler_setup/setup.hpp
+++ b/src/scheduler_setup/setup.hpp
@@ -1,5 +1,5 @@
-// Settings as the simulator's first message has them, told to the decisions; one way for all that
-// run them.
+/// \file
+/// Configures a scheduler from the site's settings, in one way for every program that runs one.
 #pragma once
 
 #include "scheduler_setup/options.hpp"
@@ -7,8 +7,9 @@
 
 namespace knotvane::scheduler_setup {
 
-// All set-up calls, in order, but for ready. Throws Malformed with the path of a setting that is
-// wrong.
-void set_up(Scheduler &to, const Options &options);
+/// Makes all calls that configure a scheduler: configure, set_workload and set_plan. The settings'
+/// paths are those of the simulator's boot record.
+/// @throws MalformedInput with the path of a setting that is wrong.
+void set_up(Scheduler &scheduler, const Options &options);
 
 } // namespace knotvane::scheduler_setup
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -1,255 +1,269 @@
 #include "simulator_adapter/adapter.hpp"
 
 #include <algorithm>
+#include <cmath>
 #include <cstring>
+#include <exception>
+#include <utility>
 
 #include "scheduler_setup/options.hpp"
-#include "scheduler_setup/record_writer.hpp"
 #include "scheduler_setup/setup.hpp"
+#include "simulator_adapter/record_writer.hpp"
 
 namespace knotvane::simulator_adapter {
 namespace {
 
-using scheduler_setup::Malformed;
-using scheduler_setup::Options;
-using scheduler_setup::Reader;
-using scheduler_setup::Record;
+using scheduler_setup::MalformedInput;
 
-// Decisions go out as records, gathered until the frame is done.
-class Out final : public SchedulerActions {
-public:
-    std::string bytes;
+AttemptOutcome to_outcome(std::uint16_t number) {
+    // The wire's numbers are the enumerators' in order.
+    if (number > static_cast<std::uint16_t>(AttemptOutcome::not_sent))
+        throw MalformedInput("outcome " + std::to_string(number) + " is unknown");
+    return static_cast<AttemptOutcome>(number);
+}
 
-    void start_attempt(RequestId task, NodeId node, Time timeout) override {
-        Record(bytes, 261).put(task.value).address(node.value).time(timeout);
-    }
-    void cancel_attempt(RequestId task, AttemptId shot) override {
-        Record(bytes, 264).put(task.value).put(static_cast<std::uint8_t>(shot.value));
-    }
-    void reject(RequestId task, Time retry_after) override {
-        Record(bytes, 268).put(task.value).time(retry_after);
-    }
-    void fail(RequestId task) override { Record(bytes, 263).put(task.value); }
-    void set_timer(TimerId alarm, Time wait) override {
-        Record(bytes, 260).put(alarm.value).time(wait);
-    }
-    void watch_endpoints() override { Record(bytes, 265).put(std::uint8_t{1}); }
-};
+NodeState to_node_state(std::uint8_t number) {
+    // The wire's numbers are the enumerators' in order.
+    if (number > static_cast<std::uint8_t>(NodeState::ready))
+        throw MalformedInput("node state " + std::to_string(number) + " is unknown");
+    return static_cast<NodeState>(number);
+}
 
-// The order of an outcome's numbers on the wire is that of the enumerators.
-AttemptOutcome outcome_of(std::uint16_t rc) {
-    if (rc > 7)
-        throw Malformed("outcome " + std::to_string(rc) + " is unknown");
-    return static_cast<AttemptOutcome>(rc);
+ShardId to_shard(float number) {
+    constexpr float max_shard = 65535;
+    if (!(number >= static_cast<float>(no_shard.value) && number <= max_shard))
+        throw MalformedInput("shard: not a shard");
+    return ShardId{static_cast<std::int32_t>(number)};
 }
 
-// Load reports are checked and not used.
-void check_report(Reader &in) {
-    auto size = in.get<std::uint8_t>("report size");
+/// Load reports are checked and not used.
+void skip_load_report(RecordReader &fields) {
+    auto size = fields.optional<std::uint8_t>("report size");
     for (std::uint8_t i = 0; i < size; ++i)
-        in.need<float>("report value");
+        fields.required<float>("report value");
 }
 
-ShardId shard_of(float placement) {
-    if (!(placement >= -1 && placement <= 65535))
-        throw Malformed("placement: not a shard");
-    return ShardId{static_cast<std::int32_t>(placement)};
+void skip_health_check(RecordReader fields) {
+    fields.address("node");
+    fields.optional<std::uint16_t>("result");
+    fields.time("duration");
+    skip_load_report(fields);
 }
 
-} // namespace
+void skip_peer_message(RecordReader fields) {
+    fields.required<std::uint16_t>("sender");
+    fields.bytes(fields.optional<std::uint16_t>("text size"), "text");
+}
 
-struct Host::Instance {
-    Out out;
-    std::unique_ptr<Scheduler> scheduler;
-};
+Endpoint read_endpoint(RecordReader fields) {
+    Endpoint endpoint;
+    endpoint.shard = ShardId{fields.required<std::uint16_t>("shard")};
+    endpoint.node = NodeId{fields.address("node")};
+    endpoint.zone = ZoneId{fields.required<std::uint8_t>("zone")};
+    auto state = fields.required<std::uint8_t>("state");
+    fields.required<float>("weight");
+    endpoint.started_at = fields.time("start");
+    endpoint.state = to_node_state(state);
+    return endpoint;
+}
 
-Host::Host() = default;
-Host::~Host() = default;
+RequestInfo read_request(RecordReader fields) {
+    RequestInfo request;
+    request.id = RequestId{fields.required<std::uint64_t>("request")};
+    auto flags = fields.optional<std::uint8_t>("flags");
+    request.repeated = (flags & request_flag::repeated) != 0;
+    request.writes = (flags & request_flag::writes) != 0;
+    request.workload = WorkloadId{fields.optional<std::uint16_t>("workload")};
+    request.sharers = fields.optional<float>("sharers");
+    request.volume = VolumeId{fields.optional<std::uint64_t>("volume")};
+    request.shard = fields.empty() ? no_shard : to_shard(fields.optional<float>("shard"));
+    request.key = KeyId{fields.optional<std::uint64_t>("key")};
+    request.plan = PlanId{fields.optional<std::uint32_t>("plan")};
+    request.client_timeout = fields.time("client timeout");
+    request.units = fields.optional<float>("units");
+    if (!std::isfinite(request.sharers) || !std::isfinite(request.units))
+        throw MalformedInput("request: sharers or units is not a number");
+    return request;
+}
 
-Host::Instance &Host::instance() {
-    if (!target_)
-        throw Malformed("event before any instance is named");
-    auto it = instances_.find(*target_);
-    if (it == instances_.end())
-        throw Malformed("event for instance " + std::to_string(*target_) +
-                        ", which was never booted");
-    return *it->second;
+AttemptResult read_attempt_result(RecordReader fields) {
+    AttemptResult result;
+    result.request = RequestId{fields.required<std::uint64_t>("request")};
+    result.attempt = AttemptId{fields.required<std::uint8_t>("attempt")};
+    result.node = NodeId{fields.address("node")};
+    result.outcome = to_outcome(fields.required<std::uint16_t>("outcome"));
+    result.duration = fields.time("duration");
+    result.client_answered = fields.optional<std::uint8_t>("client answered") != 0;
+    fields.optional<std::uint16_t>("volume use");
+    fields.optional<std::uint16_t>("units through other schedulers");
+    skip_load_report(fields);
+    return result;
 }
 
-void Host::census(Reader in) {
-    auto slot = in.need<std::uint16_t>("list number");
-    if (slot >= census_.size())
-        throw Malformed("list number " + std::to_string(slot) + " is past 15");
-    auto n = in.get<std::uint32_t>("list size");
-    std::vector<Endpoint> entries;
-    for (std::uint32_t i = 0; i < n; ++i) {
-        Reader e(in.take(24, "list entry"));
-        Endpoint entry;
-        entry.shard = ShardId{e.need<std::uint16_t>("shard")};
-        entry.node = NodeId{e.address("node")};
-        entry.zone = ZoneId{e.need<std::uint8_t>("zone")};
-        auto state = e.need<std::uint8_t>("state");
-        e.need<float>("size");
-        entry.started_at = e.time("start");
-        if (state > 2)
-            throw Malformed("node state " + std::to_string(state) + " is unknown");
-        entry.state = static_cast<NodeState>(state);
-        entries.push_back(entry);
+} // namespace
+
+std::string SimulatorAdapter::handle_frame(std::string_view frame) {
+    RecordReader in(frame);
+    in.required<std::uint32_t>("frame length");
+    now_ = scheduler_setup::time_from_seconds(in.required<double>("clock"), "clock");
+    target_.reset();
+    instances_with_events_.clear();
+
+    std::string reply(sizeof(std::uint32_t), '\0');
+    auto fault = handle_records(in);
+    if (!fault)
+        fault = settle(reply);
+    if (fault) {
+        RecordWriter(reply, OutputRecord::instance).put(fault->instance);
+        RecordWriter(reply, OutputRecord::fault).text(fault->text);
     }
-    census_[slot] = std::move(entries);
-}
-
-void Host::boot(Reader &in) {
-    auto seed = in.need<std::uint64_t>("seed");
-    Options options(in.take(in.need<std::uint32_t>("settings size"), "settings"));
-    auto born = std::make_unique<Instance>();
-    born->scheduler = make_scheduler(born->out, seed);
-    scheduler_setup::set_up(*born->scheduler, options);
-    born->scheduler->start(now_);
-    instances_[*target_] = std::move(born);
-}
-
-void Host::membership(Scheduler &to, Reader &in) {
-    auto how = in.need<std::uint8_t>("list kind");
-    in.get<std::uint64_t>("list version");
-    auto slot = in.get<std::uint16_t>("list number");
-    if (how == 1)
-        return to.endpoint_list_failed(now_);
-    if (how > 3)
-        throw Malformed("list kind " + std::to_string(how) + " is unknown");
-    if (slot >= census_.size() || !census_[slot])
-        throw Malformed("list number " + std::to_string(slot) + " was never given");
-    to.endpoint_list_begin(now_, how == 3 ? EndpointListKind::delta : EndpointListKind::full);
-    for (const auto &e : *census_[slot])
-        to.endpoint_listed(e);
-    to.endpoint_list_end();
-}
-
-void Host::event(std::uint16_t code, Reader in) {
-    if (code == 266)
-        return census(in);
-    if (code == 267) {
-        target_ = in.need<std::uint32_t>("instance");
-        return;
+    auto length = static_cast<std::uint32_t>(reply.size());
+    std::memcpy(reply.data(), &length, sizeof length);
+    return reply;
+}
+
+std::optional<SimulatorAdapter::Fault> SimulatorAdapter::handle_records(RecordReader records) {
+    while (!records.empty()) {
+        auto code = records.required<std::uint16_t>("record code");
+        auto length = records.required<std::uint32_t>("record length");
+        RecordReader fields(records.bytes(length, "record"));
+        try {
+            handle_record(code, fields);
+        } catch (const MalformedInput &error) {
+            throw MalformedInput("record " + std::to_string(code) + ": " + error.what());
+        } catch (const std::exception &error) {
+            return Fault{target_.value_or(0), std::string("decisions failed: ") + error.what()};
+        }
     }
-    if (code < 256 || code > 265)
-        return;
-    if (!target_)
-        throw Malformed("event before any instance is named");
-    if (code == 265) {
-        instance();
-        instances_.erase(*target_);
+    return std::nullopt;
+}
+
+void SimulatorAdapter::handle_record(std::uint16_t code, RecordReader fields) {
+    auto record = static_cast<InputRecord>(code);
+    if (record == InputRecord::endpoint_list)
+        return store_endpoint_list(fields);
+    if (record == InputRecord::target_instance) {
+        target_ = fields.required<std::uint32_t>("instance");
         return;
     }
-    if (std::find(touched_.begin(), touched_.end(), *target_) == touched_.end())
-        touched_.push_back(*target_);
-    if (code == 256)
-        return boot(in);
-    Scheduler &to = *instance().scheduler;
+    if (record >= InputRecord::start && record <= InputRecord::kill)
+        handle_event(record, fields);
+}
+
+void SimulatorAdapter::handle_event(InputRecord code, RecordReader fields) {
+    if (!target_)
+        throw MalformedInput("event before any instance is named");
+    if (code == InputRecord::kill)
+        return kill_instance();
+
+    auto &listed = instances_with_events_;
+    if (std::find(listed.begin(), listed.end(), *target_) == listed.end())
+        listed.push_back(*target_);
+    if (code == InputRecord::start)
+        return start_instance(fields);
+
+    Scheduler &scheduler = *target_instance().scheduler;
     switch (code) {
-    case 257:
-        membership(to, in);
-        break;
-    case 258: {
-        RequestInfo request;
-        request.id = RequestId{in.need<std::uint64_t>("task")};
-        auto bits = in.get<std::uint8_t>("bits");
-        request.repeated = (bits & 2) != 0;
-        request.writes = (bits & 4) != 0;
-        request.workload = WorkloadId{in.get<std::uint16_t>("workload")};
-        request.sharers = in.get<float>("hosts");
-        request.volume = VolumeId{in.get<std::uint64_t>("volume")};
-        request.shard = shard_of(in.empty() ? -1.0f : in.get<float>("shard"));
-        request.key = KeyId{in.get<std::uint64_t>("key")};
-        request.plan = PlanId{in.get<std::uint32_t>("plan")};
-        request.client_timeout = in.time("client timeout");
-        request.units = in.get<float>("units");
-        if (!std::isfinite(request.sharers) || !std::isfinite(request.units))
-            throw Malformed("task: hosts or units is not a number");
-        to.request_received(now_, request);
-        break;
-    }
-    case 260: {
-        AttemptResult result;
-        result.request = RequestId{in.need<std::uint64_t>("task")};
-        result.attempt = AttemptId{in.need<std::uint8_t>("shot")};
-        result.node = NodeId{in.address("node")};
-        result.outcome = outcome_of(in.need<std::uint16_t>("outcome"));
-        result.duration = in.time("time taken");
-        result.client_answered = in.get<std::uint8_t>("last") != 0;
-        in.get<std::uint16_t>("use");
-        in.get<std::uint16_t>("others");
-        check_report(in);
-        to.attempt_completed(now_, result);
-        break;
-    }
-    case 261:
-        to.request_canceled(now_, RequestId{in.need<std::uint64_t>("task")},
-                            CancelReason::client_disconnected);
-        break;
-    case 262:
-        to.timer_expired(now_, TimerId{in.get<std::uint32_t>("alarm")});
-        break;
-    case 263: // a health check's end: none is ever started
-        in.address("node");
-        in.get<std::uint16_t>("result");
-        in.time("time taken");
-        check_report(in);
-        break;
-    case 264: // a peer's message: not used
-        in.need<std::uint16_t>("sender");
-        in.take(in.get<std::uint16_t>("size"), "text");
-        break;
-    default: // a stream's start: no workload here streams
-        break;
+    case InputRecord::endpoint_update:
+        return update_endpoints(scheduler, fields);
+    case InputRecord::request_received:
+        return scheduler.request_received(now_, read_request(fields));
+    case InputRecord::attempt_completed:
+        return scheduler.attempt_completed(now_, read_attempt_result(fields));
+    case InputRecord::request_canceled:
+        return scheduler.request_canceled(now_,
+                                          RequestId{fields.required<std::uint64_t>("request")},
+                                          CancelReason::client_disconnected);
+    case InputRecord::timer_expired:
+        return scheduler.timer_expired(now_, TimerId{fields.optional<std::uint32_t>("timer")});
+    case InputRecord::health_check_completed:
+        return skip_health_check(fields);
+    case InputRecord::peer_message:
+        return skip_peer_message(fields);
+    case InputRecord::stream_started:
+    case InputRecord::start:
+    case InputRecord::kill:
+    case InputRecord::endpoint_list:
+    case InputRecord::target_instance:
+        return;
     }
 }
 
-std::string Host::reply_to(std::string_view frame) {
-    Reader in(frame);
-    in.need<std::uint32_t>("frame length");
-    now_ = Reader::to_time(in.need<double>("clock"), "clock");
-    target_.reset();
-    touched_.clear();
-    std::string fault;
-    std::uint32_t faulty = 0;
-    while (!in.empty() && fault.empty()) {
-        auto code = in.need<std::uint16_t>("record code");
-        Reader fields(in.take(in.need<std::uint32_t>("record length"), "record"));
-        try {
-            event(code, fields);
-        } catch (const Malformed &e) {
-            throw Malformed("record " + std::to_string(code) + ": " + e.what());
-        } catch (const std::exception &e) {
-            fault = std::string("decisions failed: ") + e.what();
-            faulty = target_.value_or(0);
-        }
-    }
-    std::string reply(4, '\0');
-    for (auto id : touched_) {
+void SimulatorAdapter::store_endpoint_list(RecordReader fields) {
+    auto number = fields.required<std::uint16_t>("list number");
+    if (number >= endpoint_lists_.size())
+        throw MalformedInput("list number " + std::to_string(number) + " is past " +
+                             std::to_string(endpoint_lists_.size() - 1));
+    auto count = fields.optional<std::uint32_t>("list size");
+    std::vector<Endpoint> endpoints;
+    for (std::uint32_t i = 0; i < count; ++i)
+        endpoints.push_back(
+            read_endpoint(RecordReader(fields.bytes(endpoint_entry_bytes, "list entry"))));
+    endpoint_lists_[number] = std::move(endpoints);
+}
+
+void SimulatorAdapter::start_instance(RecordReader fields) {
+    auto seed = fields.required<std::uint64_t>("seed");
+    auto settings_size = fields.required<std::uint32_t>("settings size");
+    scheduler_setup::Options options(fields.bytes(settings_size, "settings"));
+    auto instance = std::make_unique<Instance>();
+    instance->scheduler = make_scheduler(instance->actions, seed);
+    scheduler_setup::set_up(*instance->scheduler, options);
+    instance->scheduler->start(now_);
+    instances_[*target_] = std::move(instance);
+}
+
+void SimulatorAdapter::kill_instance() {
+    target_instance();
+    instances_.erase(*target_);
+}
+
+void SimulatorAdapter::update_endpoints(Scheduler &scheduler, RecordReader fields) {
+    auto number_of_kind = fields.required<std::uint8_t>("list kind");
+    auto kind = static_cast<EndpointUpdateKind>(number_of_kind);
+    fields.optional<std::uint64_t>("list version");
+    auto list_number = fields.optional<std::uint16_t>("list number");
+    if (kind == EndpointUpdateKind::failed)
+        return scheduler.endpoint_list_failed(now_);
+    if (kind > EndpointUpdateKind::delta)
+        throw MalformedInput("list kind " + std::to_string(number_of_kind) + " is unknown");
+    if (list_number >= endpoint_lists_.size() || !endpoint_lists_[list_number])
+        throw MalformedInput("list number " + std::to_string(list_number) + " was never given");
+
+    scheduler.endpoint_list_begin(now_, kind == EndpointUpdateKind::delta ? EndpointListKind::delta
+                                                                          : EndpointListKind::full);
+    for (const auto &endpoint : *endpoint_lists_[list_number])
+        scheduler.endpoint_listed(endpoint);
+    scheduler.endpoint_list_end();
+}
+
+std::optional<SimulatorAdapter::Fault> SimulatorAdapter::settle(std::string &reply) {
+    for (auto id : instances_with_events_) {
         auto it = instances_.find(id);
-        if (it == instances_.end() || !fault.empty())
+        if (it == instances_.end())
             continue;
+        Instance &instance = *it->second;
         try {
-            it->second->scheduler->settle(now_);
-        } catch (const std::exception &e) {
-            fault = std::string("decisions failed: ") + e.what();
-            faulty = id;
-            break;
+            instance.scheduler->settle(now_);
+        } catch (const std::exception &error) {
+            return Fault{id, std::string("decisions failed: ") + error.what()};
         }
-        std::string &out = it->second->out.bytes;
-        if (!out.empty())
-            Record(reply, 257).put(id);
-        reply += out;
-        out.clear();
-    }
-    if (!fault.empty()) {
-        Record(reply, 257).put(faulty);
-        Record(reply, 256).text(fault);
+        std::string records = instance.actions.take_records();
+        if (!records.empty())
+            RecordWriter(reply, OutputRecord::instance).put(id);
+        reply += records;
     }
-    auto n = static_cast<std::uint32_t>(reply.size());
-    std::memcpy(reply.data(), &n, 4);
-    return reply;
+    return std::nullopt;
+}
+
+SimulatorAdapter::Instance &SimulatorAdapter::target_instance() {
+    if (!target_)
+        throw MalformedInput("event before any instance is named");
+    auto it = instances_.find(*target_);
+    if (it == instances_.end())
+        throw MalformedInput("event for instance " + std::to_string(*target_) +
+                             ", which was never started");
+    return *it->second;
 }
 
 } // namespace knotvane::simulator_adapter
--- a/tests/http_gateway/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -484,7 +484,7 @@
          {"Classes.1.DeadlineS=0", "Classes.1.DeadlineS=-1", "Permissions.ConnIdleS=-1"})
         CHECK_THROWS_WITH_AS(Front{wrong + "\n"},
                              doctest::Contains(wrong.substr(0, wrong.find('=')).c_str()),
-                             scheduler_setup::Malformed);
+                             scheduler_setup::MalformedInput);
     auto usual = settings_text();
     const std::string target = "Classes.0.TargetS=0.15\n";
     usual.erase(usual.find(target), target.size());
@@ -515,8 +515,8 @@
         auto bad = good;
         bad.replace(bad.find("\"" + field), 1, "\"x");
         CHECK_THROWS_WITH_AS(Config{bad}, doctest::Contains(field.c_str()),
-                             scheduler_setup::Malformed);
+                             scheduler_setup::MalformedInput);
     }
-    CHECK_THROWS_AS(Config{"[]"}, scheduler_setup::Malformed);
-    CHECK_THROWS_AS(Config{"{"}, scheduler_setup::Malformed);
+    CHECK_THROWS_AS(Config{"[]"}, scheduler_setup::MalformedInput);
+    CHECK_THROWS_AS(Config{"{"}, scheduler_setup::MalformedInput);
 }
--- /dev/null
+++ b/tests/scheduler_setup/checked_input_test.cpp
@@ -0,0 +1,14 @@
+#include <cmath>
+
+#include <doctest/doctest.h>
+
+#include "scheduler_setup/checked_input.hpp"
+
+using namespace knotvane;
+using scheduler_setup::MalformedInput;
+using scheduler_setup::time_from_seconds;
+
+TEST_CASE("seconds become whole nanoseconds at the microsecond") {
+    CHECK(time_from_seconds(9.563867, "t") == 9'563'867 * us);
+    CHECK_THROWS_AS(time_from_seconds(std::nan(""), "t"), MalformedInput);
+}
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -1,93 +1,111 @@
-// The drill's wire: odd but legal input works, malformed input is told and refused.
+// The simulator's wire: unusual but legal input works, malformed input is refused with an error.
 #include <cstring>
+
 #include <doctest/doctest.h>
 
-#include "scheduler_setup/options.hpp"
-#include "scheduler_setup/record_writer.hpp"
+#include "scheduler_setup/checked_input.hpp"
 #include "simulator_adapter/adapter.hpp"
+#include "simulator_adapter/record_writer.hpp"
+#include "simulator_adapter/records.hpp"
 
 using namespace knotvane;
-using scheduler_setup::Malformed;
-using scheduler_setup::Record;
+using scheduler_setup::MalformedInput;
+using simulator_adapter::InputRecord;
+using simulator_adapter::RecordWriter;
+using simulator_adapter::SimulatorAdapter;
 
 namespace {
 
-std::string frame(const std::string &records, double clock = 1) {
-    std::string f(4, '\0');
-    f.append(reinterpret_cast<const char *>(&clock), 8);
-    f += records;
-    auto n = static_cast<std::uint32_t>(f.size());
-    std::memcpy(f.data(), &n, 4);
-    return f;
+std::string frame_of(const std::string &records, double clock = 1) {
+    std::string frame(4, '\0');
+    frame.append(reinterpret_cast<const char *>(&clock), sizeof clock);
+    frame += records;
+    auto length = static_cast<std::uint32_t>(frame.size());
+    std::memcpy(frame.data(), &length, sizeof length);
+    return frame;
+}
+
+std::string target(std::uint32_t instance) {
+    std::string records;
+    RecordWriter(records, InputRecord::target_instance).put(instance);
+    return records;
+}
+
+std::string start(std::uint32_t instance,
+                  const std::string &settings = "Balancers=1\nClasses.count=0\n") {
+    std::string records = target(instance);
+    RecordWriter record(records, InputRecord::start);
+    record.put(std::uint64_t{3}).put(static_cast<std::uint32_t>(settings.size()));
+    records += settings;
+    return records;
+}
+
+std::string empty_record(InputRecord code) {
+    std::string records;
+    { RecordWriter record(records, code); }
+    return records;
 }
 
-std::string boot(std::uint32_t instance,
-                 const std::string &settings = "Balancers=1\nClasses.count=0\n") {
-    std::string r;
-    Record(r, 267).put(instance);
-    Record boot(r, 256);
-    boot.put(std::uint64_t{3}).put(static_cast<std::uint32_t>(settings.size()));
-    r += settings;
-    return r;
+std::string kill() {
+    return empty_record(InputRecord::kill);
 }
 
-std::string killed() {
-    std::string r;
-    Record(r, 265);
-    return r;
+std::string timer_expired() {
+    std::string records;
+    RecordWriter(records, InputRecord::timer_expired).put(std::uint32_t{0});
+    return records;
 }
 
 } // namespace
 
-TEST_CASE("an empty batch gets an empty reply") {
-    simulator_adapter::Host host;
-    CHECK(host.reply_to(frame("")) == std::string("\4\0\0\0", 4));
+TEST_CASE("an empty frame gets an empty reply") {
+    SimulatorAdapter adapter;
+    CHECK(adapter.handle_frame(frame_of("")) == std::string("\4\0\0\0", 4));
 }
 
-TEST_CASE("killed and booted again within one batch") {
-    simulator_adapter::Host host;
-    host.reply_to(frame(boot(3)));
-    std::string r;
-    Record(r, 267).put(std::uint32_t{3});
-    CHECK_NOTHROW(host.reply_to(frame(r + killed() + boot(3))));
-    CHECK_NOTHROW(host.reply_to(frame(boot(3) + killed())));
-    CHECK_THROWS_AS(host.reply_to(frame(r + killed())), Malformed);
+TEST_CASE("an instance is killed and started again within one frame") {
+    SimulatorAdapter adapter;
+    adapter.handle_frame(frame_of(start(3)));
+    CHECK_NOTHROW(adapter.handle_frame(frame_of(target(3) + kill() + start(3))));
+    CHECK_NOTHROW(adapter.handle_frame(frame_of(start(3) + kill())));
+    CHECK_THROWS_AS(adapter.handle_frame(frame_of(target(3) + kill())), MalformedInput);
 }
 
 TEST_CASE("an unknown record and an unknown setting are skipped") {
-    simulator_adapter::Host host;
-    std::string r = boot(1, "Novel.Thing=seven\nBalancers=2\n");
-    Record(r, 999).put(std::uint64_t{1});
-    CHECK_NOTHROW(host.reply_to(frame(r)));
+    SimulatorAdapter adapter;
+    std::string records = start(1, "Novel.Thing=seven\nBalancers=2\n");
+    RecordWriter(records, 999).put(std::uint64_t{1});
+    CHECK_NOTHROW(adapter.handle_frame(frame_of(records)));
 }
 
-TEST_CASE("outcomes and withdrawals of unknown tasks are skipped, absent fields read as zero") {
-    simulator_adapter::Host host;
-    std::string r = boot(1);
-    {
-        Record out(r, 260);
-        out.put(std::uint64_t{9}).put(std::uint8_t{0}).address(77).put(std::uint16_t{0});
-    }
-    Record(r, 261).put(std::uint64_t{9});
-    CHECK_NOTHROW(host.reply_to(frame(r)));
+TEST_CASE("outcomes and cancellations of unknown requests are skipped, absent fields are zero") {
+    SimulatorAdapter adapter;
+    std::string records = start(1);
+    RecordWriter(records, InputRecord::attempt_completed)
+        .put(std::uint64_t{9})
+        .put(std::uint8_t{0})
+        .address(77)
+        .put(std::uint16_t{0});
+    RecordWriter(records, InputRecord::request_canceled).put(std::uint64_t{9});
+    CHECK_NOTHROW(adapter.handle_frame(frame_of(records)));
 }
 
-TEST_CASE("malformed input") {
-    simulator_adapter::Host host;
-    std::string never_booted, cut, no_target;
-    Record(never_booted, 267).put(std::uint32_t{4});
-    Record(never_booted, 262).put(std::uint32_t{0});
-    Record(no_target, 262).put(std::uint32_t{0});
-    cut = boot(1);
+TEST_CASE("malformed input is refused") {
+    SimulatorAdapter adapter;
+    std::string cut = start(1);
     cut.resize(cut.size() - 1);
-    CHECK_THROWS_AS(host.reply_to(frame(never_booted)), Malformed);
-    CHECK_THROWS_AS(host.reply_to(frame(no_target)), Malformed);
-    CHECK_THROWS_AS(host.reply_to(frame(cut)), Malformed);
-    CHECK_THROWS_AS(host.reply_to(frame(boot(1, "StepS=fast\n"))), Malformed);
-    CHECK_THROWS_AS(host.reply_to(frame(boot(1, "no equals sign\n"))), Malformed);
+    for (const auto &records : {target(4) + timer_expired(), // an instance that was never started
+                                timer_expired(),             // no instance is named
+                                cut, start(1, "StepS=fast\n"), start(1, "no equals sign\n")})
+        CHECK_THROWS_AS(adapter.handle_frame(frame_of(records)), MalformedInput);
 }
 
-TEST_CASE("seconds become whole nanoseconds at the microsecond") {
-    CHECK(scheduler_setup::Reader::to_time(9.563867, "t") == 9'563'867 * us);
-    CHECK_THROWS_AS(scheduler_setup::Reader::to_time(std::nan(""), "t"), Malformed);
+// The codes are the wire's: a renumbered enumerator would have the simulator read another record.
+TEST_CASE("records have the wire's codes") {
+    CHECK(start(3).substr(0, 10) == std::string("\x0b\x01\4\0\0\0\3\0\0\0", 10));
+    CHECK(start(3).substr(10, 2) == std::string("\0\x01", 2));
+    CHECK(kill() == std::string("\x09\x01\0\0\0\0", 6));
+    CHECK(timer_expired().substr(0, 2) == std::string("\x06\x01", 2));
+    CHECK(empty_record(InputRecord::attempt_completed) == std::string("\4\x01\0\0\0\0", 6));
+    CHECK(empty_record(InputRecord::request_canceled) == std::string("\5\x01\0\0\0\0", 6));
 }
