--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -12,7 +12,7 @@
   set_tests_properties(${name} PROPERTIES TIMEOUT 240 ENVIRONMENT "RC_PARAMS=seed=20261201")
 endfunction()
 
-# The decisions and the simulator's adapter need no package but the tests' framework.
+# The decisions, their set-up and the simulator's adapter need no package but the tests' framework.
 package_tests(
   scheduling
   SOURCES
@@ -39,14 +39,25 @@
     tests/scheduling/waiting_index_test.cpp
     tests/scheduling/windowed_sum_test.cpp
   LIBS knotvane_scheduling)
+package_tests(
+  scheduler_setup
+  SOURCES tests/scheduler_setup/checked_input_test.cpp
+  LIBS knotvane_scheduler_setup)
 package_tests(
   simulator_adapter
   SOURCES tests/simulator_adapter/adapter_test.cpp
   LIBS knotvane_simulator_adapter)
+find_package(Python3 3.11 REQUIRED COMPONENTS Interpreter)
+# Recorded runs of the decisions over the simulator's wire: the same bytes, whatever is refactored.
+add_test(
+  NAME recorded_run
+  COMMAND ${CMAKE_COMMAND} -E env KNOTVANE_DRILL=$<TARGET_FILE:knotvane_drill> ${Python3_EXECUTABLE} -B -m unittest -v
+          tests.recorded_run.recorded_run_test
+  WORKING_DIRECTORY ${CMAKE_SOURCE_DIR})
+set_tests_properties(recorded_run PROPERTIES TIMEOUT 120)
 add_test(NAME known_red COMMAND ${CMAKE_SOURCE_DIR}/tests/known_red_test)
 
 # The lists of packages and the check of the deploy build itself.
-find_package(Python3 3.11 REQUIRED COMPONENTS Interpreter)
 add_test(
   NAME deploy_lists
   COMMAND Python3::Interpreter -B -m unittest -v tests.deploy.package_lists_test tests.deploy.setup_test
