--- a/tests/recorded_run/site.py
+++ b/tests/recorded_run/site.py
@@ -47,7 +47,9 @@
     seed: int
     seconds: float = 15
     schedulers: int = 2
+    boots: tuple = ()  # (scheduler, second): those that start later than at 0
     nodes: int = 4
+    shards: int = 0  # fewer than nodes: several nodes hold one shard; 0: one each
     volumes: int = 6
     rate: float = 60  # requests a second at each scheduler
     surge: tuple = (0, 0, 1)  # from, until, times the rate
@@ -77,7 +79,7 @@
 
     def __init__(self, number, scenario):
         self.address = bytes((10, 0, number // 200, 1 + number % 200, 0x1B, 0x5B))
-        self.shard = number
+        self.shard = number % (scenario.shards or scenario.nodes)
         self.zone = number % 2
         self.state = wire.READY
         self.started = 0
@@ -100,6 +102,7 @@
         self.requests = {}  # by id: a dict of what was asked, with its attempts
         self.attempts = {}  # (request, attempt) still out: node, time sent
         self.alarms = {}
+        self.booted = set()
         self.versions = 0
 
     def below(self, most):
@@ -159,11 +162,13 @@
 
     def begin(self):
         """The first events: each scheduler boots, hears of the nodes, and its clients come."""
+        later = dict(self.scenario.boots)
         for index in range(self.scenario.schedulers):
-            self.at(0, "boot", index)
+            start = int(later.get(index, 0) * SECOND)
+            self.at(start, "boot", index)
             if self.scenario.settings.get("RegistryMode") != "on_request":
-                self.at(0, "list", index, wire.LIST_WHOLE)
-            due = self.between(0, 20 * MS)
+                self.at(start, "list", index, wire.LIST_WHOLE)
+            due = start + self.between(0, 20 * MS)
             self.at(due, "arrival", index, due)
         for second, number, way in self.scenario.faults:
             self.at(int(second * SECOND), "fault", number, way)
@@ -180,6 +185,7 @@
         return getattr(self, "on_" + what)(*values)
 
     def on_boot(self, index):
+        self.booted.add(index)
         return index, [wire.boot(self.scenario.seed * 1000 + index, self.settings(index))]
 
     def on_list(self, index, kind, nodes=None):
@@ -202,7 +208,9 @@
             "workload": self.below(len(scenario.workloads)),
             "volume": volume,
             "plan": volume % len(scenario.plans),
-            "shard": -1.0 if self.chance.random() < scenario.no_shard else float(self.below(scenario.nodes)),
+            "shard": -1.0
+            if self.chance.random() < scenario.no_shard
+            else float(self.below(scenario.shards or scenario.nodes)),
             "key": self.below(scenario.keys),
             "units": units,
             "hosts": scenario.hosts[self.below(len(scenario.hosts))],
@@ -283,7 +291,7 @@
             if way != "list_failed":
                 return None
             node.way, kind = "well", wire.LIST_FAILED
-        for index in range(self.scenario.schedulers):
+        for index in sorted(self.booted):
             nodes = [node] if kind == wire.LIST_CHANGES else None
             self.at(self.now + self.between(1, 300) * MS, "list", index, kind, nodes)
         return None
