--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -111,7 +111,7 @@
   SOURCES
     tests/gateway/libnbd_test.cpp
     tests/gateway/day_test.cpp
-    tests/gateway/door_test.cpp
+    tests/gateway/admission_test.cpp
     tests/gateway/planner_test.cpp
     tests/gateway/snapshot_test.cpp
   LIBS knotvane_day PkgConfig::nbd nlohmann_json::nlohmann_json)
--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -109,7 +109,7 @@
             if (!fault.empty()) {
                 faults.push_back(fault);
             } else if (text.find("[list]") != std::string::npos) {
-                edge::read_nodes(path, text, faults);
+                edge::parse_endpoint_list(path, text, faults);
             } else if (text.find("[fleet]") != std::string::npos) {
                 planner::read_fleet(path, text, faults);
             } else {
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -130,7 +130,7 @@
             relay->put(record::Kind::figures, 0, 0, 0,
                        rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
-        fleet.on_told = [this](std::size_t edge, const edge::NodeList &list) {
+        fleet.on_told = [this](std::size_t edge, const edge::EndpointList &list) {
             relay_worker.loop().post([this, edge, nodes = list.nodes] { told(edge, nodes); });
         };
         fleet.address_for = [this](std::size_t edge, NodeId node, const std::string &address) {
@@ -157,7 +157,7 @@
             writer.flush();
         });
     }
-    void told(std::size_t edge, const std::vector<edge::ListedNode> &nodes) {
+    void told(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
         for (auto &n : nodes)
             relay->put(record::Kind::told, edge, n.id.value, static_cast<std::uint64_t>(n.state));
     }
@@ -311,8 +311,9 @@
             late_until_[e] = until;
             if (!script.planner)
                 continue;
-            fleet.with_edge(e, [](edge::Server &s) { s.deafen(true); });
-            at(until, [this, e] { fleet.with_edge(e, [](edge::Server &s) { s.deafen(false); }); });
+            fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(true); });
+            at(until,
+               [this, e] { fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(false); }); });
         }
     } else {
         on_relay([&] {
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -7,12 +7,6 @@
 #include "nbd/wire.hpp"
 
 namespace knotvane::edge {
-namespace {
-
-constexpr Time never = std::numeric_limits<Time>::max();
-
-} // namespace
-
 // The decisions' actions, kept until the call in which they came is over: an answer may free a
 // client's next request, which must not reach the decisions in the middle of a decision.
 struct Core::Deeds final : SchedulerActions {
@@ -59,7 +53,9 @@
     std::size_t out = 0; // handed to the shell and not yet written
     bool held = false, gone = false;
 
-    Client(Core &c, ClientId i) : core(c), id(i), session(*this, c.flying_, c.request_) {}
+    Client(Core &c, ClientId i)
+        : core(c), id(i),
+          session(*this, c.limits_.max_requests_per_client, c.limits_.max_request_bytes) {}
 
     std::vector<std::string> exports() override {
         std::vector<std::string> out_names;
@@ -85,7 +81,7 @@
         if (!found)
             return false;
         auto &v = core.table_->volumes.at(*found);
-        size = v.size, least = v.least, preferred = 4096, most = core.request_;
+        size = v.size, least = v.least, preferred = 4096, most = core.limits_.max_request_bytes;
         flags = nbd::send_flush | nbd::send_fua | nbd::send_trim | nbd::send_write_zeroes |
                 nbd::send_df | nbd::send_cache;
         // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
@@ -111,7 +107,7 @@
     void zero(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool fua, bool no_hole,
               bool) override {
         // Without holes the zeroes are written out, so that the space is there.
-        if (no_hole && length <= core.request_)
+        if (no_hole && length <= core.limits_.max_request_bytes)
             core.change(*this, r, offset, length, std::string(length, '\0'), false, fua);
         else
             core.change(*this, r, offset, length, {}, true, fua);
@@ -128,40 +124,40 @@
     }
     void left(std::string_view fault) override {
         if (!fault.empty())
-            core.shell_.say("client " + std::to_string(id.value) + ": " + std::string(fault));
+            core.shell_.log_event("client " + std::to_string(id.value) + ": " + std::string(fault));
         gone = true;
     }
 };
 
-Core::Core(Shell &shell, const MakeScheduler &make, std::uint64_t id, std::uint64_t incarnation,
-           std::uint64_t extent, std::uint64_t span, std::uint64_t unit,
-           std::vector<ShardId> shards)
+Core::Core(Shell &shell, const MakeScheduler &make, const CoreConfig &config)
     : shell_(shell), deeds_(std::make_unique<Deeds>(*this)), scheduler_(make(*deeds_)),
-      layout_(extent, span, std::move(shards)), id_(id),
+      layout_(config.extent_bytes, config.span_bytes, config.shards), id_(config.edge_id),
       // Marks are told apart by this: with the start alone, two edges started at once would share
       // their marks, and a node would drop one's writes as repeats of the other's.
-      incarnation_(mix(id, incarnation)), unit_(unit),
+      incarnation_(mix(config.edge_id, config.incarnation)), unit_(config.bytes_per_unit),
       cuts_([this](VolumeId as, control::SnapshotStep step) {
-          shell_.cut_told(as, step, control::EdgeIncarnation{incarnation_});
+          shell_.snapshot_step_done(as, step, control::EdgeIncarnation{incarnation_});
       }) {
-    set_links(1, sec, sec, 60 * sec, 1 << 20);
+    set_node_connections({});
 }
 Core::~Core() = default;
 
-void Core::set_links(std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out) {
-    links_ = std::make_unique<Links>(shell_, static_cast<Told &>(*this), id_, incarnation_, each,
-                                     connect, stall, idle, most_out);
+PlanConfig plan_config(const control::Plan &plan) {
+    return {plan.weight, plan.usual, plan.reserve, plan.price, plan.rate, plan.burst};
 }
-void Core::set_door(std::uint32_t flying, std::uint32_t request, std::size_t tasks,
-                    std::size_t bytes) {
-    flying_ = flying, request_ = request, most_tasks_ = tasks, most_bytes_ = bytes;
+
+void Core::set_node_connections(const NodeConnectionConfig &config) {
+    links_ = std::make_unique<NodeConnections>(shell_, static_cast<NodeConnectionEvents &>(*this),
+                                               id_, incarnation_, config);
 }
-void Core::add_volume(VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
-                      PlanId plan, std::uint32_t hosts) {
+void Core::add_volume(VolumeId id, const VolumeConfig &volume) {
     control::Volume v;
-    v.name = name, v.size = size, v.least = least, v.plan = plan;
+    v.name = volume.name;
+    v.size = volume.size_bytes;
+    v.least = volume.alignment_bytes;
+    v.plan = volume.plan;
     own_.put(id, std::move(v));
-    own_.put(id, control::Part{control::whole_limit / hosts, hosts});
+    own_.put(id, control::Part{control::whole_limit / volume.sharers, volume.sharers});
 }
 Core::Volume &Core::open_volume(VolumeId id) {
     auto &v = opened_[id];
@@ -201,15 +197,14 @@
     if (auto it = table_->parts.find(v.charge); it != table_->parts.end())
         v.hosts = std::max(1u, it->second.hosts);
 }
-void Core::facts_changed(Time now) {
+void Core::cluster_state_changed(Time now) {
     now_ = now;
     for (auto &[id, v] : opened_)
         follow_facts(v);
     stirred_ = true;
 }
-void Core::plan_told(PlanId id, double weight, double usual, double reserve, double price,
-                     double rate, double burst) {
-    scheduler_->set_plan(id, {weight, usual, reserve, price, rate, burst});
+void Core::set_plan(PlanId id, const PlanConfig &plan) {
+    scheduler_->set_plan(id, plan);
     stirred_ = true;
 }
 void Core::quota_share_changed(Time now, VolumeId volume, double hosts) {
@@ -217,11 +212,7 @@
     scheduler_->quota_share_changed(now, volume, hosts);
     stirred_ = true;
 }
-void Core::add_workload(WorkloadId id, Command command, std::uint32_t up_to,
-                        const std::string &volume, Time client_timeout, Time window) {
-    workloads_.push_back({id, command, up_to, volume, client_timeout, window});
-}
-void Core::ready(Time now) {
+void Core::start(Time now) {
     now_ = now;
     scheduler_->start(now);
     stirred_ = true;
@@ -236,11 +227,10 @@
     scheduler_->endpoint_list_begin(now, EndpointListKind::full);
     return true;
 }
-void Core::endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                           NodeState state, Time started) {
-    if (state != NodeState::removed)
-        addresses_[node] = address;
-    scheduler_->endpoint_listed({node, shard, zone, state, started});
+void Core::endpoint_listed(const Endpoint &endpoint, const std::string &address) {
+    if (endpoint.state != NodeState::removed)
+        addresses_[endpoint.node] = address;
+    scheduler_->endpoint_listed(endpoint);
 }
 void Core::endpoint_list_end() {
     scheduler_->endpoint_list_end();
@@ -249,14 +239,14 @@
 }
 
 // ---- Clients.
-void Core::client_came(Time now, ClientId id) {
+void Core::client_connected(Time now, ClientId id) {
     now_ = now;
     clients_[id] = std::make_unique<Client>(*this, id);
     touched_.insert(id);
     if (held_)
-        clients_[id]->session.hold(true), clients_[id]->held = true, shell_.hold_client(id, true);
+        clients_[id]->session.hold(true), clients_[id]->held = true, shell_.pause_client(id, true);
 }
-void Core::client_bytes(Time now, ClientId id, std::string_view in) {
+void Core::client_received(Time now, ClientId id, std::string_view in) {
     now_ = now;
     auto it = clients_.find(id);
     if (it == clients_.end())
@@ -267,7 +257,7 @@
         drop_client(id);
     door();
 }
-void Core::client_written(Time now, ClientId id, std::size_t bytes) {
+void Core::client_sent(Time now, ClientId id, std::size_t bytes) {
     now_ = now;
     auto it = clients_.find(id);
     if (it == clients_.end())
@@ -277,7 +267,7 @@
     touched_.insert(id);
     door();
 }
-void Core::client_gone(Time now, ClientId id) {
+void Core::client_disconnected(Time now, ClientId id) {
     now_ = now;
     auto it = clients_.find(id);
     if (it == clients_.end())
@@ -322,8 +312,10 @@
 // Past the bounds no client is read from, until enough has gone that reading does not stop and
 // start all the time.
 void Core::door() {
-    bool over = tasks_.size() >= most_tasks_ || bytes_ >= most_bytes_;
-    bool under = tasks_.size() <= most_tasks_ / 4 * 3 && bytes_ <= most_bytes_ / 4 * 3;
+    bool over =
+        tasks_.size() >= limits_.max_scheduled_requests || bytes_ >= limits_.max_buffered_bytes;
+    bool under = tasks_.size() <= limits_.max_scheduled_requests / 4 * 3 &&
+                 bytes_ <= limits_.max_buffered_bytes / 4 * 3;
     if (held_ ? under : over) {
         held_ = !held_;
         for (auto &[id, c] : clients_)
@@ -340,14 +332,14 @@
     return no;
 }
 
-void Core::take(ClientRequestId no, Client &c, Command command, std::shared_ptr<Work> work,
+void Core::take(ClientRequestId no, Client &c, Command command, std::shared_ptr<NodeRequest> work,
                 KeyId key, Time came) {
     auto is_for = [&](const std::string &volume) {
         auto it = table_->names.find(volume);
         return volume.empty() || (it != table_->names.end() && it->second == c.volume->id);
     };
     auto w = std::find_if(workloads_.begin(), workloads_.end(), [&](auto &x) {
-        return x.command == command && work->length <= x.up_to && is_for(x.volume);
+        return x.command == command && work->length <= x.max_bytes && is_for(x.volume);
     });
     if (w == workloads_.end()) { // settings are checked for this
         fail_request(no, nbd::e_io, "errored: no workload is for this request", work->offset);
@@ -356,16 +348,16 @@
     RequestId id{++next_task_};
     bool writes = command == Command::write || command == Command::zero;
     work->number = id.value;
-    work->deduplicated = writes && w->window > 0;
+    work->deduplicated = writes && w->deduplication_window > 0;
     Time until = came + w->client_timeout;
     work->cut = c.volume->is_snapshot;
     requests_.at(no).tasks.insert(id);
     auto shard = work->shard;
     auto units = work->units;
-    tasks_[id] = {no, false, std::move(work), until, w->window, {}, {}, 0};
+    tasks_[id] = {no, false, std::move(work), until, w->deduplication_window, {}, {}, 0};
     RequestInfo request;
     request.id = id;
-    request.workload = w->id;
+    request.workload = w->workload;
     request.volume = c.volume->charge;
     request.plan = c.volume->plan;
     request.shard = shard;
@@ -391,17 +383,18 @@
     while (length > 0 && requests_.contains(no)) {
         auto n = layout_.cut(offset, length, false);
         take(no, c, Command::read,
-             std::make_shared<Work>(Work{node_protocol::Kind::read,
-                                         c.volume->id,
-                                         layout_.shard_of(c.volume->place, offset),
-                                         offset,
-                                         n,
-                                         1 + static_cast<double>(n) / static_cast<double>(unit_),
-                                         false,
-                                         0,
-                                         false,
-                                         0,
-                                         {}}),
+             std::make_shared<NodeRequest>(
+                 NodeRequest{node_protocol::Kind::read,
+                             c.volume->id,
+                             layout_.shard_of(c.volume->place, offset),
+                             offset,
+                             n,
+                             1 + static_cast<double>(n) / static_cast<double>(unit_),
+                             false,
+                             0,
+                             false,
+                             0,
+                             {}}),
              layout_.key_of(c.volume->id, offset), now_);
         offset += n, length -= n;
     }
@@ -439,10 +432,10 @@
             if (!v.own[span])
                 v.own[span] = true, units += copy_;
         }
-        auto work = std::make_shared<Work>(
-            Work{zeroes ? node_protocol::Kind::zero : node_protocol::Kind::write, v.id,
-                 layout_.shard_of(v.place, offset), offset, n, units, fua, 0, false, 0,
-                 std::string(data.substr(0, zeroes ? 0 : n))});
+        auto work = std::make_shared<NodeRequest>(
+            NodeRequest{zeroes ? node_protocol::Kind::zero : node_protocol::Kind::write, v.id,
+                        layout_.shard_of(v.place, offset), offset, n, units, fua, 0, false, 0,
+                        std::string(data.substr(0, zeroes ? 0 : n))});
         work->epoch = epoch;
         take(no, c, command, std::move(work), layout_.key_of(v.id, offset), came);
         if (!zeroes)
@@ -463,17 +456,17 @@
     for (auto shard : shards)
         if (requests_.contains(no))
             take(no, c, Command::flush,
-                 std::make_shared<Work>(Work{node_protocol::Kind::flush,
-                                             c.volume->id,
-                                             shard,
-                                             0,
-                                             0,
-                                             1,
-                                             false,
-                                             0,
-                                             false,
-                                             0,
-                                             {}}),
+                 std::make_shared<NodeRequest>(NodeRequest{node_protocol::Kind::flush,
+                                                           c.volume->id,
+                                                           shard,
+                                                           0,
+                                                           0,
+                                                           1,
+                                                           false,
+                                                           0,
+                                                           false,
+                                                           0,
+                                                           {}}),
                  no_key, now_);
 }
 
@@ -484,32 +477,32 @@
     auto n = layout_.cut(offset, length, false);
     auto no = open(c, id, Command::status, 0);
     take(no, c, Command::status,
-         std::make_shared<Work>(Work{node_protocol::Kind::status,
-                                     c.volume->id,
-                                     layout_.shard_of(c.volume->place, offset),
-                                     offset,
-                                     n,
-                                     1,
-                                     false,
-                                     0,
-                                     false,
-                                     0,
-                                     {}}),
+         std::make_shared<NodeRequest>(NodeRequest{node_protocol::Kind::status,
+                                                   c.volume->id,
+                                                   layout_.shard_of(c.volume->place, offset),
+                                                   offset,
+                                                   n,
+                                                   1,
+                                                   false,
+                                                   0,
+                                                   false,
+                                                   0,
+                                                   {}}),
          no_key, now_);
 }
 
 // ---- Cuts.
-void Core::cut_hold(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
+void Core::hold_snapshot(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     now_ = now;
     cuts_.hold(now, of, as, epoch, longest);
     let_go(); // of an earlier one
 }
-void Core::cut_go(Time now, VolumeId of, VolumeId as, std::uint32_t epoch) {
+void Core::resume_snapshot(Time now, VolumeId of, VolumeId as, std::uint32_t epoch) {
     now_ = now;
     cuts_.go(now, of, as, epoch);
     let_go();
 }
-void Core::cut_release(Time now, VolumeId of, VolumeId as) {
+void Core::release_snapshot(Time now, VolumeId of, VolumeId as) {
     now_ = now;
     cuts_.release(of, as);
     let_go();
@@ -571,8 +564,8 @@
                      std::string_view payload, std::uint32_t epoch) {
     overs_.push_back({task, shot, node, how, status, incarnation, std::string(payload), epoch});
 }
-void Core::say(std::string text) {
-    shell_.say(std::move(text));
+void Core::log_event(std::string text) {
+    shell_.log_event(std::move(text));
 }
 
 void Core::do_shot(RequestId id, AttemptId shot, Time timeout) {
@@ -653,7 +646,7 @@
     Request &r = it->second;
     Client &c = *clients_.at(r.client);
     r.some_done = true;
-    const Work &w = *t.work;
+    const NodeRequest &w = *t.work;
     switch (r.command) {
     case Command::read:
         c.session.data(r.id, w.offset, over.payload);
@@ -713,7 +706,6 @@
                 for (auto other : r.tasks)
                     reject =
                         reject && (!changes || other == d.task || tasks_.at(other).shots.empty());
-                ++(reject ? denied_ : errored_);
                 std::uint64_t where = t.work->offset;
                 end_task(d.task, t);
                 auto ms_after = (d.time + ms - 1) / ms;
@@ -754,13 +746,11 @@
             now_, {over.task, over.shot, over.node, over.how, took, was_ended || well || refused});
         stirred_ = true;
         if (refused) {
-            ++errored_;
             auto no = t.request;
             std::uint64_t where = t.work->offset;
             end_task(over.task, t);
             fail_request(no, error, refused, where);
         } else if (well && !was_ended) {
-            ++delivered_;
             delivered(t, over);
             auto no = t.request;
             end_task(over.task, t);
@@ -833,7 +823,7 @@
         constexpr std::size_t most_out = 1 << 20; // a megabyte keeps any socket busy
         bool hold = c.session.choked() || c.out > most_out;
         if (hold != c.held)
-            c.held = hold, shell_.hold_client(id, hold);
+            c.held = hold, shell_.pause_client(id, hold);
     }
 }
 
--- a/src/edge/endpoint_file.cpp
+++ b/src/edge/endpoint_file.cpp
@@ -8,10 +8,10 @@
 
 namespace knotvane::edge {
 
-NodeList read_nodes(const std::string &name, const std::string &text,
-                    std::vector<std::string> &faults) {
+EndpointList parse_endpoint_list(const std::string &name, const std::string &text,
+                                 std::vector<std::string> &faults) {
     settings::File file(name, text);
-    NodeList list;
+    EndpointList list;
     auto &head = file.one("list", true);
     list.version = head.count("version", 1, std::numeric_limits<std::int64_t>::max());
     auto count = head.count("nodes", 0, 100000);
@@ -22,7 +22,7 @@
         tail.fault("version", "expected that of [list]: " + std::to_string(list.version));
     std::map<std::string, int> addresses;
     for (auto *s : file.all("node")) {
-        ListedNode n;
+        EndpointEntry n;
         n.id = NodeId{0};
         std::istringstream id(s->name());
         if (!(id >> n.id.value) || !id.eof() || n.id.value == 0 || s->name()[0] == '-')
@@ -48,7 +48,7 @@
     return list;
 }
 
-std::string write_nodes(const NodeList &list) {
+std::string format_endpoint_list(const EndpointList &list) {
     std::ostringstream out;
     out << "[list]\nversion = " << list.version << "\nnodes = " << list.nodes.size() << "\n";
     static constexpr const char *states[] = {"draining", "gone", "ready"};
--- a/src/edge/endpoint_file.hpp
+++ b/src/edge/endpoint_file.hpp
@@ -10,7 +10,7 @@
 
 namespace knotvane::edge {
 
-struct ListedNode {
+struct EndpointEntry {
     NodeId id;
     std::string address;
     ShardId shard;
@@ -19,16 +19,16 @@
     Time started; // epoch nanoseconds
 };
 
-struct NodeList {
+struct EndpointList {
     std::uint64_t version = 0;
-    std::vector<ListedNode> nodes;
+    std::vector<EndpointEntry> nodes;
 };
 
 // Reads a list from text; `name` is what faults call it. With any fault the list is empty: a file
 // that is cut short, counts wrong or contradicts itself is none.
-NodeList read_nodes(const std::string &name, const std::string &text,
-                    std::vector<std::string> &faults);
+EndpointList parse_endpoint_list(const std::string &name, const std::string &text,
+                                 std::vector<std::string> &faults);
 // The text that read_nodes reads.
-std::string write_nodes(const NodeList &list);
+std::string format_endpoint_list(const EndpointList &list);
 
 } // namespace knotvane::edge
--- a/src/edge/node_connections.cpp
+++ b/src/edge/node_connections.cpp
@@ -11,9 +11,9 @@
 
 } // namespace
 
-struct Links::Link final : node_protocol::Sink {
-    Links &links;
-    LinkId id;
+struct NodeConnections::Link final : node_protocol::Sink {
+    NodeConnections &links;
+    NodeConnectionId id;
     NodeId node;
     Stage stage = Stage::connecting;
     bool leaving = false; // no new shots; closed after its last
@@ -26,7 +26,8 @@
     node_protocol::Reader reader;
     std::string fault;
 
-    Link(Links &l, LinkId i, NodeId n, Time t) : links(l), id(i), node(n), since(t), heard(t) {}
+    Link(NodeConnections &l, NodeConnectionId i, NodeId n, Time t)
+        : links(l), id(i), node(n), since(t), heard(t) {}
     bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status,
                std::uint64_t tag, VolumeId, std::uint64_t, std::uint32_t, std::uint32_t,
                std::uint64_t store_incarnation, std::uint64_t, Time clock, ShardId,
@@ -62,13 +63,14 @@
     }
 };
 
-Links::Links(Transport &transport, Told &told, std::uint64_t edge, std::uint64_t incarnation,
-             std::size_t each, Time connect, Time stall, Time idle, std::size_t most_out)
-    : transport_(transport), told_(told), edge_(edge), incarnation_(incarnation),
-      each_(std::max<std::size_t>(1, each)), connect_(connect), stall_(stall), idle_(idle),
-      most_out_(most_out) {}
+NodeConnections::NodeConnections(Transport &transport, NodeConnectionEvents &told,
+                                 std::uint64_t edge, std::uint64_t incarnation,
+                                 const NodeConnectionConfig &config)
+    : transport_(transport), told_(told), edge_(edge), incarnation_(incarnation), config_(config) {
+    config_.max_per_node = std::max<std::size_t>(1, config_.max_per_node);
+}
 
-void Links::nodes(std::map<NodeId, std::string> addresses) {
+void NodeConnections::nodes(std::map<NodeId, std::string> addresses) {
     for (auto &[id, peer] : peers_) {
         auto it = addresses.find(id);
         bool stays = it != addresses.end() && it->second == peer.address;
@@ -88,10 +90,10 @@
             peer.address.clear();
 }
 
-Links::~Links() = default;
+NodeConnections::~NodeConnections() = default;
 
 // The link with the least out; a further one while all have some and there may be more.
-Links::Link *Links::choose(Time now, NodeId node) {
+NodeConnections::Link *NodeConnections::choose(Time now, NodeId node) {
     auto it = peers_.find(node);
     if (it == peers_.end() || it->second.address.empty())
         return nullptr;
@@ -108,24 +110,24 @@
     // What one connection carries before a second is worth its handshake: a stall of one then holds
     // few.
     constexpr std::size_t enough = 8;
-    if (best && (usable >= each_ || best->shots < enough))
+    if (best && (usable >= config_.max_per_node || best->shots < enough))
         return best;
-    LinkId id{++next_link_};
+    NodeConnectionId id{++next_link_};
     auto &link = links_[id] = std::make_unique<Link>(*this, id, node, now);
     it->second.links.push_back(id);
-    link->watched = now + connect_;
+    link->watched = now + config_.connect_timeout;
     watch_.insert({link->watched, id});
     transport_.connect(id, it->second.address);
     return links_.contains(id) ? links_.at(id).get() : nullptr;
 }
 
-void Links::start_attempt(Time now, RequestId task, AttemptId shot, NodeId node,
-                          std::shared_ptr<const Work> work, Time until) {
+void NodeConnections::start_attempt(Time now, RequestId task, AttemptId shot, NodeId node,
+                                    std::shared_ptr<const NodeRequest> work, Time until) {
     auto tag = ++next_tag_;
     tags_[{task, shot}] = tag;
     until_.insert({until, tag});
     Link *link = choose(now, node);
-    shots_[tag] = {task, shot, node, link ? link->id : LinkId{}, std::move(work), until};
+    shots_[tag] = {task, shot, node, link ? link->id : NodeConnectionId{}, std::move(work), until};
     if (!link) {
         nowhere_.push_back(tag);
         return;
@@ -136,12 +138,13 @@
     pump(now, *link);
 }
 
-void Links::pump(Time now, Link &link) {
-    while (link.stage == Stage::up && !link.pending.empty() && link.out_bytes < most_out_) {
+void NodeConnections::pump(Time now, Link &link) {
+    while (link.stage == Stage::up && !link.pending.empty() &&
+           link.out_bytes < config_.max_unsent_bytes) {
         auto tag = link.pending.front();
         link.pending.pop_front();
         Shot &s = shots_.at(tag);
-        const Work &w = *s.work;
+        const NodeRequest &w = *s.work;
         auto flags = (w.durable ? node_protocol::flag_durable : 0) |
                      (w.deduplicated ? node_protocol::flag_numbered : 0) |
                      (w.cut ? node_protocol::flag_cut : 0);
@@ -155,8 +158,9 @@
     }
 }
 
-void Links::end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status,
-                std::uint64_t incarnation, std::string_view payload, std::uint32_t epoch) {
+void NodeConnections::end(Time now, std::uint64_t tag, AttemptOutcome how,
+                          node_protocol::Status status, std::uint64_t incarnation,
+                          std::string_view payload, std::uint32_t epoch) {
     auto it = shots_.find(tag);
     if (it == shots_.end())
         return;
@@ -177,8 +181,8 @@
     told_.shot_over(now, s.task, s.shot, s.node, how, status, incarnation, payload, epoch);
 }
 
-void Links::close(Time now, LinkId id, AttemptOutcome sent, AttemptOutcome unsent,
-                  bool tell_transport) {
+void NodeConnections::close(Time now, NodeConnectionId id, AttemptOutcome sent,
+                            AttemptOutcome unsent, bool tell_transport) {
     auto it = links_.find(id);
     if (it == links_.end())
         return;
@@ -195,7 +199,7 @@
         end(now, tag, shots_.at(tag).out ? sent : unsent, {}, 0, {});
 }
 
-void Links::cancel_attempt(Time now, RequestId task, AttemptId shot) {
+void NodeConnections::cancel_attempt(Time now, RequestId task, AttemptId shot) {
     auto it = tags_.find({task, shot});
     if (it == tags_.end())
         return;
@@ -213,7 +217,7 @@
     end(now, tag, AttemptOutcome::canceled, {}, 0, {});
 }
 
-void Links::up(Time now, LinkId id) {
+void NodeConnections::up(Time now, NodeConnectionId id) {
     auto it = links_.find(id);
     if (it == links_.end())
         return;
@@ -225,11 +229,11 @@
     transport_.send(id, std::move(hello));
 }
 
-void Links::failed(Time now, LinkId id) {
+void NodeConnections::failed(Time now, NodeConnectionId id) {
     close(now, id, AttemptOutcome::unreachable, AttemptOutcome::unreachable, false);
 }
 
-void Links::bytes(Time now, LinkId id, std::string_view in) {
+void NodeConnections::bytes(Time now, NodeConnectionId id, std::string_view in) {
     auto it = links_.find(id);
     if (it == links_.end())
         return;
@@ -239,25 +243,25 @@
     if (fault.empty())
         fault = link.fault;
     if (!fault.empty()) {
-        told_.say("node " + std::to_string(link.node.value) + ": " + fault +
-                  "; the connection is closed");
+        told_.log_event("node " + std::to_string(link.node.value) + ": " + fault +
+                        "; the connection is closed");
         return close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
     }
     // In the middle of a frame it is looked at sooner.
-    if (link.reader.held() > 0 && link.watched > now + stall_) {
-        link.watched = now + stall_;
+    if (link.reader.held() > 0 && link.watched > now + config_.frame_stall_timeout) {
+        link.watched = now + config_.frame_stall_timeout;
         watch_.insert({link.watched, id});
     }
     pump(now, link);
 }
 
-void Links::gone(Time now, LinkId id) {
+void NodeConnections::gone(Time now, NodeConnectionId id) {
     // Before the node's welcome nothing of a shot has gone out: `reset` would claim that it may
     // have run.
     close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, false);
 }
 
-void Links::written(Time now, LinkId id, std::size_t bytes) {
+void NodeConnections::written(Time now, NodeConnectionId id, std::size_t bytes) {
     auto it = links_.find(id);
     if (it == links_.end())
         return;
@@ -265,7 +269,7 @@
     pump(now, *it->second);
 }
 
-Time Links::next_due() const {
+Time NodeConnections::next_due() const {
     Time due = nowhere_.empty() ? never : 0;
     if (!until_.empty())
         due = std::min(due, until_.begin()->first);
@@ -274,7 +278,7 @@
     return due;
 }
 
-void Links::tick(Time now) {
+void NodeConnections::tick(Time now) {
     for (auto tag : std::exchange(nowhere_, {}))
         end(now, tag, AttemptOutcome::unreachable, {}, 0, {});
     while (!until_.empty() && until_.begin()->first <= now) {
@@ -296,25 +300,25 @@
         if (it == links_.end() || it->second->watched != at)
             continue;
         Link &link = *it->second;
-        if (link.stage != Stage::up && now >= link.since + connect_) {
+        if (link.stage != Stage::up && now >= link.since + config_.connect_timeout) {
             // Not one byte of a shot has gone out.
             auto how = link.stage == Stage::connecting ? AttemptOutcome::unreachable
                                                        : AttemptOutcome::not_sent;
             close(now, id, how, how, true);
-        } else if (link.reader.held() > 0 && now >= link.heard + stall_) {
+        } else if (link.reader.held() > 0 && now >= link.heard + config_.frame_stall_timeout) {
             // Guards against a node that falls silent in the middle of an answer: all behind it on
             // this connection would wait for what never comes, and the node would look silent
             // though it is not.
-            told_.say("node " + std::to_string(link.node.value) +
-                      ": silent in the middle of a frame; the connection is closed");
+            told_.log_event("node " + std::to_string(link.node.value) +
+                            ": silent in the middle of a frame; the connection is closed");
             close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
-        } else if (link.shots == 0 && (link.leaving || now >= link.heard + idle_)) {
+        } else if (link.shots == 0 && (link.leaving || now >= link.heard + config_.idle_timeout)) {
             close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
         } else {
-            link.watched = link.stage != Stage::up  ? link.since + connect_
-                           : link.reader.held() > 0 ? link.heard + stall_
+            link.watched = link.stage != Stage::up  ? link.since + config_.connect_timeout
+                           : link.reader.held() > 0 ? link.heard + config_.frame_stall_timeout
                            : link.leaving           ? never
-                                                    : std::max(link.heard, now) + idle_;
+                                          : std::max(link.heard, now) + config_.idle_timeout;
             if (link.watched < never)
                 watch_.insert({std::max(link.watched, now + 1), id});
             link.watched = std::max(link.watched, now + 1);
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -20,32 +20,32 @@
     read_layout(file, [&](std::uint64_t extent, std::uint64_t span, std::uint64_t unit,
                           std::vector<ShardId> shards) {
         core_ = std::make_unique<Core>(
-            *this, [&](SchedulerActions &a) { return scheduler(a, seed + id_); }, id_,
-            static_cast<std::uint64_t>(loop::now()), extent, span, unit, std::move(shards));
+            *this, [&](SchedulerActions &a) { return scheduler(a, seed + id_); },
+            CoreConfig{id_, static_cast<std::uint64_t>(loop::now()), extent, span, unit,
+                       std::move(shards)});
     });
     read_service(file, core_.get());
-    core_->ready(loop::now());
+    core_->start(loop::now());
     listener_ =
         std::make_unique<loop::Listener>(loop_, listen, [this](std::shared_ptr<loop::Socket> s) {
             ClientId id{++next_client_};
             clients_.add(id, s);
             s->on_bytes = [this, id](std::string_view in) {
-                core_->client_bytes(loop::now(), id, in);
-            };
-            s->on_written = [this, id](std::size_t n) {
-                core_->client_written(loop::now(), id, n);
+                core_->client_received(loop::now(), id, in);
             };
+            s->on_written = [this, id](std::size_t n) { core_->client_sent(loop::now(), id, n); };
             s->on_gone = [this, id](loop::Gone) {
                 clients_.remove(id);
-                core_->client_gone(loop::now(), id);
+                core_->client_disconnected(loop::now(), id);
             };
             s->start();
-            core_->client_came(loop::now(), id);
+            core_->client_connected(loop::now(), id);
         });
     follow_planner(file, seed);
-    if (!subscription_) {
-        read_list();
-        watch_ = std::make_unique<loop::Watch>(loop_, nodes_path_, [this] { read_list(); });
+    if (!planner_client_) {
+        load_endpoint_file();
+        watch_ =
+            std::make_unique<loop::Watch>(loop_, nodes_path_, [this] { load_endpoint_file(); });
     }
     loop_.at_end([this] { return end_of_moment(); });
 }
@@ -63,33 +63,33 @@
     if (planner.empty())
         return;
     planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-    subscription_ = std::make_unique<Subscription>(*this, control::EdgeId{id_},
-                                                   listener_->address(), seed, renew_every, trust);
-    planner_->on_up = [this] { subscription_->up(loop::now()); };
-    planner_->on_down = [this] { subscription_->down(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) { subscription_->bytes(loop::now(), in); };
-    core_->follow(subscription_->copy().table());
+    planner_client_ = std::make_unique<Subscription>(
+        *this, control::EdgeId{id_}, listener_->address(), seed, renew_every, trust);
+    planner_->on_up = [this] { planner_client_->up(loop::now()); };
+    planner_->on_down = [this] { planner_client_->down(loop::now()); };
+    planner_->on_bytes = [this](std::string_view in) { planner_client_->bytes(loop::now(), in); };
+    core_->follow_cluster_state(planner_client_->copy().table());
     std::string fault;
-    subscription_->start(loop::now(),
-                         plan_path_.empty() ? "" : settings::File::slurp(plan_path_, fault));
+    planner_client_->start(loop::now(),
+                           plan_path_.empty() ? "" : settings::File::slurp(plan_path_, fault));
 }
 void Server::volume_used(VolumeId volume, bool on) {
-    if (subscription_)
-        subscription_->volume_used(loop::now(), volume, on);
+    if (planner_client_)
+        planner_client_->volume_used(loop::now(), volume, on);
 }
-void Server::cut_told(VolumeId as, control::SnapshotStep step,
-                      control::EdgeIncarnation incarnation) {
-    if (subscription_)
-        subscription_->cut_told(as, step, incarnation);
+void Server::snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                                control::EdgeIncarnation incarnation) {
+    if (planner_client_)
+        planner_client_->cut_told(as, step, incarnation);
 }
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-    core_->cut_hold(loop::now(), of, as, epoch, longest);
+    core_->hold_snapshot(loop::now(), of, as, epoch, longest);
 }
 void Server::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
-    core_->cut_go(loop::now(), of, as, epoch);
+    core_->resume_snapshot(loop::now(), of, as, epoch);
 }
 void Server::cut_release(VolumeId of, VolumeId as) {
-    core_->cut_release(loop::now(), of, as);
+    core_->release_snapshot(loop::now(), of, as);
 }
 void Server::planner_lost() {
     core_->planner_lost(loop::now());
@@ -101,35 +101,35 @@
                         const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[id, p] : table.plans)
-            core_->plan_told(id, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
-    core_->facts_changed(loop::now());
+            core_->set_plan(id, plan_config(p));
+    core_->cluster_state_changed(loop::now());
     if (!nodes)
         return;
-    NodeList list;
+    EndpointList list;
     for (auto &[id, n] : table.nodes)
         list.nodes.push_back({id, n.address, n.shard, n.zone, n.state, started.at(id)});
     list.version = ++lists_;
-    take_list(list);
+    apply_endpoint_list(list);
 }
 void Server::keep_plan(std::string bytes, bool anew) {
     if (plan_path_.empty())
         return;
     bool well = write_plan(plan_path_, bytes, anew);
     if (!well && !std::exchange(said_unkept_, true))
-        say(plan_path_ + ": the last plan can't be kept there");
+        log_event(plan_path_ + ": the last plan can't be kept there");
     if (well)
         said_unkept_ = false;
 }
 
-void Server::read_list() {
+void Server::load_endpoint_file() {
     std::string fault;
     auto text = settings::File::slurp(nodes_path_, fault);
     std::vector<std::string> faults;
     if (!fault.empty())
         faults.push_back(fault);
-    NodeList list;
+    EndpointList list;
     if (faults.empty())
-        list = read_nodes(nodes_path_, text, faults);
+        list = parse_endpoint_list(nodes_path_, text, faults);
     if (!faults.empty()) {
         std::string all;
         for (auto &f : faults)
@@ -142,26 +142,26 @@
         return;
     }
     last_faults_.clear();
-    take_list(list);
+    apply_endpoint_list(list);
 }
-void Server::take_list(const NodeList &list) {
+void Server::apply_endpoint_list(const EndpointList &list) {
     if (!core_->endpoint_list_begin(loop::now(), list.version))
         return;
     for (auto &n : list.nodes)
-        core_->endpoint_listed(n.id, on_the_way ? on_the_way(n.id, n.address) : n.address, n.shard,
-                               n.zone, n.state, n.started);
+        core_->endpoint_listed({n.id, n.shard, n.zone, n.state, n.started},
+                               resolve_address ? resolve_address(n.id, n.address) : n.address);
     core_->endpoint_list_end();
     log::line(log::info, "node list taken",
               {{"edge", std::to_string(id_)},
                {"version", std::to_string(list.version)},
                {"nodes", std::to_string(list.nodes.size())}});
-    if (on_list)
-        on_list(list);
+    if (on_endpoint_list)
+        on_endpoint_list(list);
 }
 
 Time Server::end_of_moment() {
-    if (subscription_)
-        subscription_->tick(loop::now());
+    if (planner_client_)
+        planner_client_->tick(loop::now());
     // What was written makes room for more, which is sent in the same moment; a few rounds do.
     for (int round = 0; round < 4; ++round) {
         core_->settle(loop::now());
@@ -170,34 +170,34 @@
         links_.flush();
         clients_.flush();
     }
-    if (!subscription_)
+    if (!planner_client_)
         return core_->next_due();
     planner_->flush();
-    return std::min(core_->next_due(), subscription_->next_due());
+    return std::min(core_->next_due(), planner_client_->next_due());
 }
 
-void Server::connect(LinkId id, const std::string &address) {
+void Server::connect(NodeConnectionId id, const std::string &address) {
     auto s = std::make_shared<loop::Socket>(loop_);
     links_.add(id, s);
-    s->on_bytes = [this, id](std::string_view in) { core_->link_bytes(loop::now(), id, in); };
-    s->on_written = [this, id](std::size_t n) { core_->link_written(loop::now(), id, n); };
+    s->on_bytes = [this, id](std::string_view in) { core_->node_received(loop::now(), id, in); };
+    s->on_written = [this, id](std::size_t n) { core_->node_sent(loop::now(), id, n); };
     s->on_gone = [this, id](loop::Gone) {
         links_.remove(id);
-        core_->link_gone(loop::now(), id);
+        core_->node_disconnected(loop::now(), id);
     };
     s->connect(address, [this, id](bool well) {
         if (!links_.find(id))
             return;
         if (well)
-            return core_->link_up(loop::now(), id);
+            return core_->node_connected(loop::now(), id);
         links_.remove(id)->close();
-        core_->link_failed(loop::now(), id);
+        core_->node_connect_failed(loop::now(), id);
     });
 }
-void Server::send(LinkId id, std::string bytes) {
+void Server::send(NodeConnectionId id, std::string bytes) {
     links_.send(id, std::move(bytes));
 }
-void Server::close(LinkId id) {
+void Server::close(NodeConnectionId id) {
     if (auto s = links_.remove(id))
         s->close();
 }
@@ -208,16 +208,16 @@
     if (auto s = clients_.remove(id))
         s->close_when_sent();
 }
-void Server::hold_client(ClientId id, bool hold) {
+void Server::pause_client(ClientId id, bool hold) {
     if (auto s = clients_.find(id))
         s->hold(hold);
 }
-void Server::say(std::string text) {
+void Server::log_event(std::string text) {
     log::line(log::warn, text, {{"edge", std::to_string(id_)}});
 }
 void Server::attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) {
-    if (subscription_)
-        subscription_->attempt_completed(loop::now(), node, how);
+    if (planner_client_)
+        planner_client_->attempt_completed(loop::now(), node, how);
     if (!log::shown(log::debug))
         return;
     static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -28,26 +28,27 @@
     Core &core() { return *core_; }
     // The list of nodes as it stands in the file; a list with faults or an old version changes
     // nothing.
-    void read_list();
+    void load_endpoint_file();
     // Told after each list that was taken.
-    std::function<void(const NodeList &)> on_list;
+    std::function<void(const EndpointList &)> on_endpoint_list;
     // Gives the address to connect to for a node's; for a relay between.
-    std::function<std::string(NodeId node, const std::string &address)> on_the_way;
+    std::function<std::string(NodeId node, const std::string &address)> resolve_address;
     // With a planner: its word, and whether to leave unread what it says.
-    const Subscription *subscription() const { return subscription_.get(); }
-    void deafen(bool deaf) { planner_->hold(deaf); }
+    const Subscription *planner_client() const { return planner_client_.get(); }
+    void pause_planner(bool paused) { planner_->hold(paused); }
 
-    void connect(LinkId link, const std::string &address) override;
-    void send(LinkId link, std::string bytes) override;
-    void close(LinkId link) override;
+    void connect(NodeConnectionId link, const std::string &address) override;
+    void send(NodeConnectionId link, std::string bytes) override;
+    void close(NodeConnectionId link) override;
     void send_client(ClientId client, std::string bytes) override;
     void close_client(ClientId client) override;
-    void hold_client(ClientId client, bool hold) override;
-    void say(std::string text) override;
+    void pause_client(ClientId client, bool hold) override;
+    void log_event(std::string text) override;
+    void say(std::string text) override { log_event(std::move(text)); }
     void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) override;
     void volume_used(VolumeId volume, bool on) override;
-    void cut_told(VolumeId as, control::SnapshotStep step,
-                  control::EdgeIncarnation incarnation) override;
+    void snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                            control::EdgeIncarnation incarnation) override;
     void dial() override { planner_->dial(); }
     void hang_up() override { planner_->hang_up(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
@@ -61,7 +62,7 @@
     void planner_lost() override;
 
 private:
-    void take_list(const NodeList &list);
+    void apply_endpoint_list(const EndpointList &list);
     void follow_planner(settings::File &file, std::uint64_t seed);
     Time end_of_moment();
     loop::Loop &loop_;
@@ -71,11 +72,11 @@
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Watch> watch_;
     std::unique_ptr<loop::Dialled> planner_;
-    std::unique_ptr<Subscription> subscription_; // with a planner
+    std::unique_ptr<Subscription> planner_client_; // with a planner
     std::uint64_t lists_ = 0;
     bool said_unkept_ = false;
     loop::Sockets<ClientId> clients_;
-    loop::Sockets<LinkId> links_;
+    loop::Sockets<NodeConnectionId> links_;
 };
 
 } // namespace knotvane::edge
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -26,19 +26,19 @@
         PlanId id{next++};
         named.plans[name] = id;
         if (core)
-            core->plan_told(id, weight, usual, reserve, price, rate, burst);
+            core->set_plan(id, {weight, usual, reserve, price, rate, burst});
     });
     std::map<std::string, std::uint32_t> hosts;
     for (auto *s : file.all("volume"))
         hosts[s->name()] = static_cast<std::uint32_t>(s->count("hosts", 1, 100000, 1));
-    settings::read_volumes(file, named.plans,
-                           [&](VolumeId id, const std::string &name, std::uint64_t size,
-                               std::uint32_t least, const std::string &plan, int) {
-                               named.volumes.insert(name);
-                               if (core)
-                                   core->add_volume(id, name, size, least, named.plans.at(plan),
-                                                    hosts[name]);
-                           });
+    settings::read_volumes(
+        file, named.plans,
+        [&](VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
+            const std::string &plan, int) {
+            named.volumes.insert(name);
+            if (core)
+                core->add_volume(id, {name, size, least, named.plans.at(plan), hosts[name]});
+        });
 }
 
 void read_workloads(settings::File &file, Core *core, Named &named) {
@@ -85,8 +85,8 @@
         workload.ordered_by_key = writes;
         workload.key_rest = rest;
         core->scheduler().set_workload(id, workload);
-        core->add_workload(id, static_cast<Command>(command), static_cast<std::uint32_t>(up_to),
-                           volume, timeout, repeat == Idempotency::deduplicated ? window : 0);
+        core->add_workload({id, static_cast<Command>(command), static_cast<std::uint32_t>(up_to),
+                            volume, timeout, repeat == Idempotency::deduplicated ? window : 0});
     }
     static constexpr const char *commands[] = {"read", "write", "zero", "flush", "status"};
     for (int i = 0; i < 5; ++i)
@@ -163,7 +163,7 @@
     double copy = units.number("copy", 0, any, 0);
     config.units = {mean, largest + copy, share, spare};
     if (core)
-        core->set_copy(copy);
+        core->set_copy_on_write_units(copy);
     Named named;
     // With a planner these come from it, and sections here would only contradict it.
     named.by_planner = edge.has("planner");
@@ -207,9 +207,9 @@
     config.retry_budget = {each, free, span};
     config.slow_start = {cold_units, cold_span, warm, start};
     core->scheduler().configure(config);
-    core->set_links(each_links, connect, stall, idle, most_out);
-    core->set_door(static_cast<std::uint32_t>(flying), static_cast<std::uint32_t>(request), tasks,
-                   bytes);
+    core->set_node_connections({each_links, connect, stall, idle, most_out});
+    core->set_admission_limits(
+        {static_cast<std::uint32_t>(flying), static_cast<std::uint32_t>(request), tasks, bytes});
 }
 
 void check(settings::File &file) {
--- a/src/edge/snapshot_participant.hpp
+++ b/src/edge/snapshot_participant.hpp
@@ -19,10 +19,10 @@
 
 namespace knotvane::edge {
 
-class Cuts {
+class SnapshotParticipant {
 public:
     using Tell = std::function<void(VolumeId as, control::SnapshotStep)>;
-    explicit Cuts(Tell tell) : tell_(std::move(tell)) {}
+    explicit SnapshotParticipant(Tell tell) : tell_(std::move(tell)) {}
 
     // ---- From the planner.
     // No change of the volume begins for so long, or until go or release.
--- a/src/edge/unflushed.hpp
+++ b/src/edge/unflushed.hpp
@@ -10,7 +10,7 @@
 
 namespace knotvane::edge {
 
-class Unflushed {
+class UnflushedWrites {
 public:
     // A write was answered by a store of this life. A life other than that of earlier writes means
     // that those are lost.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -312,11 +312,11 @@
             must_be_good(first);
             host.server = std::make_unique<edge::Server>(host.worker->loop(), again, make_);
             host.address = host.server->address();
-            host.server->on_the_way = [this, i](NodeId node, const std::string &address) {
+            host.server->resolve_address = [this, i](NodeId node, const std::string &address) {
                 return planner_address_.empty() ? address : address_for(i, node, address);
             };
             if (!planner_address_.empty())
-                host.server->on_list = [this, i](const edge::NodeList &list) {
+                host.server->on_endpoint_list = [this, i](const edge::EndpointList &list) {
                     if (on_told)
                         on_told(i, list);
                 };
@@ -329,7 +329,7 @@
         std::size_t know = 0;
         for (std::size_t e = 0; e < edges_.size(); ++e)
             with_edge(e, [&](edge::Server &s) {
-                auto &copy = s.subscription()->copy();
+                auto &copy = s.planner_client()->copy();
                 know += copy.table().nodes.size() == nodes_.size();
             });
         if (know == edges_.size())
@@ -355,7 +355,7 @@
         n.address = address_for(edge, n.id, n.address);
     // Written beside and renamed: a reader finds the old list or the new one.
     auto path = list_path(edge), beside = path + ".new";
-    std::ofstream(beside) << write_nodes(told);
+    std::ofstream(beside) << format_endpoint_list(told);
     if (std::rename(beside.c_str(), path.c_str()) != 0)
         throw std::runtime_error(path + ": can't be written");
 }
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -110,7 +110,7 @@
     // ---- With a planner. Empty without one.
     const std::string &planner_address() const { return planner_address_; }
     // An edge has taken news of nodes; called on the edge's thread. Set before start.
-    std::function<void(std::size_t edge, const edge::NodeList &list)> on_told;
+    std::function<void(std::size_t edge, const edge::EndpointList &list)> on_told;
     // Ends the planner's process without a word, or stops and wakes it; and starts it again.
     void kill_planner();
     void pause_planner(bool on) const;
@@ -125,7 +125,7 @@
     // Writes the list of one edge, or of all; a new version each time.
     void tell(std::size_t edge);
     void tell_all();
-    const edge::NodeList &list() const { return list_; }
+    const edge::EndpointList &list() const { return list_; }
 
     // On the node's own thread.
     void with_node(std::size_t node, const std::function<void(node::Server &)> &call);
@@ -147,7 +147,7 @@
     bool sync_;
     MakeScheduler make_;
     std::uint64_t next_node_ = 0;
-    edge::NodeList list_;
+    edge::EndpointList list_;
     std::vector<std::unique_ptr<NodeHost>> nodes_;
     std::vector<std::unique_ptr<EdgeHost>> edges_;
 };
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -71,7 +71,7 @@
     std::unique_ptr<edge::Core> core;
     std::unique_ptr<edge::Subscription> sub;
     WirePtr planner;
-    std::map<edge::LinkId, WirePtr> links;
+    std::map<edge::NodeConnectionId, WirePtr> links;
     std::map<edge::ClientId, WirePtr> clients;
     std::uint64_t next_client = 0;
     bool paused = false, cut_off = false;
@@ -84,17 +84,18 @@
     void stop();
     void in(const std::function<void()> &call);
     // ---- edge::Shell
-    void connect(edge::LinkId link, const std::string &address) override;
-    void send(edge::LinkId link, std::string bytes) override;
-    void close(edge::LinkId link) override;
+    void connect(edge::NodeConnectionId link, const std::string &address) override;
+    void send(edge::NodeConnectionId link, std::string bytes) override;
+    void close(edge::NodeConnectionId link) override;
     void send_client(edge::ClientId client, std::string bytes) override;
     void close_client(edge::ClientId client) override;
-    void hold_client(edge::ClientId, bool) override {}
+    void pause_client(edge::ClientId, bool) override {}
+    void log_event(std::string) override {}
     void say(std::string) override {}
     void attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) override;
     void volume_used(VolumeId v, bool on) override;
-    void cut_told(VolumeId as, control::SnapshotStep step,
-                  control::EdgeIncarnation incarnation) override;
+    void snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                            control::EdgeIncarnation incarnation) override;
     // ---- edge::Line
     void dial() override;
     void hang_up() override;
@@ -529,8 +530,8 @@
 void EdgeHost::start() {
     ++lives;
     core = std::make_unique<edge::Core>(
-        *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); }, id,
-        w.day.seed + lives * 1000, extent, span, unit, w.all_shards());
+        *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); },
+        edge::CoreConfig{id, w.day.seed + lives * 1000, extent, span, unit, w.all_shards()});
     auto &s = core->scheduler();
     SchedulerConfig config;
     config.self = PeerId{static_cast<std::uint32_t>(id)};
@@ -552,15 +553,15 @@
             workload.key_rest = key_rest;
         }
         s.set_workload(WorkloadId{i}, workload);
-        core->add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
-                           writes ? window : 0);
+        core->add_workload({WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
+                            writes ? window : 0});
     }
-    core->set_links(2, 250 * ms, 300 * ms, 2 * sec, 1 << 20);
-    core->set_door(16, 64 << 10, 256, 4 << 20);
-    core->ready(w.now);
+    core->set_node_connections({2, 250 * ms, 300 * ms, 2 * sec, 1 << 20});
+    core->set_admission_limits({16, 64 << 10, 256, 4 << 20});
+    core->start(w.now);
     sub = std::make_unique<edge::Subscription>(*this, EdgeId{id}, "e", w.day.seed + lives * 31 + id,
                                                100 * ms, 3600 * sec);
-    core->follow(sub->copy().table());
+    core->follow_cluster_state(sub->copy().table());
     lists = 0;
     sub->start(w.now, {});
     w.stir(*this);
@@ -575,20 +576,20 @@
     core.reset(), sub.reset();
     paused = false, while_paused.clear(), wake = never;
 }
-void EdgeHost::connect(edge::LinkId link, const std::string &address) {
+void EdgeHost::connect(edge::NodeConnectionId link, const std::string &address) {
     auto wire = w.wire();
     links[link] = wire;
     auto incarnation = lives;
     wire->hear[0] = [this, link, incarnation](std::string_view b) {
         in([this, link, incarnation, bytes = std::string(b)] {
             if (incarnation == lives && links.contains(link))
-                core->link_bytes(w.now, link, bytes);
+                core->node_received(w.now, link, bytes);
         });
     };
     wire->ended[0] = [this, link, incarnation] {
         in([this, link, incarnation] {
             if (incarnation == lives && links.erase(link))
-                core->link_gone(w.now, link);
+                core->node_disconnected(w.now, link);
         });
     };
     auto &n = *w.nodes[std::stoull(address) - 1];
@@ -599,7 +600,7 @@
             wire->open[0] = false;
             return in([this, link, incarnation] {
                 if (incarnation == lives && links.erase(link))
-                    core->link_failed(w.now, link);
+                    core->node_connect_failed(w.now, link);
             });
         }
         node::ConnId conn{++w.next_conn};
@@ -611,11 +612,11 @@
         n.disk.came(w.now, conn);
         in([this, link, incarnation] {
             if (incarnation == lives && links.contains(link))
-                core->link_up(w.now, link);
+                core->node_connected(w.now, link);
         });
     });
 }
-void EdgeHost::send(edge::LinkId link, std::string bytes) {
+void EdgeHost::send(edge::NodeConnectionId link, std::string bytes) {
     auto it = links.find(link);
     if (it == links.end())
         return;
@@ -624,11 +625,11 @@
     w.at(w.now, [this, link, size, incarnation = lives] {
         in([this, link, size, incarnation] {
             if (incarnation == lives && links.contains(link))
-                core->link_written(w.now, link, size);
+                core->node_sent(w.now, link, size);
         });
     });
 }
-void EdgeHost::close(edge::LinkId link) {
+void EdgeHost::close(edge::NodeConnectionId link) {
     auto it = links.find(link);
     if (it == links.end())
         return;
@@ -645,7 +646,7 @@
     w.at(w.now, [this, client, size, incarnation = lives] {
         in([this, client, size, incarnation] {
             if (incarnation == lives && clients.contains(client))
-                core->client_written(w.now, client, size);
+                core->client_sent(w.now, client, size);
         });
     });
 }
@@ -663,7 +664,8 @@
 void EdgeHost::volume_used(VolumeId v, bool on) {
     sub->volume_used(w.now, v, on);
 }
-void EdgeHost::cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation l) {
+void EdgeHost::snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                                  control::EdgeIncarnation l) {
     sub->cut_told(as, step, l);
 }
 void EdgeHost::dial() {
@@ -704,12 +706,12 @@
                           const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[pid, p] : table.plans)
-            core->plan_told(pid, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
-    core->facts_changed(w.now);
+            core->set_plan(pid, edge::plan_config(p));
+    core->cluster_state_changed(w.now);
     if (!nodes || !core->endpoint_list_begin(w.now, ++lists))
         return;
     for (auto &[nid, n] : table.nodes)
-        core->endpoint_listed(nid, n.address, n.shard, n.zone, n.state, started.at(nid));
+        core->endpoint_listed({nid, n.shard, n.zone, n.state, started.at(nid)}, n.address);
     core->endpoint_list_end();
 }
 void EdgeHost::quota_share_changed(VolumeId v, double hosts) {
@@ -719,7 +721,7 @@
     if (w.day.edges_begin_on)
         return sub->cut_told(as, control::SnapshotStep::ready,
                              control::EdgeIncarnation{core->incarnation()});
-    core->cut_hold(w.now, of, as, epoch, longest);
+    core->hold_snapshot(w.now, of, as, epoch, longest);
     if (w.day.nobody_waits)
         sub->cut_told(as, control::SnapshotStep::drained,
                       control::EdgeIncarnation{core->incarnation()});
@@ -727,12 +729,12 @@
 void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
     if (w.day.edges_begin_on) {
         // Goes by the new epoch when it hears of it, and never held anything back.
-        core->cut_hold(w.now, of, as, epoch, sec);
+        core->hold_snapshot(w.now, of, as, epoch, sec);
     }
-    core->cut_go(w.now, of, as, epoch);
+    core->resume_snapshot(w.now, of, as, epoch);
 }
 void EdgeHost::cut_release(VolumeId of, VolumeId as) {
-    core->cut_release(w.now, of, as);
+    core->release_snapshot(w.now, of, as);
 }
 void EdgeHost::planner_lost() {
     core->planner_lost(w.now);
@@ -767,16 +769,16 @@
     wire->hear[1] = [&e, id, incarnation, this](std::string_view b) {
         e.in([&e, id, incarnation, this, bytes = std::string(b)] {
             if (incarnation == e.lives && e.clients.contains(id))
-                e.core->client_bytes(w.now, id, bytes);
+                e.core->client_received(w.now, id, bytes);
         });
     };
     wire->ended[1] = [&e, id, incarnation, this] {
         e.in([&e, id, incarnation, this] {
             if (incarnation == e.lives && e.clients.erase(id))
-                e.core->client_gone(w.now, id);
+                e.core->client_disconnected(w.now, id);
         });
     };
-    e.in([&e, id, this] { e.core->client_came(w.now, id); });
+    e.in([&e, id, this] { e.core->client_connected(w.now, id); });
 }
 void ClientHost::pump() {
     while (session->is_open() && session->flying() < 4 && !w.quiet) {
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -46,7 +46,7 @@
     node::Disk disk;
     bool listening = true;
     Time wake = never;
-    std::map<node::ConnId, std::pair<std::size_t, edge::LinkId>> peers; // edge, link
+    std::map<node::ConnId, std::pair<std::size_t, edge::NodeConnectionId>> peers; // edge, link
 
     NodeHost(World &world, NodeId i, ShardId s, std::string &b, std::uint64_t seed, Time now)
         : w(world), id(i), shard(s), bytes(b), medium(store::memory_medium(b)), store(*medium),
@@ -71,16 +71,16 @@
         node::ConnId at_node;
         bool up = false;
     };
-    std::map<edge::LinkId, std::shared_ptr<Link>> links;
+    std::map<edge::NodeConnectionId, std::shared_ptr<Link>> links;
 
     EdgeHost(World &world, std::size_t i) : w(world), index(i) {}
-    void connect(edge::LinkId link, const std::string &address) override;
-    void send(edge::LinkId link, std::string bytes) override;
-    void close(edge::LinkId link) override;
+    void connect(edge::NodeConnectionId link, const std::string &address) override;
+    void send(edge::NodeConnectionId link, std::string bytes) override;
+    void close(edge::NodeConnectionId link) override;
     void send_client(edge::ClientId client, std::string bytes) override;
     void close_client(edge::ClientId client) override;
-    void hold_client(edge::ClientId, bool) override {}
-    void say(std::string) override {}
+    void pause_client(edge::ClientId, bool) override {}
+    void log_event(std::string) override {}
     void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
 };
 
@@ -183,8 +183,8 @@
         if (!e.core->endpoint_list_begin(now, version))
             return;
         for (auto &[id, state] : listed) {
-            e.core->endpoint_listed(id, std::to_string(id.value), shards[id], ZoneId{0},
-                                    state.first, state.second);
+            e.core->endpoint_listed({id, shards[id], ZoneId{0}, state.first, state.second},
+                                    std::to_string(id.value));
             judge.told(now, rules::EdgeId{e.index}, id, state.first);
         }
         e.core->endpoint_list_end();
@@ -233,8 +233,8 @@
             }
             WorkloadId id{i};
             s.set_workload(id, workload);
-            core.add_workload(id, static_cast<edge::Command>(i), ~0u, "", client_timeout,
-                              writes && !day.at_most_once && !day.without_marks ? window : 0);
+            core.add_workload({id, static_cast<edge::Command>(i), ~0u, "", client_timeout,
+                               writes && !day.at_most_once && !day.without_marks ? window : 0});
         }
         PlanConfig plan{1, 100, 50, 1, 0, 0};
         if (day.limits) {
@@ -242,10 +242,11 @@
             plan.limit_burst = limit_burst;
         }
         s.set_plan(PlanId{0}, plan);
-        core.set_links(2, connect_time, 300 * ms, 2 * sec, small_buffers() ? 32 << 10 : 1 << 20);
-        core.set_door(16, 64 << 10, 64, 1 << 20);
-        core.add_volume(VolumeId{index + 1}, "v", volume_size, 512, PlanId{0}, 1);
-        core.ready(now);
+        core.set_node_connections({2, connect_time, 300 * ms, 2 * sec,
+                                   small_buffers() ? std::size_t{32 << 10} : 1 << 20});
+        core.set_admission_limits({16, 64 << 10, 64, 1 << 20});
+        core.add_volume(VolumeId{index + 1}, {"v", volume_size, 512, PlanId{0}, 1});
+        core.start(now);
     }
 
     void trouble();
@@ -267,7 +268,7 @@
                 if (!link->conn.open)
                     return;
                 e.w.judge.bytes(e.w.now, rules::WireId{link->conn.id}, false, b);
-                e.core->link_bytes(e.w.now, link_id, b);
+                e.core->node_received(e.w.now, link_id, b);
                 e.w.settle(e);
             });
 }
@@ -288,14 +289,14 @@
         link->conn.open = false;
         e.links.erase(link_id);
         e.w.judge.closed(e.w.now, rules::WireId{link->conn.id}, false);
-        e.core->link_gone(e.w.now, link_id);
+        e.core->node_disconnected(e.w.now, link_id);
         e.w.settle(e);
     };
     // What was sent before a plain close still arrives; a reset may overtake it.
     w.at(reset ? w.now + w.delay() : std::max(link->conn.to_edge.last, w.now + w.delay()), end);
 }
 
-void EdgeHost::connect(edge::LinkId id, const std::string &address) {
+void EdgeHost::connect(edge::NodeConnectionId id, const std::string &address) {
     NodeId n{std::stoull(address)};
     auto link = std::make_shared<Link>();
     link->conn.id = ++w.next_wire;
@@ -309,19 +310,19 @@
         auto it = w.nodes.find(n);
         if (it == w.nodes.end() || !it->second->listening) {
             links.erase(id), link->conn.open = false;
-            core->link_failed(w.now, id);
+            core->node_connect_failed(w.now, id);
             return w.settle(*this);
         }
         link->at_node = node::ConnId{++w.next_conn};
         it->second->peers[link->at_node] = {index, id};
         w.judge.node_wire(w.now, rules::WireId{link->conn.id}, rules::EdgeId{index}, n);
         link->up = true;
-        core->link_up(w.now, id);
+        core->node_connected(w.now, id);
         it->second->disk.came(w.now, link->at_node);
         w.settle(*this);
     });
 }
-void EdgeHost::send(edge::LinkId id, std::string bytes) {
+void EdgeHost::send(edge::NodeConnectionId id, std::string bytes) {
     auto it = links.find(id);
     if (it == links.end())
         return;
@@ -340,11 +341,11 @@
     w.at(w.now, [this, id, size] {
         if (!links.contains(id))
             return;
-        core->link_written(w.now, id, size);
+        core->node_sent(w.now, id, size);
         w.settle(*this);
     });
 }
-void EdgeHost::close(edge::LinkId id) {
+void EdgeHost::close(edge::NodeConnectionId id) {
     auto it = links.find(id);
     if (it == links.end())
         return;
@@ -374,7 +375,7 @@
         c->flush_out();
     });
     w.at(w.now + w.delay(), [this, id, size] {
-        core->client_written(w.now, id, size);
+        core->client_sent(w.now, id, size);
         w.settle(*this);
     });
 }
@@ -405,7 +406,7 @@
     id = ++w.next_client;
     w.by_id[edge::ClientId{id}] = this;
     w.judge.client_wire(w.now, rules::WireId{conn->id}, rules::EdgeId{edge}, VolumeId{edge + 1});
-    w.edges[edge]->core->client_came(w.now, edge::ClientId{id});
+    w.edges[edge]->core->client_connected(w.now, edge::ClientId{id});
     w.settle(*w.edges[edge]);
 }
 void ClientHost::leave() {
@@ -417,7 +418,7 @@
     w.at(std::max(old->from_edge.last, w.now), [this, gone, old] {
         w.judge.closed(w.now, rules::WireId{old->id}, false);
         w.by_id.erase(gone);
-        w.edges[edge]->core->client_gone(w.now, gone);
+        w.edges[edge]->core->client_disconnected(w.now, gone);
         w.settle(*w.edges[edge]);
         come();
     });
@@ -476,7 +477,7 @@
         if (!w.by_id.contains(from))
             return;
         w.judge.bytes(w.now, rules::WireId{c->id}, false, b);
-        w.edges[edge]->core->client_bytes(w.now, from, b);
+        w.edges[edge]->core->client_received(w.now, from, b);
         w.settle(*w.edges[edge]);
     });
 }
@@ -519,7 +520,7 @@
             judge.closed(now, rules::WireId{link->conn.id}, false);
             if (lot(0.5))
                 n.peers.erase(link->at_node);
-            e.core->link_gone(now, id);
+            e.core->node_disconnected(now, id);
             settle(e);
         }
     } else if (pick < kinds[0] + kinds[1] + kinds[2]) {
@@ -581,8 +582,8 @@
         edges.push_back(std::make_unique<EdgeHost>(*this, i));
         auto &e = *edges.back();
         e.core = std::make_unique<edge::Core>(
-            e, [&](SchedulerActions &a) { return make_scheduler(a, day.seed + i); }, i, day.seed,
-            extent, span, unit, all);
+            e, [&](SchedulerActions &a) { return make_scheduler(a, day.seed + i); },
+            edge::CoreConfig{i, day.seed, extent, span, unit, all});
         set_up(*e.core, i);
         if (day.limits && !small_buffers())
             judge.set_limit(VolumeId{i + 1}, limit_rate, limit_burst,
@@ -622,8 +623,9 @@
         result.met[std::string("judged ") + rules[i]] =
             judge.judged(static_cast<rules::Rule>(i + 1));
     for (auto &e : edges)
-        if (e->core->tasks() > 0)
-            result.broken.push_back("an edge still holds " + std::to_string(e->core->tasks()) +
+        if (e->core->scheduled_requests() > 0)
+            result.broken.push_back("an edge still holds " +
+                                    std::to_string(e->core->scheduled_requests()) +
                                     " tasks at the end");
     return std::move(result);
 }
--- a/tests/edge/core_snapshots_test.cpp
+++ b/tests/edge/core_snapshots_test.cpp
@@ -13,17 +13,15 @@
 constexpr std::uint64_t extent = 256 << 10, span = 64 << 10;
 
 struct Rig final : Shell, load::Replies, node_protocol::Sink {
-    Core core{*this,    [](SchedulerActions &a) { return make_scheduler(a, 1); },
-              0,        5,
-              extent,   span,
-              64 << 10, {ShardId{0}, ShardId{1}}};
+    Core core{*this, [](SchedulerActions &a) { return make_scheduler(a, 1); },
+              CoreConfig{0, 5, extent, span, 64 << 10, {ShardId{0}, ShardId{1}}}};
     control::ClusterState table;
     std::unique_ptr<load::Session> client = std::make_unique<load::Session>(*this, "v", true);
     Lines asked, ended_with, steps; // asked: "tag epoch units"
-    std::map<LinkId, node_protocol::Reader> readers;
-    std::map<LinkId, std::uint64_t> node_of;
-    std::map<std::uint64_t, LinkId> link_of; // by tag
-    LinkId reading{};
+    std::map<NodeConnectionId, node_protocol::Reader> readers;
+    std::map<NodeConnectionId, std::uint64_t> node_of;
+    std::map<std::uint64_t, NodeConnectionId> link_of; // by tag
+    NodeConnectionId reading{};
     Time now = sec;
 
     explicit Rig(double copy = 0) {
@@ -44,31 +42,31 @@
                 workload.deduplication_window = sec;
             }
             s.set_workload(WorkloadId{i}, workload);
-            core.add_workload(WorkloadId{i}, static_cast<Command>(i), ~0u, "", 3 * sec,
-                              deduplicated ? sec : 0);
+            core.add_workload(
+                {WorkloadId{i}, static_cast<Command>(i), ~0u, "", 3 * sec, deduplicated ? sec : 0});
         }
-        core.set_copy(copy);
+        core.set_copy_on_write_units(copy);
         control::Volume f;
         f.name = "v", f.size = 64 << 20;
         table.put(PlanId{0}, control::Plan{"p", 1, 1000, 0, 1, 0, 0});
         table.put(v, f);
-        core.plan_told(PlanId{0}, 1, 1000, 0, 1, 0, 0);
-        core.follow(table);
-        core.ready(now);
+        core.set_plan(PlanId{0}, {1, 1000, 0, 1, 0, 0});
+        core.follow_cluster_state(table);
+        core.start(now);
         core.endpoint_list_begin(now, 1);
         for (std::uint64_t n : {1, 2})
-            core.endpoint_listed(NodeId{n}, std::to_string(n),
-                                 ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0},
-                                 NodeState::ready, 0);
+            core.endpoint_listed({NodeId{n}, ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0},
+                                  NodeState::ready, 0},
+                                 std::to_string(n));
         core.endpoint_list_end();
-        core.client_came(now, ClientId{1});
+        core.client_connected(now, ClientId{1});
         settle();
     }
     void settle() {
         for (int i = 0; i < 4; ++i) {
             core.settle(now);
             if (auto out = client->take_out(); !out.empty())
-                core.client_bytes(now, ClientId{1}, out);
+                core.client_received(now, ClientId{1}, out);
         }
     }
     void write(std::uint64_t cookie, std::uint64_t offset, std::uint32_t length) {
@@ -76,34 +74,34 @@
         settle();
     }
     void node_says(std::uint64_t tag, node_protocol::Status status, std::uint32_t epoch = 0) {
-        core.link_bytes(now, link_of.at(tag),
-                        node_protocol::make(node_protocol::Kind::answer, 0, status, tag, v, 0, 0, 0,
-                                            1, 0, 0, ShardId{0}, {}, epoch));
+        core.node_received(now, link_of.at(tag),
+                           node_protocol::make(node_protocol::Kind::answer, 0, status, tag, v, 0, 0,
+                                               0, 1, 0, 0, ShardId{0}, {}, epoch));
         settle();
     }
     // ---- Shell
-    void connect(LinkId l, const std::string &address) override {
+    void connect(NodeConnectionId l, const std::string &address) override {
         node_of[l] = std::stoull(address), fresh.push_back(l);
     }
-    void send(LinkId l, std::string b) override {
+    void send(NodeConnectionId l, std::string b) override {
         reading = l;
         readers[l].feed(b, *this);
     }
-    void close(LinkId) override {}
+    void close(NodeConnectionId) override {}
     void send_client(ClientId, std::string b) override { client->bytes(b); }
     void close_client(ClientId) override {}
-    void hold_client(ClientId, bool) override {}
-    void say(std::string) override {}
+    void pause_client(ClientId, bool) override {}
+    void log_event(std::string) override {}
     void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
-    void cut_told(VolumeId, control::SnapshotStep s, control::EdgeIncarnation) override {
+    void snapshot_step_done(VolumeId, control::SnapshotStep s, control::EdgeIncarnation) override {
         steps.push_back(std::to_string(static_cast<int>(s)));
     }
-    std::vector<LinkId> fresh;
+    std::vector<NodeConnectionId> fresh;
     // Connections come up and are greeted.
     void greet() {
         for (auto l : std::exchange(fresh, {})) {
-            core.link_up(now, l);
-            core.link_bytes(now, l, welcome(node_of[l], now));
+            core.node_connected(now, l);
+            core.node_received(now, l, welcome(node_of[l], now));
         }
         settle();
     }
@@ -135,12 +133,12 @@
         Rig r;
         r.write(1, 0, 4096), r.greet();
         CHECK(r.take_asked() == Lines{"1 0 1062"});
-        r.core.cut_hold(r.now, v, as, 4, sec);
+        r.core.hold_snapshot(r.now, v, as, 4, sec);
         r.write(2, 64 << 10, 4096);
         CHECK(r.take_asked().empty());
         r.client->ask(nbd::cmd_read, 0, 3, 0, 4096), r.settle();
         CHECK(r.take_asked() == Lines{"2 0 1062"});
-        r.core.cut_go(r.now, v, as, 4), r.settle();
+        r.core.resume_snapshot(r.now, v, as, 4), r.settle();
         CHECK(r.take_asked() == Lines{"3 4 1062"});
         CHECK(r.steps == Lines{"0", "1"});
         r.node_says(1, node_protocol::Status::ok);
@@ -150,7 +148,7 @@
     }
     TEST_CASE("a hold that runs out lets them go in the old epoch, well before their time is up") {
         Rig r;
-        r.core.cut_hold(r.now, v, as, 4, 100 * ms);
+        r.core.hold_snapshot(r.now, v, as, 4, 100 * ms);
         r.write(1, 0, 4096), r.greet();
         CHECK(r.core.next_due() <= r.now + 100 * ms);
         r.now += 100 * ms, r.settle(), r.greet();
@@ -159,12 +157,12 @@
     }
     TEST_CASE("a client that leaves takes with it what was kept back") {
         Rig r;
-        r.core.cut_hold(r.now, v, as, 4, sec);
+        r.core.hold_snapshot(r.now, v, as, 4, sec);
         r.write(1, 0, 4096);
-        r.core.client_gone(r.now, ClientId{1});
-        r.core.cut_go(r.now, v, as, 4), r.settle(), r.greet();
+        r.core.client_disconnected(r.now, ClientId{1});
+        r.core.resume_snapshot(r.now, v, as, 4), r.settle(), r.greet();
         CHECK(r.take_asked().empty());
-        CHECK(r.core.tasks() == 0);
+        CHECK(r.core.scheduled_requests() == 0);
         CHECK(r.steps == Lines{"0", "1", "2"});
     }
     TEST_CASE("told that its epoch is over, a change of one part goes on in the one in force") {
@@ -187,7 +185,7 @@
         CHECK(r.ended_with == Lines{"1 5"});
         r.node_says(2, node_protocol::Status::ok);
         CHECK(r.ended_with.size() == 1);
-        CHECK(r.core.tasks() == 0);
+        CHECK(r.core.scheduled_requests() == 0);
     }
     TEST_CASE("no space at the node is ENOSPC, once") {
         Rig r;
@@ -199,7 +197,7 @@
     TEST_CASE("the first change of a span in an epoch costs what a copy does, where that is told") {
         Rig r(0.25);
         r.write(1, 0, 4096), r.greet();
-        r.core.cut_hold(r.now, v, as, 4, sec), r.core.cut_go(r.now, v, as, 4);
+        r.core.hold_snapshot(r.now, v, as, 4, sec), r.core.resume_snapshot(r.now, v, as, 4);
         r.take_asked();
         r.node_says(1, node_protocol::Status::ok);
         for (std::uint64_t i = 2; i <= 4; ++i) {
@@ -213,13 +211,13 @@
         control::Volume s = r.table.volumes.at(v);
         s.name = "v@a", s.of = s.place = s.charge = v, s.frozen = true;
         r.table.put(as, s);
-        r.core.facts_changed(r.now);
+        r.core.cluster_state_changed(r.now);
         r.client = std::make_unique<load::Session>(r, "v@a", true);
-        r.core.client_gone(r.now, ClientId{1});
-        r.core.client_came(r.now, ClientId{1});
+        r.core.client_disconnected(r.now, ClientId{1});
+        r.core.client_connected(r.now, ClientId{1});
         r.settle();
         r.table.drop_volume(as);
-        r.core.facts_changed(r.now);
+        r.core.cluster_state_changed(r.now);
         r.client->ask(nbd::cmd_read, 0, 1, 0, 4096), r.settle(), r.greet();
         CHECK(r.take_asked().empty());
         CHECK(r.ended_with == Lines{"1 108"});
--- a/tests/edge/core_test.cpp
+++ b/tests/edge/core_test.cpp
@@ -179,7 +179,7 @@
         }));
     }
     TEST_CASE("a flush covers what was written before it, and not what came meanwhile") {
-        Unflushed u;
+        UnflushedWrites u;
         u.written(ShardId{1}, 1);
         auto mark = u.mark();
         u.written(ShardId{1}, 1);
@@ -190,7 +190,7 @@
         CHECK(u.losses() == 0);
     }
     TEST_CASE("a store of another life has lost what was not flushed") {
-        Unflushed u;
+        UnflushedWrites u;
         u.written(ShardId{1}, 1);
         u.flushed(ShardId{1}, 2, u.mark());
         CHECK(u.losses() == 1);
@@ -201,8 +201,8 @@
 }
 
 TEST_SUITE("files") {
-    NodeList list() {
-        NodeList l;
+    EndpointList list() {
+        EndpointList l;
         l.version = 7;
         l.nodes = {{NodeId{1}, "127.0.0.1:1", ShardId{0}, ZoneId{0}, NodeState::ready, 5},
                    {NodeId{2}, "127.0.0.1:2", ShardId{1}, ZoneId{0}, NodeState::draining, 6}};
@@ -210,27 +210,27 @@
     }
     TEST_CASE("a node list is read as it was written") {
         Lines faults;
-        auto got = read_nodes("f", write_nodes(list()), faults);
+        auto got = parse_endpoint_list("f", format_endpoint_list(list()), faults);
         CHECK(faults.empty());
         CHECK(got.nodes.size() == 2);
         CHECK(got.nodes[1].state == NodeState::draining);
     }
     TEST_CASE("a list cut short anywhere is none") {
-        auto text = write_nodes(list());
+        auto text = format_endpoint_list(list());
         auto whole = text.size() - 1; // without the last line's end it still says all
         for (std::size_t n = 0; n < whole; ++n) {
             Lines faults;
-            CHECK(read_nodes("f", text.substr(0, n), faults).nodes.empty());
+            CHECK(parse_endpoint_list("f", text.substr(0, n), faults).nodes.empty());
             CHECK_MESSAGE(!faults.empty(), n);
         }
     }
     TEST_CASE("contradictions are told with their line") {
-        auto text = write_nodes(list());
+        auto text = format_endpoint_list(list());
         auto with = [&](const std::string &from, const std::string &to) {
             auto t = text;
             t.replace(t.find(from), from.size(), to);
             Lines faults;
-            read_nodes("f", t, faults);
+            parse_endpoint_list("f", t, faults);
             std::string all;
             for (auto &f : faults)
                 all += f + "\n";
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -12,13 +12,13 @@
 namespace knotvane::edge {
 
 // Writes down what links ask for and what they tell.
-struct Wired : Transport, Told {
-    std::vector<LinkId> connected, closed;
-    std::map<LinkId, std::string> sent;
+struct Wired : Transport, NodeConnectionEvents {
+    std::vector<NodeConnectionId> connected, closed;
+    std::map<NodeConnectionId, std::string> sent;
     std::vector<std::string> told, said;
-    void connect(LinkId l, const std::string &) override { connected.push_back(l); }
-    void send(LinkId l, std::string b) override { sent[l] += b; }
-    void close(LinkId l) override { closed.push_back(l); }
+    void connect(NodeConnectionId l, const std::string &) override { connected.push_back(l); }
+    void send(NodeConnectionId l, std::string b) override { sent[l] += b; }
+    void close(NodeConnectionId l) override { closed.push_back(l); }
     void shot_over(Time, RequestId t, AttemptId, NodeId, AttemptOutcome how, node_protocol::Status,
                    std::uint64_t, std::string_view payload, std::uint32_t) override {
         static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
@@ -26,7 +26,7 @@
         told.push_back(std::to_string(t.value) + " " + names[static_cast<int>(how)] + " " +
                        std::string(payload));
     }
-    void say(std::string t) override { said.push_back(std::move(t)); }
+    void log_event(std::string t) override { said.push_back(std::move(t)); }
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
@@ -42,12 +42,12 @@
 // Links to node 1, greeted on one connection.
 struct Linked {
     Wired w;
-    Links links;
-    LinkId link{1};
-    std::shared_ptr<Work> work = std::make_shared<Work>(Work{
+    NodeConnections links;
+    NodeConnectionId link{1};
+    std::shared_ptr<NodeRequest> work = std::make_shared<NodeRequest>(NodeRequest{
         node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
     explicit Linked(bool up = true, std::size_t most_out = 1 << 20)
-        : links(w, w, 0, 1, 1, 100 * ms, 200 * ms, 10 * sec, most_out) {
+        : links(w, w, 0, 1, {1, 100 * ms, 200 * ms, 10 * sec, most_out}) {
         links.nodes({{NodeId{1}, "a"}});
         if (up) {
             links.start_attempt(0, RequestId{99}, AttemptId{0}, NodeId{1}, work, sec);
--- a/tests/edge/snapshot_participant_test.cpp
+++ b/tests/edge/snapshot_participant_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 struct Telling {
     Lines told;
-    Cuts cuts{[this](VolumeId as, control::SnapshotStep step) {
+    SnapshotParticipant cuts{[this](VolumeId as, control::SnapshotStep step) {
         static constexpr const char *names[] = {"ready", "moved", "drained", "lapsed"};
         told.push_back(std::string(names[static_cast<int>(step)]) + " " + std::to_string(as.value));
     }};
--- a/tests/gateway/door_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -15,18 +15,18 @@
 struct Closed final : edge::Shell {
     std::map<edge::ClientId, std::size_t> sent;
     std::set<edge::ClientId> held;
-    void connect(edge::LinkId, const std::string &) override {}
-    void send(edge::LinkId, std::string) override {}
-    void close(edge::LinkId) override {}
+    void connect(edge::NodeConnectionId, const std::string &) override {}
+    void send(edge::NodeConnectionId, std::string) override {}
+    void close(edge::NodeConnectionId) override {}
     void send_client(edge::ClientId c, std::string b) override { sent[c] += b.size(); }
     void close_client(edge::ClientId) override {}
-    void hold_client(edge::ClientId c, bool h) override {
+    void pause_client(edge::ClientId c, bool h) override {
         if (h)
             held.insert(c);
         else
             held.erase(c);
     }
-    void say(std::string) override {}
+    void log_event(std::string) override {}
     void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
 };
 struct Quiet final : load::Replies {
@@ -41,8 +41,9 @@
 TEST_CASE("256 connections of 128 writes each stay under the stated bound, and end") {
     constexpr std::size_t most_bytes = 8 << 20, connections = 256, each = 128, size = 16384;
     Closed shell;
-    edge::Core core(shell, [](SchedulerActions &a) { return make_scheduler(a, 1); }, 0, 1,
-                    256 << 10, 64 << 10, 64 << 10, {ShardId{0}});
+    edge::Core core(
+        shell, [](SchedulerActions &a) { return make_scheduler(a, 1); },
+        edge::CoreConfig{0, 1, 256 << 10, 64 << 10, 64 << 10, {ShardId{0}}});
     auto &s = core.scheduler();
     SchedulerConfig config;
     config.max_retry_after = sec;
@@ -55,42 +56,42 @@
         workload.latency_objective = sec;
         workload.deduplication_scope = DeduplicationScope::shard;
         s.set_workload(WorkloadId{i}, workload);
-        core.add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", 2 * sec, 0);
+        core.add_workload({WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", 2 * sec, 0});
     }
-    core.set_door(each, 1 << 20, 1 << 20, most_bytes);
-    core.add_volume(VolumeId{1}, "v", 64 << 20, 512, PlanId{0}, 1);
-    core.ready(0);
+    core.set_admission_limits({each, 1 << 20, 1 << 20, most_bytes});
+    core.add_volume(VolumeId{1}, {"v", 64 << 20, 512, PlanId{0}, 1});
+    core.start(0);
     Quiet quiet;
     std::string request;
     std::size_t most = 0;
     for (std::uint64_t c = 1; c <= connections; ++c) {
-        core.client_came(0, edge::ClientId{c});
+        core.client_connected(0, edge::ClientId{c});
         load::Session session(quiet, "v", true);
         std::string hello;
         nbd::put(hello, std::uint32_t{3});
         nbd::put(hello, nbd::option_magic);
         nbd::put(hello, nbd::opt_export_name);
         nbd::put(hello, std::uint32_t{1});
-        core.client_bytes(0, edge::ClientId{c}, hello + "v");
+        core.client_received(0, edge::ClientId{c}, hello + "v");
         for (std::uint64_t i = 0; i < each; ++i) {
             core.settle(0);
             if (shell.held.contains(edge::ClientId{c}))
                 break; // its socket is not read
             session.ask(nbd::cmd_write, 0, i, (c * each + i) * size % (32 << 20), size,
                         std::string(size, 'x'));
-            core.client_bytes(0, edge::ClientId{c}, session.take_out());
-            most = std::max(most, core.waiting_bytes());
+            core.client_received(0, edge::ClientId{c}, session.take_out());
+            most = std::max(most, core.buffered_bytes());
         }
     }
     core.settle(0);
     CHECK(shell.held.size() == connections);
     // One request beyond the bound at most: the one that reached it.
     CHECK(most <= most_bytes + size);
-    CHECK(core.tasks() * size <= most_bytes + size);
+    CHECK(core.scheduled_requests() * size <= most_bytes + size);
     // No node is listed: each task is given up in its time, and the door opens again.
     for (Time t = 0; t <= 4 * sec; t += 5 * ms)
         core.settle(t);
-    CHECK(core.tasks() == 0);
+    CHECK(core.scheduled_requests() == 0);
     CHECK(shell.held.empty());
 }
 TEST_CASE("a client that leaves is told to the decisions once, however much it had at work") {
@@ -102,17 +103,18 @@
     };
     Closed shell;
     Counting *counted = nullptr;
-    edge::Core core(shell,
-                    [&](SchedulerActions &) {
-                        auto made = std::make_unique<Counting>();
-                        counted = made.get();
-                        return made;
-                    },
-                    0, 1, 256 << 10, 64 << 10, 64 << 10, {ShardId{0}});
-    core.add_workload(WorkloadId{0}, edge::Command::read, ~0u, "", sec, 0);
-    core.add_volume(VolumeId{1}, "v", 64 << 20, 512, PlanId{0}, 1);
-    core.ready(0);
-    core.client_came(0, edge::ClientId{1});
+    edge::Core core(
+        shell,
+        [&](SchedulerActions &) {
+            auto made = std::make_unique<Counting>();
+            counted = made.get();
+            return made;
+        },
+        edge::CoreConfig{0, 1, 256 << 10, 64 << 10, 64 << 10, {ShardId{0}}});
+    core.add_workload({WorkloadId{0}, edge::Command::read, ~0u, "", sec, 0});
+    core.add_volume(VolumeId{1}, {"v", 64 << 20, 512, PlanId{0}, 1});
+    core.start(0);
+    core.client_connected(0, edge::ClientId{1});
     std::string hello;
     nbd::put(hello, std::uint32_t{3});
     nbd::put(hello, nbd::option_magic);
@@ -122,8 +124,8 @@
     load::Session session(quiet, "v", true);
     for (std::uint64_t i = 0; i < 9; ++i)
         session.ask(nbd::cmd_read, 0, i, i * 4096, 4096);
-    core.client_bytes(0, edge::ClientId{1}, hello + "v" + session.take_out());
-    core.client_gone(ms, edge::ClientId{1});
+    core.client_received(0, edge::ClientId{1}, hello + "v" + session.take_out());
+    core.client_disconnected(ms, edge::ClientId{1});
     CHECK(counted->left == 1);
     CHECK(counted->others == 8);
 }
