--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -67,7 +67,7 @@
 
 package_tests(
   nbd
-  SOURCES tests/nbd/server_test.cpp
+  SOURCES tests/nbd/session_test.cpp
   LIBS knotvane_nbd)
 package_tests(
   http
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -43,7 +43,7 @@
     void watch_endpoints() override {}
 };
 
-struct Core::Client final : nbd::Asked {
+struct Core::Client final : nbd::RequestHandler {
     Core &core;
     ClientId id;
     nbd::Session session;
@@ -82,16 +82,16 @@
             return false;
         auto &v = core.table_->volumes.at(*found);
         size = v.size, least = v.least, preferred = 4096, most = core.limits_.max_request_bytes;
-        flags = nbd::send_flush | nbd::send_fua | nbd::send_trim | nbd::send_write_zeroes |
-                nbd::send_df | nbd::send_cache;
+        flags = nbd::flag_send_flush | nbd::flag_send_fua | nbd::flag_send_trim |
+                nbd::flag_send_write_zeroes | nbd::flag_send_df | nbd::flag_send_cache;
         // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
         // can't know.
         auto part = core.table_->parts.find(*found);
         if (part != core.table_->parts.end() && part->second.hosts == 1)
-            flags |= nbd::can_multi_conn;
+            flags |= nbd::flag_can_multi_conn;
         if (v.frozen)
-            flags = nbd::read_only | nbd::send_flush | nbd::send_df | nbd::send_cache |
-                    nbd::can_multi_conn;
+            flags = nbd::flag_read_only | nbd::flag_send_flush | nbd::flag_send_df |
+                    nbd::flag_send_cache | nbd::flag_can_multi_conn;
         return true;
     }
     void opened(std::string_view name) override {
@@ -117,7 +117,7 @@
     }
     void flush(nbd::Cookie r) override { core.flush(*this, r); }
     void cache(nbd::Cookie r, std::uint64_t, std::uint32_t) override {
-        session.done(r);
+        session.reply_done(r);
     } // only advice
     void status(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool) override {
         core.status(*this, r, offset, length);
@@ -244,14 +244,15 @@
     clients_[id] = std::make_unique<Client>(*this, id);
     touched_.insert(id);
     if (held_)
-        clients_[id]->session.hold(true), clients_[id]->held = true, shell_.pause_client(id, true);
+        clients_[id]->session.pause_input(true), clients_[id]->held = true,
+                                                 shell_.pause_client(id, true);
 }
 void Core::client_received(Time now, ClientId id, std::string_view in) {
     now_ = now;
     auto it = clients_.find(id);
     if (it == clients_.end())
         return;
-    it->second->session.bytes(in);
+    it->second->session.receive(in);
     touched_.insert(id);
     if (it->second->gone)
         drop_client(id);
@@ -295,7 +296,7 @@
         }
         close_request(no);
     }
-    if (auto rest = it->second->session.take_out(); !rest.empty())
+    if (auto rest = it->second->session.take_output(); !rest.empty())
         shell_.send_client(id, std::move(rest));
     bytes_ -= std::min(it->second->out, bytes_);
     auto *volume = it->second->volume;
@@ -319,7 +320,7 @@
     if (held_ ? under : over) {
         held_ = !held_;
         for (auto &[id, c] : clients_)
-            c->session.hold(held_), touched_.insert(id);
+            c->session.pause_input(held_), touched_.insert(id);
     }
 }
 
@@ -372,7 +373,7 @@
 
 bool Core::is_gone(Client &c, nbd::Cookie id) {
     if (c.volume->gone)
-        c.session.fail(id, nbd::e_shutdown, "denied: the snapshot or clone was dropped");
+        c.session.reply_error(id, nbd::e_shutdown, "denied: the snapshot or clone was dropped");
     return c.volume->gone;
 }
 
@@ -625,7 +626,7 @@
     auto id = it->second.id;
     close_request(no);
     if (auto c = clients_.find(client); c != clients_.end())
-        c->second->session.fail(id, error, why, where);
+        c->second->session.reply_error(id, error, why, where);
 }
 
 void Core::finish_flush(ClientRequestId no, Request &r) {
@@ -634,9 +635,10 @@
     close_request(no);
     auto losses = c.volume->unflushed.losses();
     if (c.seen_losses == losses)
-        return c.session.done(id);
+        return c.session.reply_done(id);
     c.seen_losses = losses;
-    c.session.fail(id, nbd::e_io, "errored: a node lost writes that were answered and not flushed");
+    c.session.reply_error(id, nbd::e_io,
+                          "errored: a node lost writes that were answered and not flushed");
 }
 
 void Core::delivered(Task &t, const ShotOver &over) {
@@ -649,7 +651,7 @@
     const NodeRequest &w = *t.work;
     switch (r.command) {
     case Command::read:
-        c.session.data(r.id, w.offset, over.payload);
+        c.session.reply_data(r.id, w.offset, over.payload);
         break;
     case Command::write:
     case Command::zero:
@@ -671,8 +673,9 @@
         auto id = r.id;
         close_request(t.request);
         if (runs.empty())
-            return c.session.fail(id, nbd::e_io, "errored: the node told nothing of the range");
-        return c.session.extents(id, runs);
+            return c.session.reply_error(id, nbd::e_io,
+                                         "errored: the node told nothing of the range");
+        return c.session.reply_block_status(id, runs);
     }
     }
     touched_.insert(r.client);
@@ -761,7 +764,7 @@
                     auto client = r->second.client;
                     auto id = r->second.id;
                     close_request(no);
-                    clients_.at(client)->session.done(id);
+                    clients_.at(client)->session.reply_done(id);
                 }
             }
         } else if (well && node_protocol::changes(t.work->kind)) {
@@ -814,14 +817,14 @@
             drop_client(id);
             continue;
         }
-        if (c.session.out_waiting() > 0) {
-            auto out = c.session.take_out();
+        if (c.session.pending_output_bytes() > 0) {
+            auto out = c.session.take_output();
             c.out += out.size(), bytes_ += out.size();
             shell_.send_client(id, std::move(out));
         }
         // A client that does not take its answers is not read from.
         constexpr std::size_t most_out = 1 << 20; // a megabyte keeps any socket busy
-        bool hold = c.session.choked() || c.out > most_out;
+        bool hold = c.session.input_paused() || c.out > most_out;
         if (hold != c.held)
             c.held = hold, shell_.pause_client(id, hold);
     }
--- a/src/edge/core.hpp
+++ b/src/edge/core.hpp
@@ -23,7 +23,7 @@
 #include "edge/node_connections.hpp"
 #include "edge/snapshot_participant.hpp"
 #include "edge/unflushed.hpp"
-#include "nbd/server.hpp"
+#include "nbd/session.hpp"
 #include "scheduling/scheduler.hpp"
 
 namespace knotvane::edge {
--- a/src/load/session.cpp
+++ b/src/load/session.cpp
@@ -121,14 +121,14 @@
     if (it == flying_.end())
         return fail("a reply for no request: " + std::to_string(cookie)), false;
     auto data = in.substr(20, length);
-    if (type == chunk_data && length >= 8) {
+    if (type == reply_type_offset_data && length >= 8) {
         replies_.data(cookie, get<std::uint64_t>(data, 0), data.substr(8));
-    } else if ((type == chunk_error || type == chunk_error_offset) && length >= 6) {
+    } else if ((type == reply_type_error || type == reply_type_error_offset) && length >= 6) {
         it->second.error = get<std::uint32_t>(data, 0);
         it->second.message = data.substr(6, get<std::uint16_t>(data, 4));
     }
     at_ += 20 + std::size_t{length};
-    if (flags & chunk_flag_done) {
+    if (flags & reply_flag_done) {
         auto ended = std::move(it->second);
         flying_.erase(it);
         replies_.ended(cookie, ended.error, ended.message);
--- a/src/nbd/server.cpp
+++ b/src/nbd/session.cpp
@@ -1,4 +1,4 @@
-#include "nbd/server.hpp"
+#include "nbd/session.hpp"
 
 #include <algorithm>
 
@@ -22,20 +22,20 @@
 
 } // namespace
 
-Session::Session(Asked &asked, std::uint32_t most_flying, std::uint32_t most_request)
+Session::Session(RequestHandler &asked, std::uint32_t most_flying, std::uint32_t most_request)
     : asked_(asked), most_flying_(most_flying), most_request_(most_request) {
     put(out_, init_magic);
     put(out_, option_magic);
     put<std::uint16_t>(out_, flag_fixed_newstyle | flag_no_zeroes);
 }
 
-std::string Session::take_out() {
+std::string Session::take_output() {
     std::string out;
     out.swap(out_);
     return out;
 }
 
-void Session::bytes(std::string_view in) {
+void Session::receive(std::string_view in) {
     if (over_)
         return;
     // A refused write's payload is dropped as it comes and never gathered.
@@ -49,7 +49,7 @@
     if (stepping_)
         return;
     stepping_ = true;
-    while (!over_ && !choked() && step()) {
+    while (!over_ && !input_paused() && step()) {
     }
     stepping_ = false;
     if (over_)
@@ -60,10 +60,10 @@
         in_.erase(0, at_), at_ = 0;
 }
 
-void Session::hold(bool held) {
+void Session::pause_input(bool held) {
     held_ = held;
     if (!held)
-        bytes({});
+        receive({});
 }
 
 bool Session::step() {
@@ -153,7 +153,7 @@
             return end_with("handshake: no export is named '" + std::string(data.substr(0, 80)) +
                             "'");
         put(out_, size_);
-        put(out_, static_cast<std::uint16_t>(flags_ | has_flags));
+        put(out_, static_cast<std::uint16_t>(flags_ | flag_has_flags));
         if (!no_zeroes_)
             out_.append(124, '\0');
         return begin(data);
@@ -203,7 +203,7 @@
     std::string answer;
     put(answer, info_export);
     put(answer, size);
-    put(answer, static_cast<std::uint16_t>(flags | has_flags));
+    put(answer, static_cast<std::uint16_t>(flags | flag_has_flags));
     option_reply(code, rep_info, answer);
     answer.clear();
     // Sent unasked, as the specification allows: requests are held to it either way.
@@ -323,15 +323,15 @@
         return answer_error(cookie, e_inval,
                             "flags " + std::to_string(flags) + " are not known here");
     bool changes = command == cmd_write || command == cmd_trim || command == cmd_write_zeroes;
-    if (changes && (flags_ & read_only) != 0)
+    if (changes && (flags_ & flag_read_only) != 0)
         return answer_error(cookie, e_perm, "the export is read-only");
-    bool offered = (command != cmd_flush || (flags_ & send_flush)) &&
-                   (command != cmd_trim || (flags_ & send_trim)) &&
-                   (command != cmd_cache || (flags_ & send_cache)) &&
-                   (command != cmd_write_zeroes || (flags_ & send_write_zeroes)) &&
+    bool offered = (command != cmd_flush || (flags_ & flag_send_flush)) &&
+                   (command != cmd_trim || (flags_ & flag_send_trim)) &&
+                   (command != cmd_cache || (flags_ & flag_send_cache)) &&
+                   (command != cmd_write_zeroes || (flags_ & flag_send_write_zeroes)) &&
                    (command != cmd_block_status || allocation_) &&
-                   (!(flags & cmd_flag_fast_zero) || (flags_ & send_fast_zero)) &&
-                   (!(flags & cmd_flag_df) || (structured_ && (flags_ & send_df)));
+                   (!(flags & cmd_flag_fast_zero) || (flags_ & flag_send_fast_zero)) &&
+                   (!(flags & cmd_flag_df) || (structured_ && (flags_ & flag_send_df)));
     if (!offered)
         return answer_error(cookie, e_inval, "the command or its flag was not offered");
     if (command == cmd_flush) {
@@ -392,7 +392,7 @@
 
 void Session::answer_error(std::uint64_t cookie, std::uint32_t error, std::string_view message) {
     if (structured_) {
-        chunk(cookie, chunk_flag_done, chunk_error, 6 + message.size());
+        chunk(cookie, reply_flag_done, reply_type_error, 6 + message.size());
         put(out_, error);
         put(out_, static_cast<std::uint16_t>(message.size()));
         out_ += message;
@@ -403,7 +403,7 @@
     put(out_, cookie);
 }
 
-void Session::data(Cookie id, std::uint64_t offset, std::string_view bytes) {
+void Session::reply_data(Cookie id, std::uint64_t offset, std::string_view bytes) {
     auto it = flying_.find(id);
     if (it == flying_.end() || bytes.empty())
         return;
@@ -413,12 +413,12 @@
                   f.gathered.begin() + static_cast<std::ptrdiff_t>(offset - f.offset));
         return;
     }
-    chunk(f.cookie, 0, chunk_data, 8 + bytes.size());
+    chunk(f.cookie, 0, reply_type_offset_data, 8 + bytes.size());
     put(out_, offset);
     out_ += bytes;
 }
 
-void Session::done(Cookie id) {
+void Session::reply_done(Cookie id) {
     auto it = flying_.find(id);
     if (it == flying_.end())
         return;
@@ -429,25 +429,25 @@
         put(out_, f.cookie);
         out_ += f.gathered;
     } else if (f.command == cmd_read && f.in_one) {
-        chunk(f.cookie, chunk_flag_done, chunk_data, 8 + f.gathered.size());
+        chunk(f.cookie, reply_flag_done, reply_type_offset_data, 8 + f.gathered.size());
         put(out_, f.offset);
         out_ += f.gathered;
     } else {
-        chunk(f.cookie, chunk_flag_done, chunk_none, 0);
+        chunk(f.cookie, reply_flag_done, reply_type_none, 0);
     }
     kept_ -= f.gathered.size();
     flying_.erase(it);
-    bytes({});
+    receive({});
 }
 
-void Session::fail(Cookie id, std::uint32_t error, std::string_view message,
-                   std::optional<std::uint64_t> offset) {
+void Session::reply_error(Cookie id, std::uint32_t error, std::string_view message,
+                          std::optional<std::uint64_t> offset) {
     auto it = flying_.find(id);
     if (it == flying_.end())
         return;
     message = message.substr(0, longest_name);
     if (structured_ && offset && it->second.command == cmd_read) {
-        chunk(it->second.cookie, chunk_flag_done, chunk_error_offset, 14 + message.size());
+        chunk(it->second.cookie, reply_flag_done, reply_type_error_offset, 14 + message.size());
         put(out_, error);
         put(out_, static_cast<std::uint16_t>(message.size()));
         out_ += message;
@@ -457,21 +457,22 @@
     }
     kept_ -= it->second.gathered.size();
     flying_.erase(it);
-    bytes({});
+    receive({});
 }
 
-void Session::extents(Cookie id, const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs) {
+void Session::reply_block_status(Cookie id,
+                                 const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs) {
     auto it = flying_.find(id);
     if (it == flying_.end())
         return;
-    chunk(it->second.cookie, chunk_flag_done, chunk_status, 4 + 8 * runs.size());
+    chunk(it->second.cookie, reply_flag_done, reply_type_block_status, 4 + 8 * runs.size());
     put(out_, allocation_id);
     for (auto [length, flags] : runs) {
         put(out_, length);
         put(out_, flags);
     }
     flying_.erase(it);
-    bytes({});
+    receive({});
 }
 
 } // namespace knotvane::nbd
--- a/src/nbd/server.hpp
+++ b/src/nbd/session.hpp
@@ -19,9 +19,9 @@
 
 // What a client asks, once it is known to be well formed, inside the export and aligned. `data` of
 // a write lives until the call returns.
-class Asked {
+class RequestHandler {
 public:
-    virtual ~Asked() = default;
+    virtual ~RequestHandler() = default;
     // Names of all exports, in the order of the list.
     virtual std::vector<std::string> exports() = 0;
     // Tells size in bytes, transmission flags and block sizes (least, preferred, most; bytes);
@@ -48,32 +48,33 @@
     // `most_flying`: requests at work at once; past it input is kept unread. `most_request`: bytes
     // of one read or write. The least block size is what every offset and length must be a multiple
     // of.
-    Session(Asked &asked, std::uint32_t most_flying, std::uint32_t most_request);
+    Session(RequestHandler &asked, std::uint32_t most_flying, std::uint32_t most_request);
 
     // Takes what has come from the client, in any pieces.
-    void bytes(std::string_view in);
+    void receive(std::string_view in);
     // Takes out what is to be sent to the client.
-    std::string take_out();
-    std::size_t out_waiting() const { return out_.size(); }
+    std::string take_output();
+    std::size_t pending_output_bytes() const { return out_.size(); }
     // Input is kept back until requests end: the shell should stop reading.
-    bool choked() const { return !over_ && (held_ || flying_.size() >= most_flying_); }
+    bool input_paused() const { return !over_ && (held_ || flying_.size() >= most_flying_); }
     // Keeps input back, or takes it again, for reasons of the caller's own.
-    void hold(bool held);
-    bool over() const { return over_; }
-    std::size_t flying() const { return flying_.size(); }
-    bool is_flying(Cookie id) const { return flying_.contains(id); }
+    void pause_input(bool held);
+    bool closed() const { return over_; }
+    std::size_t in_flight() const { return flying_.size(); }
+    bool is_in_flight(Cookie id) const { return flying_.contains(id); }
     // Bytes held: input not yet taken and reads that are being put together.
-    std::size_t held() const { return in_.size() - at_ + kept_; }
+    std::size_t buffered_bytes() const { return in_.size() - at_ + kept_; }
 
     // Answers. Each request ends once, by done, fail or extents; what comes for one that ended is
     // dropped. A part of a read, at its offset in the export; parts may come in any order.
-    void data(Cookie id, std::uint64_t offset, std::string_view bytes);
-    void done(Cookie id);
+    void reply_data(Cookie id, std::uint64_t offset, std::string_view bytes);
+    void reply_done(Cookie id);
     // `offset`: where it went wrong, none if nowhere in particular.
-    void fail(Cookie id, std::uint32_t error, std::string_view message,
-              std::optional<std::uint64_t> offset = {});
+    void reply_error(Cookie id, std::uint32_t error, std::string_view message,
+                     std::optional<std::uint64_t> offset = {});
     // The answer to a block status: pairs of length in bytes and flags (1 hole, 2 reads as zero).
-    void extents(Cookie id, const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs);
+    void reply_block_status(Cookie id,
+                            const std::vector<std::pair<std::uint32_t, std::uint32_t>> &runs);
 
 private:
     enum class Phase { flags, options, requests };
@@ -99,7 +100,7 @@
     void answer_error(std::uint64_t cookie, std::uint32_t error, std::string_view message);
     void chunk(std::uint64_t cookie, std::uint16_t flags, std::uint16_t type, std::size_t length);
 
-    Asked &asked_;
+    RequestHandler &asked_;
     std::uint32_t most_flying_, most_request_;
     Phase phase_ = Phase::flags;
     bool over_ = false, stepping_ = false, held_ = false, leaving_ = false, no_zeroes_ = false,
--- a/src/nbd/wire.hpp
+++ b/src/nbd/wire.hpp
@@ -25,9 +25,10 @@
 inline constexpr std::uint16_t info_export = 0, info_block_size = 3;
 
 // Transmission flags.
-inline constexpr std::uint16_t has_flags = 1, read_only = 2, send_flush = 4, send_fua = 8,
-                               send_trim = 32, send_write_zeroes = 64, send_df = 128,
-                               can_multi_conn = 256, send_cache = 1024, send_fast_zero = 2048;
+inline constexpr std::uint16_t flag_has_flags = 1, flag_read_only = 2, flag_send_flush = 4,
+                               flag_send_fua = 8, flag_send_trim = 32, flag_send_write_zeroes = 64,
+                               flag_send_df = 128, flag_can_multi_conn = 256,
+                               flag_send_cache = 1024, flag_send_fast_zero = 2048;
 
 // Commands, their flags, and the chunks of structured replies.
 inline constexpr std::uint16_t cmd_read = 0, cmd_write = 1, cmd_disc = 2, cmd_flush = 3,
@@ -35,8 +36,9 @@
                                cmd_block_status = 7;
 inline constexpr std::uint16_t cmd_flag_fua = 1, cmd_flag_no_hole = 2, cmd_flag_df = 4,
                                cmd_flag_req_one = 8, cmd_flag_fast_zero = 16;
-inline constexpr std::uint16_t chunk_flag_done = 1, chunk_none = 0, chunk_data = 1, chunk_hole = 2,
-                               chunk_status = 5, chunk_error = 0x8001, chunk_error_offset = 0x8002;
+inline constexpr std::uint16_t reply_flag_done = 1, reply_type_none = 0, reply_type_offset_data = 1,
+                               reply_type_offset_hole = 2, reply_type_block_status = 5,
+                               reply_type_error = 0x8001, reply_type_error_offset = 0x8002;
 
 // Errors.
 inline constexpr std::uint32_t e_perm = 1, e_io = 5, e_nomem = 12, e_inval = 22, e_nospc = 28,
--- a/src/rules/judge.cpp
+++ b/src/rules/judge.cpp
@@ -299,10 +299,10 @@
                 break;
             auto flags = nbd::get<std::uint16_t>(rest, 4), type = nbd::get<std::uint16_t>(rest, 6);
             auto cookie = nbd::get<std::uint64_t>(rest, 8);
-            if (type == nbd::chunk_data && n >= 8)
+            if (type == nbd::reply_type_offset_data && n >= 8)
                 got(w, cookie, nbd::get<std::uint64_t>(rest, 20), rest.substr(28, n - 8));
-            bool bad = type == nbd::chunk_error || type == nbd::chunk_error_offset;
-            if (bad || (flags & nbd::chunk_flag_done))
+            bool bad = type == nbd::reply_type_error || type == nbd::reply_type_error_offset;
+            if (bad || (flags & nbd::reply_flag_done))
                 ended(now, w, cookie, bad ? nbd::get<std::uint32_t>(rest, 20) : 0);
             at += 20 + n;
         } else if (w.export_name) {
--- a/tests/fuzz/nbd_fuzz.cpp
+++ b/tests/fuzz/nbd_fuzz.cpp
@@ -8,21 +8,21 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     using namespace knotvane::nbd;
-    Written did;
+    RecordingHandler did;
     Session s(did, 8, 65536);
     // The first byte says in which pieces the rest comes; some requests are answered on the way.
     std::size_t piece = size > 0 ? 1 + data[0] : 1;
     std::string_view in(reinterpret_cast<const char *>(data), size);
     for (std::size_t at = 1; at < size; at += piece) {
-        s.bytes(in.substr(at, piece));
-        if (s.flying() > 8)
+        s.receive(in.substr(at, piece));
+        if (s.in_flight() > 8)
             std::abort();
         if (did.ids.size() % 3 == 2)
-            s.done(did.ids[did.ids.size() / 2]);
+            s.reply_done(did.ids[did.ids.size() / 2]);
         if (did.ids.size() % 5 == 4)
-            s.fail(did.ids[did.ids.size() / 3], e_io, "fuzz");
+            s.reply_error(did.ids[did.ids.size() / 3], e_io, "fuzz");
     }
     for (auto id : did.ids)
-        s.fail(id, e_io, "end");
+        s.reply_error(id, e_io, "end");
     return 0;
 }
--- a/tests/nbd/helpers.hpp
+++ b/tests/nbd/helpers.hpp
@@ -4,13 +4,13 @@
 #include <string>
 #include <vector>
 
-#include "nbd/server.hpp"
+#include "nbd/session.hpp"
 #include "nbd/wire.hpp"
 
 namespace knotvane::nbd {
 
 // Writes each call down as a line, and answers nothing by itself.
-struct Written final : Asked {
+struct RecordingHandler final : RequestHandler {
     std::vector<std::string> lines;
     std::vector<Cookie> ids;
     void put(Cookie id, std::string s) { ids.push_back(id), lines.push_back(std::move(s)); }
@@ -18,7 +18,8 @@
     bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
                   std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) override {
         size = 1 << 20, least = 512, preferred = 4096, most = 65536;
-        flags = send_flush | send_fua | send_trim | send_write_zeroes | send_df | send_cache;
+        flags = flag_send_flush | flag_send_fua | flag_send_trim | flag_send_write_zeroes |
+                flag_send_df | flag_send_cache;
         return name == "first" || name.empty();
     }
     void opened(std::string_view name) override { lines.push_back("opened " + std::string(name)); }
@@ -90,16 +91,16 @@
 }
 
 // A session past its handshake, with what it sent so far taken out.
-struct Opened {
-    Written did;
+struct OpenSession {
+    RecordingHandler did;
     Session session;
-    explicit Opened(bool structured = true, std::uint32_t most_flying = 16)
+    explicit OpenSession(bool structured = true, std::uint32_t most_flying = 16)
         : session(did, most_flying, 65536) {
-        session.bytes(
+        session.receive(
             client_flags() + (structured ? option(opt_structured_reply) : "") +
             (structured ? context("first", "base:allocation", opt_set_meta_context) : "") +
             go("first"));
-        session.take_out();
+        session.take_output();
         did.lines.clear();
     }
 };
