--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -10,7 +10,7 @@
 find_package(CLI11 REQUIRED)
 find_package(Threads REQUIRED)
 
-add_library(knotvane_nbd src/nbd/session.cpp)
+add_library(knotvane_nbd src/nbd/negotiation.cpp src/nbd/session.cpp)
 target_include_directories(knotvane_nbd PUBLIC src)
 add_library(knotvane_node_protocol src/node_protocol/frame.cpp)
 target_link_libraries(knotvane_node_protocol PUBLIC knotvane_scheduling PkgConfig::isal)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -67,7 +67,7 @@
 
 package_tests(
   nbd
-  SOURCES tests/nbd/session_test.cpp
+  SOURCES tests/nbd/negotiation_test.cpp tests/nbd/session_test.cpp
   LIBS knotvane_nbd)
 package_tests(
   http
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -57,11 +57,11 @@
         : core(c), id(i),
           session(*this, c.limits_.max_requests_per_client, c.limits_.max_request_bytes) {}
 
-    std::vector<std::string> exports() override {
-        std::vector<std::string> out_names;
+    std::vector<std::string> export_names() override {
+        std::vector<std::string> names;
         for (auto &[name, _] : core.table_->names)
-            out_names.push_back(name);
-        return out_names;
+            names.push_back(name);
+        return names;
     }
     std::optional<VolumeId> find(std::string_view name) const {
         auto &names = core.table_->names;
@@ -75,15 +75,14 @@
             return std::nullopt;
         return it->second;
     }
-    bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
-                  std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) override {
+    std::optional<nbd::ExportInfo> find_export(std::string_view name) override {
         auto found = find(name);
         if (!found)
-            return false;
+            return std::nullopt;
         auto &v = core.table_->volumes.at(*found);
-        size = v.size, least = v.least, preferred = 4096, most = core.limits_.max_request_bytes;
-        flags = nbd::flag_send_flush | nbd::flag_send_fua | nbd::flag_send_trim |
-                nbd::flag_send_write_zeroes | nbd::flag_send_df | nbd::flag_send_cache;
+        std::uint16_t flags = nbd::flag_send_flush | nbd::flag_send_fua | nbd::flag_send_trim |
+                              nbd::flag_send_write_zeroes | nbd::flag_send_df |
+                              nbd::flag_send_cache;
         // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
         // can't know.
         auto part = core.table_->parts.find(*found);
@@ -92,20 +91,20 @@
         if (v.frozen)
             flags = nbd::flag_read_only | nbd::flag_send_flush | nbd::flag_send_df |
                     nbd::flag_send_cache | nbd::flag_can_multi_conn;
-        return true;
+        return nbd::ExportInfo{v.size, flags, {v.least, 4096, core.limits_.max_request_bytes}};
     }
-    void opened(std::string_view name) override {
+    void export_opened(std::string_view name) override {
         volume = &core.open_volume(*find(name));
         seen_losses = volume->unflushed.losses();
     }
-    void read(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool) override {
+    void read(nbd::Cookie r, std::uint64_t offset, std::uint32_t length) override {
         core.read(*this, r, offset, length);
     }
     void write(nbd::Cookie r, std::uint64_t offset, std::string_view data, bool fua) override {
         core.change(*this, r, offset, static_cast<std::uint32_t>(data.size()), data, false, fua);
     }
-    void zero(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool fua, bool no_hole,
-              bool) override {
+    void write_zeroes(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool fua,
+                      bool no_hole) override {
         // Without holes the zeroes are written out, so that the space is there.
         if (no_hole && length <= core.limits_.max_request_bytes)
             core.change(*this, r, offset, length, std::string(length, '\0'), false, fua);
@@ -119,10 +118,10 @@
     void cache(nbd::Cookie r, std::uint64_t, std::uint32_t) override {
         session.reply_done(r);
     } // only advice
-    void status(nbd::Cookie r, std::uint64_t offset, std::uint32_t length, bool) override {
+    void block_status(nbd::Cookie r, std::uint64_t offset, std::uint32_t length) override {
         core.status(*this, r, offset, length);
     }
-    void left(std::string_view fault) override {
+    void session_ended(std::string_view fault) override {
         if (!fault.empty())
             core.shell_.log_event("client " + std::to_string(id.value) + ": " + std::string(fault));
         gone = true;
@@ -610,7 +609,7 @@
 }
 
 // The request ends now, once; its other tasks are withdrawn.
-void Core::fail_request(ClientRequestId no, std::uint32_t error, const std::string &why,
+void Core::fail_request(ClientRequestId no, nbd::ErrorCode error, const std::string &why,
                         std::optional<std::uint64_t> where) {
     auto it = requests_.find(no);
     if (it == requests_.end())
@@ -661,7 +660,7 @@
         c.volume->unflushed.flushed(w.shard, over.incarnation, r.mark);
         break;
     case Command::status: {
-        std::vector<std::pair<std::uint32_t, std::uint32_t>> runs;
+        std::vector<nbd::BlockStatusExtent> runs;
         auto u32 = [&](std::size_t at) {
             std::uint32_t v = 0;
             for (std::size_t i = 4; i-- > 0;)
@@ -669,7 +668,7 @@
             return v;
         };
         for (std::size_t at = 0; at + 8 <= over.payload.size(); at += 8)
-            runs.emplace_back(u32(at), u32(at + 4));
+            runs.push_back({u32(at), u32(at + 4)});
         auto id = r.id;
         close_request(t.request);
         if (runs.empty())
@@ -737,7 +736,7 @@
         // Final words of a node on a change that was not done, and of which another shot would hear
         // the same.
         const char *refused = nullptr;
-        std::uint32_t error = nbd::e_io;
+        auto error = nbd::e_io;
         if (!was_ended && over.status == node_protocol::Status::stale && !outdated(t, over))
             refused =
                 "errored: a snapshot was taken in the middle of it; a part may have been done";
--- a/src/edge/core.hpp
+++ b/src/edge/core.hpp
@@ -250,7 +250,7 @@
     void do_shot(RequestId task, AttemptId shot, Time timeout);
     void end_task(RequestId id, Task &t);
     void delivered(Task &t, const ShotOver &over);
-    void fail_request(ClientRequestId no, std::uint32_t error, const std::string &why,
+    void fail_request(ClientRequestId no, nbd::ErrorCode error, const std::string &why,
                       std::optional<std::uint64_t> where);
     void close_request(ClientRequestId no);
     void finish_flush(ClientRequestId no, Request &r);
--- a/tests/fuzz/nbd_fuzz.cpp
+++ b/tests/fuzz/nbd_fuzz.cpp
@@ -8,8 +8,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     using namespace knotvane::nbd;
-    RecordingHandler did;
-    Session s(did, 8, 65536);
+    RecordingHandler handler;
+    Session s(handler, 8, 65536);
     // The first byte says in which pieces the rest comes; some requests are answered on the way.
     std::size_t piece = size > 0 ? 1 + data[0] : 1;
     std::string_view in(reinterpret_cast<const char *>(data), size);
@@ -17,12 +17,12 @@
         s.receive(in.substr(at, piece));
         if (s.in_flight() > 8)
             std::abort();
-        if (did.ids.size() % 3 == 2)
-            s.reply_done(did.ids[did.ids.size() / 2]);
-        if (did.ids.size() % 5 == 4)
-            s.reply_error(did.ids[did.ids.size() / 3], e_io, "fuzz");
+        if (handler.ids.size() % 3 == 2)
+            s.reply_done(handler.ids[handler.ids.size() / 2]);
+        if (handler.ids.size() % 5 == 4)
+            s.reply_error(handler.ids[handler.ids.size() / 3], e_io, "fuzz");
     }
-    for (auto id : did.ids)
+    for (auto id : handler.ids)
         s.reply_error(id, e_io, "end");
     return 0;
 }
--- a/tests/nbd/helpers.hpp
+++ b/tests/nbd/helpers.hpp
@@ -1,7 +1,11 @@
-// What the NBD tests share: a client's bytes, and calls written down.
+/// \file
+/// What the NBD tests share: a client's bytes, and a handler that records its calls.
 #pragma once
 
+#include <optional>
 #include <string>
+#include <string_view>
+#include <utility>
 #include <vector>
 
 #include "nbd/session.hpp"
@@ -9,44 +13,55 @@
 
 namespace knotvane::nbd {
 
-// Writes each call down as a line, and answers nothing by itself.
+/// Records each call as a line, and answers nothing by itself.
 struct RecordingHandler final : RequestHandler {
     std::vector<std::string> lines;
-    std::vector<Cookie> ids;
-    void put(Cookie id, std::string s) { ids.push_back(id), lines.push_back(std::move(s)); }
-    std::vector<std::string> exports() override { return {"first", "second"}; }
-    bool describe(std::string_view name, std::uint64_t &size, std::uint16_t &flags,
-                  std::uint32_t &least, std::uint32_t &preferred, std::uint32_t &most) override {
-        size = 1 << 20, least = 512, preferred = 4096, most = 65536;
-        flags = flag_send_flush | flag_send_fua | flag_send_trim | flag_send_write_zeroes |
-                flag_send_df | flag_send_cache;
-        return name == "first" || name.empty();
+    std::vector<Cookie> ids; // of the requests passed on
+
+    void record(Cookie id, std::string line) {
+        ids.push_back(id);
+        lines.push_back(std::move(line));
+    }
+    static std::string range(std::uint64_t offset, std::uint64_t length) {
+        return std::to_string(offset) + "+" + std::to_string(length);
+    }
+
+    std::vector<std::string> export_names() override { return {"first", "second"}; }
+    std::optional<ExportInfo> find_export(std::string_view name) override {
+        if (name != "first" && !name.empty())
+            return std::nullopt;
+        return ExportInfo{1 << 20,
+                          flag_send_flush | flag_send_fua | flag_send_trim |
+                              flag_send_write_zeroes | flag_send_df | flag_send_cache,
+                          {512, 4096, 65536}};
+    }
+    void export_opened(std::string_view name) override {
+        lines.push_back("opened " + std::string(name));
     }
-    void opened(std::string_view name) override { lines.push_back("opened " + std::string(name)); }
-    static std::string range(std::uint64_t o, std::uint64_t n) {
-        return std::to_string(o) + "+" + std::to_string(n);
+    void read(Cookie id, std::uint64_t offset, std::uint32_t length) override {
+        record(id, "read " + range(offset, length));
     }
-    void read(Cookie id, std::uint64_t o, std::uint32_t n, bool) override {
-        put(id, "read " + range(o, n));
+    void write(Cookie id, std::uint64_t offset, std::string_view data, bool fua) override {
+        record(id, "write " + range(offset, data.size()) + (fua ? " fua " : " ") +
+                       std::string(data.substr(0, 4)));
     }
-    void write(Cookie id, std::uint64_t o, std::string_view d, bool fua) override {
-        put(id,
-            "write " + range(o, d.size()) + (fua ? " fua " : " ") + std::string(d.substr(0, 4)));
+    void write_zeroes(Cookie id, std::uint64_t offset, std::uint32_t length, bool,
+                      bool no_hole) override {
+        record(id, "zero " + range(offset, length) + (no_hole ? " no hole" : ""));
     }
-    void zero(Cookie id, std::uint64_t o, std::uint32_t n, bool, bool no_hole, bool) override {
-        put(id, "zero " + range(o, n) + (no_hole ? " no hole" : ""));
+    void trim(Cookie id, std::uint64_t offset, std::uint32_t length, bool) override {
+        record(id, "trim " + range(offset, length));
     }
-    void trim(Cookie id, std::uint64_t o, std::uint32_t n, bool) override {
-        put(id, "trim " + range(o, n));
+    void flush(Cookie id) override { record(id, "flush"); }
+    void cache(Cookie id, std::uint64_t offset, std::uint32_t length) override {
+        record(id, "cache " + range(offset, length));
     }
-    void flush(Cookie id) override { put(id, "flush"); }
-    void cache(Cookie id, std::uint64_t o, std::uint32_t n) override {
-        put(id, "cache " + range(o, n));
+    void block_status(Cookie id, std::uint64_t offset, std::uint32_t length) override {
+        record(id, "status " + range(offset, length));
     }
-    void status(Cookie id, std::uint64_t o, std::uint32_t n, bool) override {
-        put(id, "status " + range(o, n));
+    void session_ended(std::string_view fault) override {
+        lines.push_back("left " + std::string(fault));
     }
-    void left(std::string_view fault) override { lines.push_back("left " + std::string(fault)); }
 };
 
 inline std::string client_flags(std::uint32_t flags = 3) {
@@ -90,18 +105,18 @@
     return s + std::string(payload);
 }
 
-// A session past its handshake, with what it sent so far taken out.
+/// A session past its handshake, with what it sent so far taken out.
 struct OpenSession {
-    RecordingHandler did;
+    RecordingHandler handler;
     Session session;
-    explicit OpenSession(bool structured = true, std::uint32_t most_flying = 16)
-        : session(did, most_flying, 65536) {
+    explicit OpenSession(bool structured = true, std::uint32_t max_in_flight = 16)
+        : session(handler, max_in_flight, 65536) {
         session.receive(
             client_flags() + (structured ? option(opt_structured_reply) : "") +
             (structured ? context("first", "base:allocation", opt_set_meta_context) : "") +
             go("first"));
         session.take_output();
-        did.lines.clear();
+        handler.lines.clear();
     }
 };
 
--- a/tests/nbd/session_test.cpp
+++ b/tests/nbd/session_test.cpp
@@ -1,5 +1,5 @@
-// The NBD session: the handshake's option paths, requests that must be refused and live, and
-// answers.
+// The NBD session after its handshake: requests that are rejected while the session lives, and
+// replies.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -7,93 +7,6 @@
 
 using namespace knotvane::nbd;
 
-namespace {
-std::uint32_t reply_type(const std::string &out, std::size_t at = 0) {
-    return get<std::uint32_t>(out, at + 12);
-}
-} // namespace
-
-TEST_SUITE("nbd handshake") {
-    TEST_CASE("EXPORT_NAME answers size and flags, without the zeroes where the client said so") {
-        for (std::uint32_t flags : {1u, 3u}) {
-            RecordingHandler did;
-            Session s(did, 4, 65536);
-            s.take_output();
-            s.receive(client_flags(flags) + option(opt_export_name, "first"));
-            CHECK(s.take_output().size() == (flags == 3 ? 10 : 134));
-            CHECK(did.lines == std::vector<std::string>{"opened first"});
-        }
-    }
-    TEST_CASE("an unknown export ends EXPORT_NAME but not GO") {
-        RecordingHandler did;
-        Session s(did, 4, 65536), t(did, 4, 65536);
-        s.receive(client_flags() + option(opt_export_name, "third"));
-        CHECK(s.closed());
-        t.receive(client_flags());
-        t.take_output();
-        t.receive(go("third"));
-        CHECK(reply_type(t.take_output()) == rep_err_unknown);
-        CHECK_FALSE(t.closed());
-    }
-    TEST_CASE("GO tells the block sizes") {
-        RecordingHandler did;
-        Session s(did, 4, 65536);
-        s.receive(client_flags());
-        s.take_output();
-        s.receive(go("first"));
-        std::string out = s.take_output();
-        CHECK(reply_type(out, 32) == rep_info);
-        CHECK(get<std::uint32_t>(out, 32 + 20 + 2) == 512);
-    }
-    TEST_CASE("an unknown option is refused and the next one is heard") {
-        RecordingHandler did;
-        Session s(did, 4, 65536);
-        s.receive(client_flags());
-        s.take_output();
-        s.receive(option(99, "whatever") + option(opt_list));
-        std::string out = s.take_output();
-        CHECK(reply_type(out) == rep_err_unsup);
-        CHECK(out.find("second") != std::string::npos);
-    }
-    TEST_CASE("an option too long is read over, one absurdly long ends the session") {
-        RecordingHandler did;
-        Session s(did, 4, 65536);
-        s.receive(client_flags());
-        s.take_output();
-        s.receive(option(opt_info, std::string(70000, 'x')) + option(opt_list));
-        CHECK(reply_type(s.take_output()) == rep_err_too_big);
-        std::string head;
-        put(head, option_magic);
-        put(head, opt_go);
-        put(head, 0x7fffffffu);
-        s.receive(head);
-        CHECK(s.closed());
-    }
-    TEST_CASE("a context is chosen only with structured replies, and only for the export opened") {
-        RecordingHandler did;
-        Session s(did, 4, 65536);
-        s.receive(client_flags());
-        s.take_output();
-        s.receive(context("first", "base:allocation", opt_set_meta_context));
-        CHECK(reply_type(s.take_output()) == rep_err_invalid);
-        s.receive(option(opt_structured_reply) +
-                  context("first", "base:allocation", opt_set_meta_context));
-        CHECK(s.take_output().find("base:allocation") != std::string::npos);
-        s.receive(option(opt_export_name, "") + request(cmd_block_status, 1, 0, 512));
-        CHECK(did.lines.back() == "opened ");
-    }
-    TEST_CASE("a wrong magic or unknown client flags end the session with a reason") {
-        RecordingHandler did;
-        Session s(did, 4, 65536), t(did, 4, 65536);
-        s.receive(client_flags() + std::string(16, 'x'));
-        t.receive(client_flags(64));
-        CHECK(s.closed());
-        CHECK(t.closed());
-        CHECK(did.lines[0].find("IHAVEOPT") != std::string::npos);
-        CHECK(did.lines[1].find("client flags 64") != std::string::npos);
-    }
-}
-
 TEST_SUITE("nbd requests") {
     TEST_CASE("each kind of request becomes its call") {
         OpenSession o;
@@ -103,9 +16,9 @@
                           request(cmd_write_zeroes, 4, 0, 512, "", 2) +
                           request(cmd_flush, 5, 0, 0) + request(cmd_cache, 6, 0, 512) +
                           request(cmd_block_status, 7, 0, 4096));
-        CHECK(o.did.lines == std::vector<std::string>{"read 512+1024", "write 0+512 fua wwww",
-                                                      "trim 512+512", "zero 0+512 no hole", "flush",
-                                                      "cache 0+512", "status 0+4096"});
+        CHECK(o.handler.lines == std::vector<std::string>{"read 512+1024", "write 0+512 fua wwww",
+                                                          "trim 512+512", "zero 0+512 no hole",
+                                                          "flush", "cache 0+512", "status 0+4096"});
     }
     TEST_CASE("what can't be done gets its error and the session lives") {
         struct {
@@ -131,40 +44,40 @@
             REQUIRE(out.size() == 16);
             CHECK(get<std::uint32_t>(out, 4) == b.error);
             o.session.receive(request(cmd_read, 2, 0, 512));
-            CHECK(o.did.lines == std::vector<std::string>{"read 0+512"});
+            CHECK(o.handler.lines == std::vector<std::string>{"read 0+512"});
         }
     }
     TEST_CASE("a bad magic ends the session") {
         OpenSession o;
         o.session.receive(std::string(28, 'x'));
         CHECK(o.session.closed());
-        CHECK(o.did.lines[0].find("request magic") != std::string::npos);
+        CHECK(o.handler.lines[0].find("request magic") != std::string::npos);
     }
     TEST_CASE("past the most requests in flight input is kept until one ends") {
         OpenSession o(true, 2);
         for (std::uint64_t i = 0; i < 5; ++i)
             o.session.receive(request(cmd_read, i, 0, 512));
-        CHECK(o.did.lines.size() == 2);
+        CHECK(o.handler.lines.size() == 2);
         CHECK(o.session.input_paused());
-        o.session.reply_done(o.did.ids[0]);
-        CHECK(o.did.lines.size() == 3);
+        o.session.reply_done(o.handler.ids[0]);
+        CHECK(o.handler.lines.size() == 3);
     }
     TEST_CASE("parts of a read go out as they come, simple ones as a whole and in order") {
         OpenSession o, p(false);
         o.session.receive(request(cmd_read, 9, 0, 1024));
-        o.session.reply_data(o.did.ids[0], 512, std::string(512, 'b'));
+        o.session.reply_data(o.handler.ids[0], 512, std::string(512, 'b'));
         std::string part = o.session.take_output();
         CHECK(get<std::uint16_t>(part, 4) == 0);
         CHECK(get<std::uint64_t>(part, 20) == 512);
-        o.session.reply_data(o.did.ids[0], 0, std::string(512, 'a'));
+        o.session.reply_data(o.handler.ids[0], 0, std::string(512, 'a'));
         o.session.take_output();
-        o.session.reply_done(o.did.ids[0]);
+        o.session.reply_done(o.handler.ids[0]);
         CHECK(get<std::uint16_t>(o.session.take_output(), 4) == reply_flag_done);
         p.session.receive(request(cmd_read, 9, 0, 1024));
-        p.session.reply_data(p.did.ids[0], 512, std::string(512, 'b'));
-        p.session.reply_data(p.did.ids[0], 0, std::string(512, 'a'));
+        p.session.reply_data(p.handler.ids[0], 512, std::string(512, 'b'));
+        p.session.reply_data(p.handler.ids[0], 0, std::string(512, 'a'));
         CHECK(p.session.take_output().empty());
-        p.session.reply_done(p.did.ids[0]);
+        p.session.reply_done(p.handler.ids[0]);
         CHECK(p.session.take_output().substr(16) == std::string(512, 'a') + std::string(512, 'b'));
     }
     TEST_CASE("a good-bye is taken when all that is at work has ended") {
@@ -172,18 +85,18 @@
         o.session.receive(request(cmd_read, 1, 0, 512) + request(cmd_disc, 2, 0, 0) +
                           request(cmd_read, 3, 0, 512));
         CHECK_FALSE(o.session.closed());
-        o.session.reply_done(o.did.ids[0]);
+        o.session.reply_done(o.handler.ids[0]);
         CHECK(o.session.closed());
-        CHECK(o.did.lines == std::vector<std::string>{"read 0+512", "left "});
+        CHECK(o.handler.lines == std::vector<std::string>{"read 0+512", "left "});
     }
     TEST_CASE("a request ends once") {
         OpenSession o;
         o.session.receive(request(cmd_read, 9, 0, 512));
-        o.session.reply_error(o.did.ids[0], e_io, "no", 0);
+        o.session.reply_error(o.handler.ids[0], e_io, "no", 0);
         std::string out = o.session.take_output();
         CHECK(get<std::uint16_t>(out, 6) == reply_type_error_offset);
-        o.session.reply_done(o.did.ids[0]);
-        o.session.reply_data(o.did.ids[0], 0, "late");
+        o.session.reply_done(o.handler.ids[0]);
+        o.session.reply_data(o.handler.ids[0], 0, "late");
         CHECK(o.session.take_output().empty());
     }
     TEST_CASE("any split of the bytes gives the same calls and the same answers") {
@@ -198,8 +111,8 @@
         all.receive(whole);
         std::string answers = all.take_output();
         CHECK(rc::check([&](std::vector<std::uint16_t> cuts) {
-            RecordingHandler did;
-            Session s(did, 16, 65536);
+            RecordingHandler handler;
+            Session s(handler, 16, 65536);
             std::size_t at = 0;
             for (auto c : cuts) {
                 std::size_t n = std::min<std::size_t>(c % 700, whole.size() - at);
@@ -207,7 +120,7 @@
                 at += n;
             }
             s.receive(std::string_view(whole).substr(at));
-            RC_ASSERT(did.lines == once.lines);
+            RC_ASSERT(handler.lines == once.lines);
             RC_ASSERT(s.take_output() == answers);
         }));
     }
