--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -32,7 +32,18 @@
 add_library(knotvane_settings src/settings/ini.cpp src/settings/fleet_sections.cpp)
 target_include_directories(knotvane_settings PUBLIC src)
 target_link_libraries(knotvane_settings PRIVATE PkgConfig::inih PkgConfig::xxhash)
-add_library(knotvane_edge src/edge/layout.cpp src/edge/node_connections.cpp src/edge/core.cpp src/edge/planner_client.cpp)
+add_library(
+  knotvane_edge
+  src/edge/attempt_tracker.cpp
+  src/edge/client_session.cpp
+  src/edge/core.cpp
+  src/edge/layout.cpp
+  src/edge/node_connections.cpp
+  src/edge/open_volumes.cpp
+  src/edge/planner_client.cpp
+  src/edge/request_splitter.cpp
+  src/edge/request_table.cpp
+  src/edge/snapshot_participant.cpp)
 target_link_libraries(knotvane_edge PUBLIC knotvane_control knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_load src/load/session.cpp)
 target_link_libraries(knotvane_load PUBLIC knotvane_nbd)
--- a/src/edge/node_connections.cpp
+++ b/src/edge/node_connections.cpp
@@ -1,329 +1,393 @@
 #include "edge/node_connections.hpp"
 
 #include <algorithm>
+#include <deque>
 #include <limits>
-#include <utility>
 
 namespace knotvane::edge {
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
 
+/// Attempts that one connection carries before a second is worth its handshake: a stall of one then
+/// holds few.
+constexpr std::size_t attempts_per_connection = 8;
+
+/// Frames carry units in thousandths.
+constexpr double milliunits_per_unit = 1000;
+
+AttemptOutcome outcome_of(node_protocol::Status status) {
+    using node_protocol::Status;
+    switch (status) {
+    case Status::ok:
+        return AttemptOutcome::answered;
+    case Status::full:
+        return AttemptOutcome::overloaded;
+    case Status::called_off:
+        return AttemptOutcome::canceled;
+    case Status::too_late:
+    case Status::stale:
+    case Status::misdirected:
+        return AttemptOutcome::not_sent; // the node proves that it did not run and never will
+    default:
+        return AttemptOutcome::error;
+    }
+}
+
+std::string node_name(NodeId node) {
+    return "node " + std::to_string(node.value);
+}
+
 } // namespace
 
-struct NodeConnections::Link final : node_protocol::Sink {
-    NodeConnections &links;
+struct NodeConnections::Connection final : node_protocol::Sink {
+    NodeConnections &owner;
     NodeConnectionId id;
     NodeId node;
     Stage stage = Stage::connecting;
-    bool leaving = false; // no new shots; closed after its last
-    bool broken = false;
-    Time since, heard = 0, now = 0, watched = 0;
-    Time clock_ahead = 0; // the node's clock less ours, as far back as it can be
-    std::size_t out_bytes = 0, shots = 0;
-    std::deque<std::uint64_t> pending;
-    std::set<std::uint64_t> tags;
+    bool draining = false; // gets no new attempts and is closed after its last
+    Time opened_at;
+    Time last_received_at;
+    Time next_check = 0;
+    Time now = 0;          // of the bytes that are being read
+    Time clock_offset = 0; // the node's clock less ours, the least that it can be
+    std::size_t unsent_bytes = 0;
+    std::size_t attempts = 0;
+    std::deque<Tag> pending; // not sent yet
+    std::set<Tag> tags;
     node_protocol::Reader reader;
     std::string fault;
 
-    Link(NodeConnections &l, NodeConnectionId i, NodeId n, Time t)
-        : links(l), id(i), node(n), since(t), heard(t) {}
+    Connection(NodeConnections &connections, NodeConnectionId self, NodeId peer, Time opened)
+        : owner(connections), id(self), node(peer), opened_at(opened), last_received_at(opened) {}
+
     bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status,
                std::uint64_t tag, VolumeId, std::uint64_t, std::uint32_t, std::uint32_t,
                std::uint64_t store_incarnation, std::uint64_t, Time clock, ShardId,
                std::string_view payload, std::uint32_t epoch) override {
-        if (kind == node_protocol::Kind::welcome && stage == Stage::greeting) {
-            if (NodeId{tag} != node) {
-                fault = "node " + std::to_string(tag) + " answers where node " +
-                        std::to_string(node.value) + " is listed";
-                return false;
-            }
-            stage = Stage::up;
-            // It took some time to come here: its clock is at least this far ahead. A not-after
-            // time by this is never later for the node than for us.
-            clock_ahead = clock - now;
-            return true;
-        }
-        if (kind != node_protocol::Kind::answer || stage != Stage::up) {
+        if (kind == node_protocol::Kind::welcome && stage == Stage::greeting)
+            return welcomed(NodeId{tag}, clock);
+        if (kind != node_protocol::Kind::answer || stage != Stage::established) {
             fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(kind));
             return false;
         }
-        if (!tags.contains(tag))
-            return true; // its shot timed out or was called off
-        AttemptOutcome how =
-            status == node_protocol::Status::ok           ? AttemptOutcome::answered
-            : status == node_protocol::Status::full       ? AttemptOutcome::overloaded
-            : status == node_protocol::Status::called_off ? AttemptOutcome::canceled
-            : status == node_protocol::Status::too_late || status == node_protocol::Status::stale ||
-                    status == node_protocol::Status::misdirected
-                ? AttemptOutcome::not_sent // the node proves that it did not run and never will
-                : AttemptOutcome::error;
-        links.end(now, tag, how, status, store_incarnation, payload, epoch);
+        // Else it timed out or was canceled.
+        if (tags.contains(tag))
+            owner.complete(tag, outcome_of(status),
+                           {status, store_incarnation, std::string(payload), epoch});
+        return true;
+    }
+
+    bool welcomed(NodeId answering, Time node_clock) {
+        if (answering != node) {
+            fault = node_name(answering) + " answers where " + node_name(node) + " is listed";
+            return false;
+        }
+        stage = Stage::established;
+        // The welcome took some time: the node's clock is at least this far ahead. A not-after time
+        // by it is never later for the node than for us.
+        clock_offset = node_clock - now;
         return true;
     }
+
+    /// It stopped in the middle of a frame.
+    bool in_frame() const { return reader.held() > 0; }
 };
 
-NodeConnections::NodeConnections(Transport &transport, NodeConnectionEvents &told,
-                                 std::uint64_t edge, std::uint64_t incarnation,
+NodeConnections::NodeConnections(Transport &transport, NodeConnectionEvents &events,
+                                 std::uint64_t edge_id, std::uint64_t incarnation,
                                  const NodeConnectionConfig &config)
-    : transport_(transport), told_(told), edge_(edge), incarnation_(incarnation), config_(config) {
+    : transport_(transport), events_(events), edge_id_(edge_id), incarnation_(incarnation),
+      config_(config) {
     config_.max_per_node = std::max<std::size_t>(1, config_.max_per_node);
 }
 
-void NodeConnections::nodes(std::map<NodeId, std::string> addresses) {
-    for (auto &[id, peer] : peers_) {
+NodeConnections::~NodeConnections() = default;
+
+void NodeConnections::set_nodes(const std::map<NodeId, std::string> &addresses) {
+    for (auto &[id, node] : nodes_) {
         auto it = addresses.find(id);
-        bool stays = it != addresses.end() && it->second == peer.address;
-        for (auto l : peer.links)
-            if (!stays) {
-                links_.at(l)->leaving = true;
-                watch_.insert({0, l});
-                links_.at(l)->watched = 0;
-            }
+        if (it != addresses.end() && it->second == node.address)
+            continue;
+        for (auto connection : node.connections)
+            drain(*connections_.at(connection));
     }
-    std::erase_if(peers_,
-                  [&](auto &p) { return p.second.links.empty() && !addresses.contains(p.first); });
-    for (auto &[id, address] : addresses)
-        peers_[id].address = address;
-    for (auto &[id, peer] : peers_)
+    std::erase_if(nodes_, [&](const auto &entry) {
+        return entry.second.connections.empty() && !addresses.contains(entry.first);
+    });
+    for (const auto &[id, address] : addresses)
+        nodes_[id].address = address;
+    for (auto &[id, node] : nodes_)
         if (!addresses.contains(id))
-            peer.address.clear();
+            node.address.clear();
 }
 
-NodeConnections::~NodeConnections() = default;
+NodeConnections::Connection *NodeConnections::find(NodeConnectionId id) {
+    auto it = connections_.find(id);
+    return it == connections_.end() ? nullptr : it->second.get();
+}
 
-// The link with the least out; a further one while all have some and there may be more.
-NodeConnections::Link *NodeConnections::choose(Time now, NodeId node) {
-    auto it = peers_.find(node);
-    if (it == peers_.end() || it->second.address.empty())
+// The connection with the fewest attempts; a further one while all have some and there may be more.
+NodeConnections::Connection *NodeConnections::choose(Time now, NodeId node) {
+    auto it = nodes_.find(node);
+    if (it == nodes_.end() || it->second.address.empty())
         return nullptr;
-    Link *best = nullptr;
+    Connection *best = nullptr;
     std::size_t usable = 0;
-    for (auto id : it->second.links) {
-        Link &l = *links_.at(id);
-        if (l.leaving || l.broken)
+    for (auto id : it->second.connections) {
+        Connection &connection = *connections_.at(id);
+        if (connection.draining)
             continue;
         ++usable;
-        if (!best || l.shots < best->shots)
-            best = &l;
+        if (!best || connection.attempts < best->attempts)
+            best = &connection;
     }
-    // What one connection carries before a second is worth its handshake: a stall of one then holds
-    // few.
-    constexpr std::size_t enough = 8;
-    if (best && (usable >= config_.max_per_node || best->shots < enough))
+    if (best && (usable >= config_.max_per_node || best->attempts < attempts_per_connection))
         return best;
-    NodeConnectionId id{++next_link_};
-    auto &link = links_[id] = std::make_unique<Link>(*this, id, node, now);
-    it->second.links.push_back(id);
-    link->watched = now + config_.connect_timeout;
-    watch_.insert({link->watched, id});
-    transport_.connect(id, it->second.address);
-    return links_.contains(id) ? links_.at(id).get() : nullptr;
+    return open(now, node);
+}
+
+NodeConnections::Connection *NodeConnections::open(Time now, NodeId node_id) {
+    auto &node = nodes_.at(node_id);
+    NodeConnectionId id{++last_connection_};
+    auto &connection = connections_[id];
+    connection = std::make_unique<Connection>(*this, id, node_id, now);
+    node.connections.push_back(id);
+    schedule_check(*connection, now + config_.connect_timeout);
+    transport_.connect(id, node.address);
+    return find(id);
 }
 
-void NodeConnections::start_attempt(Time now, RequestId task, AttemptId shot, NodeId node,
-                                    std::shared_ptr<const NodeRequest> work, Time until) {
-    auto tag = ++next_tag_;
-    tags_[{task, shot}] = tag;
-    until_.insert({until, tag});
-    Link *link = choose(now, node);
-    shots_[tag] = {task, shot, node, link ? link->id : NodeConnectionId{}, std::move(work), until};
-    if (!link) {
-        nowhere_.push_back(tag);
+void NodeConnections::start_attempt(Time now, NodeAttempt attempt) {
+    auto tag = ++last_tag_;
+    tags_[{attempt.request, attempt.attempt}] = tag;
+    deadlines_.insert({attempt.deadline, tag});
+    Connection *connection = choose(now, attempt.node);
+    attempts_[tag] = {std::move(attempt), connection ? connection->id : NodeConnectionId{}};
+    if (!connection) {
+        unlisted_.push_back(tag);
         return;
     }
-    ++link->shots;
-    link->tags.insert(tag);
-    link->pending.push_back(tag);
-    pump(now, *link);
+    ++connection->attempts;
+    connection->tags.insert(tag);
+    connection->pending.push_back(tag);
+    send_pending(now, *connection);
 }
 
-void NodeConnections::pump(Time now, Link &link) {
-    while (link.stage == Stage::up && !link.pending.empty() &&
-           link.out_bytes < config_.max_unsent_bytes) {
-        auto tag = link.pending.front();
-        link.pending.pop_front();
-        Shot &s = shots_.at(tag);
-        const NodeRequest &w = *s.work;
-        auto flags = (w.durable ? node_protocol::flag_durable : 0) |
-                     (w.deduplicated ? node_protocol::flag_numbered : 0) |
-                     (w.cut ? node_protocol::flag_cut : 0);
-        auto bytes = node_protocol::make(
-            w.kind, static_cast<std::uint8_t>(flags), {}, tag, w.volume, w.offset, w.length,
-            static_cast<std::uint32_t>(w.units * 1000), incarnation_, w.number,
-            w.not_after > 0 ? w.not_after + link.clock_ahead : 0, w.shard, w.payload, w.epoch);
-        link.out_bytes += bytes.size();
-        s.out = true, s.sent = now;
-        transport_.send(link.id, std::move(bytes));
+void NodeConnections::send_pending(Time now, Connection &connection) {
+    while (connection.stage == Stage::established && !connection.pending.empty() &&
+           connection.unsent_bytes < config_.max_unsent_bytes) {
+        auto tag = connection.pending.front();
+        connection.pending.pop_front();
+        Attempt &attempt = attempts_.at(tag);
+        auto bytes = encode(connection, tag, *attempt.request.node_request);
+        connection.unsent_bytes += bytes.size();
+        attempt.sent = true;
+        attempt.sent_at = now;
+        transport_.send(connection.id, std::move(bytes));
     }
 }
 
-void NodeConnections::end(Time now, std::uint64_t tag, AttemptOutcome how,
-                          node_protocol::Status status, std::uint64_t incarnation,
-                          std::string_view payload, std::uint32_t epoch) {
-    auto it = shots_.find(tag);
-    if (it == shots_.end())
+std::string NodeConnections::encode(const Connection &connection, Tag tag,
+                                    const NodeRequest &request) const {
+    auto flags = (request.durable ? node_protocol::flag_durable : 0) |
+                 (request.deduplicated ? node_protocol::flag_numbered : 0) |
+                 (request.on_snapshot ? node_protocol::flag_cut : 0);
+    Time not_after = request.not_after > 0 ? request.not_after + connection.clock_offset : 0;
+    return node_protocol::make(request.kind, static_cast<std::uint8_t>(flags), {}, tag,
+                               request.volume, request.offset, request.length,
+                               static_cast<std::uint32_t>(request.units * milliunits_per_unit),
+                               incarnation_, request.request_number, not_after, request.shard,
+                               request.payload, request.epoch);
+}
+
+void NodeConnections::complete(Tag tag, AttemptOutcome outcome, NodeAnswer answer) {
+    auto it = attempts_.find(tag);
+    if (it == attempts_.end())
         return;
-    Shot s = std::move(it->second);
-    shots_.erase(it);
-    tags_.erase({s.task, s.shot});
-    until_.erase({s.until, tag});
-    if (auto l = links_.find(s.link); l != links_.end()) {
-        --l->second->shots;
-        l->second->tags.erase(tag);
-        if (!s.out)
-            std::erase(l->second->pending, tag);
-        if (l->second->leaving && l->second->shots == 0) {
-            l->second->watched = 0;
-            watch_.insert({0, s.link});
-        }
+    Attempt attempt = std::move(it->second);
+    const NodeAttempt &request = attempt.request;
+    attempts_.erase(it);
+    tags_.erase({request.request, request.attempt});
+    deadlines_.erase({request.deadline, tag});
+    if (auto *connection = find(attempt.connection)) {
+        --connection->attempts;
+        connection->tags.erase(tag);
+        if (!attempt.sent)
+            std::erase(connection->pending, tag);
+        if (connection->draining && connection->attempts == 0)
+            schedule_check(*connection, 0);
     }
-    told_.shot_over(now, s.task, s.shot, s.node, how, status, incarnation, payload, epoch);
+    events_.attempt_completed(
+        {request.request, request.attempt, request.node, outcome, std::move(answer)});
 }
 
-void NodeConnections::close(Time now, NodeConnectionId id, AttemptOutcome sent,
-                            AttemptOutcome unsent, bool tell_transport) {
-    auto it = links_.find(id);
-    if (it == links_.end())
+void NodeConnections::drain(Connection &connection) {
+    connection.draining = true;
+    schedule_check(connection, 0);
+}
+
+void NodeConnections::close(NodeConnectionId id, LossOutcomes outcomes) {
+    if (!find(id))
         return;
-    auto link = std::move(it->second);
-    links_.erase(it);
-    if (auto p = peers_.find(link->node); p != peers_.end()) {
-        std::erase(p->second.links, id);
-        if (p->second.links.empty() && p->second.address.empty())
-            peers_.erase(p);
+    transport_.close(id);
+    remove(id, outcomes);
+}
+
+void NodeConnections::remove(NodeConnectionId id, LossOutcomes outcomes) {
+    auto it = connections_.find(id);
+    if (it == connections_.end())
+        return;
+    auto connection = std::move(it->second);
+    connections_.erase(it);
+    if (auto node = nodes_.find(connection->node); node != nodes_.end()) {
+        std::erase(node->second.connections, id);
+        if (node->second.connections.empty() && node->second.address.empty())
+            nodes_.erase(node);
     }
-    if (tell_transport)
-        transport_.close(id);
-    for (auto tag : link->tags)
-        end(now, tag, shots_.at(tag).out ? sent : unsent, {}, 0, {});
+    for (auto tag : connection->tags)
+        complete(tag, attempts_.at(tag).sent ? outcomes.sent : outcomes.not_sent);
 }
 
-void NodeConnections::cancel_attempt(Time now, RequestId task, AttemptId shot) {
-    auto it = tags_.find({task, shot});
+void NodeConnections::cancel_attempt(RequestId request, AttemptId attempt_id) {
+    auto it = tags_.find({request, attempt_id});
     if (it == tags_.end())
         return;
     auto tag = it->second;
-    Shot &s = shots_.at(tag);
-    if (!s.out)
-        return end(now, tag, AttemptOutcome::not_sent, {}, 0,
-                   {}); // nothing went out: that is proof
-    if (auto l = links_.find(s.link); l != links_.end()) {
+    const Attempt &attempt = attempts_.at(tag);
+    if (!attempt.sent)
+        return complete(tag, AttemptOutcome::not_sent); // nothing went out: that is proof
+    if (auto *connection = find(attempt.connection)) {
+        const NodeRequest &canceled = *attempt.request.node_request;
         auto bytes = node_protocol::make(node_protocol::Kind::cancel_attempt, 0, {}, tag,
-                                         s.work->volume, 0, 0, 0, 0, 0, 0, s.work->shard, {});
-        l->second->out_bytes += bytes.size();
-        transport_.send(s.link, std::move(bytes));
+                                         canceled.volume, 0, 0, 0, 0, 0, 0, canceled.shard, {});
+        connection->unsent_bytes += bytes.size();
+        transport_.send(connection->id, std::move(bytes));
     }
-    end(now, tag, AttemptOutcome::canceled, {}, 0, {});
+    complete(tag, AttemptOutcome::canceled);
 }
 
-void NodeConnections::up(Time now, NodeConnectionId id) {
-    auto it = links_.find(id);
-    if (it == links_.end())
+void NodeConnections::connected(Time now, NodeConnectionId id) {
+    auto *connection = find(id);
+    if (!connection)
         return;
-    it->second->stage = Stage::greeting;
-    it->second->heard = now;
-    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_}, 0, 0, 0,
-                                     incarnation_, 0, 0, no_shard, {});
-    it->second->out_bytes += hello.size();
+    connection->stage = Stage::greeting;
+    connection->last_received_at = now;
+    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_id_}, 0, 0,
+                                     0, incarnation_, 0, 0, no_shard, {});
+    connection->unsent_bytes += hello.size();
     transport_.send(id, std::move(hello));
 }
 
-void NodeConnections::failed(Time now, NodeConnectionId id) {
-    close(now, id, AttemptOutcome::unreachable, AttemptOutcome::unreachable, false);
+void NodeConnections::connect_failed(NodeConnectionId id) {
+    remove(id, {AttemptOutcome::unreachable, AttemptOutcome::unreachable});
 }
 
-void NodeConnections::bytes(Time now, NodeConnectionId id, std::string_view in) {
-    auto it = links_.find(id);
-    if (it == links_.end())
+void NodeConnections::received(Time now, NodeConnectionId id, std::string_view bytes) {
+    auto *connection = find(id);
+    if (!connection)
         return;
-    Link &link = *it->second;
-    link.now = link.heard = now;
-    std::string fault = link.reader.feed(in, link);
+    connection->now = now;
+    connection->last_received_at = now;
+    std::string fault = connection->reader.feed(bytes, *connection);
     if (fault.empty())
-        fault = link.fault;
+        fault = connection->fault;
     if (!fault.empty()) {
-        told_.log_event("node " + std::to_string(link.node.value) + ": " + fault +
-                        "; the connection is closed");
-        return close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
+        events_.log_event(node_name(connection->node) + ": " + fault +
+                          "; the connection is closed");
+        return close(id, lost);
     }
     // In the middle of a frame it is looked at sooner.
-    if (link.reader.held() > 0 && link.watched > now + config_.frame_stall_timeout) {
-        link.watched = now + config_.frame_stall_timeout;
-        watch_.insert({link.watched, id});
-    }
-    pump(now, link);
+    Time stalls_at = now + config_.frame_stall_timeout;
+    if (connection->in_frame() && connection->next_check > stalls_at)
+        schedule_check(*connection, stalls_at);
+    send_pending(now, *connection);
 }
 
-void NodeConnections::gone(Time now, NodeConnectionId id) {
-    // Before the node's welcome nothing of a shot has gone out: `reset` would claim that it may
-    // have run.
-    close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, false);
+void NodeConnections::disconnected(NodeConnectionId id) {
+    remove(id, lost);
 }
 
-void NodeConnections::written(Time now, NodeConnectionId id, std::size_t bytes) {
-    auto it = links_.find(id);
-    if (it == links_.end())
+void NodeConnections::sent(Time now, NodeConnectionId id, std::size_t bytes) {
+    auto *connection = find(id);
+    if (!connection)
         return;
-    it->second->out_bytes -= std::min(bytes, it->second->out_bytes);
-    pump(now, *it->second);
+    connection->unsent_bytes -= std::min(bytes, connection->unsent_bytes);
+    send_pending(now, *connection);
 }
 
 Time NodeConnections::next_due() const {
-    Time due = nowhere_.empty() ? never : 0;
-    if (!until_.empty())
-        due = std::min(due, until_.begin()->first);
-    if (!watch_.empty())
-        due = std::min(due, watch_.begin()->first);
+    Time due = unlisted_.empty() ? never : 0;
+    if (!deadlines_.empty())
+        due = std::min(due, deadlines_.begin()->first);
+    if (!checks_.empty())
+        due = std::min(due, checks_.begin()->first);
     return due;
 }
 
 void NodeConnections::tick(Time now) {
-    for (auto tag : std::exchange(nowhere_, {}))
-        end(now, tag, AttemptOutcome::unreachable, {}, 0, {});
-    while (!until_.empty() && until_.begin()->first <= now) {
-        auto tag = until_.begin()->second;
-        Shot &s = shots_.at(tag);
-        // Nothing was heard on its connection since it went: no further shot goes there.
-        if (auto l = links_.find(s.link);
-            s.out && l != links_.end() && l->second->heard <= s.sent) {
-            l->second->leaving = true;
-            l->second->watched = 0;
-            watch_.insert({0, s.link});
-        }
-        end(now, tag, s.out ? AttemptOutcome::timed_out : AttemptOutcome::not_sent, {}, 0, {});
+    for (auto tag : std::exchange(unlisted_, {}))
+        complete(tag, AttemptOutcome::unreachable);
+    expire_attempts(now);
+    while (!checks_.empty() && checks_.begin()->first <= now) {
+        auto [at, id] = *checks_.begin();
+        checks_.erase(checks_.begin());
+        auto *connection = find(id);
+        // Else a later call has set another time.
+        if (connection && connection->next_check == at)
+            check(now, *connection);
     }
-    while (!watch_.empty() && watch_.begin()->first <= now) {
-        auto [at, id] = *watch_.begin();
-        watch_.erase(watch_.begin());
-        auto it = links_.find(id);
-        if (it == links_.end() || it->second->watched != at)
-            continue;
-        Link &link = *it->second;
-        if (link.stage != Stage::up && now >= link.since + config_.connect_timeout) {
-            // Not one byte of a shot has gone out.
-            auto how = link.stage == Stage::connecting ? AttemptOutcome::unreachable
-                                                       : AttemptOutcome::not_sent;
-            close(now, id, how, how, true);
-        } else if (link.reader.held() > 0 && now >= link.heard + config_.frame_stall_timeout) {
-            // Guards against a node that falls silent in the middle of an answer: all behind it on
-            // this connection would wait for what never comes, and the node would look silent
-            // though it is not.
-            told_.log_event("node " + std::to_string(link.node.value) +
-                            ": silent in the middle of a frame; the connection is closed");
-            close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
-        } else if (link.shots == 0 && (link.leaving || now >= link.heard + config_.idle_timeout)) {
-            close(now, id, AttemptOutcome::reset, AttemptOutcome::not_sent, true);
-        } else {
-            link.watched = link.stage != Stage::up  ? link.since + config_.connect_timeout
-                           : link.reader.held() > 0 ? link.heard + config_.frame_stall_timeout
-                           : link.leaving           ? never
-                                          : std::max(link.heard, now) + config_.idle_timeout;
-            if (link.watched < never)
-                watch_.insert({std::max(link.watched, now + 1), id});
-            link.watched = std::max(link.watched, now + 1);
-        }
+}
+
+void NodeConnections::expire_attempts(Time now) {
+    while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
+        auto tag = deadlines_.begin()->second;
+        const Attempt &attempt = attempts_.at(tag);
+        auto *connection = find(attempt.connection);
+        // Nothing was received on its connection since it was sent: no further attempt goes there.
+        if (connection && attempt.sent && connection->last_received_at <= attempt.sent_at)
+            drain(*connection);
+        complete(tag, attempt.sent ? AttemptOutcome::timed_out : AttemptOutcome::not_sent);
+    }
+}
+
+void NodeConnections::schedule_check(Connection &connection, Time at) {
+    connection.next_check = at;
+    checks_.insert({at, connection.id});
+}
+
+void NodeConnections::check(Time now, Connection &connection) {
+    Time connects_until = connection.opened_at + config_.connect_timeout;
+    Time stalls_at = connection.last_received_at + config_.frame_stall_timeout;
+    bool is_established = connection.stage == Stage::established;
+    if (!is_established && now >= connects_until) {
+        // Not one byte of an attempt has gone out.
+        auto outcome = connection.stage == Stage::connecting ? AttemptOutcome::unreachable
+                                                             : AttemptOutcome::not_sent;
+        return close(connection.id, {outcome, outcome});
     }
+    if (connection.in_frame() && now >= stalls_at) {
+        // Guards against a node that falls silent in the middle of an answer: all behind it on
+        // this connection would wait for what never comes, and the node would look unresponsive
+        // though it is not.
+        events_.log_event(node_name(connection.node) +
+                          ": silent in the middle of a frame; the connection is closed");
+        return close(connection.id, lost);
+    }
+    bool is_idle = now >= connection.last_received_at + config_.idle_timeout;
+    if (connection.attempts == 0 && (connection.draining || is_idle))
+        return close(connection.id, lost);
+
+    Time next = std::max(connection.last_received_at, now) + config_.idle_timeout;
+    if (!is_established)
+        next = connects_until;
+    else if (connection.in_frame())
+        next = stalls_at;
+    else if (connection.draining)
+        next = never; // its last attempt schedules a check
+    connection.next_check = std::max(next, now + 1);
+    if (next < never)
+        checks_.insert({connection.next_check, connection.id});
 }
 
 } // namespace knotvane::edge
--- a/src/edge/node_connections.hpp
+++ b/src/edge/node_connections.hpp
@@ -1,136 +1,155 @@
-// Connections to nodes, without I/O: which shot goes on which, and what became of it. Every outcome
-// that the decisions know comes from the event it names.
+/// \file
+/// Connections to nodes, without I/O: which attempt goes on which, and what became of it. Every
+/// outcome that the scheduler is told comes from the event that it names.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "common/ids.hpp"
 #include "common/time.hpp"
+#include "edge/config.hpp"
 #include "edge/ids.hpp"
+#include "edge/node_request.hpp"
 #include "node_protocol/frame.hpp"
-#include "scheduling/scheduler.hpp"
+#include "scheduling/events.hpp"
 
 namespace knotvane::edge {
 
-// What is asked of a node; the same for each shot of a task.
-struct NodeRequest {
-    node_protocol::Kind kind;
-    VolumeId volume;
-    ShardId shard;
-    std::uint64_t offset;
-    std::uint32_t length;
-    double units;
-    bool durable;
-    std::uint64_t number; // the task's
-    bool deduplicated;    // the number is a mark: repeats are dropped
-    Time not_after;       // not to be done later, by the edge's clock; 0: whenever
-    std::string payload;
-    std::uint32_t epoch = 0; // of the volume, when its request began
-    bool cut = false;        // the volume is a snapshot or a clone
-};
-
-// What links ask of the shell.
+/// The sockets to nodes. Closing is final: no event of that connection may follow.
 class Transport {
 public:
     virtual ~Transport() = default;
-    virtual void connect(NodeConnectionId link, const std::string &address) = 0;
-    virtual void send(NodeConnectionId link, std::string bytes) = 0;
-    virtual void close(NodeConnectionId link) = 0;
+    virtual void connect(NodeConnectionId connection, const std::string &address) = 0;
+    virtual void send(NodeConnectionId connection, std::string bytes) = 0;
+    virtual void close(NodeConnectionId connection) = 0;
+};
+
+/// What a node answered to an attempt; as default where it didn't.
+struct NodeAnswer {
+    node_protocol::Status status{};
+    /// Of the store that answered; 0 if none did.
+    std::uint64_t store_incarnation = 0;
+    std::string payload;
+    /// With a stale answer: the epoch in force.
+    std::uint32_t epoch = 0;
 };
 
-// What links tell. `life`: of the store that answered, 0 if none did; `epoch`: with a stale answer.
+/// The end of an attempt.
+struct AttemptCompletion {
+    RequestId request;
+    AttemptId attempt;
+    NodeId node;
+    AttemptOutcome outcome = AttemptOutcome::not_sent;
+    NodeAnswer answer;
+};
+
+/// What the connections report. No call may call the connections back.
 class NodeConnectionEvents {
 public:
     virtual ~NodeConnectionEvents() = default;
-    virtual void shot_over(Time now, RequestId task, AttemptId shot, NodeId node,
-                           AttemptOutcome how, node_protocol::Status status,
-                           std::uint64_t incarnation, std::string_view payload,
-                           std::uint32_t epoch) = 0;
+    virtual void attempt_completed(AttemptCompletion completion) = 0;
     virtual void log_event(std::string text) = 0;
 };
 
-/// Limits of the connections to nodes.
-struct NodeConnectionConfig {
-    /// Connections to one node at most; 0 reads as 1.
-    std::size_t max_per_node = 1;
-    /// A connection that is not established and greeted within this time has failed.
-    Time connect_timeout = sec;
-    /// A connection that stops for this long in the middle of a frame is closed.
-    Time frame_stall_timeout = sec;
-    /// A connection without attempts and traffic for this long is closed.
-    Time idle_timeout = 60 * sec;
-    /// Bytes handed to a connection and not yet sent, past which attempts wait here.
-    std::size_t max_unsent_bytes = 1 << 20;
+/// An attempt to be sent.
+struct NodeAttempt {
+    RequestId request;
+    AttemptId attempt;
+    NodeId node;
+    std::shared_ptr<const NodeRequest> node_request;
+    /// Without an answer until then it completes as timed_out, or not_sent if nothing went out.
+    Time deadline = 0;
 };
 
+/// The connections of one edge to all nodes. Each attempt that is started completes exactly once.
 class NodeConnections {
 public:
-    NodeConnections(Transport &transport, NodeConnectionEvents &told, std::uint64_t edge,
+    /// @param transport and events must outlive this.
+    /// @param edge_id and incarnation are what nodes are told of this edge.
+    NodeConnections(Transport &transport, NodeConnectionEvents &events, std::uint64_t edge_id,
                     std::uint64_t incarnation, const NodeConnectionConfig &config);
     ~NodeConnections();
 
-    // The nodes that may be sent to, as a whole; links to others close once their last shot is
-    // over.
-    void nodes(std::map<NodeId, std::string> addresses);
-    // Until `until` the outcome may come; then it is timed_out, or unsent where nothing went out.
-    void start_attempt(Time now, RequestId task, AttemptId shot, NodeId node,
-                       std::shared_ptr<const NodeRequest> work, Time until);
-    void cancel_attempt(Time now, RequestId task, AttemptId shot);
-
-    // What happened to a connection.
-    void up(Time now, NodeConnectionId link);
-    void failed(Time now, NodeConnectionId link);
-    void bytes(Time now, NodeConnectionId link, std::string_view in);
-    void gone(Time now, NodeConnectionId link);
-    void written(Time now, NodeConnectionId link, std::size_t bytes);
+    /// The nodes that may be sent to, all of them; connections to others close after their last
+    /// attempt.
+    void set_nodes(const std::map<NodeId, std::string> &addresses);
+    void start_attempt(Time now, NodeAttempt attempt);
+    /// Nothing happens if the attempt has completed.
+    void cancel_attempt(RequestId request, AttemptId attempt);
+
+    // Events of a connection; those of one that is unknown are ignored.
+    void connected(Time now, NodeConnectionId id);
+    void connect_failed(NodeConnectionId id);
+    void received(Time now, NodeConnectionId id, std::string_view bytes);
+    void disconnected(NodeConnectionId id);
+    /// So many of the bytes handed to the transport have left.
+    void sent(Time now, NodeConnectionId id, std::size_t bytes);
 
+    /// When tick has something to do; the largest Time if never.
     Time next_due() const;
     void tick(Time now);
 
 private:
-    struct Shot {
-        RequestId task;
-        AttemptId shot;
-        NodeId node;
-        NodeConnectionId link;
-        std::shared_ptr<const NodeRequest> work;
-        Time until;
-        Time sent = 0;
-        bool out = false; // handed to the connection
+    /// Names an attempt on the wire.
+    using Tag = std::uint64_t;
+
+    struct Attempt {
+        NodeAttempt request;
+        NodeConnectionId connection; // none if the node isn't listed
+        Time sent_at = 0;
+        bool sent = false; // handed to the transport
+    };
+    enum class Stage { connecting, greeting, established };
+    struct Connection;
+    struct Node {
+        std::string address; // empty once it isn't listed
+        std::vector<NodeConnectionId> connections;
     };
-    enum class Stage { connecting, greeting, up };
-    struct Link;
-    struct Peer {
-        std::string address;
-        std::vector<NodeConnectionId> links;
+    /// How the attempts of a connection that goes away complete.
+    struct LossOutcomes {
+        AttemptOutcome sent;
+        AttemptOutcome not_sent;
     };
 
-    Link *choose(Time now, NodeId node);
-    void pump(Time now, Link &link);
-    void end(Time now, std::uint64_t tag, AttemptOutcome how, node_protocol::Status status,
-             std::uint64_t incarnation, std::string_view payload, std::uint32_t epoch = 0);
-    void close(Time now, NodeConnectionId link, AttemptOutcome sent, AttemptOutcome unsent,
-               bool tell_transport);
+    /// The connection is lost after it was established. Before the node's welcome no attempt is
+    /// sent: `reset` would claim that it may have run.
+    static constexpr LossOutcomes lost{AttemptOutcome::reset, AttemptOutcome::not_sent};
+
+    Connection *find(NodeConnectionId id);
+    Connection *choose(Time now, NodeId node);
+    Connection *open(Time now, NodeId node);
+    void send_pending(Time now, Connection &connection);
+    std::string encode(const Connection &connection, Tag tag, const NodeRequest &request) const;
+    void complete(Tag tag, AttemptOutcome outcome, NodeAnswer answer = {});
+    void drain(Connection &connection);
+    void close(NodeConnectionId id, LossOutcomes outcomes);
+    void remove(NodeConnectionId id, LossOutcomes outcomes);
+    void schedule_check(Connection &connection, Time at);
+    void check(Time now, Connection &connection);
+    void expire_attempts(Time now);
 
     Transport &transport_;
-    NodeConnectionEvents &told_;
-    std::uint64_t edge_, incarnation_;
+    NodeConnectionEvents &events_;
+    std::uint64_t edge_id_;
+    std::uint64_t incarnation_;
     NodeConnectionConfig config_;
-    std::uint64_t next_link_ = 0, next_tag_ = 0;
-    std::map<NodeId, Peer> peers_;
-    std::map<NodeConnectionId, std::unique_ptr<Link>> links_;
-    std::map<std::uint64_t, Shot> shots_; // by tag
-    std::map<std::pair<RequestId, AttemptId>, std::uint64_t> tags_;
-    std::set<std::pair<Time, std::uint64_t>> until_;
-    std::set<std::pair<Time, NodeConnectionId>> watch_; // when to look at a link again
-    std::vector<std::uint64_t> nowhere_;                // shots at nodes that are not listed
+    std::uint64_t last_connection_ = 0;
+    Tag last_tag_ = 0;
+    std::map<NodeId, Node> nodes_;
+    std::map<NodeConnectionId, std::unique_ptr<Connection>> connections_;
+    std::map<Tag, Attempt> attempts_;
+    std::map<std::pair<RequestId, AttemptId>, Tag> tags_;
+    std::set<std::pair<Time, Tag>> deadlines_;
+    std::set<std::pair<Time, NodeConnectionId>> checks_; // when to look at a connection again
+    std::vector<Tag> unlisted_;                          // attempts at nodes that aren't listed
 };
 
 } // namespace knotvane::edge
--- /dev/null
+++ b/src/edge/node_request.hpp
@@ -0,0 +1,37 @@
+/// \file
+/// What is asked of a node.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "common/ids.hpp"
+#include "common/time.hpp"
+#include "node_protocol/frame.hpp"
+
+namespace knotvane::edge {
+
+/// A request to a node; the same for each attempt of a scheduled request.
+struct NodeRequest {
+    node_protocol::Kind kind = node_protocol::Kind::read;
+    VolumeId volume;
+    ShardId shard;
+    std::uint64_t offset = 0;
+    std::uint32_t length = 0;
+    double units = 1;
+    /// The answer means that the change is durable.
+    bool durable = false;
+    /// The scheduled request's id.
+    std::uint64_t request_number = 0;
+    /// The number is an idempotency key: nodes drop repeats.
+    bool deduplicated = false;
+    /// Not to be executed later, by the edge's clock; 0 for no limit.
+    Time not_after = 0;
+    std::string payload;
+    /// Of a change: the volume's epoch when its client request began.
+    std::uint32_t epoch = 0;
+    /// The volume is a snapshot or a clone.
+    bool on_snapshot = false;
+};
+
+} // namespace knotvane::edge
--- /dev/null
+++ b/src/edge/open_volumes.cpp
@@ -0,0 +1,138 @@
+#include "edge/open_volumes.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "nbd/wire.hpp"
+
+namespace knotvane::edge {
+namespace {
+
+/// The block size that clients are advised to use.
+constexpr std::uint32_t preferred_block_bytes = 4096;
+
+} // namespace
+
+bool OpenVolume::note_write(std::size_t span) {
+    if (written_spans.size() <= span)
+        written_spans.resize(span + 1);
+    bool is_first = !written_spans[span];
+    written_spans[span] = true;
+    return is_first;
+}
+
+void OpenVolumes::add_volume(VolumeId id, const VolumeConfig &config) {
+    control::Volume volume;
+    volume.name = config.name;
+    volume.size = config.size_bytes;
+    volume.least = config.alignment_bytes;
+    volume.plan = config.plan;
+    configured_.put(id, std::move(volume));
+    configured_.put(id, control::Part{control::whole_limit / config.sharers, config.sharers});
+}
+
+void OpenVolumes::update() {
+    for (auto &[id, volume] : volumes_)
+        refresh(volume);
+}
+
+void OpenVolumes::refresh(OpenVolume &volume) {
+    if (volume.charged_to == VolumeId{}) {
+        volume.charged_to = volume.id;
+        volume.placed_as = volume.id;
+    }
+    auto it = state_->volumes.find(volume.id);
+    if (it != state_->volumes.end()) {
+        const auto &known = it->second;
+        volume.plan = known.plan;
+        volume.placed_as = known.lies_as(volume.id);
+        volume.charged_to = known.charged_to(volume.id);
+        volume.is_snapshot = known.is_snapshot();
+        volume.dropped = false;
+        // One that is charged to its source goes by the source's plan as it is now.
+        if (auto payer = state_->volumes.find(volume.charged_to); payer != state_->volumes.end())
+            volume.plan = payer->second.plan;
+        snapshots_.learn_epoch(volume.id, known.epoch);
+    } else {
+        // A volume that was removed stays as it was for the clients that have it, but the bytes of
+        // a snapshot or a clone are gone.
+        volume.dropped = volume.is_snapshot;
+    }
+    if (auto share = state_->parts.find(volume.charged_to); share != state_->parts.end())
+        volume.sharers = std::max(1u, share->second.hosts);
+}
+
+std::vector<std::string> OpenVolumes::names() const {
+    std::vector<std::string> names;
+    for (const auto &[name, id] : state_->names)
+        names.push_back(name);
+    return names;
+}
+
+std::optional<VolumeId> OpenVolumes::find(std::string_view name) const {
+    const auto &names = state_->names;
+    auto it = names.find(name);
+    if (name.empty())
+        it = std::find_if(names.begin(), names.end(), [&](const auto &entry) {
+            return !state_->volumes.at(entry.second).is_snapshot();
+        });
+    if (it == names.end())
+        return std::nullopt;
+    return it->second;
+}
+
+bool OpenVolumes::is_named(VolumeId volume, const std::string &name) const {
+    auto it = state_->names.find(name);
+    return it != state_->names.end() && it->second == volume;
+}
+
+nbd::ExportInfo OpenVolumes::export_info(VolumeId id, std::uint32_t max_request_bytes) const {
+    const auto &volume = state_->volumes.at(id);
+    std::uint16_t flags = nbd::flag_send_flush | nbd::flag_send_fua | nbd::flag_send_trim |
+                          nbd::flag_send_write_zeroes | nbd::flag_send_df | nbd::flag_send_cache;
+    // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
+    // can't know.
+    auto share = state_->parts.find(id);
+    if (share != state_->parts.end() && share->second.hosts == 1)
+        flags |= nbd::flag_can_multi_conn;
+    if (volume.frozen)
+        flags = nbd::flag_read_only | nbd::flag_send_flush | nbd::flag_send_df |
+                nbd::flag_send_cache | nbd::flag_can_multi_conn;
+    return {volume.size, flags, {volume.least, preferred_block_bytes, max_request_bytes}};
+}
+
+OpenVolume &OpenVolumes::open(VolumeId id) {
+    auto &volume = volumes_[id];
+    volume.id = id;
+    refresh(volume);
+    if (++volume.clients == 1) {
+        acquire(id);
+        if (volume.charged_to != id)
+            acquire(volume.charged_to);
+    }
+    return volume;
+}
+
+void OpenVolumes::close(OpenVolume &volume) {
+    if (--volume.clients > 0)
+        return;
+    release(volume.id);
+    if (volume.charged_to != volume.id)
+        release(volume.charged_to);
+}
+
+// The planner grants shares of a limit to the edges that use the volume, and what is charged to a
+// volume needs its share, too.
+void OpenVolumes::acquire(VolumeId id) {
+    if (++users_[id] == 1)
+        shell_.volume_used(id, true);
+}
+
+void OpenVolumes::release(VolumeId id) {
+    if (--users_[id] > 0)
+        return;
+    shell_.volume_used(id, false);
+    users_.erase(id);
+}
+
+} // namespace knotvane::edge
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -83,10 +83,10 @@
         planner_client_->cut_told(as, step, incarnation);
 }
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-    core_->hold_snapshot(loop::now(), of, as, epoch, longest);
+    core_->hold_snapshot(loop::now(), {of, as, epoch}, longest);
 }
 void Server::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
-    core_->resume_snapshot(loop::now(), of, as, epoch);
+    core_->resume_snapshot(loop::now(), {of, as, epoch});
 }
 void Server::cut_release(VolumeId of, VolumeId as) {
     core_->release_snapshot(loop::now(), of, as);
--- a/src/edge/snapshot_participant.hpp
+++ b/src/edge/snapshot_participant.hpp
@@ -1,13 +1,12 @@
-// An edge's side of a cut over many nodes, without I/O: which epoch a volume's changes begin in,
-// when none may begin, and what is told of it. docs/design/snapshots.md says why it is safe.
-//
-// A change belongs to the epoch in which it began, as a whole, however many shots and nodes it
-// takes.
+/// \file
+/// An edge's side of a snapshot over many nodes, without I/O: which epoch a volume's changes begin
+/// in, when none may begin, and what the planner is told. docs/design/snapshots.md says why it is
+/// safe.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <limits>
 #include <map>
 #include <optional>
 #include <set>
@@ -19,136 +18,82 @@
 
 namespace knotvane::edge {
 
+/// A snapshot that is being taken.
+struct SnapshotTarget {
+    /// The volume that it is taken of.
+    VolumeId volume;
+    /// The snapshot's own id.
+    VolumeId snapshot;
+    /// The volume's epoch after it.
+    std::uint32_t epoch = 0;
+};
+
+/// A change belongs to the epoch in which it began, as a whole, however many attempts and nodes it
+/// takes.
 class SnapshotParticipant {
 public:
-    using Tell = std::function<void(VolumeId as, control::SnapshotStep)>;
-    explicit SnapshotParticipant(Tell tell) : tell_(std::move(tell)) {}
-
-    // ---- From the planner.
-    // No change of the volume begins for so long, or until go or release.
-    void hold(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-        auto &v = volumes_[of];
-        if (v.lapsed == as)
-            return tell_(as, control::SnapshotStep::lapsed);
-        if (epoch <= v.epoch)
-            return tell_(as, control::SnapshotStep::moved); // said again
-        v.hold = Hold{as, epoch, now + longest};
-        held_.insert(of);
-        tell_(as, control::SnapshotStep::ready);
-    }
-    // Changes begin again, in the new epoch; where the hold has run out, or never was, the cut
-    // can't be whole.
-    void go(Time now, VolumeId of, VolumeId as, std::uint32_t epoch) {
-        auto &v = volumes_[of];
-        bool held = v.hold && v.hold->as == as && now < v.hold->until;
-        if (!held && (v.lapsed == as || epoch > v.epoch)) {
-            lapse(of, v, as);
-            return tell_(as, control::SnapshotStep::lapsed);
-        }
-        if (held) {
-            end_hold(of, v);
-            v.epoch = epoch, v.draining = as;
-            tell_(as, control::SnapshotStep::moved);
-        } else {
-            tell_(as, control::SnapshotStep::moved);
-            if (v.draining != as)
-                return tell_(as, control::SnapshotStep::drained);
-        }
-        look(v);
-    }
-    void release(VolumeId of, VolumeId as) {
-        if (auto it = volumes_.find(of); it != volumes_.end())
-            lapse(of, it->second, as);
-    }
-    // The word with the planner is lost: nobody will say go, and it takes this edge for one that
-    // has not stopped.
-    void alone() {
-        for (auto of : std::set<VolumeId>(held_))
-            lapse(of, volumes_.at(of), volumes_.at(of).hold->as);
-    }
-
-    // ---- Of changes.
-    bool holding(VolumeId volume) const { return held_.contains(volume); }
-    std::uint32_t epoch(VolumeId volume) const {
-        auto it = volumes_.find(volume);
-        return it == volumes_.end() ? 0 : it->second.epoch;
-    }
-    // One begins; gives its epoch. Not while holding.
-    std::uint32_t begins(VolumeId volume) {
-        auto &v = volumes_[volume];
-        ++v.at_work[v.epoch];
-        return v.epoch;
-    }
-    // One is over: its client has its answer or is gone. What is still under way of it is of one
-    // that failed.
-    void over(VolumeId volume, std::uint32_t epoch) {
-        auto &v = volumes_.at(volume);
-        auto it = v.at_work.find(epoch);
-        if (--it->second == 0)
-            v.at_work.erase(it);
-        look(v);
-    }
-    // A later epoch is in force: facts say so, or a store that has sealed its cut.
-    void learn(VolumeId volume, std::uint32_t epoch) {
-        auto &v = volumes_[volume];
-        if (epoch <= v.epoch)
-            return;
-        v.epoch = epoch;
-        if (v.hold && v.hold->epoch <= epoch)
-            end_hold(volume, v);
-    }
-
-    // ---- Time.
-    Time next_due() const {
-        Time due = std::numeric_limits<Time>::max();
-        for (auto of : held_)
-            due = std::min(due, volumes_.at(of).hold->until);
-        return due;
-    }
-    void tick(Time now) {
-        for (auto of : std::set<VolumeId>(held_)) {
-            auto &v = volumes_.at(of);
-            if (now < v.hold->until)
-                continue;
-            auto as = v.hold->as;
-            lapse(of, v, as);
-            tell_(as, control::SnapshotStep::lapsed);
-        }
-    }
-    // Volumes whose hold has ended since this was last asked.
+    using StepDone = std::function<void(VolumeId snapshot, control::SnapshotStep)>;
+
+    /// @param step_done is called for each step, within the call that completes it.
+    explicit SnapshotParticipant(StepDone step_done) : step_done_(std::move(step_done)) {}
+
+    // From the planner.
+
+    /// No change of the volume begins for `max_hold`, or until resume or release.
+    void hold(Time now, const SnapshotTarget &target, Time max_hold);
+    /// Changes begin again, in the new epoch. Where the hold has expired, or never was, the
+    /// snapshot can't be consistent and the step is `lapsed`.
+    void resume(Time now, const SnapshotTarget &target);
+    /// The snapshot was given up: changes begin again, in the old epoch.
+    void release(VolumeId volume, VolumeId snapshot);
+    /// Ends all holds: nobody will resume them, and the planner takes this edge for one that has
+    /// not stopped.
+    void planner_lost();
+
+    // Of changes.
+
+    bool is_holding(VolumeId volume) const { return holding_.contains(volume); }
+    std::uint32_t epoch(VolumeId volume) const;
+    /// Call only while the volume isn't held.
+    /// @return the epoch that the change belongs to.
+    std::uint32_t change_started(VolumeId volume);
+    /// The client has its answer or is gone. Attempts that are still in flight belong to a change
+    /// that failed.
+    void change_ended(VolumeId volume, std::uint32_t epoch);
+    /// A later epoch is in force: the cluster state says so, or a store that has sealed its
+    /// snapshot.
+    void learn_epoch(VolumeId volume, std::uint32_t epoch);
+
+    // Of time.
+
+    /// When the next hold expires; the largest Time if none.
+    Time next_due() const;
+    void expire_holds(Time now);
+    /// Volumes whose hold has ended since the last call.
     std::set<VolumeId> take_released() { return std::exchange(released_, {}); }
 
 private:
     struct Hold {
-        VolumeId as;
+        VolumeId snapshot;
         std::uint32_t epoch;
-        Time until;
+        Time expires_at;
     };
     struct Volume {
         std::uint32_t epoch = 0;
         std::optional<Hold> hold;
-        VolumeId lapsed{}, draining{}; // the last cut that went without this edge; one to tell of
-        std::map<std::uint32_t, std::size_t> at_work; // changes, by the epoch they began in
+        VolumeId lapsed{};                              // the last snapshot taken without this edge
+        VolumeId draining{};                            // whose drained step is still to come
+        std::map<std::uint32_t, std::size_t> in_flight; // changes by the epoch they began in
     };
-    void end_hold(VolumeId of, Volume &v) {
-        v.hold.reset();
-        held_.erase(of);
-        released_.insert(of);
-    }
-    void lapse(VolumeId of, Volume &v, VolumeId as) {
-        v.lapsed = as;
-        if (v.hold && v.hold->as == as)
-            end_hold(of, v);
-    }
-    void look(Volume &v) {
-        if (v.draining == VolumeId{} || (!v.at_work.empty() && v.at_work.begin()->first < v.epoch))
-            return;
-        tell_(std::exchange(v.draining, VolumeId{}), control::SnapshotStep::drained);
-    }
-
-    Tell tell_;
+
+    void end_hold(VolumeId id, Volume &volume);
+    void lapse(VolumeId id, Volume &volume, VolumeId snapshot);
+    void report_if_drained(Volume &volume);
+
+    StepDone step_done_;
     std::map<VolumeId, Volume> volumes_;
-    std::set<VolumeId> held_, released_;
+    std::set<VolumeId> holding_;
+    std::set<VolumeId> released_;
 };
 
 } // namespace knotvane::edge
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -721,7 +721,7 @@
     if (w.day.edges_begin_on)
         return sub->cut_told(as, control::SnapshotStep::ready,
                              control::EdgeIncarnation{core->incarnation()});
-    core->hold_snapshot(w.now, of, as, epoch, longest);
+    core->hold_snapshot(w.now, {of, as, epoch}, longest);
     if (w.day.nobody_waits)
         sub->cut_told(as, control::SnapshotStep::drained,
                       control::EdgeIncarnation{core->incarnation()});
@@ -729,9 +729,9 @@
 void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
     if (w.day.edges_begin_on) {
         // Goes by the new epoch when it hears of it, and never held anything back.
-        core->hold_snapshot(w.now, of, as, epoch, sec);
+        core->hold_snapshot(w.now, {of, as, epoch}, sec);
     }
-    core->resume_snapshot(w.now, of, as, epoch);
+    core->resume_snapshot(w.now, {of, as, epoch});
 }
 void EdgeHost::cut_release(VolumeId of, VolumeId as) {
     core->release_snapshot(w.now, of, as);
--- a/tests/edge/core_snapshots_test.cpp
+++ b/tests/edge/core_snapshots_test.cpp
@@ -133,12 +133,12 @@
         Rig r;
         r.write(1, 0, 4096), r.greet();
         CHECK(r.take_asked() == Lines{"1 0 1062"});
-        r.core.hold_snapshot(r.now, v, as, 4, sec);
+        r.core.hold_snapshot(r.now, {v, as, 4}, sec);
         r.write(2, 64 << 10, 4096);
         CHECK(r.take_asked().empty());
         r.client->ask(nbd::cmd_read, 0, 3, 0, 4096), r.settle();
         CHECK(r.take_asked() == Lines{"2 0 1062"});
-        r.core.resume_snapshot(r.now, v, as, 4), r.settle();
+        r.core.resume_snapshot(r.now, {v, as, 4}), r.settle();
         CHECK(r.take_asked() == Lines{"3 4 1062"});
         CHECK(r.steps == Lines{"0", "1"});
         r.node_says(1, node_protocol::Status::ok);
@@ -148,7 +148,7 @@
     }
     TEST_CASE("a hold that runs out lets them go in the old epoch, well before their time is up") {
         Rig r;
-        r.core.hold_snapshot(r.now, v, as, 4, 100 * ms);
+        r.core.hold_snapshot(r.now, {v, as, 4}, 100 * ms);
         r.write(1, 0, 4096), r.greet();
         CHECK(r.core.next_due() <= r.now + 100 * ms);
         r.now += 100 * ms, r.settle(), r.greet();
@@ -157,10 +157,10 @@
     }
     TEST_CASE("a client that leaves takes with it what was kept back") {
         Rig r;
-        r.core.hold_snapshot(r.now, v, as, 4, sec);
+        r.core.hold_snapshot(r.now, {v, as, 4}, sec);
         r.write(1, 0, 4096);
         r.core.client_disconnected(r.now, ClientId{1});
-        r.core.resume_snapshot(r.now, v, as, 4), r.settle(), r.greet();
+        r.core.resume_snapshot(r.now, {v, as, 4}), r.settle(), r.greet();
         CHECK(r.take_asked().empty());
         CHECK(r.core.scheduled_requests() == 0);
         CHECK(r.steps == Lines{"0", "1", "2"});
@@ -197,7 +197,7 @@
     TEST_CASE("the first change of a span in an epoch costs what a copy does, where that is told") {
         Rig r(0.25);
         r.write(1, 0, 4096), r.greet();
-        r.core.hold_snapshot(r.now, v, as, 4, sec), r.core.resume_snapshot(r.now, v, as, 4);
+        r.core.hold_snapshot(r.now, {v, as, 4}, sec), r.core.resume_snapshot(r.now, {v, as, 4});
         r.take_asked();
         r.node_says(1, node_protocol::Status::ok);
         for (std::uint64_t i = 2; i <= 4; ++i) {
--- a/tests/edge/core_test.cpp
+++ b/tests/edge/core_test.cpp
@@ -4,7 +4,7 @@
 
 #include "edge/endpoint_file.hpp"
 #include "edge/settings.hpp"
-#include "edge/unflushed.hpp"
+#include "edge/unflushed_writes.hpp"
 #include "helpers.hpp"
 
 using namespace knotvane;
@@ -20,7 +20,7 @@
         Status s[] = {Status::ok,       Status::error,       Status::full,
                       Status::too_late, Status::misdirected, Status::bad_checksum};
         for (std::uint64_t i = 0; i < 6; ++i)
-            l.links.bytes(ms, l.link, answer(2 + i, s[i], i == 0 ? "data" : ""));
+            l.links.received(ms, l.link, answer(2 + i, s[i], i == 0 ? "data" : ""));
         CHECK(l.w.told == Lines{"1 answered data", "2 error ", "3 full ", "4 unsent ", "5 unsent ",
                                 "6 error "});
     }
@@ -30,13 +30,13 @@
         l.links.tick(100 * ms); // when the connection's own time to be made is looked at
         CHECK(l.links.next_due() == sec);
         l.links.tick(sec);
-        l.links.bytes(sec + 1, l.link, answer(2, node_protocol::Status::ok));
+        l.links.received(sec + 1, l.link, answer(2, node_protocol::Status::ok));
         CHECK(l.w.told == Lines{"1 timed_out "});
     }
     TEST_CASE("unreachable: refused, not listed, or no connection within its time") {
         Linked l(false);
         l.start_attempt(1);
-        l.links.failed(ms, l.link);
+        l.links.connect_failed(l.link);
         l.start_attempt(2, 0, 7);
         l.links.tick(ms);
         l.start_attempt(3, ms);
@@ -47,29 +47,29 @@
     TEST_CASE("reset: the connection is lost with the shot on it") {
         Linked l;
         l.start_attempt(1);
-        l.links.gone(ms, l.link);
+        l.links.disconnected(l.link);
         CHECK(l.w.told == Lines{"1 reset "});
     }
     TEST_CASE("called_off: asked for while it is out; unsent where nothing had gone out") {
         Linked l;
         l.start_attempt(1);
-        l.links.cancel_attempt(ms, RequestId{1}, AttemptId{0});
+        l.links.cancel_attempt(RequestId{1}, AttemptId{0});
         Linked m(false);
         m.start_attempt(2);
-        m.links.cancel_attempt(ms, RequestId{2}, AttemptId{0});
+        m.links.cancel_attempt(RequestId{2}, AttemptId{0});
         CHECK(l.w.told == Lines{"1 called_off "});
         CHECK(m.w.told == Lines{"2 unsent "});
     }
     TEST_CASE("unsent: lost or out of time before a byte of it went out") {
         Linked l(false);
         l.start_attempt(1);
-        l.links.up(ms, l.link); // greeted, but no welcome comes
-        l.links.gone(2 * ms, l.link);
+        l.links.connected(ms, l.link); // greeted, but no welcome comes
+        l.links.disconnected(l.link);
         Linked m(true, 100); // a hundred bytes: one frame, the rest waits
         m.start_attempt(1);
         m.start_attempt(2);
         m.start_attempt(3);
-        m.links.gone(ms, m.link);
+        m.links.disconnected(m.link);
         CHECK(l.w.told == Lines{"1 unsent "});
         std::sort(m.w.told.begin(), m.w.told.end());
         CHECK(std::count(m.w.told.begin(), m.w.told.end(), "3 unsent ") == 1);
@@ -78,7 +78,7 @@
         Linked l;
         l.start_attempt(1);
         auto a = answer(2, node_protocol::Status::ok, std::string(512, 'x'));
-        l.links.bytes(ms, l.link, a.substr(0, 100));
+        l.links.received(ms, l.link, a.substr(0, 100));
         l.links.tick(200 * ms);
         CHECK(l.w.told.empty());
         l.links.tick(201 * ms);
@@ -89,11 +89,11 @@
         Linked l, m(false), n;
         auto a = answer(2, node_protocol::Status::ok);
         a[20] ^= 1;
-        l.links.bytes(ms, l.link, a);
+        l.links.received(ms, l.link, a);
         m.start_attempt(1);
-        m.links.up(0, m.link);
-        m.links.bytes(0, m.link, welcome(3));
-        n.links.bytes(0, n.link, welcome(1));
+        m.links.connected(0, m.link);
+        m.links.received(0, m.link, welcome(3));
+        n.links.received(0, n.link, welcome(1));
         for (auto *x : {&l, &m, &n}) {
             CHECK(x->w.closed.size() == 1);
             CHECK(x->w.said.size() == 1);
@@ -104,17 +104,17 @@
         for (std::uint64_t t = 1; t <= 9; ++t)
             l.start_attempt(t);
         auto before = l.w.sent[l.link].size();
-        l.links.written(ms, l.link, before);
+        l.links.sent(ms, l.link, before);
         CHECK(l.w.sent[l.link].size() > before);
     }
     TEST_CASE(
         "a node that is not listed any more keeps its connection until the last shot is over") {
         Linked l;
         l.start_attempt(1);
-        l.links.nodes({});
+        l.links.set_nodes({});
         l.links.tick(ms);
         CHECK(l.w.closed.empty());
-        l.links.bytes(ms, l.link, answer(2, node_protocol::Status::ok));
+        l.links.received(ms, l.link, answer(2, node_protocol::Status::ok));
         l.links.tick(2 * ms);
         CHECK(l.w.closed.size() == 1);
         l.start_attempt(2, 3 * ms);
@@ -125,9 +125,9 @@
         Linked l(false);
         l.work->kind = node_protocol::Kind::write, l.work->not_after = 500 * ms;
         l.start_attempt(1);
-        l.links.up(10 * ms, l.link);
-        l.links.bytes(30 * ms, l.link,
-                      welcome(1, 7 * sec)); // said 7 s at some moment between 10 and 30 ms
+        l.links.connected(10 * ms, l.link);
+        l.links.received(30 * ms, l.link,
+                         welcome(1, 7 * sec)); // said 7 s at some moment between 10 and 30 ms
         auto &out = l.w.sent[l.link];
         Time got = 0;
         for (int i = 7; i >= 0; --i)
@@ -164,7 +164,7 @@
             auto keys = [&](std::uint64_t at, std::uint64_t n) {
                 std::set<KeyId> out;
                 for (; n > 0;) {
-                    auto cut = l.cut(at, n, true);
+                    auto cut = l.split_length(at, n, true);
                     out.insert(l.key_of(VolumeId{1}, at));
                     at += cut, n -= cut;
                 }
@@ -180,22 +180,22 @@
     }
     TEST_CASE("a flush covers what was written before it, and not what came meanwhile") {
         UnflushedWrites u;
-        u.written(ShardId{1}, 1);
-        auto mark = u.mark();
-        u.written(ShardId{1}, 1);
-        u.flushed(ShardId{1}, 1, mark);
-        CHECK(u.to_reach().size() == 1);
-        u.flushed(ShardId{1}, 1, u.mark());
-        CHECK(u.to_reach().empty());
+        u.write_answered(ShardId{1}, 1);
+        auto mark = u.flush_mark();
+        u.write_answered(ShardId{1}, 1);
+        u.flush_answered(ShardId{1}, 1, mark);
+        CHECK(u.shards_to_flush().size() == 1);
+        u.flush_answered(ShardId{1}, 1, u.flush_mark());
+        CHECK(u.shards_to_flush().empty());
         CHECK(u.losses() == 0);
     }
     TEST_CASE("a store of another life has lost what was not flushed") {
         UnflushedWrites u;
-        u.written(ShardId{1}, 1);
-        u.flushed(ShardId{1}, 2, u.mark());
+        u.write_answered(ShardId{1}, 1);
+        u.flush_answered(ShardId{1}, 2, u.flush_mark());
         CHECK(u.losses() == 1);
-        u.written(ShardId{2}, 1);
-        u.written(ShardId{2}, 3);
+        u.write_answered(ShardId{2}, 1);
+        u.write_answered(ShardId{2}, 3);
         CHECK(u.losses() == 2);
     }
 }
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -19,12 +19,12 @@
     void connect(NodeConnectionId l, const std::string &) override { connected.push_back(l); }
     void send(NodeConnectionId l, std::string b) override { sent[l] += b; }
     void close(NodeConnectionId l) override { closed.push_back(l); }
-    void shot_over(Time, RequestId t, AttemptId, NodeId, AttemptOutcome how, node_protocol::Status,
-                   std::uint64_t, std::string_view payload, std::uint32_t) override {
+    void attempt_completed(AttemptCompletion completion) override {
         static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
                                                 "unreachable", "reset", "called_off", "unsent"};
-        told.push_back(std::to_string(t.value) + " " + names[static_cast<int>(how)] + " " +
-                       std::string(payload));
+        told.push_back(std::to_string(completion.request.value) + " " +
+                       names[static_cast<int>(completion.outcome)] + " " +
+                       completion.answer.payload);
     }
     void log_event(std::string t) override { said.push_back(std::move(t)); }
 };
@@ -48,17 +48,17 @@
         node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
     explicit Linked(bool up = true, std::size_t most_out = 1 << 20)
         : links(w, w, 0, 1, {1, 100 * ms, 200 * ms, 10 * sec, most_out}) {
-        links.nodes({{NodeId{1}, "a"}});
+        links.set_nodes({{NodeId{1}, "a"}});
         if (up) {
-            links.start_attempt(0, RequestId{99}, AttemptId{0}, NodeId{1}, work, sec);
-            links.up(0, link);
-            links.bytes(0, link, welcome(1));
-            links.bytes(0, link, answer(1, node_protocol::Status::ok));
+            links.start_attempt(0, {RequestId{99}, AttemptId{0}, NodeId{1}, work, sec});
+            links.connected(0, link);
+            links.received(0, link, welcome(1));
+            links.received(0, link, answer(1, node_protocol::Status::ok));
             w.told.clear();
         }
     }
     void start_attempt(std::uint64_t task, Time now = 0, std::uint64_t node = 1) {
-        links.start_attempt(now, RequestId{task}, AttemptId{0}, NodeId{node}, work, now + sec);
+        links.start_attempt(now, {RequestId{task}, AttemptId{0}, NodeId{node}, work, now + sec});
     }
 };
 
