--- a/src/edge/attempt_tracker.cpp
+++ b/src/edge/attempt_tracker.cpp
@@ -84,7 +84,7 @@
     Time deadline = request.deadline;
     if (action.delay > 0)
         deadline = std::min(deadline, now + action.delay);
-    if (action.attempt == AttemptId{0} && node_protocol::changes(request.node_request->kind)) {
+    if (action.attempt == AttemptId{0} && node_protocol::is_mutation(request.node_request->kind)) {
         // One moment for all its attempts: past it none is executed, and until it the node
         // remembers the idempotency key. So there is no time at which a late copy meets neither.
         request.node_request->not_after = request.deduplication_window > 0
@@ -154,7 +154,7 @@
         requests_.fail(id, refusal->error, refusal->message, offset);
     } else if (answered && !had_ended) {
         complete_request(completion);
-    } else if (answered && node_protocol::changes(request->node_request->kind)) {
+    } else if (answered && node_protocol::is_mutation(request->node_request->kind)) {
         // Written though its client was told otherwise: a later flush must still cover it.
         const auto &written = *request->node_request;
         state_.volumes.at(written.volume)
@@ -168,7 +168,7 @@
     auto status = completion.answer.status;
     if (status == node_protocol::Status::no_space)
         return Refusal{nbd::e_nospc, "errored: no space is left at its storage node"};
-    if (status == node_protocol::Status::stale && !moves_to_new_epoch(request, completion))
+    if (status == node_protocol::Status::stale_epoch && !moves_to_new_epoch(request, completion))
         return Refusal{
             nbd::e_io,
             "errored: a snapshot was taken in the middle of it; a part may have been done"};
--- a/src/edge/node_connections.cpp
+++ b/src/edge/node_connections.cpp
@@ -5,6 +5,9 @@
 #include <limits>
 
 namespace knotvane::edge {
+
+using node_protocol::FrameKind;
+
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
@@ -21,12 +24,12 @@
     switch (status) {
     case Status::ok:
         return AttemptOutcome::answered;
-    case Status::full:
+    case Status::rejected:
         return AttemptOutcome::overloaded;
-    case Status::called_off:
+    case Status::canceled:
         return AttemptOutcome::canceled;
-    case Status::too_late:
-    case Status::stale:
+    case Status::expired:
+    case Status::stale_epoch:
     case Status::misdirected:
         return AttemptOutcome::not_sent; // the node proves that it did not run and never will
     default:
@@ -40,7 +43,7 @@
 
 } // namespace
 
-struct NodeConnections::Connection final : node_protocol::Sink {
+struct NodeConnections::Connection final : node_protocol::FrameHandler {
     NodeConnections &owner;
     NodeConnectionId id;
     NodeId node;
@@ -55,26 +58,24 @@
     std::size_t attempts = 0;
     std::deque<Tag> pending; // not sent yet
     std::set<Tag> tags;
-    node_protocol::Reader reader;
+    node_protocol::FrameReader reader;
     std::string fault;
 
     Connection(NodeConnections &connections, NodeConnectionId self, NodeId peer, Time opened)
         : owner(connections), id(self), node(peer), opened_at(opened), last_received_at(opened) {}
 
-    bool frame(node_protocol::Kind kind, std::uint8_t, node_protocol::Status status,
-               std::uint64_t tag, VolumeId, std::uint64_t, std::uint32_t, std::uint32_t,
-               std::uint64_t store_incarnation, std::uint64_t, Time clock, ShardId,
-               std::string_view payload, std::uint32_t epoch) override {
-        if (kind == node_protocol::Kind::welcome && stage == Stage::greeting)
-            return welcomed(NodeId{tag}, clock);
-        if (kind != node_protocol::Kind::answer || stage != Stage::established) {
-            fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(kind));
+    bool on_frame(const node_protocol::Frame &frame) override {
+        if (frame.kind == FrameKind::welcome && stage == Stage::greeting)
+            return welcomed(NodeId{frame.tag}, frame.not_after);
+        if (frame.kind != FrameKind::answer || stage != Stage::established) {
+            fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(frame.kind));
             return false;
         }
         // Else it timed out or was canceled.
-        if (tags.contains(tag))
-            owner.complete(tag, outcome_of(status),
-                           {status, store_incarnation, std::string(payload), epoch});
+        if (tags.contains(frame.tag))
+            owner.complete(
+                frame.tag, outcome_of(frame.status),
+                {frame.status, frame.incarnation, std::string(frame.payload), frame.epoch});
         return true;
     }
 
@@ -91,7 +92,7 @@
     }
 
     /// It stopped in the middle of a frame.
-    bool in_frame() const { return reader.held() > 0; }
+    bool in_frame() const { return reader.buffered_bytes() > 0; }
 };
 
 NodeConnections::NodeConnections(Transport &transport, NodeConnectionEvents &events,
@@ -191,14 +192,23 @@
 std::string NodeConnections::encode(const Connection &connection, Tag tag,
                                     const NodeRequest &request) const {
     auto flags = (request.durable ? node_protocol::flag_durable : 0) |
-                 (request.deduplicated ? node_protocol::flag_numbered : 0) |
-                 (request.on_snapshot ? node_protocol::flag_cut : 0);
+                 (request.deduplicated ? node_protocol::flag_deduplicated : 0) |
+                 (request.on_snapshot ? node_protocol::flag_snapshot : 0);
     Time not_after = request.not_after > 0 ? request.not_after + connection.clock_offset : 0;
-    return node_protocol::make(request.kind, static_cast<std::uint8_t>(flags), {}, tag,
-                               request.volume, request.offset, request.length,
-                               static_cast<std::uint32_t>(request.units * milliunits_per_unit),
-                               incarnation_, request.request_number, not_after, request.shard,
-                               request.payload, request.epoch);
+    return node_protocol::encode(
+        {.kind = request.kind,
+         .flags = static_cast<std::uint8_t>(flags),
+         .tag = tag,
+         .volume = request.volume,
+         .offset = request.offset,
+         .length = request.length,
+         .milliunits = static_cast<std::uint32_t>(request.units * milliunits_per_unit),
+         .incarnation = incarnation_,
+         .request_number = request.request_number,
+         .not_after = not_after,
+         .shard = request.shard,
+         .payload = request.payload,
+         .epoch = request.epoch});
 }
 
 void NodeConnections::complete(Tag tag, AttemptOutcome outcome, NodeAnswer answer) {
@@ -259,8 +269,10 @@
         return complete(tag, AttemptOutcome::not_sent); // nothing went out: that is proof
     if (auto *connection = find(attempt.connection)) {
         const NodeRequest &canceled = *attempt.request.node_request;
-        auto bytes = node_protocol::make(node_protocol::Kind::cancel_attempt, 0, {}, tag,
-                                         canceled.volume, 0, 0, 0, 0, 0, 0, canceled.shard, {});
+        auto bytes = node_protocol::encode({.kind = FrameKind::cancel_attempt,
+                                            .tag = tag,
+                                            .volume = canceled.volume,
+                                            .shard = canceled.shard});
         connection->unsent_bytes += bytes.size();
         transport_.send(connection->id, std::move(bytes));
     }
@@ -273,8 +285,10 @@
         return;
     connection->stage = Stage::greeting;
     connection->last_received_at = now;
-    auto hello = node_protocol::make(node_protocol::Kind::hello, 0, {}, 0, VolumeId{edge_id_}, 0, 0,
-                                     0, incarnation_, 0, 0, no_shard, {});
+    auto hello = node_protocol::encode({.kind = FrameKind::hello,
+                                        .volume = VolumeId{edge_id_},
+                                        .incarnation = incarnation_,
+                                        .shard = no_shard});
     connection->unsent_bytes += hello.size();
     transport_.send(id, std::move(hello));
 }
--- a/src/edge/node_request.hpp
+++ b/src/edge/node_request.hpp
@@ -13,7 +13,7 @@
 
 /// A request to a node; the same for each attempt of a scheduled request.
 struct NodeRequest {
-    node_protocol::Kind kind = node_protocol::Kind::read;
+    node_protocol::FrameKind kind = node_protocol::FrameKind::read;
     VolumeId volume;
     ShardId shard;
     std::uint64_t offset = 0;
--- a/src/edge/request_splitter.cpp
+++ b/src/edge/request_splitter.cpp
@@ -5,7 +5,7 @@
 
 namespace knotvane::edge {
 
-using node_protocol::Kind;
+using node_protocol::FrameKind;
 
 void RequestSplitter::read(ClientSession &session, nbd::Cookie cookie, std::uint64_t offset,
                            std::uint32_t length) {
@@ -16,7 +16,7 @@
     while (length > 0 && requests_.contains(id)) {
         auto part = state_.layout.split_length(offset, length, false);
         auto request = std::make_shared<NodeRequest>();
-        request->kind = Kind::read;
+        request->kind = FrameKind::read;
         request->volume = volume.id;
         request->shard = state_.layout.shard_of(volume.placed_as, offset);
         request->offset = offset;
@@ -78,7 +78,7 @@
     while (remaining > 0 && requests_.contains(id)) {
         auto part = state_.layout.split_length(offset, remaining, true);
         auto request = std::make_shared<NodeRequest>();
-        request->kind = change.zeroes ? Kind::zero : Kind::write;
+        request->kind = change.zeroes ? FrameKind::zero : FrameKind::write;
         request->volume = volume.id;
         request->shard = state_.layout.shard_of(volume.placed_as, offset);
         request->offset = offset;
@@ -122,7 +122,7 @@
         if (!requests_.contains(id))
             return;
         auto request = std::make_shared<NodeRequest>();
-        request->kind = Kind::flush;
+        request->kind = FrameKind::flush;
         request->volume = volume.id;
         request->shard = shard;
         schedule(id, std::move(request), no_key, state_.clock.now);
@@ -136,7 +136,7 @@
     const auto &volume = *session.volume();
     auto id = requests_.open(session, cookie, Command::status, 0);
     auto request = std::make_shared<NodeRequest>();
-    request->kind = Kind::status;
+    request->kind = FrameKind::block_status;
     request->volume = volume.id;
     request->shard = state_.layout.shard_of(volume.placed_as, offset);
     request->offset = offset;
