--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -22,19 +22,19 @@
     return std::chrono::duration<double, std::micro>(Clock::now() - t).count();
 }
 
-struct Line final : edge::Line {
-    void dial() override {}
-    void hang_up() override {}
+struct FileActions final : edge::PlannerClientActions {
+    void connect_planner() override {}
+    void disconnect_planner() override {}
     void send_planner(std::string) override {}
-    void keep_plan(std::string bytes, bool anew) override {
+    void store_plan(std::string bytes, bool anew) override {
         if (!edge::write_plan(path, bytes, anew))
             std::printf("can't write %s\n", path.c_str());
     }
     std::string path = (std::filesystem::temp_directory_path() / "knotvane-plan-bench").string();
-    ~Line() override { std::filesystem::remove(path); }
-    void say(std::string) override {}
-    void plan_taken(const control::ClusterState &, bool, bool,
-                    const std::map<NodeId, Time> &) override {}
+    ~FileActions() override { std::filesystem::remove(path); }
+    void log_event(std::string) override {}
+    void cluster_state_changed(const control::ClusterState &, bool, bool,
+                               const std::map<NodeId, Time> &) override {}
     void quota_share_changed(VolumeId, double) override {}
 };
 
@@ -49,10 +49,10 @@
 }
 
 void edge_moments(std::uint64_t volumes) {
-    Line line;
-    edge::Subscription s(line, control::EdgeId{1}, "e", 1, sec, sec);
+    FileActions actions;
+    edge::PlannerClient s(actions, control::EdgeId{1}, "e", 1, sec, sec);
     s.start(0, {});
-    s.up(0);
+    s.connected(0);
     double longest[2] = {}, total[2] = {};
     // The first whole list, then another over it: what was there is taken down, too.
     for (int round = 0; round < 2; ++round) {
@@ -64,7 +64,7 @@
             auto took = us_since(t);
             longest[round] = std::max(longest[round], took), total[round] += took;
         };
-        moment([&] { s.bytes(now, news); });
+        moment([&] { s.received(now, news); });
         for (int i = 0; i < 2000; ++i)
             moment([&] { s.tick(now); });
     }
@@ -77,7 +77,7 @@
                                                               1 << 30, 4096, PlanId{0}}) +
                     control::ends(control::Version{v}, 1);
         auto t = Clock::now();
-        s.bytes(3 * sec, news);
+        s.received(3 * sec, news);
         change = std::max(change, us_since(t));
     }
     std::printf("edge, %6llu volumes: first whole list, longest moment %7.0f us of %7.0f; over "
@@ -85,16 +85,16 @@
                 "a change %5.1f us at most%s\n",
                 static_cast<unsigned long long>(volumes), longest[0], total[0], longest[1],
                 total[1], change,
-                s.copy().version() == control::Version{202} ? "" : "  (NOT TAKEN)");
+                s.replica().version() == control::Version{202} ? "" : "  (NOT TAKEN)");
 }
 
 void planner_change(std::uint64_t edges, std::uint64_t nodes) {
-    planner::Planning p;
-    auto w = planner::wanted(2);
+    planner::PlannerFixture p;
+    auto w = planner::desired(2);
     for (std::uint64_t n = 1; n <= nodes; ++n)
         w.nodes[NodeId{n}] = {ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0}, false, "", 0};
     std::vector<std::pair<int, std::string>> faults;
-    p.core.want(0, w, faults);
+    p.core.apply_desired_state(0, w, faults);
     for (std::uint64_t n = 1; n <= nodes; ++n)
         p.node(0, n);
     p.core.settle(0);
@@ -107,12 +107,12 @@
     constexpr int changes = 50;
     for (int i = 0; i < changes; ++i) {
         Time now = (i + 1) * ms;
-        p.did.sent.clear();
+        p.recorded.sent.clear();
         p.node(now, 1, 100 + static_cast<std::uint64_t>(i), 0);
         auto t = Clock::now();
         p.core.settle(now);
         took += us_since(t);
-        for (auto &[side, b] : p.did.sent)
+        for (auto &[side, b] : p.recorded.sent)
             bytes += b.size();
         for (std::uint64_t e = 1; e <= edges; ++e)
             p.read(10000 + e), p.renew(now, 10000 + e);
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::uint32_t usable(std::uint32_t millionths, Time past_lease, Time fade) {
+std::uint32_t usable_millionths(std::uint32_t millionths, Time past_lease, Time fade) {
     return past_lease <= 0 ? millionths : past_lease <= fade ? millionths / faded_part : 0;
 }
 
@@ -59,7 +59,7 @@
     if (version != next_version_ || count != told_)
         return UpdateResult::broken;
     if (next_term_ < term_ || (next_term_ == term_ && next_instance_ != instance_))
-        return UpdateResult::alien;
+        return UpdateResult::foreign;
     bool known = term_ != Term{0} && next_lineage_ == lineage_;
     // Versions go on counting from one term to the next; only another store's begin anew.
     if (known && next_version_ < version_)
@@ -89,7 +89,7 @@
     if (past_.empty())
         return false;
     auto &t = past_.back();
-    if (!clear_piece(t.volumes) && !clear_piece(t.names) && !clear_piece(t.parts))
+    if (!clear_piece(t.volumes) && !clear_piece(t.names) && !clear_piece(t.quota_shares))
         past_.pop_back();
     return !past_.empty();
 }
--- a/src/control/cluster_state.hpp
+++ b/src/control/cluster_state.hpp
@@ -69,9 +69,9 @@
     cloned
 };
 // One edge's part of a volume's limit, and how many edges serve the volume.
-struct Part {
-    std::uint32_t millionths = 0, hosts = 0;
-    bool operator==(const Part &) const = default;
+struct QuotaShare {
+    std::uint32_t millionths = 0, sharers = 0;
+    bool operator==(const QuotaShare &) const = default;
 };
 
 // As one edge sees it.
@@ -80,22 +80,22 @@
     std::map<PlanId, Plan> plans;
     std::map<VolumeId, Volume> volumes;
     std::map<std::string, VolumeId, std::less<>> names; // of volumes
-    std::map<VolumeId, Part> parts;
+    std::map<VolumeId, QuotaShare> quota_shares;
 
     void put(NodeId id, Node n) { nodes[id] = std::move(n); }
     void put(PlanId id, Plan p) { plans[id] = std::move(p); }
     void put(VolumeId id, Volume v);
-    void put(VolumeId id, Part p) { parts[id] = p; }
+    void put(VolumeId id, QuotaShare p) { quota_shares[id] = p; }
     void drop(NodeId id) { nodes.erase(id); }
     void drop(PlanId id) { plans.erase(id); }
     void drop_volume(VolumeId id);
-    void drop_part(VolumeId id) { parts.erase(id); }
+    void drop_quota_share(VolumeId id) { quota_shares.erase(id); }
 };
 
 // How news was taken: `old` and `alien` change nothing; after a `gap` or `broken` the whole has to
 // be asked for. Alien is news of a planner that is not the one followed: an older life, or a second
 // one under the same term.
-enum class UpdateResult { whole, changes, old, alien, gap, broken };
+enum class UpdateResult { whole, changes, old, foreign, gap, broken };
 
 class ClusterStateReplica {
 public:
@@ -123,14 +123,14 @@
     void drop_volume(VolumeId id) {
         change([id](ClusterState &t) { t.drop_volume(id); });
     }
-    void drop_part(VolumeId id) {
-        change([id](ClusterState &t) { t.drop_part(id); });
+    void drop_quota_share(VolumeId id) {
+        change([id](ClusterState &t) { t.drop_quota_share(id); });
     }
     // The news is complete: `count` entries were told. A whole list is taken in the time of a few
     // changes, however long it is.
     UpdateResult ends(Version version, std::uint64_t count);
 
-    const ClusterState &table() const { return now_; }
+    const ClusterState &cluster_state() const { return now_; }
     Term term() const { return term_; }
     std::uint64_t instance() const { return instance_; }
     std::uint64_t lineage() const { return lineage_; }
@@ -161,6 +161,6 @@
 // The millionths of a part that may be used by how long ago the right to it ran out: all before
 // that, a quarter for `fade`, then none. The same at the edge, which uses it, and at the planner,
 // which parts out the rest.
-std::uint32_t usable(std::uint32_t millionths, Time past_lease, Time fade);
+std::uint32_t usable_millionths(std::uint32_t millionths, Time past_lease, Time fade);
 
 } // namespace knotvane::control
--- a/src/control/messages.cpp
+++ b/src/control/messages.cpp
@@ -134,9 +134,9 @@
             v.of = take<VolumeId>(), v.epoch = take<std::uint32_t>(), v.frozen = take<bool>(),
             v.taken = take<Time>();
             return v;
-        } else if constexpr (std::is_same_v<T, Part>) {
-            Part p;
-            p.millionths = take<std::uint32_t>(), p.hosts = take<std::uint32_t>();
+        } else if constexpr (std::is_same_v<T, QuotaShare>) {
+            QuotaShare p;
+            p.millionths = take<std::uint32_t>(), p.sharers = take<std::uint32_t>();
             if (p.millionths > whole_limit)
                 throw std::runtime_error("a part of more than the whole");
             return p;
@@ -390,8 +390,8 @@
     return message(Kind::volume, id, v.name, v.size, v.least, v.plan, v.place, v.charge, v.of,
                    v.epoch, v.frozen, v.taken);
 }
-std::string put(VolumeId id, const Part &p) {
-    return message(Kind::part, id, p.millionths, p.hosts);
+std::string put(VolumeId id, const QuotaShare &p) {
+    return message(Kind::part, id, p.millionths, p.sharers);
 }
 std::string drop(NodeId id) {
     return message(Kind::no_node, id);
@@ -402,7 +402,7 @@
 std::string drop_volume(VolumeId id) {
     return message(Kind::no_volume, id);
 }
-std::string drop_part(VolumeId id) {
+std::string drop_quota_share(VolumeId id) {
     return message(Kind::no_part, id);
 }
 std::string ends(Version version, std::uint64_t count) {
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -68,7 +68,7 @@
     virtual void node(NodeId, Node) { unexpected("a node"); }
     virtual void plan(PlanId, Plan) { unexpected("a plan"); }
     virtual void volume(VolumeId, Volume) { unexpected("a volume"); }
-    virtual void part(VolumeId, Part) { unexpected("a part"); }
+    virtual void part(VolumeId, QuotaShare) { unexpected("a part"); }
     virtual void no_node(NodeId) { unexpected("a node's end"); }
     virtual void no_plan(PlanId) { unexpected("a plan's end"); }
     virtual void no_volume(VolumeId) { unexpected("a volume's end"); }
@@ -144,11 +144,11 @@
 std::string put(NodeId id, const Node &n);
 std::string put(PlanId id, const Plan &p);
 std::string put(VolumeId id, const Volume &v);
-std::string put(VolumeId id, const Part &p);
+std::string put(VolumeId id, const QuotaShare &p);
 std::string drop(NodeId id);
 std::string drop(PlanId id);
 std::string drop_volume(VolumeId id);
-std::string drop_part(VolumeId id);
+std::string drop_quota_share(VolumeId id);
 std::string ends(Version version, std::uint64_t count);
 std::string renewed(Time at, Term term, Time lease, Time fade, Version least);
 std::string ask_witness(NodeId node);
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -291,7 +291,7 @@
             fleet.replace(node);
             on_relay([&] { relay->put(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             at(loop::now() + 2 * sec, [this, id] {
-                fleet.change_settings([&](planner::Wanted &w) { w.nodes.erase(id); });
+                fleet.change_settings([&](planner::DesiredState &w) { w.nodes.erase(id); });
             });
         });
     } else if (t.kind == "drain") {
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -90,8 +90,8 @@
                 nbd::send_df | nbd::send_cache;
         // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
         // can't know.
-        auto part = core.table_->parts.find(*found);
-        if (part != core.table_->parts.end() && part->second.hosts == 1)
+        auto part = core.table_->quota_shares.find(*found);
+        if (part != core.table_->quota_shares.end() && part->second.sharers == 1)
             flags |= nbd::can_multi_conn;
         if (v.frozen)
             flags = nbd::read_only | nbd::send_flush | nbd::send_df | nbd::send_cache |
@@ -161,7 +161,7 @@
     control::Volume v;
     v.name = name, v.size = size, v.least = least, v.plan = plan;
     own_.put(id, std::move(v));
-    own_.put(id, control::Part{control::whole_limit / hosts, hosts});
+    own_.put(id, control::QuotaShare{control::whole_limit / hosts, hosts});
 }
 Core::Volume &Core::open_volume(VolumeId id) {
     auto &v = opened_[id];
@@ -198,8 +198,8 @@
     } else {
         v.gone = v.is_snapshot;
     }
-    if (auto it = table_->parts.find(v.charge); it != table_->parts.end())
-        v.hosts = std::max(1u, it->second.hosts);
+    if (auto it = table_->quota_shares.find(v.charge); it != table_->quota_shares.end())
+        v.hosts = std::max(1u, it->second.sharers);
 }
 void Core::facts_changed(Time now) {
     now_ = now;
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -32,13 +32,13 @@
 
 } // namespace
 
-Subscription::Subscription(Line &line, control::EdgeId edge, std::string listen, std::uint64_t seed,
-                           Time renew_every, Time trust)
-    : line_(line), edge_(edge), listen_(std::move(listen)),
+PlannerClient::PlannerClient(PlannerClientActions &line, control::EdgeId edge, std::string listen,
+                             std::uint64_t seed, Time renew_every, Time trust)
+    : actions_(line), edge_(edge), listen_(std::move(listen)),
       reconnect_backoff_(first_wait, longest_wait, seed * 7919 + edge.value + 1),
       renew_every_(renew_every), trust_(trust) {}
 
-void Subscription::start(Time now, std::string_view disk) {
+void PlannerClient::start(Time now, std::string_view disk) {
     now_ = now;
     reconnect_backoff_.at_once(now);
     if (disk.empty())
@@ -50,92 +50,93 @@
     reader_ = {};
     fault_.clear();
     auto age = now - planner_now_;
-    if (copy_.term() == control::Term{0}) {
-        line_.say("the plan on disk is not used: it holds nothing whole");
+    if (replica_.term() == control::Term{0}) {
+        actions_.log_event("the plan on disk is not used: it holds nothing whole");
     } else if (age > trust_ || age < -clock_slack) {
-        line_.say("the plan on disk is not used: it is " + std::to_string(age / sec) +
-                  "s old, at most " + std::to_string(trust_ / sec) + "s are trusted");
-        copy_ = {};
+        actions_.log_event("the plan on disk is not used: it is " + std::to_string(age / sec) +
+                           "s old, at most " + std::to_string(trust_ / sec) + "s are trusted");
+        replica_ = {};
     } else {
-        line_.say("started from the plan on disk, stale: term " +
-                  std::to_string(copy_.term().value) + ", version " +
-                  std::to_string(copy_.version().value) + ", " + std::to_string(age / sec) +
-                  "s old");
+        actions_.log_event("started from the plan on disk, stale: term " +
+                           std::to_string(replica_.term().value) + ", version " +
+                           std::to_string(replica_.version().value) + ", " +
+                           std::to_string(age / sec) + "s old");
         // Written anew: what is added after a piece that was cut short would never be read.
-        auto &t = copy_.table();
-        std::string all = control::begins(copy_.term(), copy_.instance(), copy_.lineage(),
-                                          copy_.version(), control::Version{0}, planner_now_);
+        auto &t = replica_.cluster_state();
+        std::string all = control::begins(replica_.term(), replica_.instance(), replica_.lineage(),
+                                          replica_.version(), control::Version{0}, planner_now_);
         for (auto &[id, p] : t.plans)
             all += control::put(id, p);
         for (auto &[id, v] : t.volumes)
             all += control::put(id, v);
         for (auto &[id, n] : t.nodes)
             all += control::put(id, n);
-        for (auto &[id, p] : t.parts)
+        for (auto &[id, p] : t.quota_shares)
             all += control::put(id, p);
-        all += control::ends(copy_.version(),
-                             t.plans.size() + t.volumes.size() + t.nodes.size() + t.parts.size());
+        all += control::ends(replica_.version(), t.plans.size() + t.volumes.size() +
+                                                     t.nodes.size() + t.quota_shares.size());
         on_disk_ = all.size();
-        line_.keep_plan(std::move(all), true);
+        actions_.store_plan(std::move(all), true);
         taken(true, true);
     }
     from_disk_ = false;
 }
 
 // ---- The connection.
-void Subscription::up(Time now) {
+void PlannerClient::connected(Time now) {
     now_ = heard_ = now;
     up_ = true;
     reconnect_backoff_.up();
     reader_ = {}, unread_.clear(), read_ = 0;
     fault_.clear();
     std::vector<NodeId> draining;
-    for (auto &[id, n] : copy_.table().nodes)
+    for (auto &[id, n] : replica_.cluster_state().nodes)
         if (n.state == NodeState::draining)
             draining.push_back(id);
-    send(control::edge_hello(edge_, listen_, copy_.term(), copy_.instance(), copy_.lineage(),
-                             copy_.version(), draining, {used_.begin(), used_.end()}));
+    send(control::edge_hello(edge_, listen_, replica_.term(), replica_.instance(),
+                             replica_.lineage(), replica_.version(), draining,
+                             {used_.begin(), used_.end()}));
     for (auto &[id, r] : reach_)
         if (r.unreached)
             send(control::witness(id, false));
     send_renewal();
 }
-void Subscription::down(Time now) {
+void PlannerClient::disconnected(Time now) {
     now_ = now;
     up_ = false, renew_at_ = never;
     reconnect_backoff_.lost(now);
-    line_.planner_lost();
+    actions_.planner_lost();
 }
-void Subscription::leave(const std::string &why) {
-    line_.say("planner: connection closed: " + why);
-    line_.hang_up();
+void PlannerClient::leave(const std::string &why) {
+    actions_.log_event("planner: connection closed: " + why);
+    actions_.disconnect_planner();
     up_ = false, renew_at_ = never;
     reconnect_backoff_.lost(now_, left);
-    line_.planner_lost();
+    actions_.planner_lost();
 }
-void Subscription::send(std::string bytes) {
+void PlannerClient::send(std::string bytes) {
     if (up_)
-        line_.send_planner(std::move(bytes));
+        actions_.send_planner(std::move(bytes));
 }
-void Subscription::send_renewal() {
+void PlannerClient::send_renewal() {
     // What the planner seems not to have heard is said again, both ways.
-    auto &parts = copy_.table().parts;
+    auto &quota_shares = replica_.cluster_state().quota_shares;
     for (auto v : used_)
-        if (!parts.contains(v))
+        if (!quota_shares.contains(v))
             send(control::serve(v, true));
-    for (auto &[v, p] : parts)
+    for (auto &[v, p] : quota_shares)
         if (!used_.contains(v))
             send(control::serve(v, false));
-    send(control::renew(now_, copy_.term(), copy_.version()));
+    send(control::renew(now_, replica_.term(), replica_.version()));
     renew_at_ = now_ + renew_every_;
 }
 
-void Subscription::bytes(Time now, std::string_view in) {
+void PlannerClient::received(Time now, std::string_view in) {
     now_ = heard_ = now;
     unread_.append(in);
     read_some();
 }
-void Subscription::read_some() {
+void PlannerClient::read_some() {
     // Guards against a whole list that comes at once: clients would wait for all of it to be read.
     auto some = std::string_view(unread_).substr(read_, slice);
     if (some.empty())
@@ -149,32 +150,32 @@
     if (!fault.empty() && up_)
         leave(fault);
 }
-void Subscription::unexpected(const char *what) {
+void PlannerClient::unexpected(const char *what) {
     if (fault_.empty())
         fault_ = std::string(what) + " is not expected from a planner";
 }
 
 // ---- News.
-void Subscription::begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
-                          control::Version version, control::Version from, Time planner_now) {
+void PlannerClient::begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
+                           control::Version version, control::Version from, Time planner_now) {
     raw_ = control::begins(term, instance, lineage, version, from, planner_now);
     planner_now_ = planner_now;
-    copy_.begins(term, instance, lineage, version, from);
+    replica_.begins(term, instance, lineage, version, from);
 }
-void Subscription::ends(control::Version version, std::uint64_t count) {
+void PlannerClient::ends(control::Version version, std::uint64_t count) {
     raw_ += control::ends(version, count);
-    auto how = copy_.ends(version, count);
+    auto how = replica_.ends(version, count);
     auto raw = std::exchange(raw_, {});
     if (from_disk_)
         return;
     switch (how) {
     case control::UpdateResult::old:
         break;
-    case control::UpdateResult::alien:
-        send(control::superseded(copy_.term()));
+    case control::UpdateResult::foreign:
+        send(control::superseded(replica_.term()));
         if (fault_.empty())
             fault_ = "it plans with an older term, or twice under one; term " +
-                     std::to_string(copy_.term().value) + " is followed";
+                     std::to_string(replica_.term().value) + " is followed";
         return;
     case control::UpdateResult::gap:
     case control::UpdateResult::broken:
@@ -182,22 +183,22 @@
         return;
     case control::UpdateResult::whole:
         on_disk_ = raw.size();
-        line_.keep_plan(std::move(raw), true);
-        taken(copy_.nodes_changed(), copy_.plans_changed());
+        actions_.store_plan(std::move(raw), true);
+        taken(replica_.nodes_changed(), replica_.plans_changed());
         break;
     case control::UpdateResult::changes:
         on_disk_ += raw.size();
-        line_.keep_plan(std::move(raw), false);
+        actions_.store_plan(std::move(raw), false);
         if (on_disk_ >= most_on_disk)
             send(control::ask()), on_disk_ = 0;
-        taken(copy_.nodes_changed(), copy_.plans_changed());
+        taken(replica_.nodes_changed(), replica_.plans_changed());
         break;
     }
     send_renewal(); // says what is held now
 }
-void Subscription::taken(bool nodes, bool plans) {
+void PlannerClient::taken(bool nodes, bool plans) {
     std::map<NodeId, Time> started;
-    for (auto &[id, n] : copy_.table().nodes) {
+    for (auto &[id, n] : replica_.cluster_state().nodes) {
         // One life of a node keeps the start that was first worked out here: told again it would
         // differ by what the message took. Late news makes a node younger, and so colder, never
         // warmer.
@@ -206,39 +207,42 @@
             it->second = {n.incarnation, now_ - (planner_now_ - n.started)};
         started[id] = it->second.second;
     }
-    std::erase_if(started_, [&](auto &s) { return !copy_.table().nodes.contains(s.first); });
-    std::erase_if(reach_, [&](auto &r) { return !copy_.table().nodes.contains(r.first); });
+    std::erase_if(started_,
+                  [&](auto &s) { return !replica_.cluster_state().nodes.contains(s.first); });
+    std::erase_if(reach_,
+                  [&](auto &r) { return !replica_.cluster_state().nodes.contains(r.first); });
     clearing_ = true;
-    line_.plan_taken(copy_.table(), nodes, plans, started);
+    actions_.cluster_state_changed(replica_.cluster_state(), nodes, plans, started);
     tell_parts();
 }
 
 // ---- Rights.
-void Subscription::renewed(Time at, control::Term term, Time lease, Time fade,
-                           control::Version least) {
+void PlannerClient::renewed(Time at, control::Term term, Time lease, Time fade,
+                            control::Version least) {
     // Of a version that this edge does not go by yet, it would prolong parts that have been lowered
     // since.
-    if (from_disk_ || term != copy_.term() || copy_.version() < least)
+    if (from_disk_ || term != replica_.term() || replica_.version() < least)
         return;
     // From when it was asked for, by this clock: the planner counts from later on.
     lease_until_ = std::max(lease_until_, at + lease), fade_ = fade;
     if (std::exchange(stage_, stage()) != stage())
         tell_parts();
 }
-void Subscription::tell_parts() {
+void PlannerClient::tell_parts() {
     for (auto v : used_) {
-        auto it = copy_.table().parts.find(v);
-        auto millionths = it == copy_.table().parts.end() ? 0 : it->second.millionths;
-        auto now_usable = control::usable(millionths, past_lease(now_), fade_);
+        auto it = replica_.cluster_state().quota_shares.find(v);
+        auto millionths =
+            it == replica_.cluster_state().quota_shares.end() ? 0 : it->second.millionths;
+        auto now_usable = control::usable_millionths(millionths, past_lease(now_), fade_);
         auto [told, is_new] = told_.try_emplace(v, now_usable);
         if (!is_new && std::exchange(told->second, now_usable) == now_usable)
             continue;
-        line_.quota_share_changed(v, now_usable == 0
-                                         ? std::numeric_limits<double>::infinity()
-                                         : static_cast<double>(control::whole_limit) / now_usable);
+        actions_.quota_share_changed(
+            v, now_usable == 0 ? std::numeric_limits<double>::infinity()
+                               : static_cast<double>(control::whole_limit) / now_usable);
     }
 }
-void Subscription::volume_used(Time now, VolumeId volume, bool on) {
+void PlannerClient::volume_used(Time now, VolumeId volume, bool on) {
     now_ = now;
     if (on) {
         used_.insert(volume);
@@ -247,13 +251,13 @@
         // Nothing may come in meanwhile: the part may be another's when the next client of the
         // volume comes.
         used_.erase(volume), told_.erase(volume);
-        line_.quota_share_changed(volume, std::numeric_limits<double>::infinity());
+        actions_.quota_share_changed(volume, std::numeric_limits<double>::infinity());
     }
     send(control::serve(volume, on));
 }
 
 // ---- Witness.
-void Subscription::attempt_completed(Time now, NodeId node, AttemptOutcome how) {
+void PlannerClient::attempt_completed(Time now, NodeId node, AttemptOutcome how) {
     now_ = now;
     auto &r = reach_[node];
     bool met = how == AttemptOutcome::answered || how == AttemptOutcome::error ||
@@ -273,7 +277,7 @@
     }
 }
 
-void Subscription::witness_asked(NodeId node) {
+void PlannerClient::witness_asked(NodeId node) {
     auto it = reach_.find(node);
     if (it == reach_.end())
         return;
@@ -284,7 +288,7 @@
 }
 
 // ---- Time.
-Time Subscription::next_due() const {
+Time PlannerClient::next_due() const {
     Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_)
                    : reconnect_backoff_.due();
     // The right runs out at a moment of its own, told before anything is done in it.
@@ -294,12 +298,12 @@
         due = std::min(due, now_);
     return due;
 }
-void Subscription::tick(Time now) {
+void PlannerClient::tick(Time now) {
     now_ = now;
     if (up_)
         read_some();
     if (auto is = stage(); std::exchange(stage_, is) != is) {
-        line_.say(
+        actions_.log_event(
             is == 1
                 ? "planner: no word for a lease; parts of limits fall to a piece, all else as last "
                   "told"
@@ -307,7 +311,7 @@
         tell_parts();
     }
     if (clearing_)
-        clearing_ = copy_.clear_away();
+        clearing_ = replica_.clear_away();
     if (up_ && now - heard_ >= silent_renewals * renew_every_)
         return leave("it has answered nothing for long");
     if (up_ && now >= renew_at_)
@@ -315,9 +319,9 @@
     if (up_ || now < reconnect_backoff_.due())
         return;
     if (reconnect_backoff_.trying())
-        line_.hang_up();
+        actions_.disconnect_planner();
     reconnect_backoff_.trying(now, dial_time);
-    line_.dial();
+    actions_.connect_planner();
 }
 
 } // namespace knotvane::edge
--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -26,19 +26,19 @@
 namespace knotvane::edge {
 
 // What the subscription asks of its shell.
-class Line {
+class PlannerClientActions {
 public:
-    virtual ~Line() = default;
-    virtual void dial() = 0;
-    virtual void hang_up() = 0;
+    virtual ~PlannerClientActions() = default;
+    virtual void connect_planner() = 0;
+    virtual void disconnect_planner() = 0;
     virtual void send_planner(std::string bytes) = 0;
     // The last plan for the disk: from anew, or after what is there.
-    virtual void keep_plan(std::string bytes, bool anew) = 0;
-    virtual void say(std::string text) = 0;
+    virtual void store_plan(std::string bytes, bool anew) = 0;
+    virtual void log_event(std::string text) = 0;
     // News was taken: what in it changed. `started`: of nodes, by this edge's clock.
-    virtual void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                            const std::map<NodeId, Time> &started) = 0;
-    virtual void quota_share_changed(VolumeId volume, double hosts) = 0;
+    virtual void cluster_state_changed(const control::ClusterState &cluster_state, bool nodes,
+                                       bool plans, const std::map<NodeId, Time> &started) = 0;
+    virtual void quota_share_changed(VolumeId volume, double sharers) = 0;
     // Of a cut: see Cuts. Lost: nobody will end a hold.
     virtual void cut_hold(VolumeId, VolumeId, std::uint32_t, Time) {}
     virtual void cut_go(VolumeId, VolumeId, std::uint32_t) {}
@@ -46,24 +46,25 @@
     virtual void planner_lost() {}
 };
 
-class Subscription final : control::MessageHandler {
+class PlannerClient final : control::MessageHandler {
 public:
     // `renew_every`: a third of the planner's lease or less. `trust`: how old a plan from the disk
     // may be.
-    Subscription(Line &line, control::EdgeId edge, std::string listen, std::uint64_t seed,
-                 Time renew_every, Time trust);
+    PlannerClient(PlannerClientActions &line, control::EdgeId edge, std::string listen,
+                  std::uint64_t seed, Time renew_every, Time trust);
 
     // `disk`: what keep_plan kept, or nothing. Calls plan_taken where it holds a plan that may be
     // used.
     void start(Time now, std::string_view disk);
-    void up(Time now);
+    void connected(Time now);
     // The connection failed or went.
-    void down(Time now);
-    void bytes(Time now, std::string_view in);
+    void disconnected(Time now);
+    void received(Time now, std::string_view in);
     void volume_used(Time now, VolumeId volume, bool on);
     void attempt_completed(Time now, NodeId node, AttemptOutcome how);
     // A step of a cut, told on.
-    void cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation incarnation) {
+    void report_snapshot_step(VolumeId as, control::SnapshotStep step,
+                              control::EdgeIncarnation incarnation) {
         send(control::tell_cut(as, step, 0, incarnation));
     }
 
@@ -72,8 +73,8 @@
     // used.
     void tick(Time now);
 
-    const control::ClusterStateReplica &copy() const { return copy_; }
-    bool connected() const { return up_; }
+    const control::ClusterStateReplica &replica() const { return replica_; }
+    bool is_connected() const { return up_; }
     // How long the right to parts has run out, at most 0 while it holds.
     Time past_lease(Time now) const { return now - lease_until_; }
 
@@ -88,36 +89,40 @@
     void begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
                 control::Version version, control::Version from, Time now) override;
     void node(NodeId id, control::Node n) override {
-        note(control::put(id, n)), copy_.put(id, std::move(n));
+        note(control::put(id, n)), replica_.put(id, std::move(n));
     }
     void plan(PlanId id, control::Plan p) override {
-        note(control::put(id, p)), copy_.put(id, std::move(p));
+        note(control::put(id, p)), replica_.put(id, std::move(p));
     }
     void volume(VolumeId id, control::Volume v) override {
-        note(control::put(id, v)), copy_.put(id, std::move(v));
+        note(control::put(id, v)), replica_.put(id, std::move(v));
     }
-    void part(VolumeId id, control::Part p) override {
-        note(control::put(id, p)), copy_.put(id, p);
+    void part(VolumeId id, control::QuotaShare p) override {
+        note(control::put(id, p)), replica_.put(id, p);
+    }
+    void no_node(NodeId id) override { note(control::drop(id)), replica_.drop(id); }
+    void no_plan(PlanId id) override { note(control::drop(id)), replica_.drop(id); }
+    void no_volume(VolumeId id) override {
+        note(control::drop_volume(id)), replica_.drop_volume(id);
+    }
+    void no_part(VolumeId id) override {
+        note(control::drop_quota_share(id)), replica_.drop_quota_share(id);
     }
-    void no_node(NodeId id) override { note(control::drop(id)), copy_.drop(id); }
-    void no_plan(PlanId id) override { note(control::drop(id)), copy_.drop(id); }
-    void no_volume(VolumeId id) override { note(control::drop_volume(id)), copy_.drop_volume(id); }
-    void no_part(VolumeId id) override { note(control::drop_part(id)), copy_.drop_part(id); }
     void ends(control::Version version, std::uint64_t count) override;
     void renewed(Time at, control::Term term, Time lease, Time fade,
                  control::Version least) override;
     void witness_asked(NodeId node) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override {
         if (!from_disk_)
-            line_.cut_hold(of, as, epoch, longest);
+            actions_.cut_hold(of, as, epoch, longest);
     }
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override {
         if (!from_disk_)
-            line_.cut_go(of, as, epoch);
+            actions_.cut_go(of, as, epoch);
     }
     void cut_release(VolumeId of, VolumeId as) override {
         if (!from_disk_)
-            line_.cut_release(of, as);
+            actions_.cut_release(of, as);
     }
     void unexpected(const char *what) override;
 
@@ -130,13 +135,13 @@
     void taken(bool nodes, bool plans);
     int stage() const { return past_lease(now_) <= 0 ? 0 : past_lease(now_) <= fade_ ? 1 : 2; }
 
-    Line &line_;
+    PlannerClientActions &actions_;
     control::EdgeId edge_;
     std::string listen_;
     ReconnectBackoff reconnect_backoff_;
     Time renew_every_, trust_;
     control::Reader reader_;
-    control::ClusterStateReplica copy_;
+    control::ClusterStateReplica replica_;
     std::string raw_, fault_; // of the news being told, for the disk
     std::string unread_;
     std::size_t read_ = 0; // of unread_
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -63,12 +63,12 @@
     if (planner.empty())
         return;
     planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-    subscription_ = std::make_unique<Subscription>(*this, control::EdgeId{id_},
-                                                   listener_->address(), seed, renew_every, trust);
-    planner_->on_up = [this] { subscription_->up(loop::now()); };
-    planner_->on_down = [this] { subscription_->down(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) { subscription_->bytes(loop::now(), in); };
-    core_->follow(subscription_->copy().table());
+    subscription_ = std::make_unique<PlannerClient>(*this, control::EdgeId{id_},
+                                                    listener_->address(), seed, renew_every, trust);
+    planner_->on_up = [this] { subscription_->connected(loop::now()); };
+    planner_->on_down = [this] { subscription_->disconnected(loop::now()); };
+    planner_->on_bytes = [this](std::string_view in) { subscription_->received(loop::now(), in); };
+    core_->follow(subscription_->replica().cluster_state());
     std::string fault;
     subscription_->start(loop::now(),
                          plan_path_.empty() ? "" : settings::File::slurp(plan_path_, fault));
@@ -80,7 +80,7 @@
 void Server::cut_told(VolumeId as, control::SnapshotStep step,
                       control::EdgeIncarnation incarnation) {
     if (subscription_)
-        subscription_->cut_told(as, step, incarnation);
+        subscription_->report_snapshot_step(as, step, incarnation);
 }
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     core_->cut_hold(loop::now(), of, as, epoch, longest);
@@ -97,8 +97,8 @@
 void Server::quota_share_changed(VolumeId volume, double hosts) {
     core_->quota_share_changed(loop::now(), volume, hosts);
 }
-void Server::plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                        const std::map<NodeId, Time> &started) {
+void Server::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
+                                   const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[id, p] : table.plans)
             core_->plan_told(id, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
@@ -111,7 +111,7 @@
     list.version = ++lists_;
     take_list(list);
 }
-void Server::keep_plan(std::string bytes, bool anew) {
+void Server::store_plan(std::string bytes, bool anew) {
     if (plan_path_.empty())
         return;
     bool well = write_plan(plan_path_, bytes, anew);
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -16,7 +16,7 @@
 
 namespace knotvane::edge {
 
-class Server final : public Shell, public Line {
+class Server final : public Shell, public PlannerClientActions {
 public:
     // Sets up from settings that were checked; `scheduler` makes the decisions. Throws
     // std::runtime_error where the address can't be listened on.
@@ -34,7 +34,7 @@
     // Gives the address to connect to for a node's; for a relay between.
     std::function<std::string(NodeId node, const std::string &address)> on_the_way;
     // With a planner: its word, and whether to leave unread what it says.
-    const Subscription *subscription() const { return subscription_.get(); }
+    const PlannerClient *subscription() const { return subscription_.get(); }
     void deafen(bool deaf) { planner_->hold(deaf); }
 
     void connect(LinkId link, const std::string &address) override;
@@ -44,16 +44,17 @@
     void close_client(ClientId client) override;
     void hold_client(ClientId client, bool hold) override;
     void say(std::string text) override;
+    void log_event(std::string text) override { say(std::move(text)); }
     void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) override;
     void volume_used(VolumeId volume, bool on) override;
     void cut_told(VolumeId as, control::SnapshotStep step,
                   control::EdgeIncarnation incarnation) override;
-    void dial() override { planner_->dial(); }
-    void hang_up() override { planner_->hang_up(); }
+    void connect_planner() override { planner_->dial(); }
+    void disconnect_planner() override { planner_->hang_up(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
-    void keep_plan(std::string bytes, bool anew) override;
-    void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                    const std::map<NodeId, Time> &started) override;
+    void store_plan(std::string bytes, bool anew) override;
+    void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
+                               const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId volume, double hosts) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
@@ -71,7 +72,7 @@
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Watch> watch_;
     std::unique_ptr<loop::Dialled> planner_;
-    std::unique_ptr<Subscription> subscription_; // with a planner
+    std::unique_ptr<PlannerClient> subscription_; // with a planner
     std::uint64_t lists_ = 0;
     bool said_unkept_ = false;
     loop::Sockets<ClientId> clients_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -262,7 +262,7 @@
     std::ofstream(dir_ + "/planner.ini")
         << "[planner]\nlisten = " << planner_address_ << "\nstore = " << dir_
         << "/planner.store\nfleet = " << dir_ << "/fleet.ini\n\n[times]\ndrain_time = 300ms\n";
-    change_settings([](planner::Wanted &) {});
+    change_settings([](planner::DesiredState &) {});
     start_planner(true);
 }
 void Fleet::start_planner(bool first) {
@@ -288,7 +288,7 @@
     }
     return done;
 }
-void Fleet::change_settings(const std::function<void(planner::Wanted &)> &call) {
+void Fleet::change_settings(const std::function<void(planner::DesiredState &)> &call) {
     ++wanted_.version;
     call(wanted_);
     auto path = dir_ + "/fleet.ini", beside = path + ".new";
@@ -329,8 +329,8 @@
         std::size_t know = 0;
         for (std::size_t e = 0; e < edges_.size(); ++e)
             with_edge(e, [&](edge::Server &s) {
-                auto &copy = s.subscription()->copy();
-                know += copy.table().nodes.size() == nodes_.size();
+                auto &copy = s.subscription()->replica();
+                know += copy.cluster_state().nodes.size() == nodes_.size();
             });
         if (know == edges_.size())
             return;
@@ -381,7 +381,7 @@
 void Fleet::replace(std::size_t node) {
     NodeId id{++next_node_};
     if (!planner_address_.empty())
-        change_settings([&](planner::Wanted &w) {
+        change_settings([&](planner::DesiredState &w) {
             w.nodes[id] = {nodes_[node]->shard, ZoneId{0}, false, "", 0};
         });
     start_node(*nodes_[node], id, 0);
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -118,7 +118,7 @@
     // The operator's word. False where the planner does not answer or does not do it.
     bool drain(NodeId node, bool on) const;
     // The fleet's file without a node, or with the settings changed as the call likes.
-    void change_settings(const std::function<void(planner::Wanted &)> &call);
+    void change_settings(const std::function<void(planner::DesiredState &)> &call);
 
     // A node as the lists name it, from the next tell on.
     void list_as(NodeId node, NodeState state, Time started);
@@ -141,7 +141,7 @@
     std::string list_path(std::size_t edge) const;
 
     std::string dir_, scheduling_, service_, planner_address_;
-    planner::Wanted wanted_;
+    planner::DesiredState wanted_;
     std::unique_ptr<Process> planner_;
     std::uint16_t ports_;
     bool sync_;
--- a/src/node/registration.hpp
+++ b/src/node/registration.hpp
@@ -11,11 +11,11 @@
 
 namespace knotvane::node {
 
-class Registration final : control::MessageHandler {
+class PlannerRegistration final : control::MessageHandler {
 public:
-    struct Line {
+    struct Actions {
         std::function<void()> dial, hang_up;
-        std::function<void(std::string)> send, say;
+        std::function<void(std::string)> send, log_event;
         // The node's store does what the planner orders; `how` as store::Store::Cut counts.
         std::function<std::uint8_t(VolumeId of, VolumeId as, std::uint32_t epoch,
                                    const std::vector<control::EdgeIncarnation> &late)>
@@ -27,15 +27,15 @@
             diff{};
     };
     // `every`: between two signs of life.
-    Registration(Line line, NodeId node, ShardId shard, ZoneId zone, std::string address,
-                 std::uint64_t seed, Time every);
+    PlannerRegistration(Actions line, NodeId node, ShardId shard, ZoneId zone, std::string address,
+                        std::uint64_t seed, Time every);
     // The node's process began, under a life of its own.
     void start(Time now, std::uint64_t incarnation, Time started);
     // It is going down: nobody is told, the connection ends.
     void stop(Time now);
-    void up(Time now);
-    void down(Time now);
-    void bytes(Time now, std::string_view in);
+    void connected(Time now);
+    void disconnected(Time now);
+    void received(Time now, std::string_view in);
     Time next_due() const;
     void tick(Time now);
     NodeState told() const { return told_; }
@@ -50,7 +50,7 @@
     void diff_asked(std::uint64_t question, VolumeId a, VolumeId b, std::uint64_t from) override;
     void unexpected(const char *what) override { fault_ = what; }
 
-    Line line_;
+    Actions actions_;
     NodeId node_;
     ShardId shard_;
     ZoneId zone_;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -75,25 +75,28 @@
     listen(true);
     if (!planner.empty()) {
         planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-        registration_ = std::make_unique<Registration>(
-            Registration::Line{[this] { planner_->dial(); }, [this] { planner_->hang_up(); },
-                               [this](std::string bytes) { planner_->send(std::move(bytes)); },
-                               [this](std::string text) { say(std::move(text)); },
-                               [this](VolumeId of, VolumeId as, std::uint32_t epoch,
-                                      const std::vector<control::EdgeIncarnation> &late) {
-                                   return static_cast<std::uint8_t>(
-                                       disk_->open_cut(of, as, epoch, {late.begin(), late.end()}));
-                               },
-                               [this](VolumeId of, VolumeId as) { return disk_->seal(of, as); },
-                               [this](VolumeId as) { return disk_->drop(as); },
-                               [this](VolumeId of, VolumeId as) {
-                                   return static_cast<std::uint8_t>(disk_->clone(of, as));
-                               },
-                               [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
+        registration_ = std::make_unique<PlannerRegistration>(
+            PlannerRegistration::Actions{
+                [this] { planner_->dial(); }, [this] { planner_->hang_up(); },
+                [this](std::string bytes) { planner_->send(std::move(bytes)); },
+                [this](std::string text) { say(std::move(text)); },
+                [this](VolumeId of, VolumeId as, std::uint32_t epoch,
+                       const std::vector<control::EdgeIncarnation> &late) {
+                    return static_cast<std::uint8_t>(
+                        disk_->open_cut(of, as, epoch, {late.begin(), late.end()}));
+                },
+                [this](VolumeId of, VolumeId as) { return disk_->seal(of, as); },
+                [this](VolumeId as) { return disk_->drop(as); },
+                [this](VolumeId of, VolumeId as) {
+                    return static_cast<std::uint8_t>(disk_->clone(of, as));
+                },
+                [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
             id_, shard_, ZoneId{static_cast<std::uint32_t>(zone)}, address_, seed + id, sign_every);
-        planner_->on_up = [this] { registration_->up(loop::now()); };
-        planner_->on_down = [this] { registration_->down(loop::now()); };
-        planner_->on_bytes = [this](std::string_view in) { registration_->bytes(loop::now(), in); };
+        planner_->on_up = [this] { registration_->connected(loop::now()); };
+        planner_->on_down = [this] { registration_->disconnected(loop::now()); };
+        planner_->on_bytes = [this](std::string_view in) {
+            registration_->received(loop::now(), in);
+        };
         registration_->start(loop::now(), static_cast<std::uint64_t>(disk_->started()),
                              disk_->started());
     }
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -47,7 +47,7 @@
     std::unique_ptr<Disk> disk_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Dialled> planner_;
-    std::unique_ptr<Registration> registration_; // with a planner
+    std::unique_ptr<PlannerRegistration> registration_; // with a planner
     std::uint64_t next_conn_ = 0;
     loop::Sockets<ConnId> conns_;
 };
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -31,10 +31,10 @@
 
 } // namespace
 
-Core::Core(Shell &shell, StateStore &state_store, Time lease, Time margin, Time fade,
+Core::Core(PlannerTransport &shell, StateStore &state_store, Time lease, Time margin, Time fade,
            Time silent_for, Time out_after, Time back_after, Time drain_time)
-    : shell_(shell), state_store_(state_store), silent_for_(silent_for), out_after_(out_after),
-      back_after_(back_after), drain_time_(drain_time), leases_(lease, margin, fade) {}
+    : transport_(shell), state_store_(state_store), silent_for_(silent_for), out_after_(out_after),
+      back_after_(back_after), drain_time_(drain_time), lease_table_(lease, margin, fade) {}
 Core::~Core() = default;
 
 // ---- Start.
@@ -45,12 +45,12 @@
         std::string fault;
         explicit Rows(Core &c) : core(c) {}
         void plan(PlanId id, control::Plan p) override {
-            core.wanted_.plans[p.name] = p;
+            core.desired_.plans[p.name] = p;
             core.state_.put(id, p);
         }
         void volume(VolumeId id, control::Volume v) override { core.state_.put(id, v); }
         void node(NodeId id, control::Node n) override { core.state_.put(id, n); }
-        void part(VolumeId, control::Part) override {}
+        void part(VolumeId, control::QuotaShare) override {}
         void unexpected(const char *what) override { fault = what; }
     } rows(*this);
     state_.restoring(stamp);
@@ -77,8 +77,8 @@
         }
         if (f[0] > control::whole_limit || f[1] > control::whole_limit)
             return "a part's row is past the whole";
-        parts_.restore(VolumeId{b}, EdgeId{a}, static_cast<std::uint32_t>(f[0]),
-                       static_cast<std::uint32_t>(f[1]), Version{f[2]}, f[3] != 0, f[4] != 0);
+        allocation_.restore(VolumeId{b}, EdgeId{a}, static_cast<std::uint32_t>(f[0]),
+                            static_cast<std::uint32_t>(f[1]), Version{f[2]}, f[3] != 0, f[4] != 0);
         return {};
     }
     case StateStore::Row::drained:
@@ -94,10 +94,10 @@
         undo_rows_[VolumeId{a}] = {VolumeId{b}, epoch};
         return {};
     }
-    case StateStore::Row::wanted: {
+    case StateStore::Row::desired: {
         control::Reader reader;
         struct Line final : control::MessageHandler {
-            Wanted::Node node;
+            DesiredState::Node node;
             void node_hello(NodeId, ShardId s, ZoneId z, const std::string &at,
                             std::uint64_t draining, Time) override {
                 node = {s, z, draining != 0, at, 0};
@@ -106,7 +106,7 @@
         } line;
         if (auto fault = reader.bytes(body, line); !fault.empty())
             return fault;
-        wanted_.nodes[NodeId{a}] = line.node;
+        desired_.nodes[NodeId{a}] = line.node;
         return {};
     }
     }
@@ -117,39 +117,42 @@
                  Version version, Version oldest, std::uint64_t settings, bool rebuilt) {
     now_ = started_ = now;
     term_ = term, instance_ = instance, lineage_ = lineage;
-    wanted_.version = settings;
+    desired_.version = settings;
     // What edges were told before, they may still be about to go by: none has its right prolonged
     // by this life before it goes by all that the last one decided.
     least_all_ = version;
     state_.restore(version, oldest);
-    for (auto &[id, v] : state_.table().volumes) {
+    for (auto &[id, v] : state_.cluster_state().volumes) {
         if (v.is_snapshot())
             continue; // an operator's, not the settings'
-        wanted_.volumes[id] = {
-            v, state_.table().plans.contains(v.plan) ? state_.table().plans.at(v.plan).name : "",
-            0};
+        desired_.volumes[id] = {v,
+                                state_.cluster_state().plans.contains(v.plan)
+                                    ? state_.cluster_state().plans.at(v.plan).name
+                                    : "",
+                                0};
     }
-    for (auto &[id, n] : state_.table().nodes)
+    for (auto &[id, n] : state_.cluster_state().nodes)
         if (n.state != NodeState::removed) {
-            presence(id).assume(now, n.address, n.incarnation, n.started);
+            liveness(id).assume(now, n.address, n.incarnation, n.started);
             if (n.state == NodeState::draining)
                 draining_since_[id] = {version, now};
         }
-    for (auto &[volume, holds] : parts_.all())
+    for (auto &[volume, holds] : allocation_.all())
         for (auto &[edge, hold] : holds) {
-            leases_.known(edge, now, parts_.is_lapsed(edge));
-            if (const control::Part part{hold.part, 0}; hold.part > 0 || hold.serves) {
+            lease_table_.known(edge, now, allocation_.is_lapsed(edge));
+            if (const control::QuotaShare part{hold.part, 0}; hold.part > 0 || hold.serves) {
                 state_.restoring(hold.since);
-                state_.put_part(edge, volume, {part.millionths, parts_.hosts(volume)});
+                state_.put_quota_share(edge, volume,
+                                       {part.millionths, allocation_.sharers(volume)});
             }
         }
     state_.restore(version, oldest);
     // A cut that the last life did not make whole is undone, and its epoch, by which some may go,
     // is not given twice.
     for (auto &[as, row] : undo_rows_) {
-        cuts_.undo(as, all_shards());
-        if (auto v = state_.table().volumes.find(row.first);
-            v != state_.table().volumes.end() && v->second.epoch < row.second) {
+        snapshots_.undo(as, all_shards());
+        if (auto v = state_.cluster_state().volumes.find(row.first);
+            v != state_.cluster_state().volumes.end() && v->second.epoch < row.second) {
             auto fact = v->second;
             fact.epoch = row.second;
             state_.put(row.first, fact);
@@ -157,41 +160,42 @@
     }
     if (rebuilt) {
         // Any edge may go by the whole of any limit until what it was told must have run out.
-        parts_.unknown(control::whole_limit);
-        unknown_until_ = now + leases_.lease() + leases_.lease() / 10 + sec;
+        allocation_.unknown(control::whole_limit);
+        unknown_until_ = now + lease_table_.lease() + lease_table_.lease() / 10 + sec;
     }
     started_up_ = state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
-                                      wanted_.version);
+                                      desired_.version);
     return started_up_;
 }
 
 // ---- Settings.
-void Core::want(Time now, const Wanted &wanted, std::vector<std::pair<int, std::string>> &faults) {
+void Core::apply_desired_state(Time now, const DesiredState &desired,
+                               std::vector<std::pair<int, std::string>> &faults) {
     now_ = now;
-    if (wanted.version <= wanted_.version && wanted_.version > 0) {
-        if (wanted.version < wanted_.version)
-            faults.emplace_back(0, "version " + std::to_string(wanted.version) +
+    if (desired.version <= desired_.version && desired_.version > 0) {
+        if (desired.version < desired_.version)
+            faults.emplace_back(0, "version " + std::to_string(desired.version) +
                                        " is older than the one in use, " +
-                                       std::to_string(wanted_.version));
+                                       std::to_string(desired_.version));
         return;
     }
-    for (auto &[id, n] : wanted_.nodes) {
-        if (wanted.nodes.contains(id)) {
-            if (wanted.nodes.at(id).shard != n.shard)
-                faults.emplace_back(wanted.nodes.at(id).line, "node " + text(id) + " holds shard " +
-                                                                  text(n.shard) +
-                                                                  " and can't change to another");
+    for (auto &[id, n] : desired_.nodes) {
+        if (desired.nodes.contains(id)) {
+            if (desired.nodes.at(id).shard != n.shard)
+                faults.emplace_back(desired.nodes.at(id).line, "node " + text(id) +
+                                                                   " holds shard " + text(n.shard) +
+                                                                   " and can't change to another");
             continue;
         }
-        auto it = state_.table().nodes.find(id);
-        if (it == state_.table().nodes.end() || it->second.state == NodeState::removed)
+        auto it = state_.cluster_state().nodes.find(id);
+        if (it == state_.cluster_state().nodes.end() || it->second.state == NodeState::removed)
             continue;
         auto since = draining_since_.find(id);
         bool known = since != draining_since_.end() && now - since->second.second >= drain_time_;
         if (known)
-            for (auto &[edge, side] : edges_)
-                known = known && (leases_.stage(edge) != Leases::Stage::held ||
-                                  sessions_.at(side)->acked >= since->second.first);
+            for (auto &[edge, session] : edges_)
+                known = known && (lease_table_.stage(edge) != LeaseTable::Stage::held ||
+                                  sessions_.at(session)->acked >= since->second.first);
         if (!known)
             faults.emplace_back(0,
                                 "node " + text(id) +
@@ -199,135 +203,136 @@
                                     "every edge has known of the drain for " +
                                     std::to_string(drain_time_ / ms) + "ms");
     }
-    for (auto &[id, v] : wanted_.volumes) {
-        auto it = wanted.volumes.find(id);
-        if (it == wanted.volumes.end()) {
-            for (auto &[cut, f] : state_.table().volumes)
+    for (auto &[id, v] : desired_.volumes) {
+        auto it = desired.volumes.find(id);
+        if (it == desired.volumes.end()) {
+            for (auto &[cut, f] : state_.cluster_state().volumes)
                 if (f.is_snapshot() && f.lies_as(cut) == id)
                     faults.emplace_back(0, "volume " + v.fact.name +
                                                " is left out and has a snapshot or clone, " +
                                                f.name + ": drop it first");
-            if (parts_.hosts(id) > 0)
+            if (allocation_.sharers(id) > 0)
                 faults.emplace_back(0, "volume " + v.fact.name +
                                            " is left out and has clients at " +
-                                           std::to_string(parts_.hosts(id)) + " edges");
+                                           std::to_string(allocation_.sharers(id)) + " edges");
         } else if (it->second.fact.size < v.fact.size) {
             faults.emplace_back(it->second.line, "volume " + v.fact.name + " would shrink from " +
                                                      std::to_string(v.fact.size) + " bytes");
         }
     }
-    for (auto &[id, f] : state_.table().volumes) {
+    for (auto &[id, f] : state_.cluster_state().volumes) {
         if (!f.is_snapshot())
             continue;
-        auto plan = state_.table().plans.find(f.plan);
-        if (f.charged_to(id) == id && plan != state_.table().plans.end() &&
-            !wanted.plans.contains(plan->second.name))
+        auto plan = state_.cluster_state().plans.find(f.plan);
+        if (f.charged_to(id) == id && plan != state_.cluster_state().plans.end() &&
+            !desired.plans.contains(plan->second.name))
             faults.emplace_back(0, "plan " + plan->second.name + " is left out and " + f.name +
                                        " is of it");
-        for (auto &[other, v] : wanted.volumes)
+        for (auto &[other, v] : desired.volumes)
             if (v.fact.name == f.name)
                 faults.emplace_back(v.line, "volume " + f.name + ": a clone has this name");
     }
     if (!faults.empty())
         return;
     // Whole, from here on.
-    for (auto &[id, n] : wanted_.nodes)
-        if (!wanted.nodes.contains(id)) {
+    for (auto &[id, n] : desired_.nodes)
+        if (!desired.nodes.contains(id)) {
             state_.drop(id);
-            presence_.erase(id), draining_since_.erase(id);
+            liveness_.erase(id), draining_since_.erase(id);
             if (drained_.erase(id))
                 state_store_.drop(StateStore::Row::drained, id.value, 0);
-            state_store_.drop(StateStore::Row::wanted, id.value, 0);
+            state_store_.drop(StateStore::Row::desired, id.value, 0);
         }
     std::map<std::string, PlanId> ids;
     std::uint32_t next = 0;
-    for (auto &[id, p] : state_.table().plans)
+    for (auto &[id, p] : state_.cluster_state().plans)
         ids[p.name] = id, next = std::max(next, id.value + 1);
-    for (auto &[plan, p] : wanted.plans) {
+    for (auto &[plan, p] : desired.plans) {
         auto [it, is_new] = ids.try_emplace(plan, PlanId{next});
         next += is_new;
         state_.put(it->second, p);
     }
-    for (auto &[id, v] : wanted.volumes) {
+    for (auto &[id, v] : desired.volumes) {
         auto fact = v.fact;
         fact.plan = ids.at(v.plan);
-        if (auto was = state_.table().volumes.find(id); was != state_.table().volumes.end())
+        if (auto was = state_.cluster_state().volumes.find(id);
+            was != state_.cluster_state().volumes.end())
             fact.epoch = was->second.epoch;
         state_.put(id, fact);
     }
     std::vector<VolumeId> left_out;
-    for (auto &[id, v] : state_.table().volumes)
-        if (!wanted.volumes.contains(id) && !v.is_snapshot())
+    for (auto &[id, v] : state_.cluster_state().volumes)
+        if (!desired.volumes.contains(id) && !v.is_snapshot())
             left_out.push_back(id);
     for (auto id : left_out)
         state_.drop_volume(id);
     for (auto &[plan, id] : ids)
-        if (!wanted.plans.contains(plan))
+        if (!desired.plans.contains(plan))
             state_.drop(id);
-    wanted_ = wanted;
-    cuts_.shards(all_shards());
+    desired_ = desired;
+    snapshots_.shards(all_shards());
     keep_wanted();
     commit_due_ = true;
-    shell_.say("settings taken: version " + std::to_string(wanted.version) + ", " +
-               std::to_string(wanted.nodes.size()) + " nodes, " +
-               std::to_string(wanted.volumes.size()) + " volumes");
+    transport_.log_event("settings taken: version " + std::to_string(desired.version) + ", " +
+                         std::to_string(desired.nodes.size()) + " nodes, " +
+                         std::to_string(desired.volumes.size()) + " volumes");
 }
 void Core::keep_wanted() {
-    for (auto &[id, n] : wanted_.nodes)
-        state_store_.keep(StateStore::Row::wanted, id.value, 0, Version{1},
+    for (auto &[id, n] : desired_.nodes)
+        state_store_.keep(StateStore::Row::desired, id.value, 0, Version{1},
                           control::node_hello(id, n.shard, n.zone, n.address, n.draining, 0));
 }
 
 // ---- Connections.
-void Core::came(Time now, SessionId side) {
+void Core::connected(Time now, SessionId session) {
     now_ = now;
-    sessions_[side] = std::make_unique<Session>(*this, side);
-    sessions_[side]->heard = now;
+    sessions_[session] = std::make_unique<Session>(*this, session);
+    sessions_[session]->heard = now;
 }
-void Core::bytes(Time now, SessionId id, std::string_view in) {
+void Core::received(Time now, SessionId id, std::string_view in) {
     now_ = now;
     auto it = sessions_.find(id);
     if (it == sessions_.end() || it->second->closed)
         return;
-    auto &side = *it->second;
-    side.heard = now;
-    auto fault = side.reader.bytes(in, side);
+    auto &session = *it->second;
+    session.heard = now;
+    auto fault = session.reader.bytes(in, session);
     if (fault.empty())
-        fault = side.fault;
-    if (!fault.empty() && !side.closed)
-        close(side, fault);
+        fault = session.fault;
+    if (!fault.empty() && !session.closed)
+        close(session, fault);
 }
-void Core::gone(Time now, SessionId id) {
+void Core::disconnected(Time now, SessionId id) {
     now_ = now;
     auto it = sessions_.find(id);
     if (it == sessions_.end())
         return;
-    auto &side = *it->second;
-    if (side.role == Session::Role::edge && edges_[side.edge] == id) {
-        edges_.erase(side.edge);
-        for (auto &[n, p] : presence_)
-            p.no_witness(side.edge);
-        cuts_.edge_gone(now, side.edge);
+    auto &session = *it->second;
+    if (session.role == Session::Role::edge && edges_[session.edge] == id) {
+        edges_.erase(session.edge);
+        for (auto &[n, p] : liveness_)
+            p.no_witness(session.edge);
+        snapshots_.edge_gone(now, session.edge);
     }
-    if (side.role == Session::Role::node && nodes_[side.node] == id) {
-        nodes_.erase(side.node);
-        cuts_.node_gone(now, side.node);
+    if (session.role == Session::Role::node && nodes_[session.node] == id) {
+        nodes_.erase(session.node);
+        snapshots_.node_gone(now, session.node);
     }
     sessions_.erase(it);
 }
-void Core::close(Session &side, const std::string &why) {
-    side.closed = true;
+void Core::close(Session &session, const std::string &why) {
+    session.closed = true;
     static constexpr const char *roles[] = {"a peer", "edge ", "node ", "a visitor"};
-    auto who = std::string(roles[static_cast<int>(side.role)]);
-    if (side.role == Session::Role::edge)
-        who += text(side.edge);
-    if (side.role == Session::Role::node)
-        who += text(side.node);
-    shell_.say(who + ": connection closed: " + why);
-    shell_.close(side.id);
+    auto who = std::string(roles[static_cast<int>(session.role)]);
+    if (session.role == Session::Role::edge)
+        who += text(session.edge);
+    if (session.role == Session::Role::node)
+        who += text(session.node);
+    transport_.log_event(who + ": connection closed: " + why);
+    transport_.close(session.id);
 }
 
-void Core::edge_hello(Session &side, EdgeId edge, const std::string &listen, Term term,
+void Core::edge_hello(Session &session, EdgeId edge, const std::string &listen, Term term,
                       std::uint64_t instance, std::uint64_t lineage, Version version,
                       const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving) {
     if ((term > term_ || (term == term_ && instance != instance_)) &&
@@ -337,91 +342,91 @@
         return retire("edge " + text(edge) + " goes by version " + text(version) +
                       " of this store, which stands at " + text(state_.version()) +
                       ": the store is an old copy; start with the right one, or rebuild");
-    if (auto old = edges_.find(edge); old != edges_.end() && old->second != side.id) {
+    if (auto old = edges_.find(edge); old != edges_.end() && old->second != session.id) {
         auto was = old->second;
-        side.role = Session::Role::unknown;
+        session.role = Session::Role::unknown;
         close(*sessions_.at(was), "another connection says it is this edge");
-        gone(now_, was);
+        disconnected(now_, was);
     }
-    side.role = Session::Role::edge, side.edge = edge, side.listen = listen;
-    side.edge_term = term, side.edge_lineage = lineage;
-    side.acked = side.told = lineage == lineage_ ? version : Version{0};
-    edges_[edge] = side.id;
-    if (side.acked > Version{0})
-        parts_.acked(edge, side.acked);
+    session.role = Session::Role::edge, session.edge = edge, session.listen = listen;
+    session.edge_term = term, session.edge_lineage = lineage;
+    session.acked = session.told = lineage == lineage_ ? version : Version{0};
+    edges_[edge] = session.id;
+    if (session.acked > Version{0})
+        allocation_.acked(edge, session.acked);
     std::set<VolumeId> now_serving(serving.begin(), serving.end());
-    for (auto v : parts_.served_by(edge))
+    for (auto v : allocation_.served_by(edge))
         if (!now_serving.contains(v))
-            parts_.serve(v, edge, false);
+            allocation_.serve(v, edge, false);
     for (auto v : now_serving)
-        parts_.serve(v, edge, true);
+        allocation_.serve(v, edge, true);
     if (unknown_until_ > 0)
         // The store that knew of these drains is lost; the edges still do.
         for (auto node : draining)
-            if (wanted_.nodes.contains(node) && drained_.insert(node).second)
+            if (desired_.nodes.contains(node) && drained_.insert(node).second)
                 state_store_.keep(StateStore::Row::drained, node.value, 0, state_.next(), {}),
                     commit_due_ = true;
 }
 
-void Core::renew(Session &side, Time at, Term term, Version version) {
+void Core::renew(Session &session, Time at, Term term, Version version) {
     if (term > term_)
-        return void(outranked(term, "edge " + text(side.edge)));
-    side.edge_term = term;
+        return void(outranked(term, "edge " + text(session.edge)));
+    session.edge_term = term;
     // Versions of another store say nothing here, until the edge goes by one of ours.
     if (term == term_)
-        side.edge_lineage = lineage_;
-    if (side.edge_lineage != lineage_)
+        session.edge_lineage = lineage_;
+    if (session.edge_lineage != lineage_)
         return;
-    if (version > side.acked)
-        side.acked = version;
-    if (term == term_ && side.acked >= side.told)
-        side.in_flight = false;
-    if (side.told < side.acked)
-        side.told = side.acked;
-    parts_.acked(side.edge, side.acked);
+    if (version > session.acked)
+        session.acked = version;
+    if (term == term_ && session.acked >= session.told)
+        session.in_flight = false;
+    if (session.told < session.acked)
+        session.told = session.acked;
+    allocation_.acked(session.edge, session.acked);
     // Its right goes on only once it goes by what lowered its parts while it was away.
-    if (term != term_ || version < least(side.edge) || retired_)
+    if (term != term_ || version < least(session.edge) || retired_)
         return;
-    bool away = leases_.stage(side.edge) != Leases::Stage::held;
-    leases_.renewed(side.edge, now_);
+    bool away = lease_table_.stage(session.edge) != LeaseTable::Stage::held;
+    lease_table_.renewed(session.edge, now_);
     if (away)
-        parts_.back(side.edge);
-    shell_.send(side.id,
-                control::renewed(at, term_, leases_.lease(), leases_.fade(), least(side.edge)));
+        allocation_.back(session.edge);
+    transport_.send(session.id, control::renewed(at, term_, lease_table_.lease(),
+                                                 lease_table_.fade(), least(session.edge)));
 }
 Version Core::least(EdgeId edge) const {
     auto it = least_.find(edge);
     return it == least_.end() ? least_all_ : std::max(it->second, least_all_);
 }
 
-void Core::node_hello(Session &side, NodeId node, ShardId shard, ZoneId zone,
+void Core::node_hello(Session &session, NodeId node, ShardId shard, ZoneId zone,
                       const std::string &address, std::uint64_t incarnation, Time age) {
-    auto it = wanted_.nodes.find(node);
+    auto it = desired_.nodes.find(node);
     auto refuse = [&](const std::string &why) {
-        if (said_.insert("node " + text(node) + why).second)
-            shell_.say("node " + text(node) + " at " + address + " is not taken: " + why);
-        side.closed = true;
-        shell_.close(side.id);
+        if (logged_refusals_.insert("node " + text(node) + why).second)
+            transport_.log_event("node " + text(node) + " at " + address + " is not taken: " + why);
+        session.closed = true;
+        transport_.close(session.id);
     };
-    if (it == wanted_.nodes.end())
+    if (it == desired_.nodes.end())
         return refuse("the settings don't list it");
     if (it->second.shard != shard || it->second.zone != zone)
         return refuse("it says shard " + text(shard) + ", zone " + text(zone) +
                       "; the settings shard " + text(it->second.shard) + ", zone " +
                       text(it->second.zone));
-    if (auto old = nodes_.find(node); old != nodes_.end() && old->second != side.id) {
+    if (auto old = nodes_.find(node); old != nodes_.end() && old->second != session.id) {
         auto was = old->second;
         close(*sessions_.at(was), "another connection says it is this node");
-        gone(now_, was);
+        disconnected(now_, was);
     }
-    side.role = Session::Role::node, side.node = node;
-    nodes_[node] = side.id;
-    presence(node).heard(now_, address, incarnation, now_ - age);
-    cuts_.node_came(node, shard);
+    session.role = Session::Role::node, session.node = node;
+    nodes_[node] = session.id;
+    liveness(node).heard(now_, address, incarnation, now_ - age);
+    snapshots_.node_came(node, shard);
 }
 
-Presence &Core::presence(NodeId node) {
-    return presence_.try_emplace(node, silent_for_, out_after_, back_after_, outs_memory)
+NodeLiveness &Core::liveness(NodeId node) {
+    return liveness_.try_emplace(node, silent_for_, out_after_, back_after_, outs_memory)
         .first->second;
 }
 
@@ -429,17 +434,18 @@
 void Core::retire(const std::string &why) {
     if (std::exchange(retired_, true))
         return;
-    shell_.say("this planner (term " + text(term_) + ") stops planning: " + why);
-    shell_.retired();
+    transport_.log_event("this planner (term " + text(term_) + ") stops planning: " + why);
+    transport_.retired();
 }
 bool Core::outranked(Term term, const std::string &who) {
     if (unknown_until_ > 0 && term >= term_) {
         // A store made anew knows nothing of the terms before: it goes above each that it meets.
         term_ = Term{term.value + 1};
         commit_due_ = true;
-        for (auto &[id, side] : sessions_)
-            side->in_flight = false;
-        shell_.say(who + " follows term " + text(term) + ": going on as term " + text(term_));
+        for (auto &[id, session] : sessions_)
+            session->in_flight = false;
+        transport_.log_event(who + " follows term " + text(term) + ": going on as term " +
+                             text(term_));
         return true;
     }
     retire(who + " follows another planner with term " + text(term));
@@ -449,16 +455,16 @@
 // ---- The operator's word.
 std::string Core::effect(NodeId node, bool draining, bool &allowed, bool &serves) const {
     allowed = serves = false;
-    auto w = wanted_.nodes.find(node);
-    if (w == wanted_.nodes.end())
+    auto w = desired_.nodes.find(node);
+    if (w == desired_.nodes.end())
         return "node " + text(node) + " is not in the settings; nothing to do";
-    auto it = state_.table().nodes.find(node);
-    auto is =
-        it == state_.table().nodes.end() ? std::string("not registered") : name(it->second.state);
+    auto it = state_.cluster_state().nodes.find(node);
+    auto is = it == state_.cluster_state().nodes.end() ? std::string("not registered")
+                                                       : name(it->second.state);
     auto what = "node " + text(node) + " (shard " + text(w->second.shard) + ", " + is + "): ";
     std::string others;
     std::size_t count = 0;
-    for (auto &[id, n] : state_.table().nodes)
+    for (auto &[id, n] : state_.cluster_state().nodes)
         if (id != node && n.shard == w->second.shard && n.state == NodeState::ready)
             others += (others.empty() ? "" : ", ") + text(id), ++count;
     if (draining) {
@@ -478,40 +484,41 @@
                ? what + "would get new work again from " + std::to_string(edges_.size()) + " edges"
                : what + "does not drain by an operator's word; nothing to do";
 }
-void Core::drain_asked(Session &side, NodeId node, bool draining, std::uint8_t how) {
+void Core::drain_asked(Session &session, NodeId node, bool draining, std::uint8_t how) {
     bool allowed = false, serves = false;
     auto text_of = effect(node, draining, allowed, serves);
     bool act = allowed && (how == 2 || (how == 1 && serves));
     if (!act)
-        return shell_.send(side.id, control::effect(allowed && serves, false, text_of));
+        return transport_.send(session.id, control::effect(allowed && serves, false, text_of));
     if (draining && drained_.insert(node).second)
         state_store_.keep(StateStore::Row::drained, node.value, 0, state_.next(), {});
     if (!draining && drained_.erase(node))
         state_store_.drop(StateStore::Row::drained, node.value, 0);
-    shell_.say("operator: " + std::string(draining ? "drain" : "undrain") + " node " + text(node));
+    transport_.log_event("operator: " + std::string(draining ? "drain" : "undrain") + " node " +
+                         text(node));
     commit_due_ = true;
     // Said to be done once it is durable.
-    after_commit_.emplace_back(side.id, control::effect(true, true, text_of));
+    after_commit_.emplace_back(session.id, control::effect(true, true, text_of));
 }
 
 // ---- The end of a moment.
 void Core::decide_nodes() {
-    for (auto &[id, w] : wanted_.nodes) {
-        auto &p = presence(id);
+    for (auto &[id, w] : desired_.nodes) {
+        auto &p = liveness(id);
         if (!w.address.empty())
             p.heard(now_, w.address, 1, 0);
-        bool in = p.in(now_, leases_.held());
+        bool in = p.in(now_, lease_table_.held());
         if (!p.ever_heard())
             continue;
         if (p.to_ask(now_))
-            for (auto &[edge, side] : edges_)
-                shell_.send(side, control::ask_witness(id));
+            for (auto &[edge, session] : edges_)
+                transport_.send(session, control::ask_witness(id));
         auto state = !in                                     ? NodeState::removed
                      : (w.draining || drained_.contains(id)) ? NodeState::draining
                                                              : NodeState::ready;
-        auto was = state_.table().nodes.find(id);
-        if (was == state_.table().nodes.end() || was->second.state != state)
-            shell_.say("node " + text(id) + " is " + name(state));
+        auto was = state_.cluster_state().nodes.find(id);
+        if (was == state_.cluster_state().nodes.end() || was->second.state != state)
+            transport_.log_event("node " + text(id) + " is " + name(state));
         state_.put(
             id, control::Node{p.address(), w.shard, w.zone, state, p.started(), p.incarnation()});
         if (state == NodeState::draining)
@@ -523,20 +530,20 @@
 
 void Core::keep_changes() {
     auto version = state_.next();
-    parts_.part_out(
+    allocation_.allocate(
         version,
-        [&](VolumeId volume, EdgeId edge, const control::Part &part) {
-            state_.put_part(edge, volume, part);
+        [&](VolumeId volume, EdgeId edge, const control::QuotaShare &part) {
+            state_.put_quota_share(edge, volume, part);
         },
-        [&](VolumeId volume, EdgeId edge, const Parts::Hold *h) {
+        [&](VolumeId volume, EdgeId edge, const QuotaAllocation::Hold *h) {
             if (!h)
                 return state_store_.drop(StateStore::Row::hold, edge.value, volume.value);
             state_store_.keep(StateStore::Row::hold, edge.value, volume.value, version,
                               std::to_string(h->part) + " " + std::to_string(h->bound) + " " +
                                   text(h->since) + " " + std::to_string(h->serves) + " " +
-                                  std::to_string(parts_.is_lapsed(edge)));
+                                  std::to_string(allocation_.is_lapsed(edge)));
         });
-    using Kind = State::Kind;
+    using Kind = VersionedState::Kind;
     for (auto &key : state_.changed()) {
         if (key.kind == Kind::part)
             continue; // kept as holds
@@ -547,7 +554,7 @@
             state_store_.drop(row, key.id, 0);
             continue;
         }
-        auto &t = state_.table();
+        auto &t = state_.cluster_state();
         PlanId plan{static_cast<std::uint32_t>(key.id)};
         state_store_.keep(row, key.id, 0, version,
                           key.kind == Kind::plan ? control::put(plan, t.plans.at(plan))
@@ -561,38 +568,40 @@
 
 void Core::tell_sides() {
     std::size_t longs = 0;
-    for (auto &[id, side] : sessions_)
-        longs += side->in_flight && side->is_long && now_ - side->told_at < answer_time;
+    for (auto &[id, session] : sessions_)
+        longs += session->in_flight && session->is_long && now_ - session->told_at < answer_time;
     for (auto &[id, s] : sessions_) {
-        auto &side = *s;
-        if (side.closed)
+        auto &session = *s;
+        if (session.closed)
             continue;
-        if (side.role == Session::Role::node) {
-            auto it = state_.table().nodes.find(side.node);
-            if (it != state_.table().nodes.end() && side.state_told != it->second.state) {
-                side.state_told = it->second.state;
-                shell_.send(id, control::tell_node(it->second.state));
+        if (session.role == Session::Role::node) {
+            auto it = state_.cluster_state().nodes.find(session.node);
+            if (it != state_.cluster_state().nodes.end() &&
+                session.state_told != it->second.state) {
+                session.state_told = it->second.state;
+                transport_.send(id, control::tell_node(it->second.state));
             }
         }
-        if (side.role != Session::Role::edge)
+        if (session.role != Session::Role::edge)
             continue;
         // One piece of news at a time: what changes while an edge is slow comes together in the
         // next.
-        if (side.in_flight && now_ - side.told_at < answer_time)
+        if (session.in_flight && now_ - session.told_at < answer_time)
             continue;
-        bool behind = side.acked < state_.version() || side.edge_term != term_ ||
-                      side.edge_lineage != lineage_;
+        bool behind = session.acked < state_.version() || session.edge_term != term_ ||
+                      session.edge_lineage != lineage_;
         if (!behind)
             continue;
-        Version from = side.edge_lineage == lineage_ ? side.acked : Version{0};
+        Version from = session.edge_lineage == lineage_ ? session.acked : Version{0};
         std::string facts_out;
-        auto count = state_.news(side.edge, from, facts_out);
-        side.is_long = facts_out.size() > long_news;
-        if (side.is_long && longs >= most_long)
+        auto count = state_.news(session.edge, from, facts_out);
+        session.is_long = facts_out.size() > long_news;
+        if (session.is_long && longs >= most_long)
             continue;
-        longs += side.is_long;
-        side.in_flight = true, side.told = state_.version(), side.told_at = now_;
-        shell_.send(id, control::begins(term_, instance_, lineage_, state_.version(), from, now_) +
+        longs += session.is_long;
+        session.in_flight = true, session.told = state_.version(), session.told_at = now_;
+        transport_.send(id,
+                        control::begins(term_, instance_, lineage_, state_.version(), from, now_) +
                             facts_out + control::ends(state_.version(), count));
     }
 }
@@ -601,39 +610,40 @@
     now_ = now;
     if (retired_ || !started_up_)
         return;
-    leases_.pass(now, [&](EdgeId edge, Leases::Stage stage) {
-        if (stage == Leases::Stage::lapsed) {
-            shell_.say("edge " + text(edge) + " has not renewed: its parts fall to a piece");
+    lease_table_.pass(now, [&](EdgeId edge, LeaseTable::Stage stage) {
+        if (stage == LeaseTable::Stage::lapsed) {
+            transport_.log_event("edge " + text(edge) +
+                                 " has not renewed: its parts fall to a piece");
             // Not before it goes by all that it was told until now, too: what was lowered and never
             // reached it counts for a piece from here on, and must not be whole again.
-            least_[edge] = parts_.lapsed(edge) ? state_.next() : state_.version();
+            least_[edge] = allocation_.lapsed(edge) ? state_.next() : state_.version();
         } else {
-            shell_.say("edge " + text(edge) + " is forgotten: its parts go to others");
-            parts_.forgotten(edge);
+            transport_.log_event("edge " + text(edge) + " is forgotten: its parts go to others");
+            allocation_.forgotten(edge);
             least_[edge] = state_.next();
         }
     });
     if (unknown_until_ > 0 && now > unknown_until_ && !std::exchange(unknown_faded_, true))
-        parts_.unknown(control::usable(control::whole_limit, 1, 1));
-    if (unknown_until_ > 0 && now > unknown_until_ + leases_.fade())
-        parts_.unknown(0), unknown_until_ = 0;
+        allocation_.unknown(control::usable_millionths(control::whole_limit, 1, 1));
+    if (unknown_until_ > 0 && now > unknown_until_ + lease_table_.fade())
+        allocation_.unknown(0), unknown_until_ = 0;
     decide_nodes();
-    cuts_.tick(now, connected_nodes());
+    snapshots_.tick(now, connected_nodes());
     settle_cuts();
     keep_changes();
     if (commit_due_) {
         // Nothing is told that is not durable: a planner that comes back from its store must know
         // all that it said.
         if (!state_store_.commit(term_, lineage_, state_.version(), state_.oldest_told(),
-                                 wanted_.version))
+                                 desired_.version))
             return;
         commit_due_ = false;
     }
     for (auto id : std::exchange(undo_after_commit_, {}))
-        cuts_.undo(id, all_shards());
-    for (auto &[side, bytes] : std::exchange(after_commit_, {}))
-        if (sessions_.contains(side))
-            shell_.send(side, std::move(bytes));
+        snapshots_.undo(id, all_shards());
+    for (auto &[session, bytes] : std::exchange(after_commit_, {}))
+        if (sessions_.contains(session))
+            transport_.send(session, std::move(bytes));
     tell_sides();
     begin_prepared();
 }
@@ -641,21 +651,21 @@
 Time Core::next_due() const {
     if (retired_)
         return never;
-    Time due = std::min(leases_.next_due(), cuts_.next_due());
+    Time due = std::min(lease_table_.next_due(), snapshots_.next_due());
     for (auto &[number, q] : questions_)
         due = std::min(due, q.until);
     for (auto &[as, p] : pending_)
         if (p.failed || p.whole)
             due = std::min(due, now_);
-    for (auto &[id, p] : presence_)
+    for (auto &[id, p] : liveness_)
         due = std::min(due, p.next_due());
     if (unknown_until_ > 0)
-        due = std::min(due, unknown_until_ + (unknown_faded_ ? leases_.fade() : 0) + 1);
+        due = std::min(due, unknown_until_ + (unknown_faded_ ? lease_table_.fade() : 0) + 1);
     if (commit_due_)
         due = std::min(due, now_ + commit_again);
-    for (auto &[id, side] : sessions_)
-        if (side->role == Session::Role::edge && side->in_flight)
-            due = std::min(due, side->told_at + answer_time);
+    for (auto &[id, session] : sessions_)
+        if (session->role == Session::Role::edge && session->in_flight)
+            due = std::min(due, session->told_at + answer_time);
     return due;
 }
 
@@ -664,15 +674,15 @@
     json out{{"term", term_.value},
              {"version", state_.version().value},
              {"lineage", lineage_},
-             {"settings", wanted_.version},
+             {"settings", desired_.version},
              {"up_ms", (now - started_) / ms},
-             {"volumes", state_.table().volumes.size()},
+             {"volumes", state_.cluster_state().volumes.size()},
              {"retired", retired_}};
     out["nodes"] = json::array();
-    for (auto &[id, w] : wanted_.nodes) {
-        auto it = state_.table().nodes.find(id);
-        auto p = presence_.find(id);
-        bool known = it != state_.table().nodes.end();
+    for (auto &[id, w] : desired_.nodes) {
+        auto it = state_.cluster_state().nodes.find(id);
+        auto p = liveness_.find(id);
+        bool known = it != state_.cluster_state().nodes.end();
         out["nodes"].push_back(
             {{"id", id.value},
              {"shard", w.shard.value},
@@ -684,32 +694,32 @@
              {"address", known ? it->second.address : w.address},
              {"age_ms", known && it->second.started > 0 ? (now - it->second.started) / ms : 0},
              {"silent_ms",
-              p != presence_.end() && p->second.ever_heard() ? p->second.silent(now) / ms : -1},
-             {"out_of_reach_for", p != presence_.end() ? p->second.against() : 0}});
+              p != liveness_.end() && p->second.ever_heard() ? p->second.silent(now) / ms : -1},
+             {"out_of_reach_for", p != liveness_.end() ? p->second.against() : 0}});
     }
     out["cuts"] = json::array();
-    for (auto &[id, f] : state_.table().volumes) {
+    for (auto &[id, f] : state_.cluster_state().volumes) {
         if (!f.is_snapshot())
             continue;
-        auto of = state_.table().volumes.find(f.of);
+        auto of = state_.cluster_state().volumes.find(f.of);
         out["cuts"].push_back(
             {{"id", id.value},
              {"name", f.name},
              {"kind", f.frozen ? "snapshot" : "clone"},
-             {"of", of == state_.table().volumes.end() ? "(dropped)" : of->second.name},
+             {"of", of == state_.cluster_state().volumes.end() ? "(dropped)" : of->second.name},
              {"size", f.size},
              {"age_ms", (now - f.taken) / ms},
              {"pays", f.charge.value ? "its source" : "itself"},
              {"used_by", users(id)}});
     }
     out["cuts_under_way"] = json::array();
-    for (auto &[as, waits] : cuts_.under_way())
+    for (auto &[as, waits] : snapshots_.under_way())
         if (auto p = pending_.find(as); p != pending_.end())
             out["cuts_under_way"].push_back({{"name", p->second.fact.name},
                                              {"since_ms", (now - p->second.began) / ms},
                                              {"what", waits}});
     out["cuts_undone"] = json::array();
-    for (auto &[as, left] : cuts_.undoing()) {
+    for (auto &[as, left] : snapshots_.undoing()) {
         json shards = json::array();
         for (auto s : left)
             shards.push_back(s.value);
@@ -719,13 +729,13 @@
     std::set<EdgeId> all;
     for (auto &[e, s] : edges_)
         all.insert(e);
-    for (auto &[v, holds] : parts_.all())
+    for (auto &[v, holds] : allocation_.all())
         for (auto &[e, h] : holds)
             all.insert(e);
     for (auto e : all) {
         static constexpr const char *stages[] = {"held", "lapsed", "none"};
-        json x{{"id", e.value}, {"lease", stages[static_cast<int>(leases_.stage(e))]}};
-        x["serving"] = parts_.served_by(e).size();
+        json x{{"id", e.value}, {"lease", stages[static_cast<int>(lease_table_.stage(e))]}};
+        x["serving"] = allocation_.served_by(e).size();
         if (auto it = edges_.find(e); it != edges_.end()) {
             auto &s = *sessions_.at(it->second);
             x["listen"] = s.listen, x["version"] = s.acked.value, x["term"] = s.edge_term.value;
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -24,13 +24,13 @@
 // A connection to the planner.
 using SessionId = Id<struct SessionKind, std::uint64_t>;
 
-class Shell {
+class PlannerTransport {
 public:
-    virtual ~Shell() = default;
-    virtual void send(SessionId side, std::string bytes) = 0;
-    virtual void close(SessionId side) = 0;
+    virtual ~PlannerTransport() = default;
+    virtual void send(SessionId session, std::string bytes) = 0;
+    virtual void close(SessionId session) = 0;
     // For the log: what changed in the fleet, and what was refused.
-    virtual void say(std::string text) = 0;
+    virtual void log_event(std::string text) = 0;
     // Another planner is followed: this one has nothing more to do.
     virtual void retired() = 0;
 };
@@ -40,7 +40,7 @@
 class StateStore {
 public:
     // `undo`: a snapshot or clone (a) of a volume (b) that is not whole; its body the epoch.
-    enum class Row : std::uint8_t { plan, volume, node, hold, drained, wanted, undo };
+    enum class Row : std::uint8_t { plan, volume, node, hold, drained, desired, undo };
     virtual ~StateStore() = default;
     virtual void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                       std::string body) = 0;
@@ -52,7 +52,7 @@
 
 // What the settings files want, checked in itself (planner/desired_state_files.hpp). Lines are for
 // refusals.
-struct Wanted {
+struct DesiredState {
     struct Node {
         ShardId shard;
         ZoneId zone;
@@ -71,13 +71,13 @@
     std::map<VolumeId, Volume> volumes;
 };
 
-class Core final : Cuts::Orders {
+class Core final : SnapshotCoordinator::Orders {
 public:
     // Times in nanoseconds. `lease`, `margin`, `fade`: see Leases. `silent_for`, `out_after`,
     // `back_after`: see Presence. `drain_time`: how long a drain has to have been known before the
     // node may be removed.
-    Core(Shell &shell, StateStore &state_store, Time lease, Time margin, Time fade, Time silent_for,
-         Time out_after, Time back_after, Time drain_time);
+    Core(PlannerTransport &shell, StateStore &state_store, Time lease, Time margin, Time fade,
+         Time silent_for, Time out_after, Time back_after, Time drain_time);
     ~Core() override;
 
     // Rows of the store, before start. An empty answer is good.
@@ -90,12 +90,13 @@
                Version oldest, std::uint64_t settings, bool rebuilt);
 
     // New settings, taken whole or, with any fault, not at all. Faults: line and text.
-    void want(Time now, const Wanted &wanted, std::vector<std::pair<int, std::string>> &faults);
-    std::uint64_t settings() const { return wanted_.version; }
+    void apply_desired_state(Time now, const DesiredState &desired,
+                             std::vector<std::pair<int, std::string>> &faults);
+    std::uint64_t settings() const { return desired_.version; }
 
-    void came(Time now, SessionId side);
-    void bytes(Time now, SessionId side, std::string_view in);
-    void gone(Time now, SessionId side);
+    void connected(Time now, SessionId session);
+    void received(Time now, SessionId session, std::string_view in);
+    void disconnected(Time now, SessionId session);
     Time next_due() const;
     // The end of a moment: what is due is decided, made durable and told.
     void settle(Time now);
@@ -103,25 +104,25 @@
     Term term() const { return term_; }
     Version version() const { return state_.version(); }
     bool is_retired() const { return retired_; }
-    const State &state() const { return state_; }
-    const Parts &parts() const { return parts_; }
+    const VersionedState &state() const { return state_; }
+    const QuotaAllocation &allocation() const { return allocation_; }
     std::string status_json(Time now) const;
     // A snapshot or clone that is under way, or being taken back.
     bool busy_with(VolumeId cut) const { return undo_rows_.contains(cut); }
 
 private:
     struct Session;
-    void edge_hello(Session &side, EdgeId edge, const std::string &listen, Term term,
+    void edge_hello(Session &session, EdgeId edge, const std::string &listen, Term term,
                     std::uint64_t instance, std::uint64_t lineage, Version version,
                     const std::vector<NodeId> &draining, const std::vector<VolumeId> &serving);
-    void renew(Session &side, Time at, Term term, Version version);
-    void node_hello(Session &side, NodeId node, ShardId shard, ZoneId zone,
+    void renew(Session &session, Time at, Term term, Version version);
+    void node_hello(Session &session, NodeId node, ShardId shard, ZoneId zone,
                     const std::string &address, std::uint64_t incarnation, Time age);
-    void drain_asked(Session &side, NodeId node, bool draining, std::uint8_t how);
+    void drain_asked(Session &session, NodeId node, bool draining, std::uint8_t how);
     // ---- Snapshots and clones.
     // One that an operator waits for.
     struct Pending {
-        SessionId side;
+        SessionId session;
         VolumeId of;
         control::Volume fact;
         std::uint32_t epoch = 0, tries = 0;
@@ -131,7 +132,7 @@
     };
     // An operator's question about ranges, and the nodes that have not answered.
     struct Question {
-        SessionId side;
+        SessionId session;
         VolumeId a, b;
         std::map<NodeId, std::uint64_t> left;
         std::map<std::uint64_t, std::uint64_t> ranges;
@@ -150,13 +151,13 @@
     void undone(VolumeId as) override;
     void to_edge(EdgeId edge, std::string bytes);
     void to_node(NodeId node, std::string bytes);
-    void cut_asked(Session &side, std::uint8_t what, const std::string &name, const std::string &as,
-                   const std::string &plan);
+    void cut_asked(Session &session, std::uint8_t what, const std::string &name,
+                   const std::string &as, const std::string &plan);
     std::string refuse_cut(std::uint8_t what, const std::string &name, const std::string &as,
                            const std::string &plan, Pending &p);
     void prepare(Pending p);
-    void drop_cut(Session &side, VolumeId id);
-    void compare(Session &side, VolumeId a, VolumeId b);
+    void drop_cut(Session &session, VolumeId id);
+    void compare(Session &session, VolumeId a, VolumeId b);
     void answer_question(std::uint64_t number, std::string why);
     void diff_told(NodeId node, std::uint64_t number, const std::vector<std::uint64_t> &ranges,
                    bool more);
@@ -173,22 +174,22 @@
     void retire(const std::string &why);
     // A newer planner's term was met. True if this one goes on, above it.
     bool outranked(Term term, const std::string &who);
-    void close(Session &side, const std::string &why);
+    void close(Session &session, const std::string &why);
     void decide_nodes();
     void keep_changes();
     void tell_sides();
     Version least(EdgeId edge) const;
     void keep_wanted();
-    Presence &presence(NodeId node);
+    NodeLiveness &liveness(NodeId node);
 
-    Shell &shell_;
+    PlannerTransport &transport_;
     StateStore &state_store_;
     Time silent_for_, out_after_, back_after_, drain_time_;
-    Leases leases_;
-    Parts parts_;
-    State state_;
-    Wanted wanted_;
-    std::map<NodeId, Presence> presence_;
+    LeaseTable lease_table_;
+    QuotaAllocation allocation_;
+    VersionedState state_;
+    DesiredState desired_;
+    std::map<NodeId, NodeLiveness> liveness_;
     std::set<NodeId> drained_; // by the operator's word
     std::map<NodeId, std::pair<Version, Time>> draining_since_;
     std::map<EdgeId, Version> least_;
@@ -196,8 +197,8 @@
     std::map<EdgeId, SessionId> edges_;
     std::map<NodeId, SessionId> nodes_;
     std::vector<std::pair<SessionId, std::string>> after_commit_;
-    std::set<std::string> said_;
-    Cuts cuts_{*this};
+    std::set<std::string> logged_refusals_;
+    SnapshotCoordinator snapshots_{*this};
     std::map<VolumeId, Pending> pending_;
     std::map<VolumeId, std::pair<VolumeId, std::uint32_t>> undo_rows_; // of, epoch
     std::map<std::uint64_t, Question> questions_;
--- a/src/planner/core_snapshots.cpp
+++ b/src/planner/core_snapshots.cpp
@@ -21,14 +21,14 @@
 
 std::set<ShardId> Core::all_shards() const {
     std::set<ShardId> out;
-    for (auto &[id, n] : wanted_.nodes)
+    for (auto &[id, n] : desired_.nodes)
         out.insert(n.shard);
     return out;
 }
 std::map<NodeId, ShardId> Core::connected_nodes() const {
     std::map<NodeId, ShardId> out;
-    for (auto &[id, side] : nodes_)
-        if (auto w = wanted_.nodes.find(id); w != wanted_.nodes.end())
+    for (auto &[id, session] : nodes_)
+        if (auto w = desired_.nodes.find(id); w != desired_.nodes.end())
             out[id] = w->second.shard;
     return out;
 }
@@ -36,8 +36,8 @@
     std::set<NodeId> out;
     std::set<ShardId> met;
     for (auto &[id, shard] : connected_nodes()) {
-        auto it = state_.table().nodes.find(id);
-        if (it == state_.table().nodes.end() || it->second.state == NodeState::removed)
+        auto it = state_.cluster_state().nodes.find(id);
+        if (it == state_.cluster_state().nodes.end() || it->second.state == NodeState::removed)
             continue;
         out.insert(id), met.insert(shard);
     }
@@ -48,12 +48,12 @@
     return why.empty() ? out : std::set<NodeId>{};
 }
 std::optional<VolumeId> Core::find(const std::string &name) const {
-    auto it = state_.table().names.find(name);
-    return it == state_.table().names.end() ? std::nullopt : std::optional(it->second);
+    auto it = state_.cluster_state().names.find(name);
+    return it == state_.cluster_state().names.end() ? std::nullopt : std::optional(it->second);
 }
 std::vector<std::uint64_t> Core::users(VolumeId id) const {
     std::vector<std::uint64_t> out;
-    if (auto it = parts_.all().find(id); it != parts_.all().end())
+    if (auto it = allocation_.all().find(id); it != allocation_.all().end())
         for (auto &[edge, h] : it->second)
             if (h.serves)
                 out.push_back(edge.value);
@@ -67,14 +67,14 @@
     auto of = find(name);
     if (!of)
         return "there is no volume or snapshot " + name;
-    auto &source = state_.table().volumes.at(*of);
+    auto &source = state_.cluster_state().volumes.at(*of);
     bool take = what == 0;
     auto full = take ? name + "@" + as : as;
     if (as.empty() || as.find('@') != std::string::npos || full.size() > longest_name)
         return "the name '" + as + "' can't be: expected one without '@', " +
                std::to_string(longest_name) + " bytes at most with the volume's";
     if (auto old = find(full)) {
-        auto &f = state_.table().volumes.at(*old);
+        auto &f = state_.cluster_state().volumes.at(*old);
         return full + " is there already" +
                (f.is_snapshot() ? ", taken " + std::to_string((now_ - f.taken) / sec) + "s ago"
                                 : "");
@@ -93,7 +93,7 @@
     // It pays from its source's part, so that no reserve and no limit is there twice.
     p.fact.charge = source.charged_to(*of);
     if (!take && !plan.empty()) {
-        auto &plans = state_.table().plans;
+        auto &plans = state_.cluster_state().plans;
         auto it = std::find_if(plans.begin(), plans.end(),
                                [&](auto &x) { return x.second.name == plan; });
         if (it == plans.end())
@@ -110,25 +110,25 @@
         return why.empty() ? "there are no nodes" : why;
     return {};
 }
-void Core::cut_asked(Session &side, std::uint8_t what, const std::string &name,
+void Core::cut_asked(Session &session, std::uint8_t what, const std::string &name,
                      const std::string &as, const std::string &plan) {
     auto refuse = [&](const std::string &why) {
-        shell_.send(side.id, control::effect(false, false, why));
+        transport_.send(session.id, control::effect(false, false, why));
     };
     if (what == 1) {
         auto id = find(name);
-        if (!id || !state_.table().volumes.at(*id).is_snapshot())
+        if (!id || !state_.cluster_state().volumes.at(*id).is_snapshot())
             return refuse("there is no snapshot or clone " + name);
-        return drop_cut(side, *id);
+        return drop_cut(session, *id);
     }
     if (what == 3) {
         auto a = find(name), b = find(as);
         if (!a || !b)
             return refuse("there is no volume or snapshot " + (a ? as : name));
-        auto &t = state_.table().volumes;
+        auto &t = state_.cluster_state().volumes;
         if (t.at(*a).lies_as(*a) != t.at(*b).lies_as(*b))
             return refuse(name + " and " + as + " do not come from one volume");
-        return compare(side, *a, *b);
+        return compare(session, *a, *b);
     }
     Pending p;
     if (auto why = refuse_cut(what, name, as, plan, p); !why.empty())
@@ -138,7 +138,7 @@
     for (auto &[as_other, other] : pending_)
         if (!p.clone && !other.clone && other.of == p.of)
             return refuse("another snapshot of " + name + " is under way");
-    p.side = side.id, p.began = now_;
+    p.session = session.id, p.began = now_;
     prepare(std::move(p));
 }
 // That it may have to be undone is durable before it is begun.
@@ -147,11 +147,11 @@
     VolumeId as{};
     do
         as = VolumeId{std::uint64_t{1} << 63 | (term_.value & 0x7fffff) << 40 | ++next_cut_};
-    while (state_.table().volumes.contains(as));
+    while (state_.cluster_state().volumes.contains(as));
     if (!p.clone) {
         // A store that was made anew has lost count of epochs; the clock is past all that it gave
         // out.
-        auto last = state_.table().volumes.at(p.of).epoch;
+        auto last = state_.cluster_state().volumes.at(p.of).epoch;
         p.epoch = std::max(last + 1, static_cast<std::uint32_t>(now_ / sec));
     }
     undo_rows_[as] = {p.of, p.epoch};
@@ -170,12 +170,12 @@
         if (nodes.empty()) {
             failed(as, why, false);
         } else if (p.clone) {
-            cuts_.begin_clone(now_, p.of, as, std::move(nodes));
+            snapshots_.begin_clone(now_, p.of, as, std::move(nodes));
         } else {
             std::set<EdgeId> edges;
-            for (auto &[edge, side] : edges_)
+            for (auto &[edge, session] : edges_)
                 edges.insert(edge);
-            cuts_.begin_cut(now_, p.of, as, p.epoch, std::move(edges), std::move(nodes));
+            snapshots_.begin_cut(now_, p.of, as, p.epoch, std::move(edges), std::move(nodes));
         }
     }
 }
@@ -194,8 +194,8 @@
             over.push_back(as);
     for (auto as : over) {
         auto p = std::move(pending_.extract(as).mapped());
-        if (auto v = state_.table().volumes.find(p.of);
-            !p.clone && v != state_.table().volumes.end()) {
+        if (auto v = state_.cluster_state().volumes.find(p.of);
+            !p.clone && v != state_.cluster_state().volumes.end()) {
             // Whole or undone, the epoch is in use.
             auto source = v->second;
             source.epoch = std::max(source.epoch, p.epoch);
@@ -207,22 +207,23 @@
             state_store_.drop(StateStore::Row::undo, as.value, p.of.value);
             p.fact.taken = p.began;
             state_.put(as, p.fact);
-            shell_.say(p.fact.name + " is whole");
+            transport_.log_event(p.fact.name + " is whole");
             after_commit_.emplace_back(
-                p.side, control::effect(true, true,
-                                        p.fact.name + ": " + (p.clone ? "cloned" : "taken") +
-                                            " in " + std::to_string((now_ - p.began) / ms) + "ms"));
+                p.session,
+                control::effect(true, true,
+                                p.fact.name + ": " + (p.clone ? "cloned" : "taken") + " in " +
+                                    std::to_string((now_ - p.began) / ms) + "ms"));
             continue;
         }
-        cuts_.undo(as, all_shards());
-        shell_.say(p.fact.name + " is undone: " + p.why);
+        snapshots_.undo(as, all_shards());
+        transport_.log_event(p.fact.name + " is undone: " + p.why);
         if (p.again && ++p.tries < most_tries) {
             p.failed = p.durable = p.again = false;
             prepare(std::move(p));
         } else {
             after_commit_.emplace_back(
-                p.side, control::effect(true, false,
-                                        p.fact.name + ": " + p.why + "; nothing is left of it"));
+                p.session, control::effect(true, false,
+                                           p.fact.name + ": " + p.why + "; nothing is left of it"));
         }
     }
     std::vector<std::uint64_t> late;
@@ -232,10 +233,10 @@
     for (auto number : late)
         answer_question(number, "a node did not answer in time");
 }
-void Core::drop_cut(Session &side, VolumeId id) {
-    auto fact = state_.table().volumes.at(id);
+void Core::drop_cut(Session &session, VolumeId id) {
+    auto fact = state_.cluster_state().volumes.at(id);
     auto refuse = [&](const std::string &why) {
-        shell_.send(side.id, control::effect(true, false, why));
+        transport_.send(session.id, control::effect(true, false, why));
     };
     if (auto who = users(id); !who.empty()) {
         std::string edges;
@@ -252,11 +253,12 @@
     // Found in virtual time: ordered before it was durable, a planner that died in between came
     // back to a snapshot whose bytes were gone.
     undo_after_commit_.push_back(id);
-    shell_.say("operator: drop " + fact.name);
+    transport_.log_event("operator: drop " + fact.name);
     commit_due_ = true;
     after_commit_.emplace_back(
-        side.id, control::effect(true, true,
-                                 fact.name + ": dropped; its space comes back in the background"));
+        session.id,
+        control::effect(true, true,
+                        fact.name + ": dropped; its space comes back in the background"));
 }
 void Core::undone(VolumeId as) {
     auto it = undo_rows_.find(as);
@@ -268,13 +270,13 @@
 }
 
 // ---- What differs.
-void Core::compare(Session &side, VolumeId a, VolumeId b) {
+void Core::compare(Session &session, VolumeId a, VolumeId b) {
     std::string why;
     auto nodes = nodes_for_cut(why);
     if (nodes.empty())
-        return shell_.send(side.id, control::effect(false, false, why));
+        return transport_.send(session.id, control::effect(false, false, why));
     auto number = ++next_question_;
-    Question q{side.id, a, b, {}, {}, now_ + question_time};
+    Question q{session.id, a, b, {}, {}, now_ + question_time};
     for (auto n : nodes) {
         q.left[n] = 0;
         to_node(n, control::ask_diff(number, a, b, 0));
@@ -300,10 +302,10 @@
 }
 void Core::answer_question(std::uint64_t number, std::string why) {
     auto q = std::move(questions_.extract(number).mapped());
-    if (!sessions_.contains(q.side))
+    if (!sessions_.contains(q.session))
         return;
     if (!why.empty())
-        return shell_.send(q.side, control::effect(true, false, why));
+        return transport_.send(q.session, control::effect(true, false, why));
     // Ranges of two shards may touch.
     std::vector<std::pair<std::uint64_t, std::uint64_t>> merged;
     std::uint64_t sum = 0;
@@ -320,17 +322,17 @@
         text += ", the first " + std::to_string(most_ranges) + " are";
     for (std::size_t i = 0; i < merged.size() && i < most_ranges; ++i)
         text += "\n" + std::to_string(merged[i].first) + " " + std::to_string(merged[i].second);
-    shell_.send(q.side, control::effect(true, true, text));
+    transport_.send(q.session, control::effect(true, true, text));
 }
 
 // ---- Orders, to whoever is connected.
 void Core::to_edge(EdgeId edge, std::string bytes) {
     if (auto it = edges_.find(edge); it != edges_.end())
-        shell_.send(it->second, std::move(bytes));
+        transport_.send(it->second, std::move(bytes));
 }
 void Core::to_node(NodeId node, std::string bytes) {
     if (auto it = nodes_.find(node); it != nodes_.end())
-        shell_.send(it->second, std::move(bytes));
+        transport_.send(it->second, std::move(bytes));
 }
 void Core::hold(EdgeId edge, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     to_edge(edge, control::cut_hold(of, as, epoch, longest));
--- a/src/planner/desired_state_files.cpp
+++ b/src/planner/desired_state_files.cpp
@@ -32,10 +32,10 @@
     times(lease, margin, fade, silent, out, back, drain);
 }
 
-Wanted read_fleet(const std::string &name, const std::string &text,
-                  std::vector<std::string> &faults) {
+DesiredState read_fleet(const std::string &name, const std::string &text,
+                        std::vector<std::string> &faults) {
     settings::File file(name, text);
-    Wanted w;
+    DesiredState w;
     auto &head = file.one("fleet", true);
     w.version = head.count("version", 1, any);
     auto nodes = head.count("nodes", 0, 100000), plans = head.count("plans", 1, 100000),
@@ -62,7 +62,7 @@
         } catch (const std::exception &) {
             s->fault("", "expected a section like [node 7]");
         }
-        Wanted::Node n;
+        DesiredState::Node n;
         n.shard = ShardId{static_cast<std::int32_t>(s->count("shard", 0, 65535))};
         n.zone = ZoneId{static_cast<std::uint32_t>(s->count("zone", 0, 255, 0))};
         n.draining = s->choice("state", {"ready", "draining"}, 0) == 1;
@@ -89,28 +89,28 @@
     return w;
 }
 
-std::string write_fleet(const Wanted &wanted) {
+std::string write_fleet(const DesiredState &desired) {
     std::ostringstream out;
     out.precision(17);
-    out << "[fleet]\nversion = " << wanted.version << "\nnodes = " << wanted.nodes.size()
-        << "\nplans = " << wanted.plans.size() << "\nvolumes = " << wanted.volumes.size() << "\n";
-    for (auto &[name, p] : wanted.plans) {
+    out << "[fleet]\nversion = " << desired.version << "\nnodes = " << desired.nodes.size()
+        << "\nplans = " << desired.plans.size() << "\nvolumes = " << desired.volumes.size() << "\n";
+    for (auto &[name, p] : desired.plans) {
         out << "\n[plan " << name << "]\nweight = " << p.weight << "\nusual = " << p.usual
             << "\nreserve = " << p.reserve << "\nprice = " << p.price << "\n";
         if (p.rate > 0)
             out << "limit = " << p.rate << "\nburst = " << p.burst << "\n";
     }
-    for (auto &[id, v] : wanted.volumes)
+    for (auto &[id, v] : desired.volumes)
         out << "\n[volume " << v.fact.name << "]\nid = " << id.value << "\nsize = " << v.fact.size
             << "\nalign = " << v.fact.least << "\nplan = " << v.plan << "\n";
-    for (auto &[id, n] : wanted.nodes) {
+    for (auto &[id, n] : desired.nodes) {
         out << "\n[node " << id.value << "]\nshard = " << n.shard.value
             << "\nzone = " << n.zone.value << "\nstate = " << (n.draining ? "draining" : "ready")
             << "\n";
         if (!n.address.empty())
             out << "address = " << n.address << "\n";
     }
-    out << "\n[end]\nversion = " << wanted.version << "\n";
+    out << "\n[end]\nversion = " << desired.version << "\n";
     return out.str();
 }
 
--- a/src/planner/desired_state_files.hpp
+++ b/src/planner/desired_state_files.hpp
@@ -20,9 +20,9 @@
 
 // The fleet's nodes, plans and volumes. A file that is cut short, counts wrong or contradicts
 // itself adds faults and must not be used; `name` is what faults call it.
-Wanted read_fleet(const std::string &name, const std::string &text,
-                  std::vector<std::string> &faults);
+DesiredState read_fleet(const std::string &name, const std::string &text,
+                        std::vector<std::string> &faults);
 // The text that read_fleet reads.
-std::string write_fleet(const Wanted &wanted);
+std::string write_fleet(const DesiredState &desired);
 
 } // namespace knotvane::planner
--- a/src/planner/membership.cpp
+++ b/src/planner/membership.cpp
@@ -11,12 +11,12 @@
 constexpr Time unvouched = 5;
 } // namespace
 
-Leases::Stage Leases::stage(EdgeId edge) const {
+LeaseTable::Stage LeaseTable::stage(EdgeId edge) const {
     auto it = until_.find(edge);
     return it == until_.end() ? Stage::forgotten : it->second.stage;
 }
 
-void Leases::pass(Time now, const std::function<void(EdgeId, Stage)> &call) {
+void LeaseTable::pass(Time now, const std::function<void(EdgeId, Stage)> &call) {
     for (auto it = until_.begin(); it != until_.end();) {
         auto &[edge, e] = *it;
         if (e.stage == Stage::held && now > e.until) {
@@ -32,21 +32,21 @@
         ++it;
     }
 }
-Time Leases::next_due() const {
+Time LeaseTable::next_due() const {
     Time due = never;
     for (auto &[edge, e] : until_)
         due = std::min(due, (e.stage == Stage::held ? e.until : e.until + fade_) + 1);
     return due;
 }
-std::size_t Leases::held() const {
+std::size_t LeaseTable::held() const {
     std::size_t n = 0;
     for (auto &[edge, e] : until_)
         n += e.stage == Stage::held;
     return n;
 }
 
-void Presence::heard(Time now, const std::string &address, std::uint64_t incarnation,
-                     Time started) {
+void NodeLiveness::heard(Time now, const std::string &address, std::uint64_t incarnation,
+                         Time started) {
     bool another = incarnation != incarnation_ || !ever_heard();
     heard_ = now, address_ = address;
     // What edges met was the life before. Of one life the first start told stays: told again it
@@ -56,16 +56,16 @@
         in_ = true, bad_ = good_ = false, unreached_.clear(), reached_.clear();
     }
 }
-void Presence::assume(Time now, const std::string &address, std::uint64_t incarnation,
-                      Time started) {
+void NodeLiveness::assume(Time now, const std::string &address, std::uint64_t incarnation,
+                          Time started) {
     heard_ = now, address_ = address, incarnation_ = incarnation, started_ = started, in_ = true;
 }
-void Presence::witness(EdgeId edge, bool reached) {
+void NodeLiveness::witness(EdgeId edge, bool reached) {
     (reached ? unreached_ : reached_).erase(edge);
     (reached ? reached_ : unreached_).insert(edge);
 }
 
-bool Presence::in(Time now, std::size_t edges) {
+bool NodeLiveness::in(Time now, std::size_t edges) {
     if (!ever_heard())
         return false;
     bool silent = now - heard_ > silent_for_;
@@ -94,13 +94,13 @@
     }
     return in_;
 }
-bool Presence::to_ask(Time now) {
+bool NodeLiveness::to_ask(Time now) {
     if (!in_ || good_ || !ever_heard() || now - asked_ < ask_every)
         return false;
     asked_ = now;
     return true;
 }
-Time Presence::next_due() const {
+Time NodeLiveness::next_due() const {
     if (!ever_heard())
         return never;
     if (in_)
--- a/src/planner/membership.hpp
+++ b/src/planner/membership.hpp
@@ -17,12 +17,12 @@
 using control::Version;
 
 // Edges' rights to their parts, as the planner has to count them.
-class Leases {
+class LeaseTable {
 public:
     enum class Stage { held, lapsed, forgotten };
     // `lease`: from the edge's own sending on; here it runs `margin` longer, for clocks that run
     // unlike. `fade`: how much longer a lapsed edge keeps a piece.
-    Leases(Time lease, Time margin, Time fade) : lease_(lease), margin_(margin), fade_(fade) {}
+    LeaseTable(Time lease, Time margin, Time fade) : lease_(lease), margin_(margin), fade_(fade) {}
     // An edge that may hold parts from before this planner's life, renewed by then at the latest.
     void known(EdgeId edge, Time now, bool lapsed) {
         until_[edge] = {now + lease_ + margin_, lapsed ? Stage::lapsed : Stage::held};
@@ -47,12 +47,12 @@
 };
 
 // One node's life as the planner makes it out.
-class Presence {
+class NodeLiveness {
 public:
     // `silent_for`: how long a registration lasts without word. `out_after`: how long a node must
     // be both silent and out of reach before it is out; `back_after`: how long it must be heard
     // before it is in again, times how often it went out within `memory`.
-    Presence(Time silent_for, Time out_after, Time back_after, Time memory)
+    NodeLiveness(Time silent_for, Time out_after, Time back_after, Time memory)
         : silent_for_(silent_for), out_after_(out_after), back_after_(back_after), memory_(memory) {
     }
     // `started`: when its process did. Another life is in at once, and cold for all.
--- a/src/planner/quota_allocation.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -5,8 +5,8 @@
 
 namespace knotvane::planner {
 
-void Parts::restore(VolumeId volume, EdgeId edge, std::uint32_t part, std::uint32_t bound,
-                    Version since, bool serves, bool lapsed) {
+void QuotaAllocation::restore(VolumeId volume, EdgeId edge, std::uint32_t part, std::uint32_t bound,
+                              Version since, bool serves, bool lapsed) {
     volumes_[volume][edge] = {part, bound, since, serves};
     if (lapsed)
         lapsed_.insert(edge);
@@ -15,13 +15,13 @@
         unsettled_[edge].insert(volume);
     dirty_.insert(volume);
 }
-void Parts::unknown(std::uint32_t bound) {
+void QuotaAllocation::unknown(std::uint32_t bound) {
     unknown_ = bound;
     for (auto &[v, holds] : volumes_)
         dirty_.insert(v);
 }
 
-void Parts::serve(VolumeId volume, EdgeId edge, bool on) {
+void QuotaAllocation::serve(VolumeId volume, EdgeId edge, bool on) {
     auto it = volumes_.find(volume);
     if (!on && (it == volumes_.end() || !it->second.contains(edge)))
         return;
@@ -30,7 +30,7 @@
     if (std::exchange(hold.serves, on) != on)
         dirty_.insert(volume);
 }
-std::vector<VolumeId> Parts::served_by(EdgeId edge) const {
+std::vector<VolumeId> QuotaAllocation::served_by(EdgeId edge) const {
     std::vector<VolumeId> out;
     if (auto it = of_edge_.find(edge); it != of_edge_.end())
         for (auto v : it->second)
@@ -39,7 +39,7 @@
     return out;
 }
 
-void Parts::acked(EdgeId edge, Version version) {
+void QuotaAllocation::acked(EdgeId edge, Version version) {
     auto &open = unsettled_[edge];
     for (auto it = open.begin(); it != open.end();) {
         auto &hold = volumes_.at(*it).at(edge);
@@ -53,25 +53,25 @@
     }
 }
 
-bool Parts::lapsed(EdgeId edge) {
+bool QuotaAllocation::lapsed(EdgeId edge) {
     bool fell = false;
     if (!lapsed_.insert(edge).second)
         return false;
     for (auto v : of_edge_[edge]) {
         auto &hold = volumes_.at(v).at(edge);
-        hold.bound = control::usable(hold.bound, 1, 1);
+        hold.bound = control::usable_millionths(hold.bound, 1, 1);
         fell |= hold.part > hold.bound;
         dirty_.insert(v);
     }
     return fell;
 }
-void Parts::back(EdgeId edge) {
+void QuotaAllocation::back(EdgeId edge) {
     if (lapsed_.erase(edge) == 0)
         return;
     for (auto v : of_edge_[edge])
         dirty_.insert(v);
 }
-void Parts::forgotten(EdgeId edge) {
+void QuotaAllocation::forgotten(EdgeId edge) {
     for (auto v : of_edge_[edge]) {
         auto &hold = volumes_.at(v).at(edge);
         hold.bound = 0, hold.serves = false;
@@ -81,14 +81,14 @@
     lapsed_.erase(edge);
 }
 
-std::uint64_t Parts::bound(VolumeId volume) const {
+std::uint64_t QuotaAllocation::bound(VolumeId volume) const {
     std::uint64_t sum = unknown_;
     if (auto it = volumes_.find(volume); it != volumes_.end())
         for (auto &[e, h] : it->second)
             sum += h.bound;
     return sum;
 }
-std::uint32_t Parts::hosts(VolumeId volume) const {
+std::uint32_t QuotaAllocation::sharers(VolumeId volume) const {
     std::uint32_t n = 0;
     if (auto it = volumes_.find(volume); it != volumes_.end())
         for (auto &[e, h] : it->second)
@@ -96,10 +96,10 @@
     return n;
 }
 
-void Parts::share(VolumeId volume, std::map<EdgeId, Hold> &holds, Version version) {
+void QuotaAllocation::share(VolumeId volume, std::map<EdgeId, Hold> &holds, Version version) {
     // What can't be parted: the unknown, those that were released and have not said so, those that
     // lapsed.
-    std::uint32_t apart = unknown_, sharing = hosts(volume);
+    std::uint32_t apart = unknown_, sharing = sharers(volume);
     for (auto &[edge, h] : holds) {
         if (h.serves && !is_lapsed(edge))
             continue;
@@ -131,23 +131,23 @@
     }
 }
 
-void Parts::part_out(Version version,
-                     const std::function<void(VolumeId, EdgeId, const control::Part &)> &tell,
-                     const std::function<void(VolumeId, EdgeId, const Hold *)> &keep) {
+void QuotaAllocation::allocate(
+    Version version, const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &tell,
+    const std::function<void(VolumeId, EdgeId, const Hold *)> &keep) {
     for (auto volume : std::exchange(dirty_, {})) {
         auto it = volumes_.find(volume);
         if (it == volumes_.end())
             continue;
         auto &holds = it->second;
         share(volume, holds, version);
-        auto n = hosts(volume);
+        auto n = sharers(volume);
         for (auto h = holds.begin(); h != holds.end();) {
             auto &[edge, hold] = *h;
             if (hold.bound > hold.part)
                 unsettled_[edge].insert(volume);
-            control::Part part{hold.part, n};
+            control::QuotaShare part{hold.part, n};
             if (!hold.serves)
-                part.hosts = 0;
+                part.sharers = 0;
             auto &told = told_[{volume, edge}];
             if (told != part)
                 told = part, tell(volume, edge, part);
--- a/src/planner/quota_allocation.hpp
+++ b/src/planner/quota_allocation.hpp
@@ -16,7 +16,7 @@
 using control::EdgeId;
 using control::Version;
 
-class Parts {
+class QuotaAllocation {
 public:
     // An edge's part, and what it may still go by: never less than the part.
     struct Hold {
@@ -45,12 +45,12 @@
 
     // Parts out what is due; `version` tells it. Calls for each part that changes, and for each
     // hold to be kept. Volumes' cost only where something changed.
-    void part_out(Version version,
-                  const std::function<void(VolumeId, EdgeId, const control::Part &)> &tell,
+    void allocate(Version version,
+                  const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &tell,
                   const std::function<void(VolumeId, EdgeId, const Hold *)> &keep);
     // What all edges together may go by.
     std::uint64_t bound(VolumeId volume) const;
-    std::uint32_t hosts(VolumeId volume) const;
+    std::uint32_t sharers(VolumeId volume) const;
     // The edge's right ran out; it has a piece of what it had.
     bool is_lapsed(EdgeId edge) const { return lapsed_.contains(edge); }
     const std::map<VolumeId, std::map<EdgeId, Hold>> &all() const { return volumes_; }
@@ -63,7 +63,7 @@
     std::map<EdgeId, std::set<VolumeId>> unsettled_; // holds whose bound is past the part
     std::set<VolumeId> dirty_;
     std::set<EdgeId> lapsed_;
-    std::map<std::pair<VolumeId, EdgeId>, control::Part> told_;
+    std::map<std::pair<VolumeId, EdgeId>, control::QuotaShare> told_;
     std::uint32_t unknown_ = 0;
 };
 
--- a/src/planner/server.cpp
+++ b/src/planner/server.cpp
@@ -28,10 +28,10 @@
             if (from == From::rebuild) {
                 auto aside = path + ".aside";
                 if (std::rename(path.c_str(), aside.c_str()) == 0)
-                    say("store put aside as " + aside);
+                    log_event("store put aside as " + aside);
                 std::remove((path + "-journal").c_str());
             }
-            store_ = std::make_unique<Store>(path);
+            store_ = std::make_unique<SqliteStateStore>(path);
             // Guards against a store that went missing: taken for a first start, its planner would
             // give out anew what edges still have.
             if (from == From::store && store_->is_new())
@@ -68,13 +68,13 @@
         std::make_unique<loop::Listener>(loop_, listen, [this](std::shared_ptr<loop::Socket> s) {
             SessionId id{++next_session_};
             sessions_.add(id, s);
-            s->on_bytes = [this, id](std::string_view in) { core_->bytes(loop::now(), id, in); };
+            s->on_bytes = [this, id](std::string_view in) { core_->received(loop::now(), id, in); };
             s->on_gone = [this, id](loop::Gone) {
                 sessions_.remove(id);
-                core_->gone(loop::now(), id);
+                core_->disconnected(loop::now(), id);
             };
             s->start();
-            core_->came(loop::now(), id);
+            core_->connected(loop::now(), id);
         });
     loop_.at_end([this] { return end_of_moment(); });
     log::line(log::info, "planner serves",
@@ -94,12 +94,12 @@
     std::vector<std::string> faults;
     if (!fault.empty())
         faults.push_back(fault);
-    Wanted wanted;
+    DesiredState desired;
     if (faults.empty())
-        wanted = read_fleet(fleet_path_, text, faults);
+        desired = read_fleet(fleet_path_, text, faults);
     if (faults.empty()) {
         std::vector<std::pair<int, std::string>> refused;
-        core_->want(loop::now(), wanted, refused);
+        core_->apply_desired_state(loop::now(), desired, refused);
         for (auto &[line, what] : refused)
             faults.push_back(fleet_path_ + ":" + std::to_string(line) + ": " + what);
     }
@@ -133,9 +133,9 @@
         return;
     s->close_when_sent();
     // Told later: this may come in the middle of the side's own bytes.
-    loop_.post([this, id] { core_->gone(loop::now(), id); });
+    loop_.post([this, id] { core_->disconnected(loop::now(), id); });
 }
-void Server::say(std::string text) {
+void Server::log_event(std::string text) {
     log::line(log::warn, text, {{"part", "planner"}});
 }
 void Server::retired() {
--- a/src/planner/server.hpp
+++ b/src/planner/server.hpp
@@ -14,7 +14,7 @@
 
 namespace knotvane::planner {
 
-class Server final : public Shell {
+class Server final : public PlannerTransport {
 public:
     // `first`: there is no store yet, and never was. `rebuild`: the store is lost or damaged; it is
     // put aside and a new one made, which settings and edges fill.
@@ -28,9 +28,9 @@
     // Called once when another planner is followed.
     std::function<void()> on_retired;
 
-    void send(SessionId side, std::string bytes) override;
-    void close(SessionId side) override;
-    void say(std::string text) override;
+    void send(SessionId session, std::string bytes) override;
+    void close(SessionId session) override;
+    void log_event(std::string text) override;
     void retired() override;
 
 private:
@@ -39,7 +39,7 @@
     loop::Loop &loop_;
     std::string fleet_path_, last_text_, last_fault_;
     Time read_at_;
-    std::unique_ptr<Store> store_;
+    std::unique_ptr<SqliteStateStore> store_;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Watch> watch_;
--- a/src/planner/session.hpp
+++ b/src/planner/session.hpp
@@ -31,8 +31,8 @@
 
     Session(Core &c, SessionId i) : core(c), id(i) {}
 
-    bool expect(Role wanted, const char *what) {
-        if (role == wanted)
+    bool expect(Role desired, const char *what) {
+        if (role == desired)
             return true;
         unexpected(what);
         return false;
@@ -53,11 +53,11 @@
     }
     void serve(VolumeId volume, bool on) override {
         if (expect(Role::edge, "a volume served"))
-            core.parts_.serve(volume, edge, on);
+            core.allocation_.serve(volume, edge, on);
     }
     void witness(NodeId n, bool reached) override {
         if (expect(Role::edge, "a witness"))
-            if (auto it = core.presence_.find(n); it != core.presence_.end())
+            if (auto it = core.liveness_.find(n); it != core.liveness_.end())
                 it->second.witness(edge, reached);
     }
     void superseded(Term term) override {
@@ -71,12 +71,12 @@
     }
     void node_renew() override {
         if (expect(Role::node, "a node's renewal"))
-            core.presence(node).renewed(core.now_);
+            core.liveness(node).renewed(core.now_);
     }
     void status_asked() override {
         role = role == Role::unknown ? Role::visitor : role;
         if (expect(Role::visitor, "an ask for status"))
-            core.shell_.send(id, control::status(core.status_json(core.now_)));
+            core.transport_.send(id, control::status(core.status_json(core.now_)));
     }
     void drain_asked(NodeId n, bool draining, std::uint8_t how) override {
         role = role == Role::unknown ? Role::visitor : role;
@@ -92,11 +92,11 @@
     void cut_told(VolumeId as, control::SnapshotStep step, std::uint8_t how,
                   control::EdgeIncarnation incarnation) override {
         if (role == Role::edge)
-            return core.cuts_.edge_told(core.now_, edge, incarnation, as, step);
+            return core.snapshots_.edge_told(core.now_, edge, incarnation, as, step);
         if (!expect(Role::node, "a step of a cut"))
             return;
-        if (auto w = core.wanted_.nodes.find(node); w != core.wanted_.nodes.end())
-            core.cuts_.node_told(core.now_, node, w->second.shard, as, step, how);
+        if (auto w = core.desired_.nodes.find(node); w != core.desired_.nodes.end())
+            core.snapshots_.node_told(core.now_, node, w->second.shard, as, step, how);
     }
     void diff_told(std::uint64_t question, const std::vector<std::uint64_t> &ranges,
                    bool more) override {
--- a/src/planner/snapshot_coordinator.cpp
+++ b/src/planner/snapshot_coordinator.cpp
@@ -45,8 +45,8 @@
 
 } // namespace
 
-void Cuts::begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch,
-                     std::set<EdgeId> edges, std::set<NodeId> nodes) {
+void SnapshotCoordinator::begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch,
+                                    std::set<EdgeId> edges, std::set<NodeId> nodes) {
     auto &a = attempts_[as];
     a.of = of, a.epoch = epoch, a.began = now, a.until = now + ready_time;
     a.asked = a.waited = std::move(edges), a.nodes = std::move(nodes);
@@ -54,7 +54,7 @@
         orders_.hold(e, of, as, epoch, hold_time);
     step(now, as, a);
 }
-void Cuts::begin_clone(Time now, VolumeId of, VolumeId as, std::set<NodeId> nodes) {
+void SnapshotCoordinator::begin_clone(Time now, VolumeId of, VolumeId as, std::set<NodeId> nodes) {
     auto &a = attempts_[as];
     a.of = of, a.phase = Phase::cloning, a.began = now, a.until = now + clone_time;
     a.nodes = a.missing = std::move(nodes);
@@ -62,7 +62,7 @@
         orders_.clone(n, of, as);
 }
 
-void Cuts::open(Time now, VolumeId as, Attempt &a) {
+void SnapshotCoordinator::open(Time now, VolumeId as, Attempt &a) {
     a.phase = Phase::opening, a.until = a.began + open_time;
     a.missing = a.nodes;
     // Whoever has not stopped is not among these, and so can't change the cut: not a slow edge, not
@@ -79,7 +79,7 @@
     step(now, as, a);
 }
 // Goes on to the next phase where this one has all it waits for.
-void Cuts::step(Time now, VolumeId as, Attempt &a) {
+void SnapshotCoordinator::step(Time now, VolumeId as, Attempt &a) {
     switch (a.phase) {
     case Phase::holding:
         if (a.waited.empty())
@@ -115,7 +115,7 @@
         orders_.whole(as);
     }
 }
-void Cuts::fail(VolumeId as, const std::string &why, bool again) {
+void SnapshotCoordinator::fail(VolumeId as, const std::string &why, bool again) {
     auto node = attempts_.extract(as);
     auto &a = node.mapped();
     if (a.phase == Phase::holding || a.phase == Phase::opening)
@@ -124,8 +124,8 @@
     orders_.failed(as, why, again);
 }
 
-void Cuts::edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as,
-                     SnapshotStep what) {
+void SnapshotCoordinator::edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation,
+                                    VolumeId as, SnapshotStep what) {
     auto it = attempts_.find(as);
     if (it == attempts_.end())
         return;
@@ -163,8 +163,8 @@
     }
     step(now, as, a);
 }
-void Cuts::node_told(Time now, NodeId node, ShardId shard, VolumeId as, SnapshotStep what,
-                     std::uint8_t how) {
+void SnapshotCoordinator::node_told(Time now, NodeId node, ShardId shard, VolumeId as,
+                                    SnapshotStep what, std::uint8_t how) {
     constexpr std::uint8_t done = 0, exists = 1, full = 3;
     if (what == SnapshotStep::dropped) {
         auto u = undo_.find(as);
@@ -196,7 +196,7 @@
     step(now, as, a);
 }
 
-void Cuts::edge_gone(Time now, EdgeId edge) {
+void SnapshotCoordinator::edge_gone(Time now, EdgeId edge) {
     std::vector<VolumeId> of;
     for (auto &[as, a] : attempts_)
         if (a.asked.contains(edge))
@@ -213,7 +213,7 @@
         }
     }
 }
-void Cuts::node_gone(Time, NodeId node) {
+void SnapshotCoordinator::node_gone(Time, NodeId node) {
     std::vector<VolumeId> of;
     for (auto &[as, a] : attempts_)
         if (a.nodes.contains(node))
@@ -224,16 +224,16 @@
         fail(as, "node " + std::to_string(node.value) + " was lost on the way", true);
 }
 
-void Cuts::undo(VolumeId as, std::set<ShardId> shards) {
+void SnapshotCoordinator::undo(VolumeId as, std::set<ShardId> shards) {
     undo_[as] = std::move(shards);
     undo_again_ = 0; // at the next tick
 }
-void Cuts::node_came(NodeId node, ShardId shard) {
+void SnapshotCoordinator::node_came(NodeId node, ShardId shard) {
     for (auto &[as, left] : undo_)
         if (left.contains(shard))
             orders_.drop(node, as);
 }
-void Cuts::shards(const std::set<ShardId> &all) {
+void SnapshotCoordinator::shards(const std::set<ShardId> &all) {
     for (auto it = undo_.begin(); it != undo_.end();) {
         std::erase_if(it->second, [&](ShardId s) { return !all.contains(s); });
         auto as = it->first;
@@ -244,13 +244,13 @@
     }
 }
 
-Time Cuts::next_due() const {
+Time SnapshotCoordinator::next_due() const {
     Time due = std::numeric_limits<Time>::max();
     for (auto &[as, a] : attempts_)
         due = std::min(due, a.until);
     return undo_.empty() ? due : std::min(due, undo_again_);
 }
-void Cuts::tick(Time now, const std::map<NodeId, ShardId> &connected) {
+void SnapshotCoordinator::tick(Time now, const std::map<NodeId, ShardId> &connected) {
     std::vector<VolumeId> late;
     for (auto &[as, a] : attempts_)
         if (now >= a.until)
@@ -273,7 +273,7 @@
         node_came(node, shard);
 }
 
-std::map<VolumeId, std::string> Cuts::under_way() const {
+std::map<VolumeId, std::string> SnapshotCoordinator::under_way() const {
     std::map<VolumeId, std::string> out;
     for (auto &[as, a] : attempts_) {
         auto waits = a.missing.empty() ? list(a.waited) : list(a.missing);
--- a/src/planner/snapshot_coordinator.hpp
+++ b/src/planner/snapshot_coordinator.hpp
@@ -21,7 +21,7 @@
 using control::EdgeId;
 using control::SnapshotStep;
 
-class Cuts {
+class SnapshotCoordinator {
 public:
     // What is asked of edges and nodes, and how a cut ended. `whole`: sealed at every node, to be
     // made durable. `failed`: why; it is to be undone. `again`: the reason may have passed.
@@ -40,7 +40,7 @@
         // Nothing of it is left at any node.
         virtual void undone(VolumeId as) = 0;
     };
-    explicit Cuts(Orders &orders) : orders_(orders) {}
+    explicit SnapshotCoordinator(Orders &orders) : orders_(orders) {}
 
     // `edges`: all that are connected; `nodes`: one or more of each shard, connected. Durable
     // before it is called: that `as` may have to be undone.
--- a/src/planner/sqlite_state_store.cpp
+++ b/src/planner/sqlite_state_store.cpp
@@ -33,15 +33,15 @@
 
 } // namespace
 
-void Store::fail(const std::string &what) const {
+void SqliteStateStore::fail(const std::string &what) const {
     throw std::runtime_error("planner's store " + path_ + ": " + what);
 }
 
-void Store::run(const char *sql) {
+void SqliteStateStore::run(const char *sql) {
     if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
         throw std::runtime_error(sqlite3_errmsg(db_));
 }
-sqlite3_stmt *Store::prepare(const char *sql) {
+sqlite3_stmt *SqliteStateStore::prepare(const char *sql) {
     sqlite3_stmt *s = nullptr;
     if (sqlite3_prepare_v2(db_, sql, -1, &s, nullptr) != SQLITE_OK)
         throw std::runtime_error(sqlite3_errmsg(db_));
@@ -49,7 +49,7 @@
     return s;
 }
 
-Store::Store(const std::string &path, const char *vfs) : path_(path) {
+SqliteStateStore::SqliteStateStore(const std::string &path, const char *vfs) : path_(path) {
     try {
         // SQLite takes a file of a few bytes for an empty one.
         std::error_code none;
@@ -89,13 +89,13 @@
         fail(what);
     }
 }
-Store::~Store() {
+SqliteStateStore::~SqliteStateStore() {
     for (auto *s : statements_)
         sqlite3_finalize(s);
     sqlite3_close_v2(db_);
 }
 
-void Store::load(const std::string &) {
+void SqliteStateStore::load(const std::string &) {
     auto *check = prepare("PRAGMA quick_check(1)");
     if (sqlite3_step(check) != SQLITE_ROW ||
         std::strcmp(reinterpret_cast<const char *>(sqlite3_column_text(check, 0)), "ok") != 0)
@@ -138,8 +138,8 @@
     sqlite3_reset(meta);
 }
 
-void Store::rows(const std::function<void(Row, std::uint64_t, std::uint64_t, Version,
-                                          std::string_view)> &call) const {
+void SqliteStateStore::rows(const std::function<void(Row, std::uint64_t, std::uint64_t, Version,
+                                                     std::string_view)> &call) const {
     sqlite3_stmt *s = nullptr;
     if (sqlite3_prepare_v2(db_, "SELECT kind, a, b, stamp, body FROM rows ORDER BY kind, a, b", -1,
                            &s, nullptr) != SQLITE_OK)
@@ -155,15 +155,16 @@
         throw std::runtime_error(sqlite3_errmsg(db_));
 }
 
-void Store::keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string body) {
+void SqliteStateStore::keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+                            std::string body) {
     gathered_[{row, a, b}] = {true, stamp, std::move(body)};
 }
-void Store::drop(Row row, std::uint64_t a, std::uint64_t b) {
+void SqliteStateStore::drop(Row row, std::uint64_t a, std::uint64_t b) {
     gathered_[{row, a, b}] = {false, {}, {}};
 }
 
-bool Store::commit(Term term, std::uint64_t lineage, Version version, Version oldest,
-                   std::uint64_t settings) {
+bool SqliteStateStore::commit(Term term, std::uint64_t lineage, Version version, Version oldest,
+                              std::uint64_t settings) {
     std::map<Key, std::uint64_t>
         fresh; // only what changes: a commit costs by that, not by all there is
     auto all = all_;
--- a/src/planner/sqlite_state_store.hpp
+++ b/src/planner/sqlite_state_store.hpp
@@ -17,14 +17,14 @@
 
 namespace knotvane::planner {
 
-class Store final : public StateStore {
+class SqliteStateStore final : public StateStore {
 public:
     // Opens or makes the file. Throws std::runtime_error with one line: what is wrong, where, what
     // is expected. A store that another process has open is that, and so is one that is damaged.
     // `vfs`: SQLite's name of the file layer, for tests.
-    explicit Store(const std::string &path, const char *vfs = nullptr);
-    ~Store() override;
-    Store(const Store &) = delete;
+    explicit SqliteStateStore(const std::string &path, const char *vfs = nullptr);
+    ~SqliteStateStore() override;
+    SqliteStateStore(const SqliteStateStore &) = delete;
 
     // Nothing was ever committed to it.
     bool is_new() const { return term_ == Term{0}; }
--- a/src/planner/versioned_state.cpp
+++ b/src/planner/versioned_state.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t most_changes = 1 << 16;
 } // namespace
 
-void State::stamp(const Key &key) {
+void VersionedState::stamp(const Key &key) {
     auto &to = key.kind == Kind::part ? own_[EdgeId{key.edge}] : common_;
     auto at = next();
     if (auto it = to.at.find(key); it != to.at.end())
@@ -30,10 +30,11 @@
     to.order.erase(first);
 }
 
-void State::put_part(EdgeId edge, VolumeId volume, const control::Part &part) {
-    auto &mine = parts_[edge];
+void VersionedState::put_quota_share(EdgeId edge, VolumeId volume,
+                                     const control::QuotaShare &part) {
+    auto &mine = allocation_[edge];
     auto it = mine.find(volume);
-    if (part == control::Part{}) {
+    if (part == control::QuotaShare{}) {
         if (it == mine.end())
             return;
         mine.erase(it);
@@ -44,25 +45,25 @@
     }
     stamp({Kind::part, edge.value, volume.value});
 }
-void State::drop(NodeId id) {
-    if (!table_.nodes.contains(id))
+void VersionedState::drop(NodeId id) {
+    if (!cluster_state_.nodes.contains(id))
         return;
-    table_.drop(id);
+    cluster_state_.drop(id);
     stamp({Kind::node, 0, id.value});
 }
-void State::drop(PlanId id) {
-    if (!table_.plans.contains(id))
+void VersionedState::drop(PlanId id) {
+    if (!cluster_state_.plans.contains(id))
         return;
-    table_.drop(id);
+    cluster_state_.drop(id);
     stamp({Kind::plan, 0, id.value});
 }
-void State::drop_volume(VolumeId id) {
-    if (!table_.volumes.contains(id))
+void VersionedState::drop_volume(VolumeId id) {
+    if (!cluster_state_.volumes.contains(id))
         return;
-    table_.drop_volume(id);
+    cluster_state_.drop_volume(id);
     stamp({Kind::volume, 0, id.value});
 }
-bool State::close() {
+bool VersionedState::close() {
     if (changed_.empty())
         return false;
     version_ = next();
@@ -70,54 +71,55 @@
     return true;
 }
 
-const control::Part *State::part(EdgeId edge, VolumeId volume) const {
-    auto e = parts_.find(edge);
-    if (e == parts_.end())
+const control::QuotaShare *VersionedState::part(EdgeId edge, VolumeId volume) const {
+    auto e = allocation_.find(edge);
+    if (e == allocation_.end())
         return nullptr;
     auto it = e->second.find(volume);
     return it == e->second.end() ? nullptr : &it->second;
 }
-bool State::has(const Key &key) const {
+bool VersionedState::has(const Key &key) const {
     switch (key.kind) {
     case Kind::plan:
-        return table_.plans.contains(PlanId{static_cast<std::uint32_t>(key.id)});
+        return cluster_state_.plans.contains(PlanId{static_cast<std::uint32_t>(key.id)});
     case Kind::volume:
-        return table_.volumes.contains(VolumeId{key.id});
+        return cluster_state_.volumes.contains(VolumeId{key.id});
     case Kind::node:
-        return table_.nodes.contains(NodeId{key.id});
+        return cluster_state_.nodes.contains(NodeId{key.id});
     case Kind::part:
         return part(EdgeId{key.edge}, VolumeId{key.id}) != nullptr;
     }
     return false;
 }
 
-void State::tell(const Key &key, std::string &out) const {
+void VersionedState::tell(const Key &key, std::string &out) const {
     bool there = has(key);
     switch (key.kind) {
     case Kind::plan: {
         PlanId id{static_cast<std::uint32_t>(key.id)};
-        out += there ? control::put(id, table_.plans.at(id)) : control::drop(id);
+        out += there ? control::put(id, cluster_state_.plans.at(id)) : control::drop(id);
         break;
     }
     case Kind::volume: {
         VolumeId id{key.id};
-        out += there ? control::put(id, table_.volumes.at(id)) : control::drop_volume(id);
+        out += there ? control::put(id, cluster_state_.volumes.at(id)) : control::drop_volume(id);
         break;
     }
     case Kind::node: {
         NodeId id{key.id};
-        out += there ? control::put(id, table_.nodes.at(id)) : control::drop(id);
+        out += there ? control::put(id, cluster_state_.nodes.at(id)) : control::drop(id);
         break;
     }
     case Kind::part: {
         VolumeId id{key.id};
-        out += there ? control::put(id, *part(EdgeId{key.edge}, id)) : control::drop_part(id);
+        out +=
+            there ? control::put(id, *part(EdgeId{key.edge}, id)) : control::drop_quota_share(id);
         break;
     }
     }
 }
 
-std::uint64_t State::news(EdgeId edge, Version &from, std::string &out) const {
+std::uint64_t VersionedState::news(EdgeId edge, Version &from, std::string &out) const {
     auto own = own_.find(edge);
     if (from != Version{0} && from >= oldest_ && from <= version_) {
         // What it missed, each fact once however often it changed; the whole, if that is shorter.
@@ -130,7 +132,8 @@
                  ++it)
                 missed.push_back(it->second);
         std::sort(missed.begin(), missed.end());
-        if (missed.size() <= table_.nodes.size() + table_.plans.size() + table_.volumes.size()) {
+        if (missed.size() <= cluster_state_.nodes.size() + cluster_state_.plans.size() +
+                                 cluster_state_.volumes.size()) {
             for (auto &key : missed)
                 tell(key, out);
             return missed.size();
@@ -138,13 +141,13 @@
     }
     from = Version{0};
     std::uint64_t count = 0;
-    for (auto &[id, p] : table_.plans)
+    for (auto &[id, p] : cluster_state_.plans)
         out += control::put(id, p), ++count;
-    for (auto &[id, v] : table_.volumes)
+    for (auto &[id, v] : cluster_state_.volumes)
         out += control::put(id, v), ++count;
-    for (auto &[id, n] : table_.nodes)
+    for (auto &[id, n] : cluster_state_.nodes)
         out += control::put(id, n), ++count;
-    if (auto mine = parts_.find(edge); mine != parts_.end())
+    if (auto mine = allocation_.find(edge); mine != allocation_.end())
         for (auto &[id, p] : mine->second)
             out += control::put(id, p), ++count;
     return count;
--- a/src/planner/versioned_state.hpp
+++ b/src/planner/versioned_state.hpp
@@ -17,7 +17,7 @@
 using control::EdgeId;
 using control::Version;
 
-class State {
+class VersionedState {
 public:
     // A fact's kind and id; of parts the edge, too. Its order is that in which facts are told: what
     // others name comes first.
@@ -37,10 +37,10 @@
         auto &to = map_of(id, fact);
         if (auto it = to.find(id); it != to.end() && it->second == fact)
             return;
-        table_.put(id, fact);
+        cluster_state_.put(id, fact);
         stamp(key_of(id, fact));
     }
-    void put_part(EdgeId edge, VolumeId volume, const control::Part &part);
+    void put_quota_share(EdgeId edge, VolumeId volume, const control::QuotaShare &part);
     void drop(NodeId id);
     void drop(PlanId id);
     void drop_volume(VolumeId id);
@@ -60,17 +60,21 @@
     // from before what is remembered: the whole, and `from` becomes 0.
     std::uint64_t news(EdgeId edge, Version &from, std::string &out) const;
 
-    const control::ClusterState &table() const { return table_; }
-    const control::Part *part(EdgeId edge, VolumeId volume) const;
+    const control::ClusterState &cluster_state() const { return cluster_state_; }
+    const control::QuotaShare *part(EdgeId edge, VolumeId volume) const;
     // Keys changed in the version that is open.
     const std::set<Key> &changed() const { return changed_; }
     bool has(const Key &key) const;
 
 private:
-    std::map<NodeId, control::Node> &map_of(NodeId, const control::Node &) { return table_.nodes; }
-    std::map<PlanId, control::Plan> &map_of(PlanId, const control::Plan &) { return table_.plans; }
+    std::map<NodeId, control::Node> &map_of(NodeId, const control::Node &) {
+        return cluster_state_.nodes;
+    }
+    std::map<PlanId, control::Plan> &map_of(PlanId, const control::Plan &) {
+        return cluster_state_.plans;
+    }
     std::map<VolumeId, control::Volume> &map_of(VolumeId, const control::Volume &) {
-        return table_.volumes;
+        return cluster_state_.volumes;
     }
     static Key key_of(NodeId id, const control::Node &) { return {Kind::node, 0, id.value}; }
     static Key key_of(PlanId id, const control::Plan &) { return {Kind::plan, 0, id.value}; }
@@ -78,8 +82,8 @@
     void stamp(const Key &key);
     void tell(const Key &key, std::string &out) const;
 
-    control::ClusterState table_; // parts are not in it
-    std::map<EdgeId, std::map<VolumeId, control::Part>> parts_;
+    control::ClusterState cluster_state_; // parts are not in it
+    std::map<EdgeId, std::map<VolumeId, control::QuotaShare>> allocation_;
     Version version_;
     // For all edges, and for each: by version, a key once, with the last.
     struct Changes {
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -51,7 +51,7 @@
     std::unique_ptr<store::Medium> medium = store::memory_medium(bytes);
     store::Store store{*medium};
     node::Disk disk;
-    std::unique_ptr<node::Registration> reg;
+    std::unique_ptr<node::PlannerRegistration> reg;
     WirePtr planner;
     std::map<node::ConnId, WirePtr> conns;
     bool listening = true;
@@ -64,12 +64,12 @@
     void say(std::string) override {}
 };
 
-struct EdgeHost final : edge::Shell, edge::Line {
+struct EdgeHost final : edge::Shell, edge::PlannerClientActions {
     World &w;
     std::uint64_t id;
     std::uint64_t lives = 0;
     std::unique_ptr<edge::Core> core;
-    std::unique_ptr<edge::Subscription> sub;
+    std::unique_ptr<edge::PlannerClient> sub;
     WirePtr planner;
     std::map<edge::LinkId, WirePtr> links;
     std::map<edge::ClientId, WirePtr> clients;
@@ -91,17 +91,18 @@
     void close_client(edge::ClientId client) override;
     void hold_client(edge::ClientId, bool) override {}
     void say(std::string) override {}
+    void log_event(std::string) override {}
     void attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) override;
     void volume_used(VolumeId v, bool on) override;
     void cut_told(VolumeId as, control::SnapshotStep step,
                   control::EdgeIncarnation incarnation) override;
-    // ---- edge::Line
-    void dial() override;
-    void hang_up() override;
+    // ---- edge::PlannerClientActions
+    void connect_planner() override;
+    void disconnect_planner() override;
     void send_planner(std::string bytes) override;
-    void keep_plan(std::string, bool) override {}
-    void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                    const std::map<NodeId, Time> &started) override;
+    void store_plan(std::string, bool) override {}
+    void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
+                               const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId v, double hosts) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
@@ -128,7 +129,7 @@
     void broken(std::string_view) override {}
 };
 
-struct World final : planner::Shell {
+struct World final : planner::PlannerTransport {
     const CutDay &day;
     CutResult out;
     Time now = 100 * sec;
@@ -213,8 +214,8 @@
     }
 
     // ---- The planner.
-    planner::Wanted wanted() const {
-        planner::Wanted p;
+    planner::DesiredState wanted() const {
+        planner::DesiredState p;
         p.version = 1;
         p.plans["p"] = {"p", 1, 1000, 0, 1, 0, 0};
         control::Volume v;
@@ -240,7 +241,7 @@
                          state_store.oldest, state_store.settings, false))
             return planner_die();
         std::vector<std::pair<int, std::string>> faults;
-        core->want(now, wanted(), faults);
+        core->apply_desired_state(now, wanted(), faults);
         for (auto &[line, what] : faults)
             broken("settings refused: " + what);
         planner_run();
@@ -281,18 +282,18 @@
         wire->hear[1] = [this, side](std::string_view b) {
             if (!core)
                 return;
-            core->bytes(now, side, b);
+            core->received(now, side, b);
             planner_run();
         };
         wire->ended[1] = [this, side] {
             sides.erase(side);
             if (!core)
                 return;
-            core->gone(now, side);
+            core->disconnected(now, side);
             planner_run();
         };
         sides[side] = wire;
-        core->came(now, side);
+        core->connected(now, side);
         return wire;
     }
     void send(SessionId side, std::string bytes) override {
@@ -308,10 +309,10 @@
         close(wire, 1);
         at(now, [this, side] {
             if (core)
-                core->gone(now, side), planner_run();
+                core->disconnected(now, side), planner_run();
         });
     }
-    void say(std::string) override {}
+    void log_event(std::string) override {}
     void retired() override { broken("the only planner retired"); }
 
     // ---- Stirring.
@@ -454,19 +455,19 @@
 NodeHost::NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now)
     : w(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
     disk.set_speed(ms, 2, 4, 64);
-    node::Registration::Line line;
+    node::PlannerRegistration::Actions line;
     line.dial = [this] {
         w.at(w.now + w.delay(), [this] {
             if (!listening)
                 return;
             if (!w.core) {
-                reg->down(w.now);
+                reg->disconnected(w.now);
                 return w.stir(*this);
             }
             planner =
-                w.to_planner([this](std::string_view b) { reg->bytes(w.now, b), w.stir(*this); },
-                             [this] { planner.reset(), reg->down(w.now), w.stir(*this); });
-            reg->up(w.now);
+                w.to_planner([this](std::string_view b) { reg->received(w.now, b), w.stir(*this); },
+                             [this] { planner.reset(), reg->disconnected(w.now), w.stir(*this); });
+            reg->connected(w.now);
             w.stir(*this);
         });
     };
@@ -478,7 +479,7 @@
         if (planner)
             w.send(planner, 0, std::move(b));
     };
-    line.say = [](std::string) {};
+    line.log_event = [](std::string) {};
     line.open_cut = [this](VolumeId of, VolumeId as, std::uint32_t epoch,
                            const std::vector<control::EdgeIncarnation> &late) {
         std::set<control::EdgeIncarnation> who(late.begin(), late.end());
@@ -500,8 +501,8 @@
         return static_cast<std::uint8_t>(disk.clone(of, as));
     };
     line.diff = [this](VolumeId a, VolumeId b) { return store.diff(a, b); };
-    reg = std::make_unique<node::Registration>(line, id, shard, ZoneId{0}, std::to_string(id.value),
-                                               seed + id.value, 100 * ms);
+    reg = std::make_unique<node::PlannerRegistration>(
+        line, id, shard, ZoneId{0}, std::to_string(id.value), seed + id.value, 100 * ms);
     reg->start(now, 1, now - 3600 * sec);
 }
 void NodeHost::send(node::ConnId conn, std::string out) {
@@ -558,9 +559,9 @@
     core->set_links(2, 250 * ms, 300 * ms, 2 * sec, 1 << 20);
     core->set_door(16, 64 << 10, 256, 4 << 20);
     core->ready(w.now);
-    sub = std::make_unique<edge::Subscription>(*this, EdgeId{id}, "e", w.day.seed + lives * 31 + id,
-                                               100 * ms, 3600 * sec);
-    core->follow(sub->copy().table());
+    sub = std::make_unique<edge::PlannerClient>(*this, EdgeId{id}, "e",
+                                                w.day.seed + lives * 31 + id, 100 * ms, 3600 * sec);
+    core->follow(sub->replica().cluster_state());
     lists = 0;
     sub->start(w.now, {});
     w.stir(*this);
@@ -664,14 +665,14 @@
     sub->volume_used(w.now, v, on);
 }
 void EdgeHost::cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation l) {
-    sub->cut_told(as, step, l);
+    sub->report_snapshot_step(as, step, l);
 }
-void EdgeHost::dial() {
+void EdgeHost::connect_planner() {
     w.at(w.now + w.delay(), [this, incarnation = lives] {
         if (incarnation != lives || !sub || paused)
             return;
         if (!w.core || cut_off) {
-            sub->down(w.now);
+            sub->disconnected(w.now);
             return w.stir(*this);
         }
         auto wire = std::make_shared<WirePtr>();
@@ -679,20 +680,20 @@
             [this, incarnation](std::string_view b) {
                 in([this, incarnation, bytes = std::string(b)] {
                     if (incarnation == lives && planner)
-                        sub->bytes(w.now, bytes);
+                        sub->received(w.now, bytes);
                 });
             },
             [this, incarnation, wire] {
                 in([this, incarnation, wire] {
                     if (incarnation == lives && planner == *wire)
-                        planner.reset(), sub->down(w.now);
+                        planner.reset(), sub->disconnected(w.now);
                 });
             });
-        sub->up(w.now);
+        sub->connected(w.now);
         w.stir(*this);
     });
 }
-void EdgeHost::hang_up() {
+void EdgeHost::disconnect_planner() {
     if (planner)
         w.close(std::exchange(planner, nullptr), 0);
 }
@@ -700,8 +701,8 @@
     if (planner)
         w.send(planner, 0, std::move(bytes));
 }
-void EdgeHost::plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                          const std::map<NodeId, Time> &started) {
+void EdgeHost::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
+                                     const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[pid, p] : table.plans)
             core->plan_told(pid, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
@@ -717,12 +718,12 @@
 }
 void EdgeHost::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     if (w.day.edges_begin_on)
-        return sub->cut_told(as, control::SnapshotStep::ready,
-                             control::EdgeIncarnation{core->incarnation()});
+        return sub->report_snapshot_step(as, control::SnapshotStep::ready,
+                                         control::EdgeIncarnation{core->incarnation()});
     core->cut_hold(w.now, of, as, epoch, longest);
     if (w.day.nobody_waits)
-        sub->cut_told(as, control::SnapshotStep::drained,
-                      control::EdgeIncarnation{core->incarnation()});
+        sub->report_snapshot_step(as, control::SnapshotStep::drained,
+                                  control::EdgeIncarnation{core->incarnation()});
 }
 void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
     if (w.day.edges_begin_on) {
@@ -743,7 +744,7 @@
     if (w.quiet)
         return;
     auto &e = *w.edges[edge];
-    if (!e.core || e.sub->copy().table().names.empty()) {
+    if (!e.core || e.sub->replica().cluster_state().names.empty()) {
         w.at(w.now + 20 * ms, [this] { come(); });
         return;
     }
@@ -966,7 +967,7 @@
         return std::move(out);
     for (auto &n : nodes) {
         std::set<VolumeId> expected;
-        for (auto &[id, v] : core->state().table().volumes)
+        for (auto &[id, v] : core->state().cluster_state().volumes)
             if (v.is_snapshot())
                 expected.insert(id);
         for (auto id : n->store.cuts())
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -22,13 +22,13 @@
 using control::Version;
 using planner::SessionId;
 
-struct World final : planner::Shell {
-    struct EdgeHost final : edge::Line {
+struct World final : planner::PlannerTransport {
+    struct EdgeHost final : edge::PlannerClientActions {
         World &w;
         EdgeId id;
         double drift;
         Time offset;
-        std::unique_ptr<edge::Subscription> sub;
+        std::unique_ptr<edge::PlannerClient> sub;
         std::string disk;
         SessionId side{0};
         bool up = false, paused = false;
@@ -48,15 +48,15 @@
                 return never;
             return static_cast<Time>(static_cast<double>(local - offset) / (1 + drift)) + 1;
         }
-        void dial() override { w.dial(*this); }
-        void hang_up() override { w.hang_up(side, true), side = SessionId{0}; }
+        void connect_planner() override { w.dial(*this); }
+        void disconnect_planner() override { w.hang_up(side, true), side = SessionId{0}; }
         void send_planner(std::string bytes) override { w.to_planner(side, std::move(bytes)); }
-        void keep_plan(std::string bytes, bool anew) override {
+        void store_plan(std::string bytes, bool anew) override {
             disk = anew ? std::move(bytes) : disk + bytes;
         }
-        void say(std::string) override {}
-        void plan_taken(const control::ClusterState &table, bool, bool,
-                        const std::map<NodeId, Time> &started) override {
+        void log_event(std::string) override {}
+        void cluster_state_changed(const control::ClusterState &table, bool, bool,
+                                   const std::map<NodeId, Time> &started) override {
             w.taken(*this, table, started);
         }
         void quota_share_changed(VolumeId v, double hosts) override {
@@ -70,7 +70,7 @@
     };
     struct NodeHost {
         NodeId id;
-        std::unique_ptr<node::Registration> reg;
+        std::unique_ptr<node::PlannerRegistration> reg;
         SessionId side{0};
         std::uint64_t incarnation = 1;
         bool running = true;
@@ -96,7 +96,7 @@
     std::vector<std::unique_ptr<NodeHost>> nodes;
     std::map<SessionId, Conn> conns;
     std::uint64_t next_side = 0, instances = 0;
-    planner::Wanted wanted;
+    planner::DesiredState wanted;
     std::map<VolumeId, std::int64_t> usable;
     std::map<std::pair<std::uint64_t, Version>, std::string> content; // by lineage and version
     std::map<NodeId, bool> drain_said;                                // by the operator, last word
@@ -146,7 +146,7 @@
             if (!e.sub || e.paused)
                 return;
             if (!core) {
-                e.sub->down(e.clock());
+                e.sub->disconnected(e.clock());
                 return run(e);
             }
             SessionId side{++next_side};
@@ -158,7 +158,7 @@
                 auto call = [this, &e, side, bytes] {
                     if (e.side != side || !e.sub)
                         return;
-                    e.sub->bytes(e.clock(), bytes);
+                    e.sub->received(e.clock(), bytes);
                     run(e);
                 };
                 if (e.paused)
@@ -172,12 +172,12 @@
                                e.side = SessionId{0}, e.up = false;
                                if (!e.sub)
                                    return;
-                               e.sub->down(e.clock());
+                               e.sub->disconnected(e.clock());
                                if (!e.paused)
                                    run(e);
                            }};
-            planner_in([this, side] { core->came(now, side); });
-            e.sub->up(e.clock());
+            planner_in([this, side] { core->connected(now, side); });
+            e.sub->connected(e.clock());
             run(e);
         });
     }
@@ -192,31 +192,31 @@
             if (!n.running)
                 return;
             if (!core) {
-                n.reg->down(now);
+                n.reg->disconnected(now);
                 return run(n);
             }
             SessionId side{++next_side};
             n.side = side;
             conns[side] = {[this, &n, side](std::string_view in) {
                                if (n.side == side && n.running)
-                                   n.reg->bytes(now, in), run(n);
+                                   n.reg->received(now, in), run(n);
                            },
                            [this, &n, side] {
                                if (n.side != side)
                                    return;
                                n.side = SessionId{0};
                                if (n.running)
-                                   n.reg->down(now), run(n);
+                                   n.reg->disconnected(now), run(n);
                            }};
-            planner_in([this, side] { core->came(now, side); });
-            n.reg->up(now);
+            planner_in([this, side] { core->connected(now, side); });
+            n.reg->connected(now);
             run(n);
         });
     }
     void to_planner(SessionId side, std::string bytes) {
         out.planner_bytes_in += bytes.size();
         pass(side, std::move(bytes), 0, [this, side](std::string_view in) {
-            planner_in([this, side, bytes = std::string(in)] { core->bytes(now, side, bytes); });
+            planner_in([this, side, bytes = std::string(in)] { core->received(now, side, bytes); });
         });
     }
     // The far side closed, or we did.
@@ -225,7 +225,7 @@
         if (it == conns.end() || !std::exchange(it->second.open, false))
             return;
         if (by_far)
-            planner_in([this, side] { core->gone(now, side); });
+            planner_in([this, side] { core->disconnected(now, side); });
     }
 
     // ---- The planner.
@@ -270,7 +270,7 @@
                          disk.settings, false))
             return planner_die();
         std::vector<std::pair<int, std::string>> faults;
-        core->want(now, wanted, faults);
+        core->apply_desired_state(now, wanted, faults);
         for (auto &[line, what] : faults)
             broken("settings refused: " + what);
         planner_run();
@@ -304,10 +304,10 @@
                 conns.erase(c);
                 cut();
             }
-            planner_in([this, side] { core->gone(now, side); });
+            planner_in([this, side] { core->disconnected(now, side); });
         });
     }
-    void say(std::string) override {}
+    void log_event(std::string) override {}
     void retired() override { broken("the only planner retired"); }
 
     // ---- Edges and nodes.
@@ -324,8 +324,8 @@
         n.wake = std::max(now, n.reg->next_due());
     }
     void start(EdgeHost &e) {
-        e.sub = std::make_unique<edge::Subscription>(e, e.id, "e", day.seed + instances++,
-                                                     day.lease / 6, 24 * 3600 * sec);
+        e.sub = std::make_unique<edge::PlannerClient>(e, e.id, "e", day.seed + instances++,
+                                                      day.lease / 6, 24 * 3600 * sec);
         e.sub->start(e.clock(), e.disk);
         run(e);
     }
@@ -358,7 +358,7 @@
     }
     void taken(EdgeHost &e, const control::ClusterState &table,
                const std::map<NodeId, Time> &started) {
-        auto &copy = e.sub->copy();
+        auto &copy = e.sub->replica();
         if (copy.term() < e.term || copy.version() < e.version)
             broken("edge " + std::to_string(e.id.value) + " went back from version " +
                    std::to_string(e.version.value) + " to " + std::to_string(copy.version().value));
@@ -414,11 +414,11 @@
         SessionId side{++next_side};
         conns[side] = {[](std::string_view) {}, [] {}};
         drain_said[node] = on; // from here on it may be either, until it is durable
-        planner_in([this, side] { core->came(now, side); });
+        planner_in([this, side] { core->connected(now, side); });
         if (!on)
             undrained[node].insert(core->state().next());
         planner_in(
-            [this, side, node, on] { core->bytes(now, side, control::ask_drain(node, on, 2)); });
+            [this, side, node, on] { core->received(now, side, control::ask_drain(node, on, 2)); });
         ++out.met[on ? "drains" : "undrains"];
     }
     void trouble() {
@@ -478,7 +478,7 @@
                 if (it != conns.end() && it->second.open) {
                     it->second.open = false;
                     auto cut = it->second.cut;
-                    planner_in([this, side] { core->gone(now, side); });
+                    planner_in([this, side] { core->disconnected(now, side); });
                     cut();
                 }
             }
@@ -516,8 +516,8 @@
         for (auto &e : edges) {
             if (!e->sub || e->paused)
                 return false;
-            if (e->sub->copy().version() != core->version() ||
-                e->sub->copy().term() != core->term())
+            if (e->sub->replica().version() != core->version() ||
+                e->sub->replica().term() != core->term())
                 return false;
             if (e->sub->past_lease(e->clock()) > 0)
                 return false;
@@ -542,7 +542,7 @@
             out_text += "; edge " + std::to_string(e->id.value);
             if (!e->sub)
                 continue;
-            out_text += " version " + std::to_string(e->sub->copy().version().value) +
+            out_text += " version " + std::to_string(e->sub->replica().version().value) +
                         " past lease " + std::to_string(e->sub->past_lease(e->clock()) / ms) + "ms";
             for (auto v : e->serving)
                 out_text +=
@@ -570,8 +570,8 @@
             nodes.push_back(std::make_unique<NodeHost>());
             auto *n = nodes.back().get();
             n->id = NodeId{i};
-            n->reg = std::make_unique<node::Registration>(
-                node::Registration::Line{
+            n->reg = std::make_unique<node::PlannerRegistration>(
+                node::PlannerRegistration::Actions{
                     [this, n] { dial(*n); },
                     [this, n] { hang_up(std::exchange(n->side, SessionId{0}), true); },
                     [this, n](std::string b) { to_planner(n->side, std::move(b)); },
@@ -646,8 +646,8 @@
     // An edge that goes on with what it had, whatever its clock says.
     void never_lapse(EdgeHost &e) {
         for (auto v : e.serving) {
-            auto part = e.sub->copy().table().parts.find(v);
-            if (part == e.sub->copy().table().parts.end())
+            auto part = e.sub->replica().cluster_state().quota_shares.find(v);
+            if (part == e.sub->replica().cluster_state().quota_shares.end())
                 continue;
             e.quota_share_changed(v, static_cast<double>(control::whole_limit) /
                                          std::max(1u, part->second.millionths));
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -11,15 +11,15 @@
 
 using namespace knotvane;
 
-struct Line final : edge::Line {
-    std::size_t said = 0, hung_up = 0, taken = 0;
-    void dial() override {}
-    void hang_up() override { ++hung_up; }
+struct CountingActions final : edge::PlannerClientActions {
+    std::size_t logged = 0, hung_up = 0, taken = 0;
+    void connect_planner() override {}
+    void disconnect_planner() override { ++hung_up; }
     void send_planner(std::string) override {}
-    void keep_plan(std::string, bool) override {}
-    void say(std::string) override { ++said; }
-    void plan_taken(const control::ClusterState &, bool, bool,
-                    const std::map<NodeId, Time> &) override {
+    void store_plan(std::string, bool) override {}
+    void log_event(std::string) override { ++logged; }
+    void cluster_state_changed(const control::ClusterState &, bool, bool,
+                               const std::map<NodeId, Time> &) override {
         ++taken;
     }
     void quota_share_changed(VolumeId, double) override {}
@@ -32,35 +32,36 @@
     std::string_view in(reinterpret_cast<const char *>(data), size);
     if (size > 0)
         in.remove_prefix(1);
-    planner::Planning p;
+    planner::PlannerFixture p;
     // A snapshot is under way while the bytes come.
-    p.say(0, 60, control::ask_cut(0, "v", "first", ""));
+    p.deliver(0, 60, control::ask_cut(0, "v", "first", ""));
     p.core.settle(0);
-    auto lines = p.did.said.size();
+    auto lines = p.recorded.logged.size();
     for (std::size_t at = 0; at < in.size(); at += piece)
-        p.say(0, 70, std::string(in.substr(at, piece)));
+        p.deliver(0, 70, std::string(in.substr(at, piece)));
     for (Time now : {Time{0}, Time{1}, 200 * ms, 20 * sec})
         p.core.settle(now);
-    auto closed = std::count(p.did.closed.begin(), p.did.closed.end(), planner::SessionId{70});
-    if (closed > 1 || (closed == 1 && p.did.said.size() == lines))
+    auto closed =
+        std::count(p.recorded.closed.begin(), p.recorded.closed.end(), planner::SessionId{70});
+    if (closed > 1 || (closed == 1 && p.recorded.logged.size() == lines))
         std::abort();
-    if (p.core.parts().bound(VolumeId{7}) > control::whole_limit)
+    if (p.core.allocation().bound(VolumeId{7}) > control::whole_limit)
         std::abort();
-    Line line;
-    edge::Subscription s(line, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
+    CountingActions actions;
+    edge::PlannerClient s(actions, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
     s.start(0, {});
-    s.up(0);
-    auto before = s.copy().version();
+    s.connected(0);
+    auto before = s.replica().version();
     for (std::size_t at = 0; at < in.size(); at += piece) {
-        s.bytes(0, in.substr(at, piece));
-        if (line.taken == 0 && s.copy().version() != before)
+        s.received(0, in.substr(at, piece));
+        if (actions.taken == 0 && s.replica().version() != before)
             std::abort();
     }
     s.tick(1);
-    if (line.hung_up > 1)
+    if (actions.hung_up > 1)
         std::abort();
     // The same bytes as a plan on disk.
-    edge::Subscription t(line, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
+    edge::PlannerClient t(actions, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
     t.start(0, in);
     return 0;
 }
--- a/tests/fuzz/run_plan_fixed.cpp
+++ b/tests/fuzz/run_plan_fixed.cpp
@@ -25,7 +25,7 @@
             put(PlanId{0}, control::Plan{"p", 1, 1, 0, 1, 5, 5}) +
             put(VolumeId{7}, control::Volume{"v", 4096, 512, PlanId{0}}) +
             put(NodeId{1}, control::Node{"a", ShardId{0}, ZoneId{0}, NodeState::ready, 3, 4}) +
-            put(VolumeId{7}, Part{500000, 2}) + ends(Version{4}, 4) +
+            put(VolumeId{7}, QuotaShare{500000, 2}) + ends(Version{4}, 4) +
             renewed(1, Term{2}, sec, sec, Version{1}),
         edge_hello(EdgeId{1}, "e", Term{9}, 11, 5, Version{1}, {}, {}) + superseded(Term{3}),
         ask_cut(0, "v", "a", "") + ask_cut(2, "v@a", "c", "p") + ask_cut(3, "v", "v", "") +
--- a/tests/gateway/planner_test.cpp
+++ b/tests/gateway/planner_test.cpp
@@ -26,7 +26,7 @@
 // registers.
 struct Folder {
     std::string path, address;
-    planner::Wanted wanted;
+    planner::DesiredState wanted;
     std::unique_ptr<fleet::Process> process;
 
     Folder() {
--- a/tests/gateway/snapshot_test.cpp
+++ b/tests/gateway/snapshot_test.cpp
@@ -50,7 +50,7 @@
             std::size_t n = 0;
             for (std::size_t e = 0; e < fleet->edges(); ++e)
                 fleet->with_edge(e, [&](edge::Server &s) {
-                    n += s.subscription()->copy().table().names.contains(name) == there;
+                    n += s.subscription()->replica().cluster_state().names.contains(name) == there;
                 });
             if (n == fleet->edges())
                 return;
--- a/tests/planner/core_test.cpp
+++ b/tests/planner/core_test.cpp
@@ -11,13 +11,13 @@
 
 TEST_SUITE("parts of a limit") {
     TEST_CASE("shrink first, then grow: another edge gets its part once the first goes by less") {
-        Planning p;
+        PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
         CHECK(p.part(1) == 1000000);
         p.hello(ms, 2, {VolumeId{7}});
         CHECK(p.part(2) == 0);
-        CHECK(p.core.parts().bound(VolumeId{7}) == 1000000);
+        CHECK(p.core.allocation().bound(VolumeId{7}) == 1000000);
         p.read(1);
         CHECK(p.part(1) == 500000);
         p.renew(2 * ms, 1); // says that it goes by less
@@ -25,7 +25,7 @@
         CHECK(p.part(2) == 500000);
     }
     TEST_CASE("an edge that is silent keeps a quarter past its lease, and nothing past that") {
-        Planning p;
+        PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
         p.hello(0, 2, {VolumeId{7}}); // the first never says that it heard of this
@@ -43,13 +43,13 @@
         CHECK(p.part(2) == 1000000);
     }
     TEST_CASE("an edge that comes back has no right before it goes by what was lowered meanwhile") {
-        Planning p;
+        PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
         p.renew(0, 1);
         auto before = p.edges[1].renewals.size();
         p.core.settle(1200 * ms); // lapsed; the news of it is sent, and lies unread
-        p.say(1300 * ms, 1, control::renew(1300 * ms, Term{1}, p.edges[1].copy.version()));
+        p.deliver(1300 * ms, 1, control::renew(1300 * ms, Term{1}, p.edges[1].replica.version()));
         p.core.settle(1300 * ms);
         p.read(1);
         CHECK(p.edges[1].renewals.size() == before);
@@ -60,7 +60,7 @@
     // their own.
     TEST_CASE("in any order of joins, leaves, news and lapses no more is held than the whole") {
         CHECK(rc::check([] {
-            Parts parts;
+            QuotaAllocation allocation;
             std::uint64_t version = 0;
             VolumeId v{1};
             struct Edge {
@@ -77,10 +77,10 @@
                 EdgeId edge{id};
                 switch (*rc::gen::inRange(0, 7)) {
                 case 0:
-                    parts.serve(v, edge, true);
+                    allocation.serve(v, edge, true);
                     break;
                 case 1:
-                    parts.serve(v, edge, false);
+                    allocation.serve(v, edge, false);
                     break;
                 case 2: // an edge takes one of its letters; older ones are dropped
                 case 3:
@@ -92,39 +92,40 @@
                     }
                     break;
                 case 4: // its word comes in, perhaps an old one
-                    parts.acked(edge, e.at);
+                    allocation.acked(edge, e.at);
                     if (e.at >= e.least && e.stage < 2)
-                        e.stage = 0, parts.back(edge);
+                        e.stage = 0, allocation.back(edge);
                     break;
                 case 5:
                     if (e.stage == 0) {
                         e.stage = 1;
-                        e.least = Version{version + parts.lapsed(edge)};
+                        e.least = Version{version + allocation.lapsed(edge)};
                     }
                     break;
                 case 6:
                     // It has faded out, or comes back with nothing.
                     if (e.stage == 1)
-                        parts.forgotten(edge), mail[id].clear(), e = {0, Version{version}, {}, 0};
+                        allocation.forgotten(edge), mail[id].clear(),
+                            e = {0, Version{version}, {}, 0};
                     break;
                 }
                 ++version;
-                parts.part_out(
+                allocation.allocate(
                     Version{version},
-                    [&](VolumeId, EdgeId to, const control::Part &part) {
+                    [&](VolumeId, EdgeId to, const control::QuotaShare &part) {
                         mail[to.value].emplace_back(Version{version}, part.millionths);
                     },
-                    [](VolumeId, EdgeId, const Parts::Hold *) {});
+                    [](VolumeId, EdgeId, const QuotaAllocation::Hold *) {});
                 std::uint64_t sum = 0;
                 for (auto &[_, x] : edges)
-                    sum += x.stage == 0 ? x.part : control::usable(x.part, 1, 1);
+                    sum += x.stage == 0 ? x.part : control::usable_millionths(x.part, 1, 1);
                 RC_ASSERT(sum <= control::whole_limit);
-                RC_ASSERT(parts.bound(v) <= control::whole_limit);
+                RC_ASSERT(allocation.bound(v) <= control::whole_limit);
             }
         }));
     }
     TEST_CASE("a store made anew parts nothing until what the old one gave must have run out") {
-        Planning p(Term{1}, true);
+        PlannerFixture p(Term{1}, true);
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
         CHECK(p.part(1) == 0);
@@ -138,7 +139,7 @@
 }
 
 TEST_SUITE("presence of a node") {
-    auto node = [] { return Presence(500 * ms, 200 * ms, 300 * ms, 60 * sec); };
+    auto node = [] { return NodeLiveness(500 * ms, 200 * ms, 300 * ms, 60 * sec); };
     TEST_CASE("silent to the planner but reached by an edge that vouches for it: in") {
         auto n = node();
         n.heard(0, "a", 1, 0);
@@ -204,46 +205,46 @@
 TEST_SUITE("drains and settings") {
     TEST_CASE("a drain says what it would do, needs force where nothing else serves, is durable "
               "before it is told") {
-        Planning p;
+        PlannerFixture p;
         p.hello(0, 1);
         p.renew(0, 1);
-        p.say(0, 50, control::ask_drain(NodeId{1}, true, 1));
+        p.deliver(0, 50, control::ask_drain(NodeId{1}, true, 1));
         p.core.settle(0);
         p.read(50);
         CHECK_FALSE(p.edges[50].done);
         CHECK(p.edges[50].effect_text.find("no other ready node holds its shard") !=
               std::string::npos);
-        p.did.durable = false;
-        p.say(ms, 50, control::ask_drain(NodeId{1}, true, 2));
+        p.recorded.durable = false;
+        p.deliver(ms, 50, control::ask_drain(NodeId{1}, true, 2));
         p.core.settle(ms);
         p.read(50), p.read(1);
         CHECK_FALSE(p.edges[50].done);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).state == NodeState::ready);
-        p.did.durable = true;
+        CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).state == NodeState::ready);
+        p.recorded.durable = true;
         p.core.settle(sec);
         p.read(50), p.read(1);
         CHECK(p.edges[50].done);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).state == NodeState::draining);
+        CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).state == NodeState::draining);
     }
     TEST_CASE("a planner that comes back from its rows holds the drain, and says so") {
-        Planning p;
-        p.say(0, 50, control::ask_drain(NodeId{1}, true, 2));
+        PlannerFixture p;
+        p.deliver(0, 50, control::ask_drain(NodeId{1}, true, 2));
         p.core.settle(0);
-        Written after;
+        RecordingTransport after;
         Core again(after, after, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec);
-        for (auto &[key, row] : p.did.rows) {
+        for (auto &[key, row] : p.recorded.rows) {
             auto [kind, a, b] = key;
             CHECK(again.restore(kind, a, b, row.first, row.second) == "");
         }
-        again.start(0, Term{2}, 12, 5, p.did.version, Version{0}, 1, false);
+        again.start(0, Term{2}, 12, 5, p.recorded.version, Version{0}, 1, false);
         again.settle(0);
-        CHECK(again.state().table().nodes.at(NodeId{1}).state == NodeState::draining);
-        CHECK(again.state().table().volumes == p.core.state().table().volumes);
-        CHECK(again.version() == p.did.version);
+        CHECK(again.state().cluster_state().nodes.at(NodeId{1}).state == NodeState::draining);
+        CHECK(again.state().cluster_state().volumes == p.core.state().cluster_state().volumes);
+        CHECK(again.version() == p.recorded.version);
     }
-    auto refusals = [](Planning &p, const Wanted &w, Time now = 0) {
+    auto refusals = [](PlannerFixture &p, const DesiredState &w, Time now = 0) {
         std::vector<std::pair<int, std::string>> faults;
-        p.core.want(now, w, faults);
+        p.core.apply_desired_state(now, w, faults);
         std::string all;
         for (auto &[line, what] : faults)
             all += std::to_string(line) + ":" + what + ";";
@@ -251,42 +252,42 @@
     };
     TEST_CASE(
         "a node in use can't be left out before its drain was known long enough; then it can") {
-        Planning p;
-        auto less = wanted(2);
+        PlannerFixture p;
+        auto less = desired(2);
         less.nodes.erase(NodeId{1});
         CHECK(refusals(p, less).find("drain it first") != std::string::npos);
         CHECK(p.core.settings() == 1);
-        auto draining = wanted(2);
+        auto draining = desired(2);
         draining.nodes.at(NodeId{1}).draining = true;
         CHECK(refusals(p, draining) == "");
         p.core.settle(0);
         less.version = 3;
         CHECK(refusals(p, less, 999 * ms) != "");
         CHECK(refusals(p, less, 1000 * ms) == "");
-        CHECK_FALSE(p.core.state().table().nodes.contains(NodeId{1}));
+        CHECK_FALSE(p.core.state().cluster_state().nodes.contains(NodeId{1}));
     }
     TEST_CASE("an older version, a shard that changes, a volume that shrinks or has clients: "
               "refused whole") {
-        Planning p;
+        PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
-        auto w = wanted(3);
+        auto w = desired(3);
         w.nodes.at(NodeId{1}).shard = ShardId{5};
         w.volumes.at(VolumeId{7}).fact.size = 512;
         w.plans.at("p").weight = 9;
         auto all = refusals(p, w);
         CHECK(all.find("20:node 1 holds shard 0") != std::string::npos);
         CHECK(all.find("12:volume v would shrink") != std::string::npos);
-        CHECK(p.core.state().table().plans.begin()->second.weight == 1);
-        w = wanted(3);
+        CHECK(p.core.state().cluster_state().plans.begin()->second.weight == 1);
+        w = desired(3);
         w.volumes[VolumeId{8}] = {{"w", 512, 512, {}}, "p", 0};
         w.volumes.erase(VolumeId{7});
         CHECK(refusals(p, w).find("has clients at 1 edges") != std::string::npos);
-        CHECK(refusals(p, wanted(3)) == "");
-        CHECK(refusals(p, wanted(2)).find("older than the one in use, 3") != std::string::npos);
+        CHECK(refusals(p, desired(3)) == "");
+        CHECK(refusals(p, desired(2)).find("older than the one in use, 3") != std::string::npos);
     }
     TEST_CASE("the fleet's file: what is written is read; cut short anywhere it is refused, with a "
               "line") {
-        auto text = write_fleet(wanted());
+        auto text = write_fleet(desired());
         std::vector<std::string> faults;
         auto back = read_fleet("f", text, faults);
         CHECK(faults.empty());
@@ -311,58 +312,59 @@
 
 TEST_SUITE("other planners, and what edges take") {
     TEST_CASE("an edge that follows a newer term: this planner stops, and hands out nothing more") {
-        Planning p(Term{3});
-        p.say(0, 1, control::edge_hello(EdgeId{1}, "e", Term{4}, 9, 5, Version{0}, {}, {}));
+        PlannerFixture p(Term{3});
+        p.deliver(0, 1, control::edge_hello(EdgeId{1}, "e", Term{4}, 9, 5, Version{0}, {}, {}));
         p.core.settle(0);
-        CHECK(p.did.has_retired);
-        CHECK(p.did.sent[SessionId{1}].empty());
+        CHECK(p.recorded.is_retired);
+        CHECK(p.recorded.sent[SessionId{1}].empty());
     }
     TEST_CASE("two planners under one term, and a store that is an old copy, are noticed, too") {
-        Planning p(Term{3});
-        p.say(0, 1, control::edge_hello(EdgeId{1}, "e", Term{3}, 99, 5, Version{0}, {}, {}));
-        CHECK(p.did.has_retired);
-        Planning q(Term{3});
-        q.say(0, 1, control::edge_hello(EdgeId{1}, "e", Term{2}, 9, 5, Version{900}, {}, {}));
-        CHECK(q.did.has_retired);
+        PlannerFixture p(Term{3});
+        p.deliver(0, 1, control::edge_hello(EdgeId{1}, "e", Term{3}, 99, 5, Version{0}, {}, {}));
+        CHECK(p.recorded.is_retired);
+        PlannerFixture q(Term{3});
+        q.deliver(0, 1, control::edge_hello(EdgeId{1}, "e", Term{2}, 9, 5, Version{900}, {}, {}));
+        CHECK(q.recorded.is_retired);
     }
     TEST_CASE(
         "a store made anew goes above the term it meets, and holds the drains that edges know of") {
-        Planning p(Term{1}, true);
-        p.say(0, 1,
-              control::edge_hello(EdgeId{1}, "e", Term{8}, 9, 77, Version{30}, {NodeId{2}}, {}));
+        PlannerFixture p(Term{1}, true);
+        p.deliver(
+            0, 1,
+            control::edge_hello(EdgeId{1}, "e", Term{8}, 9, 77, Version{30}, {NodeId{2}}, {}));
         p.core.settle(0);
-        CHECK_FALSE(p.did.has_retired);
+        CHECK_FALSE(p.recorded.is_retired);
         CHECK(p.core.term() == Term{9});
-        CHECK(p.core.state().table().nodes.at(NodeId{2}).state == NodeState::draining);
+        CHECK(p.core.state().cluster_state().nodes.at(NodeId{2}).state == NodeState::draining);
     }
     TEST_CASE("changes are told once each, however often they changed; what is not answered is "
               "told again") {
-        Planning p;
+        PlannerFixture p;
         p.hello(0, 1);
         p.renew(0, 1);
         CHECK(p.edges[1].last == control::UpdateResult::whole);
         for (std::uint64_t incarnation = 2; incarnation < 9; ++incarnation)
             p.node(ms, 1, incarnation, 0), p.core.settle(ms);
         p.read(1);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).incarnation == 2);
+        CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).incarnation == 2);
         p.renew(2 * ms, 1);
         CHECK(p.edges[1].last == control::UpdateResult::changes);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).incarnation == 8);
-        CHECK(p.edges[1].copy.version() == p.core.version());
+        CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).incarnation == 8);
+        CHECK(p.edges[1].replica.version() == p.core.version());
         p.renew(2 * ms, 1);
         p.node(3 * ms, 1, 20, 0), p.core.settle(3 * ms);
-        p.did.sent.clear(); // lost
+        p.recorded.sent.clear(); // lost
         p.core.settle(1100 * ms);
         p.read(1);
-        CHECK(p.edges[1].copy.table().nodes.at(NodeId{1}).incarnation == 20);
+        CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).incarnation == 20);
     }
     TEST_CASE("a peer that talks out of turn, or no protocol, is closed with one line") {
-        Planning p;
-        p.say(0, 60, control::renew(0, Term{1}, Version{1}));
-        p.say(0, 61, "GET / HTTP/1.1\r\n\r\n");
-        p.say(0, 61, "more of it");
-        CHECK(p.did.closed.size() == 2);
-        CHECK(p.did.said.back().find("a message of") != std::string::npos);
+        PlannerFixture p;
+        p.deliver(0, 60, control::renew(0, Term{1}, Version{1}));
+        p.deliver(0, 61, "GET / HTTP/1.1\r\n\r\n");
+        p.deliver(0, 61, "more of it");
+        CHECK(p.recorded.closed.size() == 2);
+        CHECK(p.recorded.logged.back().find("a message of") != std::string::npos);
     }
     TEST_CASE(
         "an edge's copy: a gap, a broken count, an older term, another instance change nothing") {
@@ -378,12 +380,12 @@
         CHECK(news(2, 1, 7, 6) == control::UpdateResult::gap);
         CHECK(news(2, 1, 6, 5, 2) == control::UpdateResult::broken);
         CHECK(news(2, 1, 5, 0) == control::UpdateResult::old);
-        CHECK(news(1, 1, 9, 0) == control::UpdateResult::alien);
-        CHECK(news(2, 2, 9, 0) == control::UpdateResult::alien);
-        CHECK(c.table().names.size() == 1);
+        CHECK(news(1, 1, 9, 0) == control::UpdateResult::foreign);
+        CHECK(news(2, 2, 9, 0) == control::UpdateResult::foreign);
+        CHECK(c.cluster_state().names.size() == 1);
         CHECK(news(2, 1, 6, 5) == control::UpdateResult::changes);
         CHECK(news(3, 9, 8, 6) == control::UpdateResult::changes);
-        CHECK(c.table().names.size() == 3);
+        CHECK(c.cluster_state().names.size() == 3);
         CHECK(c.ends(Version{8}, 0) == control::UpdateResult::broken);
     }
 }
