--- a/tests/planner/snapshot_coordinator_test.cpp
+++ b/tests/planner/snapshot_coordinator_test.cpp
@@ -10,38 +10,38 @@
 
 namespace {
 
-struct Ordered final : Cuts::Orders {
-    Lines did;
+struct Ordered final : SnapshotCoordinator::Orders {
+    Lines recorded;
     static std::string t(auto id) { return std::to_string(id.value); }
     void hold(EdgeId e, VolumeId, VolumeId, std::uint32_t, Time) override {
-        did.push_back("hold " + t(e));
+        recorded.push_back("hold " + t(e));
     }
     void go(EdgeId e, VolumeId, VolumeId, std::uint32_t epoch) override {
-        did.push_back("go " + t(e) + " " + std::to_string(epoch));
+        recorded.push_back("go " + t(e) + " " + std::to_string(epoch));
     }
-    void release(EdgeId e, VolumeId, VolumeId) override { did.push_back("release " + t(e)); }
+    void release(EdgeId e, VolumeId, VolumeId) override { recorded.push_back("release " + t(e)); }
     void open(NodeId n, VolumeId, VolumeId, std::uint32_t,
               const std::vector<EdgeIncarnation> &late) override {
         std::string line = "open " + t(n) + " late";
         for (auto l : late)
             line += " " + t(l);
-        did.push_back(line);
+        recorded.push_back(line);
     }
-    void seal(NodeId n, VolumeId, VolumeId) override { did.push_back("seal " + t(n)); }
-    void clone(NodeId n, VolumeId, VolumeId) override { did.push_back("clone " + t(n)); }
-    void drop(NodeId n, VolumeId) override { did.push_back("drop " + t(n)); }
-    void whole(VolumeId) override { did.push_back("whole"); }
+    void seal(NodeId n, VolumeId, VolumeId) override { recorded.push_back("seal " + t(n)); }
+    void clone(NodeId n, VolumeId, VolumeId) override { recorded.push_back("clone " + t(n)); }
+    void drop(NodeId n, VolumeId) override { recorded.push_back("drop " + t(n)); }
+    void whole(VolumeId) override { recorded.push_back("whole"); }
     void failed(VolumeId, const std::string &why, bool again) override {
-        did.push_back(std::string("failed") + (again ? " again: " : ": ") + why);
+        recorded.push_back(std::string("failed") + (again ? " again: " : ": ") + why);
     }
-    void undone(VolumeId) override { did.push_back("undone"); }
-    Lines take() { return std::exchange(did, {}); }
+    void undone(VolumeId) override { recorded.push_back("undone"); }
+    Lines take() { return std::exchange(recorded, {}); }
 };
 
 constexpr VolumeId of{7}, as{99};
 struct Cutting {
     Ordered o;
-    Cuts cuts{o};
+    SnapshotCoordinator cuts{o};
     explicit Cutting(std::set<EdgeId> edges = {EdgeId{1}, EdgeId{2}}) {
         cuts.begin_cut(0, of, as, 5, std::move(edges), {NodeId{1}, NodeId{2}});
     }
@@ -189,7 +189,7 @@
     TEST_CASE(
         "what is undone is taken back at every shard, again and again until all have said so") {
         Ordered o;
-        Cuts cuts(o);
+        SnapshotCoordinator cuts(o);
         cuts.undo(as, {ShardId{0}, ShardId{1}});
         cuts.tick(0, {{NodeId{1}, ShardId{0}}});
         CHECK(o.take() == Lines{"drop 1"});
@@ -213,8 +213,8 @@
 
 namespace {
 // An operator's question and its answer, with nodes and edges that do as they are told.
-struct Snapshots : Planning {
-    struct NodeSide final : control::MessageHandler {
+struct Snapshots : PlannerFixture {
+    struct FakeNode final : control::MessageHandler {
         control::Reader reader;
         std::vector<std::string> answers, heard;
         std::uint8_t how = 0;
@@ -235,30 +235,31 @@
         }
         void unexpected(const char *) override {}
     };
-    std::map<std::uint64_t, NodeSide> nodes;
+    std::map<std::uint64_t, FakeNode> nodes;
     std::uint64_t visitors = 50;
     // All messages of nodes, until they are silent.
     void run(Time now) {
         for (std::uint64_t n : {1, 2})
             if (seen.contains(100 + n + 1000))
-                say(now, 100 + n + 1000, control::node_renew());
+                deliver(now, 100 + n + 1000, control::node_renew());
         for (int i = 0; i < 12; ++i) {
             core.settle(now);
             for (std::uint64_t n : {1, 2}) {
-                auto side = 100 + n + 1000;
-                nodes[n].reader.bytes(std::exchange(did.sent[SessionId{side}], {}), nodes[n]);
+                auto session = 100 + n + 1000;
+                nodes[n].reader.bytes(std::exchange(recorded.sent[SessionId{session}], {}),
+                                      nodes[n]);
                 for (auto &a : std::exchange(nodes[n].answers, {}))
-                    say(now, side, a);
+                    deliver(now, session, a);
             }
         }
     }
-    EdgeSide ask(Time now, std::uint8_t what, const std::string &a, const std::string &b = "",
+    FakeEdge ask(Time now, std::uint8_t what, const std::string &a, const std::string &b = "",
                  const std::string &plan = "") {
         auto v = ++visitors;
-        say(now, v, control::ask_cut(what, a, b, plan));
+        deliver(now, v, control::ask_cut(what, a, b, plan));
         run(now);
-        EdgeSide heard;
-        heard.reader.bytes(did.sent[SessionId{v}], heard);
+        FakeEdge heard;
+        heard.reader.bytes(recorded.sent[SessionId{v}], heard);
         return heard;
     }
 };
@@ -271,7 +272,7 @@
         Snapshots p;
         auto heard = p.ask(sec, 0, "v", "a");
         CHECK(heard.done);
-        auto &t = p.core.state().table();
+        auto &t = p.core.state().cluster_state();
         auto &f = t.volumes.at(t.names.at("v@a"));
         CHECK(f.frozen);
         CHECK(f.place == VolumeId{7});
@@ -293,22 +294,22 @@
         CHECK(p.ask(sec, 2, "v", "c").effect_text == "v is no snapshot: take one and clone that");
         CHECK(p.ask(sec, 2, "v@a", "c", "q").effect_text == "there is no plan q");
         CHECK(p.ask(sec, 1, "v").effect_text == "there is no snapshot or clone v");
-        p.core.gone(sec, SessionId{1102}); // node 2
+        p.core.disconnected(sec, SessionId{1102}); // node 2
         CHECK(p.ask(sec, 0, "v", "b").effect_text ==
               "no node of shard 1 is connected to the planner");
     }
     TEST_CASE("a clone pays from its source's part, or has a plan that has no reserve") {
         Snapshots p;
-        auto w = wanted(2);
+        auto w = desired(2);
         w.plans["rich"] = {"rich", 1, 100, 50, 1, 0, 0};
         w.plans["test"] = {"test", 1, 100, 0, 1, 0, 0};
         std::vector<std::pair<int, std::string>> faults;
-        p.core.want(sec, w, faults);
+        p.core.apply_desired_state(sec, w, faults);
         p.ask(sec, 0, "v", "a");
         CHECK(p.ask(sec, 2, "v@a", "c").done);
         CHECK(!p.ask(sec, 2, "v@a", "d", "rich").allowed);
         CHECK(p.ask(sec, 2, "v@a", "e", "test").done);
-        auto &t = p.core.state().table();
+        auto &t = p.core.state().cluster_state();
         auto &c = t.volumes.at(t.names.at("c")), &e = t.volumes.at(t.names.at("e"));
         CHECK(c.charge == VolumeId{7});
         CHECK(e.charged_to(t.names.at("e")) == t.names.at("e"));
@@ -317,7 +318,7 @@
         // Settings that would take its plan, its origin or its name are refused.
         w.version = 3, w.plans.erase("test"), w.volumes.clear();
         w.volumes[VolumeId{8}] = {{"c", 1 << 20, 512, {}}, "p", 4};
-        p.core.want(sec, w, faults);
+        p.core.apply_desired_state(sec, w, faults);
         CHECK(faults.size() == 5); // v left out: three cuts; plan test; the name c
         CHECK(t.volumes.contains(VolumeId{7}));
     }
@@ -330,14 +331,14 @@
         CHECK(heard.effect_text ==
               "v@a: node 2: less than a tenth of its store is free; nothing is left of it");
         CHECK(p.nodes[1].heard == Lines{"open 1", "drop"});
-        CHECK(p.core.state().table().names.size() == 1);
-        for (auto &[key, row] : p.did.rows)
+        CHECK(p.core.state().cluster_state().names.size() == 1);
+        for (auto &[key, row] : p.recorded.rows)
             CHECK(std::get<0>(key) != StateStore::Row::undo);
     }
     TEST_CASE(
         "a planner that comes back takes back what was not whole, and gives its epoch to nobody") {
-        Written did;
-        Core core(did, did, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec);
+        RecordingTransport recorded;
+        Core core(recorded, recorded, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec);
         core.restore(StateStore::Row::plan, 0, 0, Version{1},
                      control::put(PlanId{0}, control::Plan{"p", 1, 1, 0, 1, 0, 0}));
         control::Volume v;
@@ -346,42 +347,42 @@
         CHECK(core.restore(StateStore::Row::undo, 99, 7, Version{1}, "41").empty());
         CHECK(!core.restore(StateStore::Row::undo, 99, 7, Version{1}, "4x").empty());
         core.start(0, Term{2}, 12, 5, Version{1}, Version{0}, 1, false);
-        CHECK(core.state().table().volumes.at(VolumeId{7}).epoch == 41);
+        CHECK(core.state().cluster_state().volumes.at(VolumeId{7}).epoch == 41);
         CHECK(core.busy_with(VolumeId{99}));
     }
     TEST_CASE("a drop that could not be made durable reaches no node") {
         Snapshots p;
         p.ask(sec, 0, "v", "a");
         auto orders = p.nodes[1].heard.size();
-        p.did.durable = false;
+        p.recorded.durable = false;
         p.ask(sec, 1, "v@a");
         CHECK(p.nodes[1].heard.size() == orders);
-        p.did.durable = true;
+        p.recorded.durable = true;
         p.run(sec + 600 * ms);
         CHECK(p.nodes[1].heard.size() == orders + 1);
     }
     TEST_CASE(
         "a second take is refused while the first is not yet begun, or waits to be tried again") {
         Snapshots p;
-        p.say(sec, 61, control::ask_cut(0, "v", "b", "")),
-            p.say(sec, 62, control::ask_cut(0, "v", "c", ""));
+        p.deliver(sec, 61, control::ask_cut(0, "v", "b", "")),
+            p.deliver(sec, 62, control::ask_cut(0, "v", "c", ""));
         p.run(sec);
-        EdgeSide heard;
-        heard.reader.bytes(p.did.sent[SessionId{62}], heard);
+        FakeEdge heard;
+        heard.reader.bytes(p.recorded.sent[SessionId{62}], heard);
         CHECK(heard.effect_text == "another snapshot of v is under way");
-        CHECK(p.core.state().table().names.contains("v@b"));
+        CHECK(p.core.state().cluster_state().names.contains("v@b"));
     }
     TEST_CASE("dropping one that a client has open is refused with who; else it goes at once, at "
               "the nodes later") {
         Snapshots p;
         p.ask(sec, 0, "v", "a");
-        auto id = p.core.state().table().names.at("v@a");
+        auto id = p.core.state().cluster_state().names.at("v@a");
         p.hello(sec, 3, {id});
         CHECK(p.ask(sec, 1, "v@a").effect_text == "v@a is in use by clients of edge 3");
-        p.say(sec, 3, control::serve(id, false));
+        p.deliver(sec, 3, control::serve(id, false));
         p.nodes[2].how = 0;
         CHECK(p.ask(sec, 1, "v@a").done);
-        CHECK(!p.core.state().table().volumes.contains(id));
+        CHECK(!p.core.state().cluster_state().volumes.contains(id));
         p.core.settle(3 * sec);
         p.run(3 * sec);
         CHECK(!p.core.busy_with(id));
--- a/tests/planner/sqlite_state_store_test.cpp
+++ b/tests/planner/sqlite_state_store_test.cpp
@@ -82,7 +82,7 @@
     std::string file(const std::string &name) const { return path + "/" + name; }
 };
 
-std::string all_rows(const Store &s) {
+std::string all_rows(const SqliteStateStore &s) {
     std::string out =
         std::to_string(s.term().value) + "/" + std::to_string(s.version().value) + ":";
     s.rows([&](StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
@@ -93,7 +93,7 @@
     });
     return out;
 }
-void change(Store &s, std::uint64_t version) {
+void change(SqliteStateStore &s, std::uint64_t version) {
     for (std::uint64_t i = 0; i < 40; ++i)
         s.keep(StateStore::Row::hold, i, version % 7, Version{version},
                std::string(200, static_cast<char>('a' + version % 26)));
@@ -101,7 +101,7 @@
 }
 std::string opened(const std::string &path) {
     try {
-        Store s(path);
+        SqliteStateStore s(path);
         return all_rows(s);
     } catch (const std::exception &e) {
         return std::string("! ") + e.what();
@@ -120,14 +120,14 @@
             std::string before, after;
             bool well = true;
             {
-                Store s(path);
+                SqliteStateStore s(path);
                 change(s, 1);
                 REQUIRE(s.commit(Term{1}, 5, Version{1}, Version{0}, 1));
                 before = all_rows(s);
             }
             {
                 Cutting::left = -1;
-                Store s(path, Cutting::name());
+                SqliteStateStore s(path, Cutting::name());
                 Cutting::left = at, Cutting::calls = 0;
                 change(s, 2);
                 well = s.commit(Term{1}, 5, Version{2}, Version{0}, 1);
@@ -154,7 +154,7 @@
         Folder folder;
         auto path = folder.file("s");
         {
-            Store s(path);
+            SqliteStateStore s(path);
             change(s, 1);
             REQUIRE(s.commit(Term{4}, 5, Version{9}, Version{0}, 1));
         }
@@ -191,7 +191,7 @@
         Folder folder;
         auto path = folder.file("s");
         {
-            Store first(path);
+            SqliteStateStore first(path);
             REQUIRE(first.commit(Term{1}, 5, Version{1}, Version{0}, 1));
             CHECK(opened(path) == "! planner's store " + path + ": in use by another planner");
         }
