--- a/src/edge/open_volumes.cpp
+++ b/src/edge/open_volumes.cpp
@@ -28,7 +28,7 @@
     volume.least = config.alignment_bytes;
     volume.plan = config.plan;
     configured_.put(id, std::move(volume));
-    configured_.put(id, control::Part{control::whole_limit / config.sharers, config.sharers});
+    configured_.put(id, control::QuotaShare{control::whole_limit / config.sharers, config.sharers});
 }
 
 void OpenVolumes::update() {
@@ -58,8 +58,9 @@
         // a snapshot or a clone are gone.
         volume.dropped = volume.is_snapshot;
     }
-    if (auto share = state_->parts.find(volume.charged_to); share != state_->parts.end())
-        volume.sharers = std::max(1u, share->second.hosts);
+    if (auto share = state_->quota_shares.find(volume.charged_to);
+        share != state_->quota_shares.end())
+        volume.sharers = std::max(1u, share->second.sharers);
 }
 
 std::vector<std::string> OpenVolumes::names() const {
@@ -92,8 +93,8 @@
                           nbd::flag_send_write_zeroes | nbd::flag_send_df | nbd::flag_send_cache;
     // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
     // can't know.
-    auto share = state_->parts.find(id);
-    if (share != state_->parts.end() && share->second.hosts == 1)
+    auto share = state_->quota_shares.find(id);
+    if (share != state_->quota_shares.end() && share->second.sharers == 1)
         flags |= nbd::flag_can_multi_conn;
     if (volume.frozen)
         flags = nbd::flag_read_only | nbd::flag_send_flush | nbd::flag_send_df |
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -63,12 +63,14 @@
     if (planner.empty())
         return;
     planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-    planner_client_ = std::make_unique<Subscription>(
+    planner_client_ = std::make_unique<PlannerClient>(
         *this, control::EdgeId{id_}, listener_->address(), seed, renew_every, trust);
-    planner_->on_up = [this] { planner_client_->up(loop::now()); };
-    planner_->on_down = [this] { planner_client_->down(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) { planner_client_->bytes(loop::now(), in); };
-    core_->follow_cluster_state(planner_client_->copy().table());
+    planner_->on_up = [this] { planner_client_->connected(loop::now()); };
+    planner_->on_down = [this] { planner_client_->disconnected(loop::now()); };
+    planner_->on_bytes = [this](std::string_view in) {
+        planner_client_->received(loop::now(), in);
+    };
+    core_->follow_cluster_state(planner_client_->replica().cluster_state());
     std::string fault;
     planner_client_->start(loop::now(),
                            plan_path_.empty() ? "" : settings::File::slurp(plan_path_, fault));
@@ -80,7 +82,7 @@
 void Server::snapshot_step_done(VolumeId as, control::SnapshotStep step,
                                 control::EdgeIncarnation incarnation) {
     if (planner_client_)
-        planner_client_->cut_told(as, step, incarnation);
+        planner_client_->report_snapshot_step(as, step, incarnation);
 }
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
     core_->hold_snapshot(loop::now(), {of, as, epoch}, longest);
@@ -97,8 +99,8 @@
 void Server::quota_share_changed(VolumeId volume, double hosts) {
     core_->quota_share_changed(loop::now(), volume, hosts);
 }
-void Server::plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                        const std::map<NodeId, Time> &started) {
+void Server::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
+                                   const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[id, p] : table.plans)
             core_->set_plan(id, plan_config(p));
@@ -111,7 +113,7 @@
     list.version = ++lists_;
     apply_endpoint_list(list);
 }
-void Server::keep_plan(std::string bytes, bool anew) {
+void Server::store_plan(std::string bytes, bool anew) {
     if (plan_path_.empty())
         return;
     bool well = write_plan(plan_path_, bytes, anew);
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -26,8 +26,8 @@
                    public RequestsTold,
                    public ListTold {
 public:
-    // `sockets`: descriptors the process may hold. Throws scheduler_setup::MalformedInput on settings
-    // that are wrong.
+    // `sockets`: descriptors the process may hold. Throws scheduler_setup::MalformedInput on
+    // settings that are wrong.
     Core(Transport &transport,
          const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
          const scheduler_setup::Options &settings, std::vector<std::string> workloads,
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -54,7 +54,7 @@
     std::unique_ptr<StorageNode> storage_node_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Dialled> planner_;
-    std::unique_ptr<Registration> registration_; // with a planner
+    std::unique_ptr<PlannerRegistration> registration_; // with a planner
     std::uint64_t last_connection_ = 0;
     loop::Sockets<ConnectionId> connections_;
 };
