--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -16,6 +16,7 @@
 package_tests(
   scheduling
   SOURCES
+    tests/scheduling/attempt_outcome_test.cpp
     tests/scheduling/budget_feedback_test.cpp
     tests/scheduling/concurrency_window_test.cpp
     tests/scheduling/early_disconnects_test.cpp
@@ -25,6 +26,7 @@
     tests/scheduling/latency_estimate_test.cpp
     tests/scheduling/load_shedding_test.cpp
     tests/scheduling/node_health_test.cpp
+    tests/scheduling/node_table_test.cpp
     tests/scheduling/overload_hold_test.cpp
     tests/scheduling/placement_test.cpp
     tests/scheduling/plan_table_test.cpp
--- a/tests/scheduling/concurrency_window_test.cpp
+++ b/tests/scheduling/concurrency_window_test.cpp
@@ -51,5 +51,33 @@
     CHECK(window.has_capacity(0, 125 * ms, 100 * ms, 0.01));
 }
 
+TEST_CASE("the window never passes 32") {
+    ConcurrencyWindow window(1);
+    for (int i = 0; i < 1000; ++i)
+        window.answered(i * ms, 2, 10 * ms, false);
+    CHECK(window.size() == 32);
+    CHECK(window.has_capacity(31, 0, 0, 1));
+    CHECK_FALSE(window.has_capacity(32, 0, 0, 1));
+}
+
+TEST_CASE("a reading of twice the best halves the window, whatever the request's objective") {
+    ConcurrencyWindow window(1);
+    for (int i = 0; i < 200; ++i)
+        window.answered(i * ms, 1, 10 * ms, false);
+    double before = window.size();
+    window.answered(3 * sec, 1, 20 * ms, false); // the only one of the last two seconds
+    CHECK(window.size() == doctest::Approx(before / 2));
+}
+
+TEST_CASE("a window of one or below goes by the request's objective, whatever its reading") {
+    ConcurrencyWindow window(80);
+    for (int i = 0; i < 8; ++i)
+        window.answered(i * ms, 1, 10 * ms, false);
+    REQUIRE(window.size() == doctest::Approx(2));
+    window.halve(sec, 10 * ms);
+    window.answered(2 * sec, 1, 10 * ms, true);
+    CHECK(window.size() == doctest::Approx(0.5));
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/fair_queue_test.cpp
+++ b/tests/scheduling/fair_queue_test.cpp
@@ -96,5 +96,18 @@
           doctest::Approx(1750 * 0.125 / 2)); // new: half the maximum
 }
 
+TEST_CASE("a volume whose start tag is past virtual time isn't eligible") {
+    FairQueue queue(8);
+    queue.enqueue(first_volume, 1, rank(1));
+    queue.enqueue(first_volume, 1, rank(2));
+    queue.enqueue(second_volume, 0.1, rank(3)); // finish tag 8 / 0.1
+    REQUIRE(*queue.select(0) == first_volume);
+    queue.sent(rank(1), 4, 40); // virtual time 40 / 1.1
+    queue.exhaust(0);
+    REQUIRE(queue.volumes().at(first_volume).start_tag == doctest::Approx(40));
+    REQUIRE(queue.volumes().at(first_volume).finish_tag < 80);
+    CHECK(*queue.select(0) == second_volume);
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/node_health_test.cpp
+++ b/tests/scheduling/node_health_test.cpp
@@ -230,5 +230,38 @@
     CHECK(health.trial_allowed(750 * ms, {PeerId{0}, 1}));
 }
 
+// A node that had nothing to do for a while was not silent: after a short pause it must not pass
+// for one that restarted.
+TEST_CASE("a node's silence begins with the first attempt in flight") {
+    NodeHealth health;
+    health.attempt_started(attempt_at(10 * sec, 1));
+    health.attempt_started(attempt_at(10 * sec, 2));
+    health.update(10600 * ms, LatencyEstimate());
+    REQUIRE(health.unresponsive());
+    CHECK_FALSE(health.responded(11 * sec));
+}
+
+TEST_CASE("abandoned work is taken for done four response timeouts after its start") {
+    NodeHealth health;
+    health.abandoned(ms, 0, ms, 500 * ms);
+    health.attempt_started(attempt_at(1900 * ms));
+    health.update(2 * sec, LatencyEstimate());
+    CHECK(health.occupied_places(2 * sec) == 2);
+    health.update(2 * sec + 1, LatencyEstimate());
+    CHECK(health.occupied_places(2 * sec + 1) == 1);
+}
+
+TEST_CASE("a new process isn't unresponsive for what its predecessor left unanswered") {
+    NodeHealth health;
+    health.attempt_started(attempt_at(0, 1));
+    health.attempt_started(attempt_at(0, 2));
+    health.update(sec, LatencyEstimate());
+    REQUIRE(health.unresponsive());
+    health.restarted(sec);
+    CHECK_FALSE(health.unresponsive());
+    health.update(1100 * ms, LatencyEstimate());
+    CHECK_FALSE(health.unresponsive());
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- /dev/null
+++ b/tests/scheduling/node_table_test.cpp
@@ -0,0 +1,55 @@
+#include "scheduling/node_table.hpp"
+
+#include <doctest/doctest.h>
+
+#include <cstdint>
+
+namespace knotvane::scheduling {
+namespace {
+
+Endpoint endpoint(std::uint64_t id, NodeState state = NodeState::ready, Time started_at = 0) {
+    return {NodeId{id}, ShardId{static_cast<std::int32_t>(id)}, ZoneId{0}, state, started_at};
+}
+
+TEST_CASE("a full list removes the nodes that it doesn't name, a delta keeps them") {
+    for (auto kind : {EndpointListKind::full, EndpointListKind::delta}) {
+        NodeTable nodes;
+        RandomGenerator random(1);
+        nodes.begin_list(EndpointListKind::full);
+        nodes.list(endpoint(1), 0, {}, {});
+        nodes.list(endpoint(2), 0, {}, {});
+        CHECK(nodes.end_list().empty());
+        nodes.begin_list(kind);
+        nodes.list(endpoint(2), 0, {}, {});
+        bool removes = kind == EndpointListKind::full;
+        CHECK(nodes.end_list().size() == (removes ? 1 : 0));
+        CHECK((nodes.at(NodeId{1}).state == NodeState::removed) == removes);
+        CHECK((nodes.placement().choose(ShardId{1}, 0, random) == nullptr) == removes);
+        CHECK(nodes.placement().choose(ShardId{2}, 0, random) == &nodes.at(NodeId{2}));
+    }
+}
+
+TEST_CASE("a later start in the list is a new process: responsive, and in slow start") {
+    SchedulerConfig config;
+    config.slow_start = {8, sec, 10 * sec, 0.5};
+    SlowStart slow_start;
+    slow_start.configure(config);
+    NodeTable nodes;
+    nodes.begin_list(EndpointListKind::full);
+    nodes.list(endpoint(1, NodeState::ready, sec), sec, config, slow_start);
+    nodes.end_list();
+    NodeRecord &node = nodes.at(NodeId{1});
+    node.health.unreachable(sec);
+    node.health.unreachable(sec);
+    nodes.begin_list(EndpointListKind::delta);
+    nodes.list(endpoint(1, NodeState::ready, sec), 20 * sec, config, slow_start);
+    CHECK(node.health.unresponsive());
+    CHECK_FALSE(node.slow_start.active(20 * sec));
+    nodes.list(endpoint(1, NodeState::ready, 19 * sec), 20 * sec, config, slow_start);
+    CHECK_FALSE(node.health.unresponsive());
+    CHECK(node.slow_start.active(29 * sec - 1));
+    CHECK_FALSE(node.slow_start.active(29 * sec));
+}
+
+} // namespace
+} // namespace knotvane::scheduling
--- a/tests/scheduling/plan_table_test.cpp
+++ b/tests/scheduling/plan_table_test.cpp
@@ -45,7 +45,7 @@
     PlanConfig empty;
     empty.weight = 0;
     plans.set(PlanId{0}, empty);
-    CHECK(plans.queue_weight(plans.get(PlanId{0})) == doctest::Approx(1e-6));
+    CHECK(plans.queue_weight(plans.get(PlanId{0})) == least_weight);
     CHECK(plans.total_usual_value() == doctest::Approx(0.1));
 }
 
--- a/tests/scheduling/scheduler_core_test.cpp
+++ b/tests/scheduling/scheduler_core_test.cpp
@@ -1,5 +1,8 @@
 #include <doctest/doctest.h>
 
+#include <cstdint>
+#include <vector>
+
 #include "scheduler_fixture.hpp"
 
 namespace knotvane::scheduling {
@@ -43,5 +46,174 @@
     CHECK(fixture.actions.count("start") == 0);
 }
 
+// An answer that leaves after the client's timeout reaches nobody: it leaves two steps before.
+TEST_CASE("the last answer leaves two steps before the client's timeout") {
+    SchedulerFixture fixture;
+    fixture.scheduler->set_workload(WorkloadId{0}, SchedulerFixture::workload(10 * sec));
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(2 * sec - 4 * ms - 1);
+    CHECK(fixture.actions.count("reject") == 0);
+    fixture.scheduler->settle(2 * sec - 4 * ms);
+    CHECK(fixture.actions.count("reject") == 1);
+}
+
+TEST_CASE("an attempt isn't sent any more to a node that drains, nor for a client that left") {
+    for (bool drains : {false, true}) {
+        SchedulerFixture fixture;
+        fixture.list_endpoints(0);
+        fixture.receive(0, 1);
+        fixture.scheduler->settle(0);
+        CHECK(fixture.scheduler->may_send_attempt(ms, RequestId{1}, AttemptId{0}));
+        if (drains)
+            fixture.list_endpoints(ms, NodeState::draining);
+        else
+            fixture.scheduler->request_canceled(ms, RequestId{1}, CancelReason::abandoned);
+        CHECK_FALSE(fixture.scheduler->may_send_attempt(ms, RequestId{1}, AttemptId{0}));
+    }
+}
+
+TEST_CASE("attempts of an ended request are canceled where the settings say so") {
+    for (bool cancels : {false, true}) {
+        SchedulerFixture fixture;
+        fixture.config.attempts.cancel_abandoned = cancels;
+        fixture.scheduler->configure(fixture.config);
+        fixture.list_endpoints(0);
+        fixture.receive(0, 1);
+        fixture.scheduler->settle(0);
+        fixture.scheduler->request_canceled(ms, RequestId{1}, CancelReason::abandoned);
+        CHECK(fixture.actions.count("cancel 1") == (cancels ? 1 : 0));
+    }
+}
+
+/// A volume's share of five units a second, ten at once.
+void set_limit(const SchedulerFixture &fixture) {
+    fixture.scheduler->set_plan(PlanId{0}, {1, 10, 0, 1, 10, 20});
+    fixture.scheduler->start(0);
+}
+
+TEST_CASE("a request that ends before it is sent gives its units back") {
+    SchedulerFixture fixture;
+    set_limit(fixture);
+    fixture.receive(2 * sec, 1, 1, 0, 8); // no node is listed yet
+    fixture.scheduler->settle(2 * sec);
+    fixture.scheduler->request_canceled(2 * sec, RequestId{1}, CancelReason::abandoned);
+    fixture.list_endpoints(2 * sec);
+    fixture.receive(2 * sec, 2, 1, 0, 8);
+    fixture.scheduler->settle(2 * sec);
+    CHECK(fixture.actions.count("start 2") == 1);
+}
+
+TEST_CASE("units that are sent leave the share to be filled again") {
+    SchedulerFixture fixture;
+    set_limit(fixture);
+    fixture.list_endpoints(0);
+    for (std::uint64_t i = 1; i <= 2; ++i) {
+        Time now = static_cast<Time>(i) * 3 * sec;
+        fixture.receive(now, i, 1, 0, 10);
+        fixture.scheduler->settle(now);
+    }
+    CHECK(fixture.actions.count("start") == 2);
+}
+
+TEST_CASE("a request larger than its share when full is rejected at once") {
+    SchedulerFixture fixture;
+    set_limit(fixture);
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1, 1, 0, 10);
+    fixture.receive(0, 2, 1, 0, 11);
+    fixture.scheduler->settle(0);
+    CHECK(fixture.actions.count("reject 1") == 0);
+    CHECK(fixture.actions.count("reject 2") == 1);
+}
+
+TEST_CASE("a retry that can't be in time isn't made") {
+    for (Time ended_at : {499 * ms, 500 * ms}) {
+        SchedulerFixture fixture;
+        fixture.list_endpoints(0);
+        fixture.receive(0, 1);
+        fixture.scheduler->settle(0);
+        fixture.complete(ended_at, 1, AttemptOutcome::unreachable);
+        fixture.scheduler->settle(ended_at);
+        CHECK(fixture.actions.count("start") == (ended_at < 500 * ms ? 2 : 1));
+        CHECK(fixture.actions.count("reject") == (ended_at < 500 * ms ? 0 : 1));
+    }
+}
+
+TEST_CASE("a retry beyond the budget isn't made") {
+    SchedulerFixture fixture;
+    fixture.config.retry_budget = {0, 1, sec};
+    fixture.scheduler->configure(fixture.config);
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    for (std::uint32_t attempt = 0; attempt < 2; ++attempt) {
+        fixture.complete(ms, 1, AttemptOutcome::reset, ms, attempt);
+        fixture.scheduler->settle(ms);
+    }
+    CHECK(fixture.actions.count("start") == 2);
+    CHECK(fixture.actions.count("reject") == 1);
+}
+
+TEST_CASE("what waits at a node that drains goes to the node that replaces it") {
+    SchedulerFixture fixture;
+    fixture.list_endpoints(0);
+    for (std::uint64_t i = 1; i <= 3; ++i)
+        fixture.receive(0, i);
+    fixture.scheduler->settle(0);
+    REQUIRE(fixture.actions.count("start") == 2); // the third waits behind a full window
+    fixture.scheduler->endpoint_list_begin(ms, EndpointListKind::delta);
+    fixture.scheduler->endpoint_listed({NodeId{1}, ShardId{1}, ZoneId{0}, NodeState::draining, 0});
+    fixture.scheduler->endpoint_listed({NodeId{3}, ShardId{1}, ZoneId{0}, NodeState::ready, 0});
+    fixture.scheduler->endpoint_list_end();
+    fixture.scheduler->settle(ms);
+    CHECK(fixture.actions.count("start 3 3") == 1);
+}
+
+// After a reset the node may still execute the write; see key_order.
+TEST_CASE("after an attempt that may still run its key rests") {
+    SchedulerFixture fixture;
+    fixture.config.attempts.max_attempts = 1;
+    fixture.scheduler->configure(fixture.config);
+    WorkloadConfig ordered = SchedulerFixture::workload();
+    ordered.ordered_by_key = true;
+    ordered.key_rest = 100 * ms;
+    fixture.scheduler->set_workload(WorkloadId{0}, ordered);
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1, 1, 42);
+    fixture.receive(0, 2, 1, 42);
+    fixture.scheduler->settle(0);
+    fixture.complete(100 * ms, 1, AttemptOutcome::reset);
+    fixture.scheduler->settle(199 * ms);
+    CHECK(fixture.actions.count("start 2") == 0);
+    fixture.scheduler->settle(200 * ms);
+    CHECK(fixture.actions.count("start 2") == 1);
+}
+
+TEST_CASE("a request that may have been executed fails, and isn't rejected") {
+    SchedulerFixture fixture;
+    WorkloadConfig workload = SchedulerFixture::workload();
+    workload.idempotency = Idempotency::at_most_once;
+    fixture.scheduler->set_workload(WorkloadId{0}, workload);
+    fixture.list_endpoints(0);
+    fixture.receive(0, 1);
+    fixture.scheduler->settle(0);
+    fixture.complete(ms, 1, AttemptOutcome::reset);
+    CHECK(fixture.actions.count("fail 1") == 1);
+    CHECK(fixture.actions.count("reject") == 0);
+}
+
+TEST_CASE("the timer is set for what waits, and only where it isn't due sooner") {
+    SchedulerFixture fixture;
+    fixture.scheduler->settle(0);
+    CHECK(fixture.actions.timers.empty());
+    fixture.receive(0, 1); // no node is listed
+    fixture.scheduler->settle(0);
+    fixture.scheduler->settle(ms);
+    CHECK(fixture.actions.timers == std::vector<Time>{5 * ms});
+    fixture.scheduler->timer_expired(5 * ms, TimerId{1});
+    fixture.scheduler->settle(5 * ms);
+    CHECK(fixture.actions.timers == std::vector<Time>{5 * ms, 5 * ms});
+}
+
 } // namespace
 } // namespace knotvane::scheduling
--- a/tests/scheduling/scheduler_fixture.hpp
+++ b/tests/scheduling/scheduler_fixture.hpp
@@ -14,9 +14,11 @@
 
 namespace knotvane::scheduling {
 
-/// Records each action as a line, in order.
+/// Records each action as a line, in order, and timers apart.
 struct RecordedActions final : SchedulerActions {
     std::vector<std::string> lines;
+    /// Delays of set_timer.
+    std::vector<Time> timers;
 
     void start_attempt(RequestId request, NodeId node, Time /*timeout*/) override {
         record("start " + std::to_string(request.value) + " " + std::to_string(node.value));
@@ -32,7 +34,7 @@
 
     void fail(RequestId request) override { record("fail " + std::to_string(request.value)); }
 
-    void set_timer(TimerId /*timer*/, Time /*delay*/) override {}
+    void set_timer(TimerId /*timer*/, Time delay) override { timers.push_back(delay); }
 
     void watch_endpoints() override { record("watch"); }
 
