--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -104,7 +104,7 @@
 
 package_tests(
   nbd
-  SOURCES tests/nbd/server_test.cpp
+  SOURCES tests/nbd/negotiation_test.cpp tests/nbd/session_test.cpp
   LIBS knotvane_nbd)
 package_tests(
   http
@@ -148,7 +148,7 @@
   SOURCES
     tests/gateway/libnbd_test.cpp
     tests/gateway/day_test.cpp
-    tests/gateway/door_test.cpp
+    tests/gateway/admission_test.cpp
     tests/gateway/planner_test.cpp
     tests/gateway/snapshot_test.cpp
   LIBS knotvane_day PkgConfig::nbd nlohmann_json::nlohmann_json)
