--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -128,7 +128,7 @@
                        rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
         fleet.on_told = [this](std::size_t edge, const edge::EndpointList &list) {
-            relay_worker.loop().post([this, edge, nodes = list.nodes] { told(edge, nodes); });
+            relay_worker.loop().post([this, edge, nodes = list.entries] { told(edge, nodes); });
         };
         fleet.address_for = [this](std::size_t edge, NodeId node, const std::string &address) {
             std::string front;
@@ -155,8 +155,9 @@
         });
     }
     void told(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
-        for (auto &n : nodes)
-            relay->put(record::Kind::told, edge, n.id.value, static_cast<std::uint64_t>(n.state));
+        for (const auto &[endpoint, address] : nodes)
+            relay->put(record::Kind::told, edge, endpoint.node.value,
+                       static_cast<std::uint64_t>(endpoint.state));
     }
     // The operator asks until the planner does it: it may be down.
     void drain(NodeId node, bool on) {
@@ -222,7 +223,7 @@
         if (script.planner)
             return; // tells its edges itself
         fleet.tell(edge);
-        on_relay([&] { told(edge, fleet.list().nodes); });
+        on_relay([&] { told(edge, fleet.list().entries); });
     }
     void begin(const Trouble &t);
 
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -9,6 +9,7 @@
 #include "edge/core.hpp"
 #include "edge/endpoint_file.hpp"
 #include "edge/planner_client.hpp"
+#include "edge/settings.hpp"
 #include "loop/dialled.hpp"
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
@@ -63,11 +64,15 @@
 
 private:
     void apply_endpoint_list(const EndpointList &list);
-    void follow_planner(settings::File &file, std::uint64_t seed);
+    void accept(std::shared_ptr<loop::Socket> socket);
+    void follow_planner(const PlannerSettings &settings, std::uint64_t seed);
     Time end_of_moment();
     loop::Loop &loop_;
-    std::string nodes_path_, plan_path_, last_faults_;
-    std::uint64_t id_ = 0, next_client_ = 0;
+    std::string endpoint_path_; // of the endpoint list; empty with a planner
+    std::string plan_path_;
+    std::vector<std::string> last_faults_; // of the endpoint list
+    std::uint64_t id_ = 0;
+    std::uint64_t last_client_ = 0;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Watch> watch_;
@@ -76,7 +81,7 @@
     std::uint64_t lists_ = 0;
     bool said_unkept_ = false;
     loop::Sockets<ClientId> clients_;
-    loop::Sockets<NodeConnectionId> links_;
+    loop::Sockets<NodeConnectionId> node_connections_;
 };
 
 } // namespace knotvane::edge
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -1,222 +1,300 @@
 #include "edge/settings.hpp"
 
+#include <algorithm>
+#include <array>
+#include <cstddef>
 #include <limits>
 #include <map>
 #include <set>
+#include <string_view>
 
 #include "settings/fleet_sections.hpp"
 
 namespace knotvane::edge {
 namespace {
 
-constexpr double any = std::numeric_limits<double>::max();
+constexpr double unbounded = std::numeric_limits<double>::max();
+constexpr std::uint64_t max_edges = 1 << 20;
+constexpr std::uint64_t max_zone = 255;
 
-// What is told of a plan or a volume by its name elsewhere in the file.
-struct Named {
+constexpr std::uint64_t min_span_bytes = 4096;
+/// A scheduled request is not larger than an extent.
+constexpr std::uint64_t max_extent_bytes = 8 << 20;
+
+constexpr std::uint64_t min_largest_request = 64 << 10;
+constexpr std::uint64_t max_largest_request = 32 << 20;
+
+/// In the order of Command.
+constexpr std::array<std::string_view, 5> command_names{"read", "write", "zero", "flush", "status"};
+
+/// Plans and volumes of an edge that has no planner, by the names that other sections use.
+struct NamedSections {
     std::map<std::string, PlanId> plans;
     std::set<std::string> volumes;
-    bool by_planner = false;
+    bool from_planner = false; // there are none here
 };
 
-// Plans and volumes of an edge that has no planner.
-void read_fleet(settings::File &file, Core *core, Named &named) {
+void read_plans(settings::File &file, ServiceSettings &settings, NamedSections &named) {
     std::uint32_t next = 0;
     settings::read_plans(file, [&](const std::string &name, double weight, double usual,
                                    double reserve, double price, double rate, double burst) {
         PlanId id{next++};
         named.plans[name] = id;
-        if (core)
-            core->set_plan(id, {weight, usual, reserve, price, rate, burst});
+        settings.plans.push_back({id, {weight, usual, reserve, price, rate, burst}});
     });
-    std::map<std::string, std::uint32_t> hosts;
-    for (auto *s : file.all("volume"))
-        hosts[s->name()] = static_cast<std::uint32_t>(s->count("hosts", 1, 100000, 1));
+}
+
+void read_volumes(settings::File &file, ServiceSettings &settings, NamedSections &named) {
+    constexpr std::uint64_t max_sharers = 100000;
+    std::map<std::string, std::uint32_t> sharers;
+    for (auto *section : file.all("volume"))
+        sharers[section->name()] =
+            static_cast<std::uint32_t>(section->count("hosts", 1, max_sharers, 1));
     settings::read_volumes(
         file, named.plans,
         [&](VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
             const std::string &plan, int) {
             named.volumes.insert(name);
-            if (core)
-                core->add_volume(id, {name, size, least, named.plans.at(plan), hosts[name]});
+            // A plan that there isn't is a fault already.
+            auto known = named.plans.find(plan);
+            auto plan_id = known == named.plans.end() ? PlanId{} : known->second;
+            settings.volumes.push_back({id, {name, size, least, plan_id, sharers[name]}});
         });
 }
 
-void read_workloads(settings::File &file, Core *core, Named &named) {
+/// A copy of a change that may still run must not meet a later change of the same bytes
+/// (docs/design/gateway.md): the key rests for as long.
+void check_key_rest(settings::Section &section, const WorkloadConfig &workload,
+                    const WorkloadRule &rule) {
+    bool writes = is_change(rule.command);
+    Time window = workload.deduplication_window;
+    Time may_run_for = window > 0 ? window : rule.client_timeout;
+    if (writes && workload.key_rest < may_run_for)
+        section.fault("key_rest", "expected at least how long a shot may still run, " +
+                                      std::to_string(may_run_for / ms) +
+                                      "ms (window, or client_timeout without one)");
+    if (!writes && workload.key_rest > 0)
+        section.fault("key_rest", "only writes and zeroes go by turns");
+}
+
+void check_workload(settings::Section &section, const WorkloadConfig &workload,
+                    const WorkloadRule &rule) {
+    bool deduplicated = workload.idempotency == Idempotency::deduplicated;
+    if (workload.latency_objective <= 0 || workload.latency_objective > rule.client_timeout)
+        section.fault("due", "expected above 0 and at most client_timeout");
+    if (deduplicated != (workload.deduplication_window > 0))
+        section.fault("window", "numbered workloads have a window, and no others");
+    if (deduplicated && !is_change(rule.command))
+        section.fault("repeat", "only writes and zeroes are numbered");
+    check_key_rest(section, workload, rule);
+}
+
+std::pair<WorkloadConfig, WorkloadRule> read_workload(settings::Section &section, WorkloadId id) {
+    WorkloadRule rule;
+    rule.workload = id;
+    rule.command = static_cast<Command>(
+        section.choice("command", {"read", "write", "zero", "flush", "status"}, 0));
+    rule.max_bytes = static_cast<std::uint32_t>(
+        section.bytes("up_to", std::numeric_limits<std::uint32_t>::max()));
+    rule.volume = section.text("volume", "");
+
+    WorkloadConfig workload;
+    workload.latency_objective = section.time("due");
+    rule.client_timeout = section.time("client_timeout");
+    workload.value = section.number("value", 0, 1e9, 1);
+    workload.late_value_fraction = section.number("late_part", 0, 1, 0);
+    workload.idempotency = static_cast<Idempotency>(
+        section.choice("repeat", {"reissuable", "numbered", "at_most_once"}, 0));
+    workload.deduplication_scope = DeduplicationScope::shard;
+    workload.deduplication_window = section.time("window", 0);
+    workload.ordered_by_key = is_change(rule.command);
+    workload.key_rest = section.time("key_rest", 0);
+    if (workload.idempotency == Idempotency::deduplicated)
+        rule.deduplication_window = workload.deduplication_window;
+    return {workload, rule};
+}
+
+void read_workloads(settings::File &file, ServiceSettings &settings, const NamedSections &named) {
     std::uint32_t next = 0;
-    bool all_of[5] = {};
-    for (auto *s : file.all("workload")) {
-        WorkloadId id{next++};
-        auto command = s->choice("command", {"read", "write", "zero", "flush", "status"}, 0);
-        bool writes = command == 1 || command == 2;
-        auto up_to = s->bytes("up_to", std::numeric_limits<std::uint32_t>::max());
-        std::string volume = s->text("volume", "");
-        Time due = s->time("due"), timeout = s->time("client_timeout");
-        double value = s->number("value", 0, 1e9, 1), late = s->number("late_part", 0, 1, 0);
-        auto repeat = static_cast<Idempotency>(
-            s->choice("repeat", {"reissuable", "numbered", "at_most_once"}, 0));
-        Time window = s->time("window", 0), rest = s->time("key_rest", 0);
-        if (due <= 0 || due > timeout)
-            s->fault("due", "expected above 0 and at most client_timeout");
-        if ((repeat == Idempotency::deduplicated) != (window > 0))
-            s->fault("window", "numbered workloads have a window, and no others");
-        if (repeat == Idempotency::deduplicated && !writes)
-            s->fault("repeat", "only writes and zeroes are numbered");
-        // A copy that may still run must not meet a later write to the same bytes
-        // (docs/design/gateway.md).
-        Time longest = window > 0 ? window : timeout;
-        if (writes && rest < longest)
-            s->fault("key_rest", "expected at least how long a shot may still run, " +
-                                     std::to_string(longest / ms) +
-                                     "ms (window, or client_timeout without one)");
-        if (!writes && rest > 0)
-            s->fault("key_rest", "only writes and zeroes go by turns");
-        if (!volume.empty() && !named.by_planner && !named.volumes.contains(volume))
-            s->fault("volume", "no section [volume " + volume + "]");
-        all_of[command] |= volume.empty() && !s->has("up_to");
-        if (!core)
-            continue;
-        WorkloadConfig workload;
-        workload.latency_objective = due;
-        workload.value = value;
-        workload.late_value_fraction = late;
-        workload.idempotency = repeat;
-        workload.deduplication_scope = DeduplicationScope::shard;
-        workload.deduplication_window = window;
-        workload.ordered_by_key = writes;
-        workload.key_rest = rest;
-        core->scheduler().set_workload(id, workload);
-        core->add_workload({id, static_cast<Command>(command), static_cast<std::uint32_t>(up_to),
-                            volume, timeout, repeat == Idempotency::deduplicated ? window : 0});
+    std::set<Command> covered; // commands of which each request has a workload
+    for (auto *section : file.all("workload")) {
+        auto [workload, rule] = read_workload(*section, WorkloadId{next++});
+        check_workload(*section, workload, rule);
+        if (!rule.volume.empty() && !named.from_planner && !named.volumes.contains(rule.volume))
+            section->fault("volume", "no section [volume " + rule.volume + "]");
+        if (rule.volume.empty() && !section->has("up_to"))
+            covered.insert(rule.command);
+        settings.workloads.emplace_back(workload, rule);
     }
-    static constexpr const char *commands[] = {"read", "write", "zero", "flush", "status"};
-    for (int i = 0; i < 5; ++i)
-        if (!all_of[i])
-            file.fault(0, std::string("no [workload NAME] is for every ") + commands[i] +
+    for (std::size_t i = 0; i < command_names.size(); ++i)
+        if (!covered.contains(static_cast<Command>(i)))
+            file.fault(0, "no [workload NAME] is for every " + std::string(command_names[i]) +
                               ": one without up_to and volume is needed");
 }
 
+void read_units(settings::File &file, ServiceSettings &settings) {
+    auto &layout = file.one("layout", true);
+    auto extent_bytes = layout.bytes("extent", 1);
+    auto bytes_per_unit = std::max<std::uint64_t>(1, layout.bytes("unit", 1));
+    double largest = 1 + static_cast<double>(extent_bytes) / static_cast<double>(bytes_per_unit);
+
+    auto &section = file.one("units", false);
+    auto &units = settings.scheduler.units;
+    units.mean = section.number("mean", 0, unbounded, 2);
+    units.share_value = section.number("share_worth", 0, 1, 0.35);
+    units.spare_value = section.number("spare_worth", 0, 1, 0.08);
+    settings.copy_on_write_units = section.number("copy", 0, unbounded, 0);
+    units.largest = largest + settings.copy_on_write_units;
+}
+
+void read_attempts(settings::File &file, SchedulerConfig &config) {
+    auto &section = file.one("shots", false);
+    config.attempts.max_attempts = static_cast<std::uint32_t>(section.count("most", 1, 16, 3));
+    config.attempts.allow_parallel = section.flag("parallel", false);
+    config.attempts.cancel_abandoned = section.flag("call_off", true);
+    auto &budget = config.retry_budget;
+    budget.retries_per_request = section.number("further_each", 0, 16, 0);
+    budget.free_retries = section.number("further_free", 0, 1e9, 0);
+    budget.window = section.time("further_span", 0);
+    config.max_retry_after = section.time("longest_wait", sec);
+    config.clients_mark_repeats = section.flag("clients_mark_repeats", false);
+    bool has_budget = budget.retries_per_request > 0 || budget.free_retries > 0;
+    if (has_budget != (budget.window > 0))
+        section.fault("further_span", "goes with further_each or further_free");
+}
+
+void read_nodes(settings::File &file, ServiceSettings &settings) {
+    auto &section = file.one("nodes", false);
+    section.time("drain_grace", 250 * ms); // only checked
+    auto &slow_start = settings.scheduler.slow_start;
+    slow_start.units = section.number("cold_units", 0, unbounded, 0);
+    slow_start.initial_capacity = section.number("start_part", 0, 1, 1);
+    slow_start.window = section.time("cold_span", 0);
+    slow_start.duration = section.time("warm_after", 0);
+    bool has_units = slow_start.units > 0;
+    if (has_units != (slow_start.window > 0) || has_units != (slow_start.duration > 0))
+        section.fault("cold_units", "cold_units, cold_span and warm_after go together");
+
+    auto &connections = settings.node_connections;
+    connections.max_per_node = section.count("connections", 1, 64, 2);
+    connections.connect_timeout = section.time("connect_timeout", 250 * ms);
+    connections.frame_stall_timeout = section.time("stall", 300 * ms);
+    connections.idle_timeout = section.time("idle_close", 60 * sec);
+    connections.max_unsent_bytes = section.bytes("most_unsent", 1 << 20);
+}
+
+AdmissionLimits read_admission(settings::File &file) {
+    auto &section = file.one("door", false);
+    auto requests_each = section.count("requests_each", 1, 4096, 128);
+    auto largest_request = section.bytes("largest_request", 4 << 20);
+    auto most_bytes = section.bytes("most_bytes", 512 << 20);
+    auto most_tasks = section.count("most_tasks", 16, 10000000, 16384);
+    if (largest_request < min_largest_request || largest_request > max_largest_request)
+        section.fault("largest_request", "expected 64KiB to 32MiB");
+    if (most_bytes < 2 * largest_request)
+        section.fault("most_bytes", "expected at least twice the largest request");
+    return {static_cast<std::uint32_t>(requests_each), static_cast<std::uint32_t>(largest_request),
+            most_tasks, most_bytes};
+}
+
 } // namespace
 
-void read_identity(settings::File &file,
-                   const std::function<void(std::uint64_t, std::uint32_t, std::uint32_t,
-                                            std::string, std::string, std::uint64_t)> &tell) {
-    auto &s = file.one("edge", true);
-    auto id = s.count("id", 0, 1 << 20);
-    auto edges = s.count("edges", 1, 1 << 20, 1);
-    if (id >= edges)
-        s.fault("id",
-                "expected below edges, " + std::to_string(edges) + ": they are counted from 0");
-    tell(id, static_cast<std::uint32_t>(edges),
-         static_cast<std::uint32_t>(s.count("zone", 0, 255, 0)),
-         s.text("listen", "127.0.0.1:10809"),
-         s.has("planner") ? s.text("nodes", "") : s.text("nodes"),
-         s.count("seed", 0, std::numeric_limits<std::int64_t>::max(), 1));
-    if (s.has("planner") && s.has("nodes"))
-        s.fault("nodes", "goes with no planner: nodes are told by it");
-}
-
-void read_planner(settings::File &file,
-                  const std::function<void(std::string, std::string, Time, Time)> &tell) {
-    auto &s = file.one("edge", true);
-    auto planner = s.text("planner", ""), plan = s.text("plan_file", "");
-    Time renew = s.time("renew_every", sec), trust = s.time("trust", 24 * 3600 * sec);
-    if (renew <= 0)
-        s.fault("renew_every", "expected above 0");
-    if (planner.empty() && s.has("plan_file"))
-        s.fault("plan_file", "goes with a planner");
-    tell(planner, plan, renew, trust);
-}
-
-void read_layout(settings::File &file,
-                 const std::function<void(std::uint64_t, std::uint64_t, std::uint64_t,
-                                          std::vector<ShardId>)> &tell) {
-    auto &s = file.one("layout", true);
-    auto extent = s.bytes("extent"), span = s.bytes("span"), unit = s.bytes("unit");
-    auto shards = s.count("shards", 1, 65535);
-    if (span < 4096 || (span & (span - 1)) != 0)
-        s.fault("span", "expected a power of two from 4KiB");
-    if (span == 0 || extent % std::max<std::uint64_t>(span, 1) != 0 || extent == 0)
-        s.fault("extent", "expected a multiple of span");
-    if (extent > 8 << 20)
-        s.fault("extent", "expected at most 8MiB: a task is not larger than one");
-    if (unit == 0)
-        s.fault("unit", "expected above 0");
-    std::vector<ShardId> all;
-    for (std::uint64_t i = 0; i < shards; ++i)
-        all.emplace_back(static_cast<std::int32_t>(i));
-    tell(extent, span, unit, std::move(all));
-}
-
-void read_service(settings::File &file, Core *core) {
-    SchedulerConfig config;
+IdentitySettings read_identity(settings::File &file) {
+    auto &section = file.one("edge", true);
+    auto edge_id = section.count("id", 0, max_edges);
+    auto edges = section.count("edges", 1, max_edges, 1);
+    if (edge_id >= edges)
+        section.fault("id", "expected below edges, " + std::to_string(edges) +
+                                ": they are counted from 0");
+    section.count("zone", 0, max_zone, 0); // only checked
+    IdentitySettings identity;
+    identity.edge_id = edge_id;
+    identity.listen = section.text("listen", "127.0.0.1:10809");
+    identity.endpoint_file =
+        section.has("planner") ? section.text("nodes", "") : section.text("nodes");
+    identity.seed = section.count("seed", 0, std::numeric_limits<std::int64_t>::max(), 1);
+    if (section.has("planner") && section.has("nodes"))
+        section.fault("nodes", "goes with no planner: nodes are told by it");
+    return identity;
+}
+
+PlannerSettings read_planner(settings::File &file) {
+    auto &section = file.one("edge", true);
+    PlannerSettings planner;
+    planner.address = section.text("planner", "");
+    planner.plan_file = section.text("plan_file", "");
+    planner.renew_every = section.time("renew_every", sec);
+    planner.max_plan_age = section.time("trust", 24 * 3600 * sec);
+    if (planner.renew_every <= 0)
+        section.fault("renew_every", "expected above 0");
+    if (planner.address.empty() && section.has("plan_file"))
+        section.fault("plan_file", "goes with a planner");
+    return planner;
+}
+
+LayoutSettings read_layout(settings::File &file) {
+    auto &section = file.one("layout", true);
+    LayoutSettings layout;
+    layout.extent_bytes = section.bytes("extent");
+    layout.span_bytes = section.bytes("span");
+    layout.bytes_per_unit = section.bytes("unit");
+    auto shards = section.count("shards", 1, 65535);
+    auto extent = layout.extent_bytes;
+    auto span = layout.span_bytes;
+    if (span < min_span_bytes || (span & (span - 1)) != 0)
+        section.fault("span", "expected a power of two from 4KiB");
+    if (span == 0 || extent % span != 0 || extent == 0)
+        section.fault("extent", "expected a multiple of span");
+    if (extent > max_extent_bytes)
+        section.fault("extent", "expected at most 8MiB: a task is not larger than one");
+    if (layout.bytes_per_unit == 0)
+        section.fault("unit", "expected above 0");
+    for (std::uint64_t shard = 0; shard < shards; ++shard)
+        layout.shards.emplace_back(static_cast<std::int32_t>(shard));
+    return layout;
+}
+
+ServiceSettings read_service(settings::File &file) {
+    ServiceSettings settings;
     auto &edge = file.one("edge", true);
-    auto &layout = file.one("layout", true);
-    config.self = PeerId{static_cast<std::uint32_t>(edge.count("id", 0, 1 << 20))};
-    config.scheduler_count = static_cast<std::uint32_t>(edge.count("edges", 1, 1 << 20, 1));
-    edge.count("zone", 0, 255, 0); // checked; the decisions don't use it
-    auto &units = file.one("units", false);
-    double largest =
-        1 + static_cast<double>(layout.bytes("extent", 1)) /
-                static_cast<double>(std::max<std::uint64_t>(1, layout.bytes("unit", 1)));
-    double mean = units.number("mean", 0, any, 2), share = units.number("share_worth", 0, 1, 0.35),
-           spare = units.number("spare_worth", 0, 1, 0.08);
-    double copy = units.number("copy", 0, any, 0);
-    config.units = {mean, largest + copy, share, spare};
-    if (core)
-        core->set_copy_on_write_units(copy);
-    Named named;
+    settings.scheduler.self = PeerId{static_cast<std::uint32_t>(edge.count("id", 0, max_edges))};
+    settings.scheduler.scheduler_count =
+        static_cast<std::uint32_t>(edge.count("edges", 1, max_edges, 1));
+    read_units(file, settings);
     // With a planner these come from it, and sections here would only contradict it.
-    named.by_planner = edge.has("planner");
-    if (!named.by_planner)
-        read_fleet(file, core, named);
-    read_workloads(file, core, named);
-    auto &shots = file.one("shots", false);
-    auto most = shots.count("most", 1, 16, 3);
-    bool parallel = shots.flag("parallel", false), off = shots.flag("call_off", true);
-    double each = shots.number("further_each", 0, 16, 0),
-           free = shots.number("further_free", 0, 1e9, 0);
-    Time span = shots.time("further_span", 0), denial = shots.time("longest_wait", sec);
-    bool marked = shots.flag("clients_mark_repeats", false);
-    if ((each > 0 || free > 0) != (span > 0))
-        shots.fault("further_span", "goes with further_each or further_free");
-    auto &nodes = file.one("nodes", false);
-    nodes.time("drain_grace", 250 * ms); // checked; the decisions don't use it
-    double cold_units = nodes.number("cold_units", 0, any, 0),
-           start = nodes.number("start_part", 0, 1, 1);
-    Time cold_span = nodes.time("cold_span", 0), warm = nodes.time("warm_after", 0);
-    if ((cold_units > 0) != (cold_span > 0) || (cold_units > 0) != (warm > 0))
-        nodes.fault("cold_units", "cold_units, cold_span and warm_after go together");
-    auto each_links = nodes.count("connections", 1, 64, 2);
-    Time connect = nodes.time("connect_timeout", 250 * ms), stall = nodes.time("stall", 300 * ms),
-         idle = nodes.time("idle_close", 60 * sec);
-    auto most_out = nodes.bytes("most_unsent", 1 << 20);
-    auto &door = file.one("door", false);
-    auto flying = door.count("requests_each", 1, 4096, 128);
-    auto request = door.bytes("largest_request", 4 << 20),
-         bytes = door.bytes("most_bytes", 512 << 20);
-    auto tasks = door.count("most_tasks", 16, 10000000, 16384);
-    if (request < 64 << 10 || request > 32 << 20)
-        door.fault("largest_request", "expected 64KiB to 32MiB");
-    if (bytes < 2 * request)
-        door.fault("most_bytes", "expected at least twice the largest request");
-    if (!core)
-        return;
-    config.max_retry_after = denial;
-    config.clients_mark_repeats = marked;
-    config.attempts = {static_cast<std::uint32_t>(most), parallel, off};
-    config.retry_budget = {each, free, span};
-    config.slow_start = {cold_units, cold_span, warm, start};
-    core->scheduler().configure(config);
-    core->set_node_connections({each_links, connect, stall, idle, most_out});
-    core->set_admission_limits(
-        {static_cast<std::uint32_t>(flying), static_cast<std::uint32_t>(request), tasks, bytes});
+    NamedSections named;
+    named.from_planner = edge.has("planner");
+    if (!named.from_planner) {
+        read_plans(file, settings, named);
+        read_volumes(file, settings, named);
+    }
+    read_workloads(file, settings, named);
+    read_attempts(file, settings.scheduler);
+    read_nodes(file, settings);
+    settings.admission = read_admission(file);
+    return settings;
 }
 
 void check(settings::File &file) {
-    read_identity(file, [](auto...) {});
-    read_planner(file, [](auto...) {});
-    read_layout(file, [](auto...) {});
-    read_service(file, nullptr);
+    read_identity(file);
+    read_planner(file);
+    read_layout(file);
+    read_service(file);
+}
+
+void apply(const ServiceSettings &settings, Core &core) {
+    core.set_copy_on_write_units(settings.copy_on_write_units);
+    for (const auto &[id, plan] : settings.plans)
+        core.set_plan(id, plan);
+    for (const auto &[id, volume] : settings.volumes)
+        core.add_volume(id, volume);
+    for (const auto &[workload, rule] : settings.workloads) {
+        core.scheduler().set_workload(rule.workload, workload);
+        core.add_workload(rule);
+    }
+    core.scheduler().configure(settings.scheduler);
+    core.set_node_connections(settings.node_connections);
+    core.set_admission_limits(settings.admission);
 }
 
 } // namespace knotvane::edge
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -227,8 +227,8 @@
         host.address = host.server->address();
     });
     host.id = id;
-    list_.nodes.push_back(
-        {id, host.address, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age});
+    list_.entries.push_back(
+        {{id, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age}, host.address});
 }
 
 std::string Fleet::list_path(std::size_t edge) const {
@@ -344,15 +344,17 @@
 }
 
 void Fleet::list_as(NodeId node, NodeState state, Time started) {
-    for (auto &n : list_.nodes)
-        if (n.id == node)
-            n.state = state, n.started = started;
+    for (auto &[endpoint, address] : list_.entries)
+        if (endpoint.node == node) {
+            endpoint.state = state;
+            endpoint.started_at = started;
+        }
 }
 void Fleet::tell(std::size_t edge) {
     ++list_.version;
     auto told = list_;
-    for (auto &n : told.nodes)
-        n.address = address_for(edge, n.id, n.address);
+    for (auto &[endpoint, address] : told.entries)
+        address = address_for(edge, endpoint.node, address);
     // Written beside and renamed: a reader finds the old list or the new one.
     auto path = list_path(edge), beside = path + ".new";
     std::ofstream(beside) << format_endpoint_list(told);
--- a/tests/edge/core_test.cpp
+++ b/tests/edge/core_test.cpp
@@ -204,23 +204,23 @@
     EndpointList list() {
         EndpointList l;
         l.version = 7;
-        l.nodes = {{NodeId{1}, "127.0.0.1:1", ShardId{0}, ZoneId{0}, NodeState::ready, 5},
-                   {NodeId{2}, "127.0.0.1:2", ShardId{1}, ZoneId{0}, NodeState::draining, 6}};
+        l.entries = {{{NodeId{1}, ShardId{0}, ZoneId{0}, NodeState::ready, 5}, "127.0.0.1:1"},
+                     {{NodeId{2}, ShardId{1}, ZoneId{0}, NodeState::draining, 6}, "127.0.0.1:2"}};
         return l;
     }
     TEST_CASE("a node list is read as it was written") {
         Lines faults;
         auto got = parse_endpoint_list("f", format_endpoint_list(list()), faults);
         CHECK(faults.empty());
-        CHECK(got.nodes.size() == 2);
-        CHECK(got.nodes[1].state == NodeState::draining);
+        CHECK(got.entries.size() == 2);
+        CHECK(got.entries[1].endpoint.state == NodeState::draining);
     }
     TEST_CASE("a list cut short anywhere is none") {
         auto text = format_endpoint_list(list());
         auto whole = text.size() - 1; // without the last line's end it still says all
         for (std::size_t n = 0; n < whole; ++n) {
             Lines faults;
-            CHECK(parse_endpoint_list("f", text.substr(0, n), faults).nodes.empty());
+            CHECK(parse_endpoint_list("f", text.substr(0, n), faults).entries.empty());
             CHECK_MESSAGE(!faults.empty(), n);
         }
     }
