--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -133,10 +133,14 @@
 package_tests(
   edge
   SOURCES
-    tests/edge/core_test.cpp
+    tests/edge/core_snapshots_test.cpp
+    tests/edge/endpoint_file_test.cpp
+    tests/edge/layout_test.cpp
+    tests/edge/node_connections_test.cpp
     tests/edge/planner_client_test.cpp
+    tests/edge/settings_test.cpp
     tests/edge/snapshot_participant_test.cpp
-    tests/edge/core_snapshots_test.cpp
+    tests/edge/unflushed_writes_test.cpp
   LIBS knotvane_edge_settings knotvane_load)
 package_tests(
   rules
--- a/src/edge/open_volumes.hpp
+++ b/src/edge/open_volumes.hpp
@@ -57,7 +57,7 @@
     /// Volumes come from this state from now on; else from add_volume.
     /// @param state must outlive this.
     void follow(const control::ClusterState &state) { state_ = &state; }
-    void add_volume(VolumeId id, const VolumeConfig &volume);
+    void add_volume(VolumeId id, const VolumeConfig &config);
     /// The state that is followed has changed.
     void update();
 
@@ -65,8 +65,8 @@
     /// @param name empty for the first volume by name that is neither a snapshot nor a clone, as
     /// those come and go.
     std::optional<VolumeId> find(std::string_view name) const;
-    /// @param volume must exist.
-    nbd::ExportInfo export_info(VolumeId volume, std::uint32_t max_request_bytes) const;
+    /// @param id of a volume that exists.
+    nbd::ExportInfo export_info(VolumeId id, std::uint32_t max_request_bytes) const;
     /// Whether the volume has this name.
     bool is_named(VolumeId volume, const std::string &name) const;
 
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -50,7 +50,7 @@
     core_->start(loop::now());
     listener_ = std::make_unique<loop::Listener>(
         loop_, identity.listen,
-        [this](std::shared_ptr<loop::Socket> socket) { accept(std::move(socket)); });
+        [this](const std::shared_ptr<loop::Socket> &socket) { accept(socket); });
     follow_planner(read_planner(file), identity.seed);
     if (!planner_client_) {
         load_endpoint_file();
@@ -65,7 +65,7 @@
     planner_.reset();
 }
 
-void Server::accept(std::shared_ptr<loop::Socket> socket) {
+void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
     ClientId id{++last_client_};
     clients_.add(id, socket);
     socket->on_bytes = [this, id](std::string_view bytes) {
@@ -250,9 +250,9 @@
         s->close_when_sent();
 }
 
-void Server::pause_client(ClientId id, bool hold) {
+void Server::pause_client(ClientId id, bool paused) {
     if (auto s = clients_.find(id))
-        s->hold(hold);
+        s->hold(paused);
 }
 
 void Server::log_event(std::string text) {
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -1,4 +1,5 @@
-// An edge on sockets: the core's shell. It carries bytes, time and calls, and decides nothing.
+/// \file
+/// An edge on sockets: the core's shell. It carries bytes, time and calls, and decides nothing.
 #pragma once
 
 #include <functional>
@@ -17,36 +18,40 @@
 
 namespace knotvane::edge {
 
+/// Runs a core on an event loop, on whose thread all calls are made.
 class Server final : public Shell, public Line {
 public:
-    // Sets up from settings that were checked; `scheduler` makes the decisions. Throws
-    // std::runtime_error where the address can't be listened on.
+    /// @param loop must outlive the server.
+    /// @param file settings that were checked.
+    /// @param scheduler makes the scheduler, given its actions and the seed of its random choices.
+    /// @throw std::runtime_error if the address can't be listened on.
     Server(loop::Loop &loop, settings::File &file,
            const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>
                &scheduler);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
     Core &core() { return *core_; }
-    // The list of nodes as it stands in the file; a list with faults or an old version changes
-    // nothing.
+    /// Takes the endpoint list as it is in the file; one with faults or an old version changes
+    /// nothing.
     void load_endpoint_file();
-    // Told after each list that was taken.
+    /// Called after each list that was accepted.
     std::function<void(const EndpointList &)> on_endpoint_list;
-    // Gives the address to connect to for a node's; for a relay between.
+    /// Gives the address to connect to for a node's own; for a relay between them.
     std::function<std::string(NodeId node, const std::string &address)> resolve_address;
     // With a planner: its word, and whether to leave unread what it says.
     const Subscription *planner_client() const { return planner_client_.get(); }
     void pause_planner(bool paused) { planner_->hold(paused); }
 
-    void connect(NodeConnectionId link, const std::string &address) override;
-    void send(NodeConnectionId link, std::string bytes) override;
-    void close(NodeConnectionId link) override;
-    void send_client(ClientId client, std::string bytes) override;
-    void close_client(ClientId client) override;
-    void pause_client(ClientId client, bool hold) override;
+    void connect(NodeConnectionId id, const std::string &address) override;
+    void send(NodeConnectionId id, std::string bytes) override;
+    void close(NodeConnectionId id) override;
+    void send_client(ClientId id, std::string bytes) override;
+    void close_client(ClientId id) override;
+    void pause_client(ClientId id, bool paused) override;
     void log_event(std::string text) override;
     void say(std::string text) override { log_event(std::move(text)); }
-    void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) override;
+    void attempt_completed(RequestId request, NodeId node, AttemptOutcome outcome,
+                           Time duration) override;
     void volume_used(VolumeId volume, bool on) override;
     void snapshot_step_done(VolumeId as, control::SnapshotStep step,
                             control::EdgeIncarnation incarnation) override;
@@ -64,7 +69,7 @@
 
 private:
     void apply_endpoint_list(const EndpointList &list);
-    void accept(std::shared_ptr<loop::Socket> socket);
+    void accept(const std::shared_ptr<loop::Socket> &socket);
     void follow_planner(const PlannerSettings &settings, std::uint64_t seed);
     Time end_of_moment();
     loop::Loop &loop_;
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -16,6 +16,7 @@
 constexpr double unbounded = std::numeric_limits<double>::max();
 constexpr std::uint64_t max_edges = 1 << 20;
 constexpr std::uint64_t max_zone = 255;
+constexpr Time hour = 3600 * sec;
 
 constexpr std::uint64_t min_span_bytes = 4096;
 /// A scheduled request is not larger than an extent.
@@ -224,7 +225,7 @@
     planner.address = section.text("planner", "");
     planner.plan_file = section.text("plan_file", "");
     planner.renew_every = section.time("renew_every", sec);
-    planner.max_plan_age = section.time("trust", 24 * 3600 * sec);
+    planner.max_plan_age = section.time("trust", 24 * hour);
     if (planner.renew_every <= 0)
         section.fault("renew_every", "expected above 0");
     if (planner.address.empty() && section.has("plan_file"))
@@ -260,6 +261,7 @@
     settings.scheduler.self = PeerId{static_cast<std::uint32_t>(edge.count("id", 0, max_edges))};
     settings.scheduler.scheduler_count =
         static_cast<std::uint32_t>(edge.count("edges", 1, max_edges, 1));
+    edge.count("zone", 0, max_zone, 0); // only checked
     read_units(file, settings);
     // With a planner these come from it, and sections here would only contradict it.
     NamedSections named;
--- a/src/edge/snapshot_participant.hpp
+++ b/src/edge/snapshot_participant.hpp
@@ -56,13 +56,13 @@
     std::uint32_t epoch(VolumeId volume) const;
     /// Call only while the volume isn't held.
     /// @return the epoch that the change belongs to.
-    std::uint32_t change_started(VolumeId volume);
+    std::uint32_t change_started(VolumeId id);
     /// The client has its answer or is gone. Attempts that are still in flight belong to a change
     /// that failed.
-    void change_ended(VolumeId volume, std::uint32_t epoch);
+    void change_ended(VolumeId id, std::uint32_t epoch);
     /// A later epoch is in force: the cluster state says so, or a store that has sealed its
     /// snapshot.
-    void learn_epoch(VolumeId volume, std::uint32_t epoch);
+    void learn_epoch(VolumeId id, std::uint32_t epoch);
 
     // Of time.
 
--- a/src/nbd/session.cpp
+++ b/src/nbd/session.cpp
@@ -241,44 +241,44 @@
     output_ += message;
 }
 
-void Session::reply_data(Cookie id, std::uint64_t offset, std::string_view data) {
-    auto it = requests_.find(id);
+void Session::reply_data(Cookie request, std::uint64_t offset, std::string_view data) {
+    auto it = requests_.find(request);
     if (it == requests_.end() || data.empty())
         return;
-    Request &request = it->second;
-    if (request.single_reply) {
-        auto at = static_cast<std::ptrdiff_t>(offset - request.header.offset);
-        std::copy(data.begin(), data.end(), request.gathered.begin() + at);
+    Request &pending = it->second;
+    if (pending.single_reply) {
+        auto at = static_cast<std::ptrdiff_t>(offset - pending.header.offset);
+        std::copy(data.begin(), data.end(), pending.gathered.begin() + at);
         return;
     }
-    put_chunk(request.header.client_cookie, 0, reply_type_offset_data, sizeof offset + data.size());
+    put_chunk(pending.header.client_cookie, 0, reply_type_offset_data, sizeof offset + data.size());
     put(output_, offset);
     output_ += data;
 }
 
-void Session::reply_done(Cookie id) {
-    auto it = requests_.find(id);
+void Session::reply_done(Cookie request) {
+    auto it = requests_.find(request);
     if (it == requests_.end())
         return;
-    const Request &request = it->second;
-    const RequestHeader &header = request.header;
+    const Request &pending = it->second;
+    const RequestHeader &header = pending.header;
     if (!negotiation_.structured_replies()) {
         put_simple_reply(header.client_cookie, 0);
-        output_ += request.gathered;
-    } else if (header.command == cmd_read && request.single_reply) {
+        output_ += pending.gathered;
+    } else if (header.command == cmd_read && pending.single_reply) {
         put_chunk(header.client_cookie, reply_flag_done, reply_type_offset_data,
-                  sizeof header.offset + request.gathered.size());
+                  sizeof header.offset + pending.gathered.size());
         put(output_, header.offset);
-        output_ += request.gathered;
+        output_ += pending.gathered;
     } else {
         put_chunk(header.client_cookie, reply_flag_done, reply_type_none, 0);
     }
-    finish_request(id);
+    finish_request(request);
 }
 
-void Session::reply_error(Cookie id, ErrorCode error, std::string_view message,
+void Session::reply_error(Cookie request, ErrorCode error, std::string_view message,
                           std::optional<std::uint64_t> offset) {
-    auto it = requests_.find(id);
+    auto it = requests_.find(request);
     if (it == requests_.end())
         return;
     const RequestHeader &header = it->second.header;
@@ -293,11 +293,11 @@
     } else {
         put_error(header.client_cookie, error, message);
     }
-    finish_request(id);
+    finish_request(request);
 }
 
-void Session::reply_block_status(Cookie id, const std::vector<BlockStatusExtent> &extents) {
-    auto it = requests_.find(id);
+void Session::reply_block_status(Cookie request, const std::vector<BlockStatusExtent> &extents) {
+    auto it = requests_.find(request);
     if (it == requests_.end())
         return;
     put_chunk(it->second.header.client_cookie, reply_flag_done, reply_type_block_status,
@@ -307,7 +307,7 @@
         put(output_, extent.length_bytes);
         put(output_, extent.flags);
     }
-    finish_request(id);
+    finish_request(request);
 }
 
 } // namespace knotvane::nbd
--- a/tests/nbd/session_test.cpp
+++ b/tests/nbd/session_test.cpp
@@ -110,7 +110,7 @@
         Session all(once, 16, 65536);
         all.receive(whole);
         std::string answers = all.take_output();
-        CHECK(rc::check([&](std::vector<std::uint16_t> cuts) {
+        CHECK(rc::check([&](const std::vector<std::uint16_t> &cuts) {
             RecordingHandler handler;
             Session s(handler, 16, 65536);
             std::size_t at = 0;
