--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -84,7 +84,11 @@
   LIBS knotvane_http_gateway_server)
 package_tests(
   store
-  SOURCES tests/store/store_test.cpp
+  SOURCES
+    tests/store/block_allocator_test.cpp
+    tests/store/recovery_test.cpp
+    tests/store/snapshots_test.cpp
+    tests/store/store_test.cpp
   LIBS knotvane_store)
 package_tests(
   node
