--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -92,8 +92,17 @@
   LIBS knotvane_store)
 package_tests(
   node
-  SOURCES tests/node/node_test.cpp tests/node/snapshot_test.cpp
+  SOURCES
+    tests/node/background_schedule_test.cpp
+    tests/node/deduplication_test.cpp
+    tests/node/fault_injection_test.cpp
+    tests/node/snapshot_test.cpp
+    tests/node/storage_node_test.cpp
   LIBS knotvane_node)
+package_tests(
+  node_protocol
+  SOURCES tests/node_protocol/frame_test.cpp
+  LIBS knotvane_node_protocol)
 package_tests(
   sim
   SOURCES tests/sim/sim_test.cpp
--- a/src/node/fault_injection.cpp
+++ b/src/node/fault_injection.cpp
@@ -35,7 +35,7 @@
     if (it == faults_.end())
         return std::nullopt;
     if (it->fault.count > 0)
-        --it->left;
+        --it->remaining;
     return it->fault.magnitude;
 }
 
--- a/src/node/fault_injection.hpp
+++ b/src/node/fault_injection.hpp
@@ -69,10 +69,10 @@
 private:
     struct Injected {
         FaultInjection fault;
-        std::uint64_t left = 0; // of its count
-        bool begun = false;     // of a refusal: open connections were reset
+        std::uint64_t remaining = 0; // of its count
+        bool begun = false;          // of a refusal: open connections were reset
 
-        bool is_used_up() const { return fault.count > 0 && left == 0; }
+        bool is_used_up() const { return fault.count > 0 && remaining == 0; }
         bool is_active(FaultKind kind, Time now) const {
             return fault.kind == kind && now >= fault.from && now < fault.until && !is_used_up();
         }
--- a/src/node/pause_schedule.cpp
+++ b/src/node/pause_schedule.cpp
@@ -32,17 +32,17 @@
         next_deferred_work_ = now + deferred_.interval;
 }
 
-double PauseSchedule::defer_part_of(double units) {
-    deferred_units_ += deferred_.part * units;
-    return units * (1 - deferred_.part);
+double PauseSchedule::defer_fraction_of(double units) {
+    deferred_units_ += deferred_.fraction * units;
+    return units * (1 - deferred_.fraction);
 }
 
 void PauseSchedule::tick(Time now, const ServiceModel &service, std::ranlux24_base &random) {
     if (pauses_.interval > 0 && now >= next_pause_) {
         paused_until_ = now + pauses_.length;
-        Time random_part =
+        Time random_delay =
             static_cast<Time>(random() % random_steps) * pauses_.interval / random_steps;
-        next_pause_ = now + pauses_.interval / 2 + random_part;
+        next_pause_ = now + pauses_.interval / 2 + random_delay;
     }
     if (deferred_.interval > 0 && now >= next_deferred_work_) {
         next_deferred_work_ = now + deferred_.interval;
--- a/src/node/pause_schedule.hpp
+++ b/src/node/pause_schedule.hpp
@@ -21,7 +21,7 @@
 
     /// Puts part of a write's work off.
     /// @return the units that are left to do at once.
-    double defer_part_of(double units);
+    double defer_fraction_of(double units);
 
     /// Begins what is due.
     void tick(Time now, const ServiceModel &service, std::ranlux24_base &random);
--- a/src/node/request_execution.cpp
+++ b/src/node/request_execution.cpp
@@ -83,7 +83,7 @@
     if (check.status != Status::ok)
         return answer(now, request, check.status, {}, check.epoch_in_force);
     std::uint64_t copies = check.open_snapshot ? 2 : 1;
-    if (!store_.has_room_for(copies * frame.length))
+    if (!store_.has_space_for(copies * frame.length))
         return answer(now, request, Status::no_space);
     if (!apply_mutation(request, check.open_snapshot))
         return answer(now, request, Status::error);
--- a/src/node/service_model.hpp
+++ b/src/node/service_model.hpp
@@ -42,8 +42,8 @@
 
 /// Work of writes that is done later and all at once, as a compaction.
 struct DeferredWorkModel {
-    double part = 0;   ///< Share of a write's units that is deferred, 0 to 1.
-    Time interval = 0; ///< Between two times at which it is done. 0: never.
+    double fraction = 0; ///< Share of a write's units that is deferred, 0 to 1.
+    Time interval = 0;   ///< Between two times at which it is done. 0: never.
 };
 
 } // namespace knotvane::node
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -52,7 +52,7 @@
 void read_pauses(settings::Section &section, Settings &out) {
     out.pauses.interval = section.time("every", 0);
     out.pauses.length = section.time("length", 0);
-    out.deferred_work.part = section.number("put_off_part", 0, 1, 0);
+    out.deferred_work.fraction = section.number("put_off_part", 0, 1, 0);
     out.deferred_work.interval = section.time("put_off_every", 0);
 }
 
--- a/src/node/storage_node.cpp
+++ b/src/node/storage_node.cpp
@@ -201,7 +201,7 @@
     double units = std::max(request.frame.milliunits / milliunits_per_unit, min_units);
     double slowdown = faults_.apply(FaultKind::slow, now).value_or(1);
     if (request.frame.kind == FrameKind::write)
-        units = pauses_.defer_part_of(units);
+        units = pauses_.defer_fraction_of(units);
     // More requests than cores share them.
     double sharing = std::max(1.0, static_cast<double>(executing_.size() + 1) / service_.cores);
     auto time = static_cast<Time>(static_cast<double>(service_.unit_time) * units * slowdown *
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -19,7 +19,7 @@
 using BlockBuffer = std::array<char, block_size>;
 
 // The part of a change that lies in one block.
-struct ChangePart {
+struct BlockRange {
     std::uint64_t block = 0;
     std::uint32_t begin = 0;     // bytes into the block
     std::uint32_t length = 0;    // bytes
@@ -42,29 +42,29 @@
     ChangeBuilder &operator=(const ChangeBuilder &) = delete;
 
     // @return false if the rest of a block does not match its checksum, or no space is left.
-    bool add(const ChangePart &part) {
+    bool add(const BlockRange &range) {
         // Volumes that have one block in common go on with one.
         std::vector<std::pair<BlockRef, BlockRef>> written; // from what, to what
         for (VolumeId volume : volumes_) {
-            BlockRef old = store_.find(volume, part.block);
-            if (part.is_zero() && part.is_whole()) {
+            BlockRef old = store_.find(volume, range.block);
+            if (range.is_zero() && range.is_whole()) {
                 if (!old.is_hole())
-                    note(volume, part.block, {});
+                    note(volume, range.block, {});
                 continue;
             }
-            if (part.is_zero() && old.is_hole())
+            if (range.is_zero() && old.is_hole())
                 continue;
             auto same = std::find_if(written.begin(), written.end(), [&](const auto &refs) {
-                return part.is_whole() || refs.first == old;
+                return range.is_whole() || refs.first == old;
             });
             if (same != written.end()) {
-                note(volume, part.block, same->second);
+                note(volume, range.block, same->second);
                 continue;
             }
-            auto ref = write(part, old);
+            auto ref = write(range, old);
             if (!ref)
                 return false;
-            note(volume, part.block, *ref);
+            note(volume, range.block, *ref);
             written.emplace_back(old, *ref);
         }
         return true;
@@ -80,17 +80,17 @@
         changes_[volume].push_back({block, ref});
     }
 
-    // Writes a new block: the part, and of what is not written whole the rest.
-    std::optional<BlockRef> write(const ChangePart &part, BlockRef old) {
+    // Writes a new block: the range, and of what is not written whole the rest.
+    std::optional<BlockRef> write(const BlockRange &range, BlockRef old) {
         BlockBuffer buffer;
-        std::string_view content(part.bytes, part.is_zero() ? 0 : part.length);
-        if (!part.is_whole()) {
+        std::string_view content(range.bytes, range.is_zero() ? 0 : range.length);
+        if (!range.is_whole()) {
             if (!store_.load_block(old, buffer.data()))
                 return std::nullopt;
-            if (part.is_zero())
-                std::memset(buffer.data() + part.begin, 0, part.length);
+            if (range.is_zero())
+                std::memset(buffer.data() + range.begin, 0, range.length);
             else
-                std::memcpy(buffer.data() + part.begin, part.bytes, part.length);
+                std::memcpy(buffer.data() + range.begin, range.bytes, range.length);
             content = {buffer.data(), buffer.size()};
         }
         Slot slot = store_.allocate_block();
@@ -181,18 +181,18 @@
     ChangeBuilder builder(*this, volumes);
     try {
         while (length > 0) {
-            ChangePart part;
-            part.block = offset / block_size;
-            part.begin = static_cast<std::uint32_t>(offset % block_size);
-            part.length = static_cast<std::uint32_t>(
-                std::min<std::uint64_t>(block_size - part.begin, length));
-            part.bytes = bytes;
-            if (!builder.add(part))
+            BlockRange range;
+            range.block = offset / block_size;
+            range.begin = static_cast<std::uint32_t>(offset % block_size);
+            range.length = static_cast<std::uint32_t>(
+                std::min<std::uint64_t>(block_size - range.begin, length));
+            range.bytes = bytes;
+            if (!builder.add(range))
                 return false;
-            offset += part.length;
-            length -= part.length;
+            offset += range.length;
+            length -= range.length;
             if (bytes)
-                bytes += part.length;
+                bytes += range.length;
         }
         if (builder.changes().empty())
             return true;
@@ -354,7 +354,7 @@
 
 // ---- Space
 
-bool Store::has_room_for(std::uint64_t bytes) const {
+bool Store::has_space_for(std::uint64_t bytes) const {
     // Both ends may lie within a block.
     constexpr std::uint64_t partial_blocks = 2;
     return blocks_.available() >= bytes / block_size + partial_blocks;
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -148,7 +148,7 @@
     /// Blocks at most.
     std::uint64_t capacity() const { return blocks_.capacity(); }
     /// Whether a write of so many bytes finds room.
-    bool has_room_for(std::uint64_t bytes) const;
+    bool has_space_for(std::uint64_t bytes) const;
     /// Whether the next write to this offset copies what other volumes share.
     bool is_shared(VolumeId volume, std::uint64_t offset) const;
     /// Memory of maps, counts and marks: by blocks written, not by the sizes of volumes.
--- a/tests/store/model.hpp
+++ b/tests/store/model.hpp
@@ -93,7 +93,9 @@
 
     std::uint64_t offset() const { return first_ * sector_size; }
     std::uint32_t length() const { return static_cast<std::uint32_t>(count_ * sector_size); }
-    char random_letter(char first) { return static_cast<char>(first + random_() % 26); }
+    char random_letter(char first) {
+        return static_cast<char>(first + static_cast<int>(random_() % 26));
+    }
 
     void fill(Model &in, VolumeId volume, char letter) const {
         in[volume].replace(first_, count_, count_, letter);
