--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -10,7 +10,7 @@
 find_package(CLI11 REQUIRED)
 find_package(Threads REQUIRED)
 
-add_library(knotvane_nbd src/nbd/server.cpp)
+add_library(knotvane_nbd src/nbd/negotiation.cpp src/nbd/session.cpp)
 target_include_directories(knotvane_nbd PUBLIC src)
 add_library(knotvane_node_protocol src/node_protocol/frame.cpp)
 target_link_libraries(knotvane_node_protocol PUBLIC knotvane_scheduling PkgConfig::isal)
@@ -51,7 +51,18 @@
 add_library(knotvane_settings src/settings/ini.cpp src/settings/fleet_sections.cpp)
 target_include_directories(knotvane_settings PUBLIC src)
 target_link_libraries(knotvane_settings PRIVATE PkgConfig::inih PkgConfig::xxhash)
-add_library(knotvane_edge src/edge/layout.cpp src/edge/node_connections.cpp src/edge/core.cpp src/edge/planner_client.cpp)
+add_library(
+  knotvane_edge
+  src/edge/attempt_tracker.cpp
+  src/edge/client_session.cpp
+  src/edge/core.cpp
+  src/edge/layout.cpp
+  src/edge/node_connections.cpp
+  src/edge/open_volumes.cpp
+  src/edge/planner_client.cpp
+  src/edge/request_splitter.cpp
+  src/edge/request_table.cpp
+  src/edge/snapshot_participant.cpp)
 target_link_libraries(knotvane_edge PUBLIC knotvane_control knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_load src/load/session.cpp)
 target_link_libraries(knotvane_load PUBLIC knotvane_nbd)
