--- a/src/http/decoder.cpp
+++ b/src/http/decoder.cpp
@@ -34,7 +34,7 @@
 
 struct Decoder::Parts {
     http_parser parser{};
-    Side side;
+    MessageKind side;
     std::size_t most_head, most_body;
     State state = State::empty;
     const char *fault = "";
@@ -44,11 +44,12 @@
     bool in_name = false, head_done = false, keeps_open = true;
     std::size_t raw = 0; // bytes since the message began, or since its body was last taken
 
-    Parts(Side s, std::size_t head, std::size_t most) : side(s), most_head(head), most_body(most) {
+    Parts(MessageKind s, std::size_t head, std::size_t most)
+        : side(s), most_head(head), most_body(most) {
         begin();
     }
     void begin() {
-        http_parser_init(&parser, side == Side::requests ? HTTP_REQUEST : HTTP_RESPONSE);
+        http_parser_init(&parser, side == MessageKind::request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
         state = State::empty, fault = "", fault_status = 400;
         target.clear(), body.clear(), headers.clear();
@@ -154,7 +155,7 @@
     }
 };
 
-Decoder::Decoder(Side side, std::size_t most_head, std::size_t most_body)
+Decoder::Decoder(MessageKind side, std::size_t most_head, std::size_t most_body)
     : parts_(std::make_unique<Parts>(side, most_head, most_body)) {}
 Decoder::~Decoder() = default;
 Decoder::Decoder(Decoder &&) noexcept = default;
@@ -172,7 +173,8 @@
         auto n = http_parser_execute(&m.parser, &Parts::calls(), bite.data(), bite.size());
         taken += n, m.raw += n;
         auto error = static_cast<enum http_errno>(m.parser.http_errno);
-        if (m.state == State::whole && m.side == Side::answers && m.parser.status_code < 200) {
+        if (m.state == State::whole && m.side == MessageKind::response &&
+            m.parser.status_code < 200) {
             m.begin();
             continue;
         }
--- a/src/http/decoder.hpp
+++ b/src/http/decoder.hpp
@@ -14,13 +14,13 @@
 
 namespace knotvane::http {
 
-enum class Side { requests, answers };
+enum class MessageKind { request, response };
 enum class State { empty, head, body, whole, broken };
 
 class Decoder {
 public:
     // `most_head`, `most_body`: bytes; what is longer is broken as soon as that shows.
-    Decoder(Side side, std::size_t most_head, std::size_t most_body);
+    Decoder(MessageKind side, std::size_t most_head, std::size_t most_body);
     ~Decoder();
     Decoder(Decoder &&) noexcept;
     Decoder &operator=(Decoder &&) noexcept;
--- a/src/http_gateway/client_connections.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -84,23 +84,25 @@
 
 } // namespace
 
-Clients::Clients(Transport &transport, RequestsTold &told, Conns &conns,
-                 std::vector<std::string> workloads, std::vector<std::string> plans,
-                 std::size_t most)
-    : transport_(transport), told_(told), conns_(conns), most_(std::max<std::size_t>(most, 1)) {
+ClientConnections::ClientConnections(Transport &transport, ClientRequestEvents &told,
+                                     ConnectionIds &connection_ids,
+                                     std::vector<std::string> workloads,
+                                     std::vector<std::string> plans, std::size_t most)
+    : transport_(transport), told_(told), connection_ids_(connection_ids),
+      most_(std::max<std::size_t>(most, 1)) {
     for (std::uint32_t i = 0; i < workloads.size(); ++i)
         workloads_[workloads[i]] = WorkloadId{i};
     for (std::uint32_t i = 0; i < plans.size(); ++i)
         plans_[plans[i]] = PlanId{i};
 }
 
-std::optional<ConnId> Clients::came(Time now) {
+std::optional<ConnectionId> ClientConnections::connected(Time now) {
     if (clients_.size() >= most_)
         shed(now);
     // All have a request open: one more would take a descriptor from the nodes and from discovery.
     if (clients_.size() >= most_)
         return std::nullopt;
-    ConnId conn = conns_.next();
+    ConnectionId conn = connection_ids_.next();
     auto &c = clients_.try_emplace(conn).first->second;
     c.since = now;
     due_at(conn, c, now + silent);
@@ -110,7 +112,7 @@
 // may be closed for being idle; else who is not done with a head; else any idle one. Who is just
 // here comes last: its request may wait unread. Guards against crowds that ask once and stay, by
 // which usual clients were turned away at the door.
-void Clients::shed(Time now) {
+void ClientConnections::shed(Time now) {
     auto rank = [&](const Client &c) {
         if (c.ended)
             return -1;
@@ -129,13 +131,13 @@
     if (least != clients_.end())
         drop(least->first);
 }
-void Clients::due_at(ConnId conn, Client &c, Time at) {
+void ClientConnections::due_at(ConnectionId conn, Client &c, Time at) {
     due_.erase({c.due, conn});
     c.due = at;
     if (at != never)
         due_.insert({at, conn});
 }
-void Clients::drop(ConnId conn) {
+void ClientConnections::drop(ConnectionId conn) {
     auto it = clients_.find(conn);
     due_.erase({it->second.due, conn});
     ended_ -= it->second.ended;
@@ -144,19 +146,19 @@
 }
 // What is owed leaves, then our side ends; the rest is thrown away until the client's end, or for a
 // short while.
-void Clients::finish(Time now, ConnId conn, Client &c) {
+void ClientConnections::finish(Time now, ConnectionId conn, Client &c) {
     c.ended = true, c.open = false, ++ended_;
     c.behind.clear(), c.kept = 0;
     due_at(conn, c, now + (c.unsent > 0 ? leaves_within : linger));
-    transport_.shut(conn);
+    transport_.finish_sending(conn);
 }
-void Clients::finish_resting(Time now) {
+void ClientConnections::finish_resting(Time now) {
     for (auto &[conn, c] : clients_)
         if (!c.open && !c.ended && c.behind.empty())
             finish(now, conn, c);
 }
 
-void Clients::bytes(Time now, ConnId conn, std::string_view in) {
+void ClientConnections::received(Time now, ConnectionId conn, std::string_view in) {
     auto it = clients_.find(conn);
     if (it == clients_.end())
         return;
@@ -178,7 +180,7 @@
     else
         c.behind.emplace_back(now, in), c.kept += in.size();
 }
-void Clients::read(Time now, Time came, ConnId conn, std::string_view in) {
+void ClientConnections::read(Time now, Time came, ConnectionId conn, std::string_view in) {
     while (!in.empty()) {
         Client &c = clients_.at(conn);
         if (c.in.state() == http::State::empty)
@@ -209,7 +211,8 @@
         }
     }
 }
-std::pair<unsigned, const char *> Clients::request(Time now, Time came, ConnId conn, Client &c) {
+std::pair<unsigned, const char *> ClientConnections::request(Time now, Time came, ConnectionId conn,
+                                                             Client &c) {
     const std::string &target = c.in.target();
     bool reads = c.in.method() == "GET", writes = c.in.method() == "PUT";
     c.last = !c.in.keeps_open();
@@ -273,23 +276,23 @@
         return {409, "X-Trace-Id: was used before"};
     remember(hashed);
     bool repeated = c.in.header("X-Second-Try") == "1";
-    auto work =
-        std::make_shared<const Work>(Work{std::string(c.in.method()), target, std::string(*trace),
-                                          std::string(mark), c.in.take_body()});
+    auto work = std::make_shared<const OutboundRequest>(
+        OutboundRequest{std::string(c.in.method()), target, std::string(*trace), std::string(mark),
+                        c.in.take_body()});
     c.open = true;
     due_at(conn, c, never);
-    told_.request_came(now, conn, workload->second, VolumeId{*volume}, plan->second,
-                       ShardId{static_cast<std::int32_t>(*shard)}, key, *units, *hosts, writes,
-                       repeated, came + static_cast<Time>(*wait * 1e9), std::move(work));
+    told_.request_received(now, conn, workload->second, VolumeId{*volume}, plan->second,
+                           ShardId{static_cast<std::int32_t>(*shard)}, key, *units, *hosts, writes,
+                           repeated, came + static_cast<Time>(*wait * 1e9), std::move(work));
     return {0, ""};
 }
-void Clients::remember(std::uint64_t trace) {
+void ClientConnections::remember(std::uint64_t trace) {
     traces_.insert(trace), last_traces_.push_back(trace);
     if (last_traces_.size() <= most_traces)
         return;
     traces_.erase(last_traces_.front()), last_traces_.pop_front();
 }
-void Clients::gone(Time now, ConnId conn) {
+void ClientConnections::disconnected(Time now, ConnectionId conn) {
     auto it = clients_.find(conn);
     if (it == clients_.end())
         return;
@@ -298,11 +301,11 @@
     ended_ -= it->second.ended;
     clients_.erase(it);
     if (open)
-        told_.request_left(now, conn);
+        told_.request_canceled(now, conn);
 }
 
-void Clients::send(Time now, ConnId conn, unsigned status, const std::string &headers,
-                   std::string body) {
+void ClientConnections::send(Time now, ConnectionId conn, unsigned status,
+                             const std::string &headers, std::string body) {
     auto it = clients_.find(conn);
     if (it == clients_.end() || it->second.ended)
         return;
@@ -321,7 +324,7 @@
     if (!c.behind.empty())
         resume_.insert(conn);
 }
-void Clients::written(Time now, ConnId conn, std::size_t bytes) {
+void ClientConnections::sent(Time now, ConnectionId conn, std::size_t bytes) {
     auto it = clients_.find(conn);
     if (it == clients_.end())
         return;
@@ -330,7 +333,7 @@
     if (c.ended && c.unsent == 0)
         due_at(conn, c, now + linger);
 }
-void Clients::resume(Time now) {
+void ClientConnections::resume(Time now) {
     for (auto conn : std::exchange(resume_, {}))
         for (auto it = clients_.find(conn);
              it != clients_.end() && !it->second.open && !it->second.behind.empty();
@@ -340,26 +343,26 @@
             read(now, came, conn, in);
         }
 }
-void Clients::reject(Time now, ConnId conn, unsigned status, const char *why) {
+void ClientConnections::reject(Time now, ConnectionId conn, unsigned status, const char *why) {
     clients_.at(conn).last = true;
-    if (transport_.traces())
+    if (transport_.tracing())
         transport_.trace("refused status=" + std::to_string(status) + " why=" + why);
     send(now, conn, status, "Content-Type: text/plain\r\n", std::string(why) + "\n");
 }
-void Clients::answer(Time now, ConnId conn, std::string body) {
+void ClientConnections::answer(Time now, ConnectionId conn, std::string body) {
     send(now, conn, 200, "", std::move(body));
 }
-void Clients::refuse(Time now, ConnId conn, Time retry_after) {
+void ClientConnections::refuse(Time now, ConnectionId conn, Time retry_after) {
     char wait[64] = "";
     if (retry_after > 0)
         std::snprintf(wait, sizeof wait, "Retry-After: %.3f\r\n", seconds(retry_after));
     send(now, conn, 503, wait, "");
 }
-void Clients::error(Time now, ConnId conn) {
+void ClientConnections::error(Time now, ConnectionId conn) {
     send(now, conn, 502, "", "");
 }
 
-void Clients::tick(Time now) {
+void ClientConnections::tick(Time now) {
     while (!due_.empty() && due_.begin()->first <= now) {
         auto conn = due_.begin()->second;
         Client &c = clients_.at(conn);
--- a/src/http_gateway/client_connections.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -24,35 +24,36 @@
 
 // What clients tell. A request that came is answered once, by its connection, unless it left
 // before.
-class RequestsTold {
+class ClientRequestEvents {
 public:
-    virtual ~RequestsTold() = default;
-    virtual void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume,
-                              PlanId plan, ShardId shard, KeyId key, double units, double hosts,
-                              bool writes, bool repeated, Time deadline,
-                              std::shared_ptr<const Work> work) = 0;
-    virtual void request_left(Time now, ConnId client) = 0;
+    virtual ~ClientRequestEvents() = default;
+    virtual void request_received(Time now, ConnectionId client, WorkloadId workload,
+                                  VolumeId volume, PlanId plan, ShardId shard, KeyId key,
+                                  double units, double hosts, bool writes, bool repeated,
+                                  Time deadline, std::shared_ptr<const OutboundRequest> work) = 0;
+    virtual void request_canceled(Time now, ConnectionId client) = 0;
     // Whether the scheduler may be put to use.
     virtual bool serves() const = 0;
 };
 
-class Clients {
+class ClientConnections {
 public:
     // `workloads`, `plans`: names in the order of their ids. `most`: connections at once.
-    Clients(Transport &transport, RequestsTold &told, Conns &conns,
-            std::vector<std::string> workloads, std::vector<std::string> plans, std::size_t most);
+    ClientConnections(Transport &transport, ClientRequestEvents &told,
+                      ConnectionIds &connection_ids, std::vector<std::string> workloads,
+                      std::vector<std::string> plans, std::size_t most);
 
-    bool owns(ConnId conn) const { return clients_.contains(conn); }
+    bool owns(ConnectionId conn) const { return clients_.contains(conn); }
     // A connection that was accepted; one in excess makes the least useful one go, or is not taken.
-    std::optional<ConnId> came(Time now);
-    void bytes(Time now, ConnId conn, std::string_view in);
-    void gone(Time now, ConnId conn);
-    void written(Time now, ConnId conn, std::size_t bytes);
+    std::optional<ConnectionId> connected(Time now);
+    void received(Time now, ConnectionId conn, std::string_view in);
+    void disconnected(Time now, ConnectionId conn);
+    void sent(Time now, ConnectionId conn, std::size_t bytes);
 
     // The answers: a node's body; trying again is harmless, and when (0: untold); failed.
-    void answer(Time now, ConnId conn, std::string body);
-    void refuse(Time now, ConnId conn, Time retry_after);
-    void error(Time now, ConnId conn);
+    void answer(Time now, ConnectionId conn, std::string body);
+    void refuse(Time now, ConnectionId conn, Time retry_after);
+    void error(Time now, ConnectionId conn);
 
     // From now on connections without a request stay, however long they are idle.
     void keep_idle() { keep_idle_ = true; }
@@ -78,7 +79,7 @@
     // Heads here are some hundred bytes; bodies 64 KiB at most, by the protocol.
     static constexpr std::size_t most_head = 8 << 10, most_body = 64 << 10;
     struct Client {
-        http::Decoder in{http::Side::requests, most_head, most_body};
+        http::Decoder in{http::MessageKind::request, most_head, most_body};
         Time due = 0, since = 0; // since: it came, or its last answer left
         // served: it had an answer; last: the answer ends it; deaf: no more requests are read;
         // ended: our side has ended, the client's has not.
@@ -90,26 +91,27 @@
         std::size_t kept = 0; // bytes of it
     };
     // `came`: when these bytes did; a client's time starts there, also where they had to wait.
-    void read(Time now, Time came, ConnId conn, std::string_view in);
+    void read(Time now, Time came, ConnectionId conn, std::string_view in);
     // Gives back the status of a refusal and why, 0 where the request was told.
-    std::pair<unsigned, const char *> request(Time now, Time came, ConnId conn, Client &c);
-    void send(Time now, ConnId conn, unsigned status, const std::string &headers, std::string body);
-    void reject(Time now, ConnId conn, unsigned status, const char *why);
-    void due_at(ConnId conn, Client &c, Time at);
-    void drop(ConnId conn);
-    void finish(Time now, ConnId conn, Client &c);
+    std::pair<unsigned, const char *> request(Time now, Time came, ConnectionId conn, Client &c);
+    void send(Time now, ConnectionId conn, unsigned status, const std::string &headers,
+              std::string body);
+    void reject(Time now, ConnectionId conn, unsigned status, const char *why);
+    void due_at(ConnectionId conn, Client &c, Time at);
+    void drop(ConnectionId conn);
+    void finish(Time now, ConnectionId conn, Client &c);
     void shed(Time now);
     void remember(std::uint64_t trace);
 
     Transport &transport_;
-    RequestsTold &told_;
-    Conns &conns_;
+    ClientRequestEvents &told_;
+    ConnectionIds &connection_ids_;
     std::map<std::string, WorkloadId, std::less<>> workloads_;
     std::map<std::string, PlanId, std::less<>> plans_;
     std::size_t most_, ended_ = 0;
-    std::map<ConnId, Client> clients_;
-    std::set<std::pair<Time, ConnId>> due_;
-    std::set<ConnId> resume_;
+    std::map<ConnectionId, Client> clients_;
+    std::set<std::pair<Time, ConnectionId>> due_;
+    std::set<ConnectionId> resume_;
     std::unordered_set<std::uint64_t>
         traces_; // of open requests and of the last before them, hashed
     std::deque<std::uint64_t> last_traces_;
--- a/src/http_gateway/config.cpp
+++ b/src/http_gateway/config.cpp
@@ -111,7 +111,8 @@
         const json &v = (*it)[i];
         const json *name = v.is_object() && v.contains("Name") ? &v["Name"] : &v;
         if (!name->is_string())
-            throw MalformedInput("settings." + list + "." + std::to_string(i) + ": expected a name");
+            throw MalformedInput("settings." + list + "." + std::to_string(i) +
+                                 ": expected a name");
         out.push_back(name->get<std::string>());
     }
     return out;
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -17,7 +17,7 @@
 // times that, in which a new connection is made where no other one rests.
 constexpr Time quiet = 10 * ms;
 
-std::string message_of(const Work &w, Time left) {
+std::string message_of(const OutboundRequest &w, Time left) {
     char expires[32];
     std::snprintf(expires, sizeof expires, "%.6f", seconds(std::max<Time>(left, 0)));
     std::string out = w.method + " " + w.target +
@@ -32,26 +32,27 @@
 
 } // namespace
 
-Pools::Pools(Transport &transport, AttemptsTold &told, Conns &conns, Time connect, Time idle,
-             std::size_t most)
-    : transport_(transport), told_(told), conns_(conns), connect_(connect),
+ConnectionPool::ConnectionPool(Transport &transport, UpstreamAttemptEvents &told,
+                               ConnectionIds &connection_ids, Time connect, Time idle,
+                               std::size_t most)
+    : transport_(transport), told_(told), connection_ids_(connection_ids), connect_(connect),
       // A tenth and a quarter second before the node would: a request written as it closes is a
       // reset.
       idle_(std::max<Time>(idle - idle / 10 - 250 * ms, 0)), most_(std::max<std::size_t>(most, 1)) {
 }
 
-void Pools::node_at(Time now, NodeId node, const std::string &address) {
+void ConnectionPool::node_at(Time now, NodeId node, const std::string &address) {
     Peer &peer = peers_[node];
     if (peer.address == address)
         return;
     node_gone(now, node);
     peers_[node].address = address;
 }
-void Pools::node_drains(Time now, NodeId node) {
+void ConnectionPool::node_drains(Time now, NodeId node) {
     auto it = peers_.find(node);
     if (it == peers_.end())
         return;
-    for (auto conn : std::vector<ConnId>(it->second.idle))
+    for (auto conn : std::vector<ConnectionId>(it->second.idle))
         drop(conn);
     std::vector<AttemptKey> unbegun;
     for (auto &[id, link] : links_)
@@ -63,7 +64,7 @@
     for (auto &key : unbegun)
         take_back(now, key);
 }
-void Pools::node_gone(Time now, NodeId node) {
+void ConnectionPool::node_gone(Time now, NodeId node) {
     node_drains(now, node);
     auto it = peers_.find(node);
     if (it == peers_.end())
@@ -74,7 +75,7 @@
 }
 
 // Closes the idle connection that is next to be closed anyway.
-bool Pools::make_room() {
+bool ConnectionPool::make_room() {
     if (links_.size() < most_)
         return true;
     for (auto &[at, conn] : due_)
@@ -85,16 +86,17 @@
     return false;
 }
 
-void Pools::begin(Time now, RequestId request, AttemptId attempt, NodeId node,
-                  std::shared_ptr<const Work> work, Time until) {
+void ConnectionPool::begin(Time now, RequestId request, AttemptId attempt, NodeId node,
+                           std::shared_ptr<const OutboundRequest> work, Time until) {
     AttemptKey key{request, attempt};
     auto peer = peers_.find(node);
     if (until <= now || peer == peers_.end() || peer->second.address.empty())
-        return told_.attempt_over(now, request, attempt, node, AttemptOutcome::not_sent, 0, {});
+        return told_.attempt_completed(now, request, attempt, node, AttemptOutcome::not_sent, 0,
+                                       {});
     Attempt &s = attempts_[key] = Attempt{node, {}, std::move(work), now, until};
     auto &idle = peer->second.idle;
     auto rested = std::find_if(idle.rbegin(), idle.rend(),
-                               [&](ConnId c) { return links_.at(c).rests + quiet <= now; });
+                               [&](ConnectionId c) { return links_.at(c).rests + quiet <= now; });
     if (rested != idle.rend()) {
         s.conn = *rested;
         idle.erase(std::next(rested).base());
@@ -104,18 +106,19 @@
     }
     if (!make_room())
         return over(now, key, AttemptOutcome::not_sent);
-    s.conn = conns_.next();
+    s.conn = connection_ids_.next();
     Link &link =
         links_
-            .emplace(s.conn, Link{node, peer->second.address, false, false, true, key, 0, false, 0,
-                                  0, http::Decoder(http::Side::answers, most_head, most_body)})
+            .emplace(s.conn,
+                     Link{node, peer->second.address, false, false, true, key, 0, false, 0, 0,
+                          http::Decoder(http::MessageKind::response, most_head, most_body)})
             .first->second;
     ++peer->second.links;
     due_at(s.conn, link, std::min(now + connect_, until));
     transport_.connect(s.conn, link.address);
 }
 // Hands the request of the attempt to its connection.
-void Pools::give(Time now, ConnId conn, Link &link) {
+void ConnectionPool::give(Time now, ConnectionId conn, Link &link) {
     Attempt &s = attempts_.at(link.attempt);
     // Between the decision and this moment a connection came up: the client may have left, the node
     // may drain.
@@ -128,7 +131,7 @@
     due_at(conn, link, s.until);
     transport_.send(conn, std::move(bytes));
 }
-void Pools::cancel_attempt(Time now, RequestId request, AttemptId attempt) {
+void ConnectionPool::cancel_attempt(Time now, RequestId request, AttemptId attempt) {
     auto it = attempts_.find({request, attempt});
     if (it == attempts_.end())
         return;
@@ -137,16 +140,16 @@
     drop(it->second.conn);
     over(now, {request, attempt}, AttemptOutcome::canceled);
 }
-bool Pools::left(const Attempt &attempt) const {
+bool ConnectionPool::left(const Attempt &attempt) const {
     const Link &link = links_.at(attempt.conn);
     return link.handed && link.to_write == 0;
 }
 // Ends an attempt whose last byte has not left, and so never will: it did not run.
-void Pools::take_back(Time now, const AttemptKey &key) {
+void ConnectionPool::take_back(Time now, const AttemptKey &key) {
     drop(attempts_.at(key).conn);
     over(now, key, AttemptOutcome::not_sent);
 }
-void Pools::withdraw(Time now, RequestId request) {
+void ConnectionPool::withdraw(Time now, RequestId request) {
     std::vector<AttemptKey> unwritten;
     for (auto it = attempts_.lower_bound({request, AttemptId{}});
          it != attempts_.end() && it->first.first == request; ++it)
@@ -155,11 +158,11 @@
     for (auto &key : unwritten)
         take_back(now, key);
 }
-void Pools::over(Time now, const AttemptKey &key, AttemptOutcome how, std::string body) {
+void ConnectionPool::over(Time now, const AttemptKey &key, AttemptOutcome how, std::string body) {
     auto it = attempts_.find(key);
     Attempt s = std::move(it->second);
     attempts_.erase(it);
-    if (transport_.traces()) {
+    if (transport_.tracing()) {
         auto after = [&](Time t) {
             return t == 0 ? std::string("-") : std::to_string((t - s.began) / us);
         };
@@ -171,9 +174,10 @@
             " at=" + std::to_string(s.began / us) + " connected=" + after(s.connected) +
             " written=" + after(s.written) + " first=" + after(s.first) + " over=" + after(now));
     }
-    told_.attempt_over(now, key.first, key.second, s.node, how, now - s.began, std::move(body));
+    told_.attempt_completed(now, key.first, key.second, s.node, how, now - s.began,
+                            std::move(body));
 }
-void Pools::drop(ConnId conn, bool close) {
+void ConnectionPool::drop(ConnectionId conn, bool close) {
     auto it = links_.find(conn);
     Link &link = it->second;
     due_.erase({link.due, conn});
@@ -186,12 +190,12 @@
     if (close)
         transport_.close(conn);
 }
-void Pools::due_at(ConnId conn, Link &link, Time at) {
+void ConnectionPool::due_at(ConnectionId conn, Link &link, Time at) {
     due_.erase({link.due, conn});
     link.due = at;
     due_.insert({at, conn});
 }
-void Pools::rest(Time now, ConnId conn, Link &link) {
+void ConnectionPool::rest(Time now, ConnectionId conn, Link &link) {
     link.busy = link.handed = false;
     link.in.next();
     link.rests = now;
@@ -199,14 +203,14 @@
     peers_.at(link.node).idle.push_back(conn);
 }
 
-std::map<NodeId, std::size_t> Pools::busy() const {
+std::map<NodeId, std::size_t> ConnectionPool::busy() const {
     std::map<NodeId, std::size_t> out;
     for (auto &[id, link] : links_)
         out[link.node] += link.busy;
     return out;
 }
 
-void Pools::up(Time now, ConnId conn) {
+void ConnectionPool::connected(Time now, ConnectionId conn) {
     auto it = links_.find(conn);
     if (it == links_.end())
         return;
@@ -214,7 +218,7 @@
     attempts_.at(it->second.attempt).connected = now;
     give(now, conn, it->second);
 }
-void Pools::failed(Time now, ConnId conn, bool tried) {
+void ConnectionPool::connect_failed(Time now, ConnectionId conn, bool tried) {
     auto it = links_.find(conn);
     if (it == links_.end())
         return;
@@ -222,14 +226,14 @@
     drop(conn, false);
     over(now, key, tried ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
 }
-void Pools::gone(Time now, ConnId conn, Gone how) {
+void ConnectionPool::disconnected(Time now, ConnectionId conn, CloseReason how) {
     auto it = links_.find(conn);
     if (it == links_.end())
         return;
     bool busy = it->second.busy, whole = it->second.handed && it->second.to_write == 0;
     auto key = it->second.attempt;
     // An answer without a length ends with its stream; a connection that broke ends nothing.
-    if (busy && whole && how == Gone::ended) {
+    if (busy && whole && how == CloseReason::end_of_stream) {
         it->second.in.finish(), it->second.leaving = true;
         if (it->second.in.state() == http::State::whole)
             return answered(now, conn, {});
@@ -239,7 +243,7 @@
     if (busy)
         over(now, key, whole ? AttemptOutcome::reset : AttemptOutcome::unreachable);
 }
-void Pools::written(Time now, ConnId conn, std::size_t bytes) {
+void ConnectionPool::sent(Time now, ConnectionId conn, std::size_t bytes) {
     auto it = links_.find(conn);
     if (it == links_.end())
         return;
@@ -248,14 +252,14 @@
         attempts_.at(it->second.attempt).written = now;
 }
 
-void Pools::bytes(Time now, ConnId conn, std::string_view in) {
+void ConnectionPool::received(Time now, ConnectionId conn, std::string_view in) {
     auto it = links_.find(conn);
     if (it == links_.end())
         return;
     Link &link = it->second;
     // Nothing was asked: whatever this is, it must not be taken for the next one's answer.
     if (!link.busy) {
-        if (transport_.traces())
+        if (transport_.tracing())
             transport_.trace("stray conn=" + std::to_string(conn.value) +
                              " after=" + std::to_string((now - link.rests) / us));
         return drop(conn);
@@ -269,7 +273,7 @@
     answered(now, conn, in);
 }
 // The answer is whole or broken; `behind`: what came right behind it.
-void Pools::answered(Time now, ConnId conn, std::string_view behind) {
+void ConnectionPool::answered(Time now, ConnectionId conn, std::string_view behind) {
     Link &link = links_.at(conn);
     auto state = link.in.state();
     auto key = link.attempt;
@@ -284,7 +288,7 @@
             how = AttemptOutcome::overloaded;
         keep = behind.empty() && link.in.keeps_open() && !link.leaving && link.to_write == 0;
     }
-    if (how == AttemptOutcome::error && transport_.traces())
+    if (how == AttemptOutcome::error && transport_.tracing())
         transport_.trace("error conn=" + std::to_string(conn.value) +
                          " status=" + std::to_string(link.in.status()) +
                          " length=" + std::string(link.in.header("Content-Length").value_or("-")) +
@@ -296,7 +300,7 @@
     over(now, key, how, std::move(body));
 }
 
-void Pools::tick(Time now) {
+void ConnectionPool::tick(Time now) {
     while (!due_.empty() && due_.begin()->first <= now) {
         auto conn = due_.begin()->second;
         Link &link = links_.at(conn);
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -34,7 +34,7 @@
     Time t = settings.time(path);
     if (t < 0)
         throw scheduler_setup::MalformedInput("setting " + path + ": expected seconds, 0 or more");
-    return t > 0 ? t : Pools::unbounded;
+    return t > 0 ? t : ConnectionPool::unbounded;
 }
 
 } // namespace
@@ -44,11 +44,11 @@
            const scheduler_setup::Options &settings, std::vector<std::string> workloads,
            std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
            std::size_t sockets)
-    : transport_(transport), clients_(transport, *this, conns_, std::move(workloads),
+    : transport_(transport), clients_(transport, *this, connection_ids_, std::move(workloads),
                                       std::move(plans), for_clients(sockets)),
-      pools_(transport, *this, conns_, bound(settings, "Permissions.ConnectTimeoutS"),
-             bound(settings, "Permissions.ConnIdleS"), for_nodes(sockets)),
-      discovery_(transport, *this, conns_, std::move(zones),
+      pool_(transport, *this, connection_ids_, bound(settings, "Permissions.ConnectTimeoutS"),
+            bound(settings, "Permissions.ConnIdleS"), for_nodes(sockets)),
+      discovery_(transport, *this, connection_ids_, std::move(zones),
                  settings.text("RegistryMode") == "on_request", seed),
       scheduler_(scheduler(*this)) {
     scheduler_setup::set_up(*scheduler_, settings);
@@ -76,51 +76,52 @@
     clients_.keep_idle();
 }
 
-void Core::up(Time now, ConnId conn) {
+void Core::connected(Time now, ConnectionId conn) {
     now_ = now;
-    pools_.owns(conn) ? pools_.up(now, conn) : discovery_.up(now, conn);
+    pool_.owns(conn) ? pool_.connected(now, conn) : discovery_.connected(now, conn);
 }
-void Core::failed(Time now, ConnId conn, bool tried) {
+void Core::connect_failed(Time now, ConnectionId conn, bool tried) {
     now_ = now;
-    pools_.owns(conn) ? pools_.failed(now, conn, tried) : discovery_.failed(now, conn);
+    pool_.owns(conn) ? pool_.connect_failed(now, conn, tried)
+                     : discovery_.connect_failed(now, conn);
 }
-void Core::bytes(Time now, ConnId conn, std::string_view in) {
+void Core::received(Time now, ConnectionId conn, std::string_view in) {
     now_ = now;
     if (clients_.owns(conn))
-        return clients_.bytes(now, conn, in);
-    pools_.owns(conn) ? pools_.bytes(now, conn, in) : discovery_.bytes(now, conn, in);
+        return clients_.received(now, conn, in);
+    pool_.owns(conn) ? pool_.received(now, conn, in) : discovery_.received(now, conn, in);
 }
-void Core::gone(Time now, ConnId conn, Gone how) {
+void Core::disconnected(Time now, ConnectionId conn, CloseReason how) {
     now_ = now;
     if (clients_.owns(conn))
-        return clients_.gone(now, conn);
-    pools_.owns(conn) ? pools_.gone(now, conn, how) : discovery_.gone(now, conn);
+        return clients_.disconnected(now, conn);
+    pool_.owns(conn) ? pool_.disconnected(now, conn, how) : discovery_.disconnected(now, conn);
 }
 
-void Core::written(Time now, ConnId conn, std::size_t bytes) {
-    clients_.owns(conn) ? clients_.written(now, conn, bytes) : pools_.written(now, conn, bytes);
+void Core::sent(Time now, ConnectionId conn, std::size_t bytes) {
+    clients_.owns(conn) ? clients_.sent(now, conn, bytes) : pool_.sent(now, conn, bytes);
 }
 
 void Core::settle(Time now) {
     now_ = now;
-    if (transport_.traces())
+    if (transport_.tracing())
         trace_counts(now);
-    clients_.tick(now), pools_.tick(now), discovery_.tick(now);
+    clients_.tick(now), pool_.tick(now), discovery_.tick(now);
     // A decision may end an attempt at once, which is told like any other outcome; a few rounds do.
     for (int round = 0; round < 8; ++round) {
-        while (!overs_.empty()) {
-            Over o = std::move(overs_.front());
-            overs_.pop_front();
+        while (!completed_attempts_.empty()) {
+            CompletedAttempt o = std::move(completed_attempts_.front());
+            completed_attempts_.pop_front();
             tell(now, std::move(o));
         }
-        while (!alarms_.empty() && alarms_.begin()->first <= now) {
-            auto id = alarms_.begin()->second;
-            alarms_.erase(alarms_.begin());
+        while (!timers_.empty() && timers_.begin()->first <= now) {
+            auto id = timers_.begin()->second;
+            timers_.erase(timers_.begin());
             scheduler_->timer_expired(now, id);
         }
         clients_.resume(now);
         scheduler_->settle(now);
-        if (overs_.empty() && !clients_.resumes())
+        if (completed_attempts_.empty() && !clients_.resumes())
             break;
     }
     // Connections end with their answers. Those that rest stay to the last: their clients can make
@@ -132,7 +133,7 @@
         clients_.finish_resting(now);
     over_ =
         stopping_ && now >= last_calls_ && asked_.empty() && (clients_.held() == 0 || now >= ends_);
-    if (transport_.traces())
+    if (transport_.tracing())
         due_ = next_due();
 }
 // Ten times a second: how late the loop came to what was due, and what is believed to be out
@@ -144,25 +145,25 @@
     if (now - traced_ < each)
         return;
     traced_ = now;
-    auto busy = pools_.busy();
+    auto busy = pool_.busy();
     for (auto &[node, n] : counted_)
         transport_.trace("node id=" + std::to_string(node.value) + " counted=" + std::to_string(n) +
                          " open=" + std::to_string(busy[node]));
 }
 Time Core::next_due() const {
-    Time at = std::min({clients_.next_due(), pools_.next_due(), discovery_.next_due()});
-    if (!alarms_.empty())
-        at = std::min(at, alarms_.begin()->first);
-    if (!overs_.empty() || clients_.resumes())
+    Time at = std::min({clients_.next_due(), pool_.next_due(), discovery_.next_due()});
+    if (!timers_.empty())
+        at = std::min(at, timers_.begin()->first);
+    if (!completed_attempts_.empty() || clients_.resumes())
         at = now_;
     if (stopping_)
         at = std::min(at, std::max(last_calls_, now_ + 20 * ms));
     return at;
 }
 
-void Core::tell(Time now, Over o) {
+void Core::tell(Time now, CompletedAttempt o) {
     --requests_.at(o.request).out;
-    if (transport_.traces()) {
+    if (transport_.tracing()) {
         --counted_[o.node];
         transport_.trace("told request=" + std::to_string(o.request.value) +
                          " attempt=" + std::to_string(o.attempt.value) +
@@ -176,7 +177,7 @@
     forget_if_done(o.request);
 }
 // The request needs no answer any more; gives who is owed one, if anybody still is.
-std::optional<ConnId> Core::end(RequestId request) {
+std::optional<ConnectionId> Core::end(RequestId request) {
     auto it = requests_.find(request);
     if (it == requests_.end() || it->second.ended)
         return std::nullopt;
@@ -194,13 +195,13 @@
     Request &t = requests_.at(request);
     AttemptId attempt{t.attempts++};
     ++t.out;
-    if (transport_.traces())
+    if (transport_.tracing())
         ++counted_[node];
-    pools_.begin(now_, request, attempt, node, t.work,
-                 timeout > 0 ? std::min(t.until, now_ + timeout) : t.until);
+    pool_.begin(now_, request, attempt, node, t.work,
+                timeout > 0 ? std::min(t.until, now_ + timeout) : t.until);
 }
 void Core::cancel_attempt(RequestId request, AttemptId attempt) {
-    pools_.cancel_attempt(now_, request, attempt);
+    pool_.cancel_attempt(now_, request, attempt);
 }
 void Core::reject(RequestId request, Time retry_after) {
     if (auto client = end(request))
@@ -219,13 +220,14 @@
     return t != requests_.end() && !t->second.ended && n != nodes_.end() && n->second &&
            scheduler_->may_send_attempt(now, request, attempt);
 }
-void Core::attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node,
-                        AttemptOutcome how, Time took, std::string body) {
-    overs_.push_back({request, attempt, node, how, took, now, std::move(body)});
+void Core::attempt_completed(Time now, RequestId request, AttemptId attempt, NodeId node,
+                             AttemptOutcome how, Time took, std::string body) {
+    completed_attempts_.push_back({request, attempt, node, how, took, now, std::move(body)});
 }
-void Core::request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
-                        ShardId shard, KeyId key, double units, double hosts, bool writes,
-                        bool repeated, Time deadline, std::shared_ptr<const Work> work) {
+void Core::request_received(Time now, ConnectionId client, WorkloadId workload, VolumeId volume,
+                            PlanId plan, ShardId shard, KeyId key, double units, double hosts,
+                            bool writes, bool repeated, Time deadline,
+                            std::shared_ptr<const OutboundRequest> work) {
     if (stopping_)
         deadline = std::min(deadline, ends_);
     RequestId id{++last_request_};
@@ -245,14 +247,14 @@
     info.client_timeout = deadline;
     scheduler_->request_received(now, info);
 }
-void Core::request_left(Time now, ConnId client) {
+void Core::request_canceled(Time now, ConnectionId client) {
     auto asked = asked_.find(client);
     if (asked == asked_.end())
         return;
     auto request = asked->second;
     end(request);
-    pools_.withdraw(now,
-                    request); // also where attempts may not be called off: these were not made yet
+    pool_.withdraw(now,
+                   request); // also where attempts may not be called off: these were not made yet
     scheduler_->request_canceled(now, request, CancelReason::client_disconnected);
     forget_if_done(request);
 }
@@ -268,18 +270,18 @@
                            NodeState state, Time started) {
     left_out_.erase(node);
     if (state == NodeState::removed) {
-        nodes_.erase(node), pools_.node_gone(now_, node);
+        nodes_.erase(node), pool_.node_gone(now_, node);
     } else {
         nodes_[node] = state == NodeState::ready;
-        pools_.node_at(now_, node, address);
+        pool_.node_at(now_, node, address);
         if (state == NodeState::draining)
-            pools_.node_drains(now_, node);
+            pool_.node_drains(now_, node);
     }
     scheduler_->endpoint_listed({node, shard, zone, state, started});
 }
 void Core::endpoint_list_end() {
     for (auto node : left_out_)
-        nodes_.erase(node), pools_.node_gone(now_, node);
+        nodes_.erase(node), pool_.node_gone(now_, node);
     scheduler_->endpoint_list_end();
 }
 
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -22,12 +22,12 @@
 namespace knotvane::http_gateway {
 
 class Core final : public SchedulerActions,
-                   public AttemptsTold,
-                   public RequestsTold,
-                   public ListTold {
+                   public UpstreamAttemptEvents,
+                   public ClientRequestEvents,
+                   public EndpointListEvents {
 public:
-    // `sockets`: descriptors the process may hold. Throws scheduler_setup::MalformedInput on settings
-    // that are wrong.
+    // `sockets`: descriptors the process may hold. Throws scheduler_setup::MalformedInput on
+    // settings that are wrong.
     Core(Transport &transport,
          const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
          const scheduler_setup::Options &settings, std::vector<std::string> workloads,
@@ -45,37 +45,38 @@
     bool over() const { return over_; }
 
     // Nothing where there is no room for one more.
-    std::optional<ConnId> client_came(Time now) { return clients_.came(now); }
-    void up(Time now, ConnId conn);
+    std::optional<ConnectionId> client_connected(Time now) { return clients_.connected(now); }
+    void connected(Time now, ConnectionId conn);
     // `tried`: it left this machine; else a descriptor was lacking, which is not the other side's
     // doing.
-    void failed(Time now, ConnId conn, bool tried = true);
-    void bytes(Time now, ConnId conn, std::string_view in);
-    void gone(Time now, ConnId conn, Gone how);
-    void written(Time now, ConnId conn, std::size_t bytes);
+    void connect_failed(Time now, ConnectionId conn, bool tried = true);
+    void received(Time now, ConnectionId conn, std::string_view in);
+    void disconnected(Time now, ConnectionId conn, CloseReason how);
+    void sent(Time now, ConnectionId conn, std::size_t bytes);
     // At the end of a moment: what is due, then the outcomes, then the decisions.
     void settle(Time now);
     Time next_due() const;
 
-    const Clients &clients() const { return clients_; }
-    const Pools &pools() const { return pools_; }
+    const ClientConnections &clients() const { return clients_; }
+    const ConnectionPool &pool() const { return pool_; }
     std::size_t requests() const { return requests_.size(); }
 
     void start_attempt(RequestId request, NodeId node, Time timeout) override;
     void cancel_attempt(RequestId request, AttemptId attempt) override;
     void reject(RequestId request, Time retry_after) override;
     void fail(RequestId request) override;
-    void set_timer(TimerId alarm, Time wait) override { alarms_.insert({now_ + wait, alarm}); }
+    void set_timer(TimerId timer, Time wait) override { timers_.insert({now_ + wait, timer}); }
     void watch_endpoints() override {} // the watch always stands or is being set up
 
     bool may_send_attempt(Time now, RequestId request, AttemptId attempt,
                           NodeId node) const override;
-    void attempt_over(Time now, RequestId request, AttemptId attempt, NodeId node,
-                      AttemptOutcome how, Time took, std::string body) override;
-    void request_came(Time now, ConnId client, WorkloadId workload, VolumeId volume, PlanId plan,
-                      ShardId shard, KeyId key, double units, double hosts, bool writes,
-                      bool repeated, Time deadline, std::shared_ptr<const Work> work) override;
-    void request_left(Time now, ConnId client) override;
+    void attempt_completed(Time now, RequestId request, AttemptId attempt, NodeId node,
+                           AttemptOutcome how, Time took, std::string body) override;
+    void request_received(Time now, ConnectionId client, WorkloadId workload, VolumeId volume,
+                          PlanId plan, ShardId shard, KeyId key, double units, double hosts,
+                          bool writes, bool repeated, Time deadline,
+                          std::shared_ptr<const OutboundRequest> work) override;
+    void request_canceled(Time now, ConnectionId client) override;
     bool serves() const override { return discovery_.listed() && !stopping_; }
     void endpoint_list_begin(Time now, EndpointListKind kind) override;
     void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
@@ -85,13 +86,13 @@
 private:
     static constexpr Time never = std::numeric_limits<Time>::max();
     struct Request {
-        ConnId client;
-        std::shared_ptr<const Work> work;
+        ConnectionId client;
+        std::shared_ptr<const OutboundRequest> work;
         Time until;
         std::uint32_t attempts = 0, out = 0;
         bool ended = false;
     };
-    struct Over {
+    struct CompletedAttempt {
         RequestId request;
         AttemptId attempt;
         NodeId node;
@@ -100,22 +101,22 @@
         Time since; // it was over
         std::string body;
     };
-    void tell(Time now, Over o);
-    std::optional<ConnId> end(RequestId request);
+    void tell(Time now, CompletedAttempt o);
+    std::optional<ConnectionId> end(RequestId request);
     void forget_if_done(RequestId request);
     void trace_counts(Time now);
 
     Transport &transport_;
-    Conns conns_;
-    Clients clients_;
-    Pools pools_;
+    ConnectionIds connection_ids_;
+    ClientConnections clients_;
+    ConnectionPool pool_;
     Discovery discovery_;
     std::unique_ptr<Scheduler> scheduler_;
     std::map<RequestId, Request> requests_;
-    std::map<ConnId, RequestId> asked_; // open requests by their connection
-    std::deque<Over>
-        overs_; // told at the end of the moment: the decisions are not called from within
-    std::set<std::pair<Time, TimerId>> alarms_;
+    std::map<ConnectionId, RequestId> asked_;         // open requests by their connection
+    std::deque<CompletedAttempt> completed_attempts_; // told at the end of the moment: the
+                                                      // decisions are not called from within
+    std::set<std::pair<Time, TimerId>> timers_;
     std::map<NodeId, bool> nodes_; // listed, and whether ready
     std::set<NodeId> left_out_;    // of these, not named so far by the whole list being told
     std::map<NodeId, std::size_t>
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -37,9 +37,10 @@
 
 } // namespace
 
-Discovery::Discovery(Transport &transport, ListTold &told, Conns &conns,
+Discovery::Discovery(Transport &transport, EndpointListEvents &told, ConnectionIds &connection_ids,
                      std::vector<std::string> zones, bool on_request, std::uint64_t seed)
-    : transport_(transport), told_(told), conns_(conns), on_request_(on_request), seed_(seed) {
+    : transport_(transport), told_(told), connection_ids_(connection_ids), on_request_(on_request),
+      seed_(seed) {
     for (std::uint32_t i = 0; i < zones.size(); ++i)
         zones_[zones[i]] = ZoneId{i};
 }
@@ -135,7 +136,7 @@
             false,
             0,
             0,
-            http::Decoder(http::Side::answers, most_head, most_object),
+            http::Decoder(http::MessageKind::response, most_head, most_object),
             JsonStream(most_object),
             ReconnectBackoff(on_request_ ? first_wait_shared : first_wait,
                              on_request_ ? longest_wait_shared : longest_wait, seed_ + ++watches_)};
@@ -162,17 +163,17 @@
         dial(now, w);
 }
 void Discovery::dial(Time now, Watch &w) {
-    w.conn = conns_.next(), w.connected = w.spoke = false, w.heard = now, w.older = 0;
+    w.conn = connection_ids_.next(), w.connected = w.spoke = false, w.heard = now, w.older = 0;
     w.in.next(), w.objects = JsonStream(most_object);
     w.reconnect_backoff.trying(now, connect_wait);
     transport_.connect(w.conn, w.address);
 }
-void Discovery::lost(Time now, ConnId conn, bool close, const char *why) {
+void Discovery::lost(Time now, ConnectionId conn, bool close, const char *why) {
     Watch &w = *of(conn);
     if (close)
         transport_.close(conn);
     if (*why)
-        transport_.say("discovery at " + w.address + ": " + why);
+        transport_.log_event("discovery at " + w.address + ": " + why);
     if (&w == &*now_ &&
         then_) { // the other one is on its way, to the same place or to the one that counts now
         now_.emplace(std::move(*then_));
@@ -190,10 +191,10 @@
     then_.reset();
     return *now_;
 }
-Discovery::Watch *Discovery::of(ConnId conn) {
+Discovery::Watch *Discovery::of(ConnectionId conn) {
     return now_ && now_->conn == conn ? &*now_ : then_ && then_->conn == conn ? &*then_ : nullptr;
 }
-void Discovery::up(Time now, ConnId conn) {
+void Discovery::connected(Time now, ConnectionId conn) {
     Watch *w = of(conn);
     if (!w)
         return;
@@ -201,15 +202,15 @@
     transport_.send(conn, "GET /v1/servers?stream=1&index=" + std::to_string(generation_) +
                               " HTTP/1.1\r\nHost: discovery\r\n\r\n");
 }
-void Discovery::failed(Time now, ConnId conn) {
+void Discovery::connect_failed(Time now, ConnectionId conn) {
     if (of(conn))
         lost(now, conn, false, "");
 }
-void Discovery::gone(Time now, ConnId conn) {
+void Discovery::disconnected(Time now, ConnectionId conn) {
     if (of(conn))
         lost(now, conn, false, "the watch ended");
 }
-void Discovery::bytes(Time now, ConnId conn, std::string_view in) {
+void Discovery::received(Time now, ConnectionId conn, std::string_view in) {
     Watch *w = of(conn);
     if (!w)
         return;
@@ -278,7 +279,7 @@
     if (now >= known_until_)
         tell_known(now);
     if (now_ && now_->connected && now_->spoke && now >= silent_at(*now_) && !then_) {
-        transport_.say("discovery at " + now_->address + ": silent");
+        transport_.log_event("discovery at " + now_->address + ": silent");
         then_.emplace(make(now_->address));
         dial(now, *then_);
     }
--- a/src/http_gateway/discovery.hpp
+++ b/src/http_gateway/discovery.hpp
@@ -21,9 +21,9 @@
 namespace knotvane::http_gateway {
 
 // Told list by list, each whole: begins, its lines, ends.
-class ListTold {
+class EndpointListEvents {
 public:
-    virtual ~ListTold() = default;
+    virtual ~EndpointListEvents() = default;
     virtual void endpoint_list_begin(Time now, EndpointListKind kind) = 0;
     virtual void endpoint_listed(NodeId node, const std::string &address, ShardId shard,
                                  ZoneId zone, NodeState state, Time started) = 0;
@@ -35,8 +35,8 @@
     // `zones`: names in the order of their ids. `on_request`: lists are asked for, of one service
     // that all schedulers share and that turns calls away; else an agent of our own has what was
     // pushed.
-    Discovery(Transport &transport, ListTold &told, Conns &conns, std::vector<std::string> zones,
-              bool on_request, std::uint64_t seed);
+    Discovery(Transport &transport, EndpointListEvents &told, ConnectionIds &connection_ids,
+              std::vector<std::string> zones, bool on_request, std::uint64_t seed);
 
     // The list as last had, in discovery's form, empty for none; and where to watch. It may be old:
     // it counts together with the agent's first word, or alone if the agent does not speak. Gives
@@ -45,13 +45,13 @@
     // Watches there from now on. A watch that stands elsewhere is let go once this one speaks.
     void watch(Time now, const std::string &address);
 
-    bool owns(ConnId conn) const {
+    bool owns(ConnectionId conn) const {
         return (now_ && now_->conn == conn) || (then_ && then_->conn == conn);
     }
-    void up(Time now, ConnId conn);
-    void failed(Time now, ConnId conn);
-    void bytes(Time now, ConnId conn, std::string_view in);
-    void gone(Time now, ConnId conn);
+    void connected(Time now, ConnectionId conn);
+    void connect_failed(Time now, ConnectionId conn);
+    void received(Time now, ConnectionId conn, std::string_view in);
+    void disconnected(Time now, ConnectionId conn);
     Time next_due() const;
     void tick(Time now);
     bool listed() const { return listed_; }
@@ -71,7 +71,7 @@
     };
     struct Watch {
         std::string address;
-        ConnId conn{};
+        ConnectionId conn{};
         bool connected = false, spoke = false;
         Time heard = 0; // connected, or last spoke
         Time older = 0; // since when it tells of older lists than we have; 0: it does not
@@ -87,14 +87,14 @@
     Time silent_at(const Watch &w) const;
     Watch make(const std::string &address);
     void dial(Time now, Watch &w);
-    void lost(Time now, ConnId conn, bool close, const char *why);
+    void lost(Time now, ConnectionId conn, bool close, const char *why);
     // This watch tells from now on; the other one is let go.
     Watch &takes_over(Watch &w);
-    Watch *of(ConnId conn);
+    Watch *of(ConnectionId conn);
 
     Transport &transport_;
-    ListTold &told_;
-    Conns &conns_;
+    EndpointListEvents &told_;
+    ConnectionIds &connection_ids_;
     std::map<std::string, ZoneId> zones_;
     bool on_request_;
     std::uint64_t seed_, watches_ = 0;
--- a/src/http_gateway/ids.hpp
+++ b/src/http_gateway/ids.hpp
@@ -6,12 +6,12 @@
 namespace knotvane::http_gateway {
 
 // A connection of any kind, never used again.
-using ConnId = Id<struct ConnKind, std::uint64_t>;
+using ConnectionId = Id<struct ConnectionKind, std::uint64_t>;
 
 // Gives out the ids of connections.
-class Conns {
+class ConnectionIds {
 public:
-    ConnId next() { return ConnId{++last_}; }
+    ConnectionId next() { return ConnectionId{++last_}; }
 
 private:
     std::uint64_t last_ = 0;
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -17,15 +17,15 @@
         config.names("Classes"), config.names("Contracts"), config.names("Zones"), config.seed(),
         config.sockets());
     if (auto fault = core_->start(loop::now(), config.known(), config.discovery()); !fault.empty())
-        say("known: " + fault);
-    listener_ = std::make_unique<loop::Listener>(loop_, config.listen(),
-                                                 [this](std::shared_ptr<loop::Socket> s) {
-                                                     auto conn = core_->client_came(loop::now());
-                                                     if (!conn)
-                                                         return s->close();
-                                                     carry(*conn, s);
-                                                     s->start();
-                                                 });
+        log_event("known: " + fault);
+    listener_ = std::make_unique<loop::Listener>(
+        loop_, config.listen(), [this](std::shared_ptr<loop::Socket> s) {
+            auto conn = core_->client_connected(loop::now());
+            if (!conn)
+                return s->close();
+            carry(*conn, s);
+            s->start();
+        });
     address_ = listener_->address();
     loop_.at_end([this] { return end_of_moment(); });
 }
@@ -33,41 +33,43 @@
     loop_.at_end(nullptr);
 }
 
-void Server::carry(ConnId conn, const std::shared_ptr<loop::Socket> &s) {
+void Server::carry(ConnectionId conn, const std::shared_ptr<loop::Socket> &s) {
     sockets_.add(conn, s);
-    s->on_bytes = [this, conn](std::string_view in) { core_->bytes(loop::now(), conn, in); };
-    s->on_written = [this, conn](std::size_t n) { core_->written(loop::now(), conn, n); };
+    s->on_bytes = [this, conn](std::string_view in) { core_->received(loop::now(), conn, in); };
+    s->on_written = [this, conn](std::size_t n) { core_->sent(loop::now(), conn, n); };
     s->on_gone = [this, conn](loop::Gone how) {
         sockets_.remove(conn);
-        core_->gone(loop::now(), conn, how == loop::Gone::ended ? Gone::ended : Gone::broken);
+        core_->disconnected(loop::now(), conn,
+                            how == loop::Gone::ended ? CloseReason::end_of_stream
+                                                     : CloseReason::reset);
     };
 }
-void Server::connect(ConnId conn, const std::string &address) {
+void Server::connect(ConnectionId conn, const std::string &address) {
     auto s = std::make_shared<loop::Socket>(loop_);
     carry(conn, s);
     s->connect(address, [this, conn](bool well) {
         if (!sockets_.find(conn))
             return;
         if (well)
-            return core_->up(loop::now(), conn);
+            return core_->connected(loop::now(), conn);
         auto failed = sockets_.remove(conn);
         failed->close();
-        core_->failed(loop::now(), conn, failed->tried());
+        core_->connect_failed(loop::now(), conn, failed->tried());
     });
 }
-void Server::close(ConnId conn) {
+void Server::close(ConnectionId conn) {
     // What was gathered and is not wanted any more must not leave.
     if (auto s = sockets_.remove(conn))
         s->close(s->has_pending());
 }
-void Server::shut(ConnId conn) {
+void Server::finish_sending(ConnectionId conn) {
     if (auto s = sockets_.find(conn))
         s->shut();
 }
 void Server::trace(std::string line) {
     log::line(log::info, "trace " + line);
 }
-void Server::say(std::string text) {
+void Server::log_event(std::string text) {
     log::line(log::warn, text);
 }
 
--- a/src/http_gateway/server.hpp
+++ b/src/http_gateway/server.hpp
@@ -28,23 +28,25 @@
     void reload();
     const std::string &address() const { return address_; }
 
-    void connect(ConnId conn, const std::string &address) override;
-    void send(ConnId conn, std::string bytes) override { sockets_.send(conn, std::move(bytes)); }
-    void close(ConnId conn) override;
-    void shut(ConnId conn) override;
-    void say(std::string text) override;
+    void connect(ConnectionId conn, const std::string &address) override;
+    void send(ConnectionId conn, std::string bytes) override {
+        sockets_.send(conn, std::move(bytes));
+    }
+    void close(ConnectionId conn) override;
+    void finish_sending(ConnectionId conn) override;
+    void log_event(std::string text) override;
     void trace(std::string line) override;
-    bool traces() const override { return traces_; }
+    bool tracing() const override { return traces_; }
 
 private:
-    void carry(ConnId conn, const std::shared_ptr<loop::Socket> &socket);
+    void carry(ConnectionId conn, const std::shared_ptr<loop::Socket> &socket);
     Time end_of_moment();
     loop::Loop &loop_;
     std::string path_, address_;
     bool traces_;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
-    loop::Sockets<ConnId> sockets_;
+    loop::Sockets<ConnectionId> sockets_;
     Time ends_ = 0; // when the loop stops, once nothing is open
 };
 
--- a/src/http_gateway/transport.hpp
+++ b/src/http_gateway/transport.hpp
@@ -9,23 +9,23 @@
 
 // How the other side let go of a connection: it ended its sending in order, or the connection
 // broke.
-enum class Gone { ended, broken };
+enum class CloseReason { end_of_stream, reset };
 
 class Transport {
 public:
     virtual ~Transport() = default;
-    virtual void connect(ConnId conn, const std::string &address) = 0;
+    virtual void connect(ConnectionId conn, const std::string &address) = 0;
     // Gathers; what is gathered leaves at the end of the moment, and is then told as written.
-    virtual void send(ConnId conn, std::string bytes) = 0;
+    virtual void send(ConnectionId conn, std::string bytes) = 0;
     // At once; nothing is told of it any more, and what was gathered does not leave.
-    virtual void close(ConnId conn) = 0;
+    virtual void close(ConnectionId conn) = 0;
     // Ends the sending side once all that was sent has left. What comes in, and the other side's
     // end, are still told.
-    virtual void shut(ConnId conn) = 0;
-    virtual void say(std::string text) = 0;
-    // A line of the trace: a word for what, then names and values. Only where traces() is true.
+    virtual void finish_sending(ConnectionId conn) = 0;
+    virtual void log_event(std::string text) = 0;
+    // A line of the trace: a word for what, then names and values. Only where tracing() is true.
     virtual void trace(std::string) {}
-    virtual bool traces() const { return false; }
+    virtual bool tracing() const { return false; }
 };
 
 } // namespace knotvane::http_gateway
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -13,15 +13,15 @@
         return 0;
     std::size_t piece = 1 + data[0];
     std::string_view in(reinterpret_cast<const char *>(data + 2), size - 2);
-    Front f;
-    auto from = data[1] % 3 == 0 ? *f.core.client_came(f.now) : ConnId{};
+    TestGateway f;
+    auto from = data[1] % 3 == 0 ? *f.core.client_connected(f.now) : ConnectionId{};
     auto asked = f.client(read_of("good"));
     if (data[1] % 3 == 1)
         from = f.node();
     if (data[1] % 3 == 2)
-        f.core.up(f.now, from = f.w.to("d1"));
+        f.core.connected(f.now, from = f.w.to("d1"));
     for (std::size_t at = 0; at < in.size() && !f.w.closed.contains(from); at += piece) {
-        f.core.bytes(f.now, from, in.substr(at, piece));
+        f.core.received(f.now, from, in.substr(at, piece));
         f.settle(ms);
     }
     f.settle(5 * sec);
@@ -29,7 +29,7 @@
     auto &got = f.w.sent[asked];
     if (got.find("HTTP/1.1", 8) != got.npos)
         std::abort(); // one answer
-    if (f.core.requests() != 0 || f.core.pools().attempts_out() != 0)
+    if (f.core.requests() != 0 || f.core.pool().attempts_out() != 0)
         std::abort(); // nothing held past its time
     for (auto &[conn, n] : f.w.sent)
         if (n.size() > (1 << 20))
--- a/tests/http/decoder_test.cpp
+++ b/tests/http/decoder_test.cpp
@@ -13,7 +13,7 @@
 std::string get(const std::string &headers) {
     return "GET /a?b=c HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n";
 }
-Decoder read(std::string_view in, Side side = Side::requests, std::size_t head = 512,
+Decoder read(std::string_view in, MessageKind side = MessageKind::request, std::size_t head = 512,
              std::size_t body = 64) {
     Decoder d(side, head, body);
     while (!in.empty() && d.state() != State::whole && d.state() != State::broken)
@@ -27,7 +27,7 @@
     const std::string in =
         "PUT /w HTTP/1.1\r\nHost: x\r\nX-Trace-Id:  7 \r\nContent-Length: 5\r\n\r\nhello";
     rc::check("pieces", [&] {
-        Decoder d(Side::requests, 512, 64);
+        Decoder d(MessageKind::request, 512, 64);
         std::string all = in + "GET / HT";
         std::size_t at = 0;
         while (d.state() != State::whole)
@@ -67,7 +67,7 @@
     std::string many;
     for (int i = 0; i < 65; ++i)
         many += "A: 1\r\n";
-    CHECK(read(get(many), Side::requests, 4096).fault_status() == 431);
+    CHECK(read(get(many), MessageKind::request, 4096).fault_status() == 431);
     const std::string chunked = get("Transfer-Encoding: chunked\r\n");
     CHECK(read(chunked + "3\r\nabc\r\n0\r\n\r\n").body() == "abc");
     CHECK(read(chunked + "zz\r\nabc").state() == State::broken);
@@ -78,25 +78,26 @@
 TEST_CASE("answers: 1xx are passed over; endless or unreadable is broken") {
     auto d = read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\nHTTP/1.1 200 "
                   "OK\r\nContent-Length: 2\r\n\r\nok",
-                  Side::answers);
+                  MessageKind::response);
     CHECK(d.state() == State::whole);
     CHECK(d.status() == 200);
     CHECK(d.body() == "ok");
     CHECK(!d.header("Link"));
-    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", Side::answers).state() ==
+    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", MessageKind::response)
+              .state() == State::broken);
+    CHECK(read("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), MessageKind::response).state() ==
           State::broken);
-    CHECK(read("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), Side::answers).state() ==
-          State::broken);
-    CHECK(read("\x01\x02 noise", Side::answers).state() == State::broken);
-    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", Side::answers).state() ==
+    CHECK(read("\x01\x02 noise", MessageKind::response).state() == State::broken);
+    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", MessageKind::response).state() ==
           State::body);
-    CHECK(!read("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Side::answers)
+    CHECK(!read("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+                MessageKind::response)
                .keeps_open());
 }
 TEST_CASE("an answer without a length is whole at the end of its stream and not before; none else "
           "becomes whole by it") {
     auto end = [](const std::string &in) {
-        auto d = read(in, Side::answers);
+        auto d = read(in, MessageKind::response);
         CHECK(d.state() != State::whole);
         d.finish();
         return d;
@@ -115,7 +116,7 @@
     CHECK(end("HTTP/1.1 100 Continue\r\n\r\n").state() == State::empty);
 }
 TEST_CASE("a body without an end is taken as it comes") {
-    Decoder d(Side::answers, 512, 16);
+    Decoder d(MessageKind::response, 512, 16);
     std::string all;
     std::string in = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (int i = 0; i < 50; ++i)
--- a/tests/http_gateway/discovery_test.cpp
+++ b/tests/http_gateway/discovery_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Whether a request goes to that address now.
-bool goes_to(Front &f, const std::string &trace, const std::string &address) {
+bool goes_to(TestGateway &f, const std::string &trace, const std::string &address) {
     f.client(read_of(trace));
     return f.w.to(address).value != 0;
 }
@@ -23,15 +23,15 @@
     return list_of(42, node_entry("s1", "n9", 5), false);
 }
 // An agent that answers on the connection made last.
-void speaks(Front &f, const std::string &address, const std::string &bytes) {
+void speaks(TestGateway &f, const std::string &address, const std::string &bytes) {
     auto d = f.w.to(address);
-    f.core.up(f.now, d);
+    f.core.connected(f.now, d);
     f.settle();
-    f.core.bytes(f.now, d, bytes);
+    f.core.received(f.now, d, bytes);
     f.settle();
 }
 // Steps on as the loop does; the watch made last never comes up. Tells when one more was made.
-Time until_dialled(Front &f, Time most) {
+Time until_dialled(TestGateway &f, Time most) {
     auto begun = f.now, d = static_cast<Time>(f.w.connected.size());
     while (f.w.connected.size() == static_cast<std::size_t>(d) && f.now < begun + most)
         f.settle(5 * ms);
@@ -96,13 +96,14 @@
             "\"instanceId\": "
             "\"s1\",\n \"hostPort\": \"n\\u0039\", \"zone\": \"a\", \"cell\": 5,\n \"lifecycle\": "
             "\"active\", \"startedAtMs\": 0\n    }\n  ]\n}\n";
-        const std::string in = Front::chunk(list.substr(0, 18)) + Front::chunk(list.substr(18));
+        const std::string in =
+            TestGateway::chunk(list.substr(0, 18)) + TestGateway::chunk(list.substr(18));
         for (std::size_t cut = 1; cut < in.size(); cut += 3) {
-            Front f;
+            TestGateway f;
             auto d = f.w.to("d1");
-            f.core.bytes(f.now, d, in.substr(0, cut));
+            f.core.received(f.now, d, in.substr(0, cut));
             f.settle();
-            f.core.bytes(f.now, d, in.substr(cut));
+            f.core.received(f.now, d, in.substr(cut));
             f.settle();
             REQUIRE(f.w.said.empty());
             REQUIRE(goes_to(f, "t1", "n9"));
@@ -111,8 +112,8 @@
     TEST_CASE("a whole answer instead of a stream, with a length or none, counts; the watch is "
               "opened again") {
         for (bool length : {true, false}) {
-            Front f;
-            f.core.gone(f.now, f.w.to("d1"), Gone::broken);
+            TestGateway f;
+            f.core.disconnected(f.now, f.w.to("d1"), CloseReason::reset);
             f.settle(60 * ms);
             f.settle();
             speaks(f, "d1", length ? reply(200, moved()) : "HTTP/1.1 200 OK\r\n\r\n" + moved());
@@ -123,7 +124,7 @@
     }
     TEST_CASE("a node that a late whole list leaves out is gone; one of an older generation "
               "changes nothing") {
-        Front f;
+        TestGateway f;
         f.list(list_of(42, node_entry("s2", "n2", 6)));
         auto c = f.client(read_of("t1"));
         f.settle(200 * ms);
@@ -141,17 +142,17 @@
               "nothing, inside the 6 s") {
         for (bool up : {false, true}) {
             CAPTURE(up);
-            Front f; // the last blank line came just now
+            TestGateway f; // the last blank line came just now
             auto silent = f.now;
             until_dialled(f, 10 * sec);
             CHECK(f.now - silent <= 3005 * ms);
             for (int fails = 0; fails < 3; ++fails) {
                 if (up)
-                    f.core.up(f.now, f.w.to("d1"));
+                    f.core.connected(f.now, f.w.to("d1"));
                 until_dialled(f, 10 * sec);
             }
             CHECK(f.now - silent < 5500 * ms);
-            speaks(f, "d1", watch_head + Front::chunk(list_of(42, leaving(), false) + "\n"));
+            speaks(f, "d1", watch_head + TestGateway::chunk(list_of(42, leaving(), false) + "\n"));
             auto n = f.client(read_of("t1"));
             f.settle(200 * ms);
             CHECK(f.w.to("n1").value == 0);
@@ -160,11 +161,11 @@
     }
     TEST_CASE(
         "silent, then it speaks before the new one does: it tells on, and the new one is let go") {
-        Front f;
+        TestGateway f;
         auto first = f.w.to("d1");
         until_dialled(f, 10 * sec);
         auto beside = f.w.to("d1");
-        f.core.bytes(f.now, first, Front::chunk(moved() + "\n"));
+        f.core.received(f.now, first, TestGateway::chunk(moved() + "\n"));
         CHECK(f.w.closed.contains(beside));
         CHECK(!f.w.closed.contains(first));
         CHECK(goes_to(f, "t1", "n9"));
@@ -175,13 +176,13 @@
     }
     TEST_CASE("bytes that bring nothing to an end are no life: an object that trickles, or a head "
               "without a body") {
-        Front f;
+        TestGateway f;
         auto d = f.w.to("d1"), begun = d;
         Time since = f.now;
-        f.core.bytes(f.now, d, Front::chunk("{\"generation\":4"));
+        f.core.received(f.now, d, TestGateway::chunk("{\"generation\":4"));
         while (f.w.to("d1") == begun && f.now < since + 10 * sec) {
             f.settle(100 * ms);
-            f.core.bytes(f.now, d, Front::chunk("2"));
+            f.core.received(f.now, d, TestGateway::chunk("2"));
         }
         CHECK(f.now - since <= 3200 * ms);
     }
@@ -189,27 +190,31 @@
         "reset, ended, refused, no 200, noise, endless: asked again at once, in time for a drain") {
         for (std::string how : {"reset", "ended", "refused", "429", "302", "noise", "endless"}) {
             CAPTURE(how);
-            Front f;
+            TestGateway f;
             auto d = f.w.to("d1");
-            f.core.gone(f.now, d, how == "ended" ? Gone::ended : Gone::broken);
+            f.core.disconnected(f.now, d,
+                                how == "ended" ? CloseReason::end_of_stream : CloseReason::reset);
             Time since = f.now;
             for (int fails = 0; fails < 6; ++fails) {
                 auto waited = until_dialled(f, 10 * sec);
                 CHECK(waited <= 155 * ms);
                 auto again = f.w.to("d1");
                 if (how == "refused") {
-                    f.core.failed(f.now, again);
+                    f.core.connect_failed(f.now, again);
                 } else {
-                    f.core.up(f.now, again);
+                    f.core.connected(f.now, again);
                     if (how == "reset" || how == "ended")
-                        f.core.gone(f.now, again, how == "ended" ? Gone::ended : Gone::broken);
+                        f.core.disconnected(f.now, again,
+                                            how == "ended" ? CloseReason::end_of_stream
+                                                           : CloseReason::reset);
                     else
-                        f.core.bytes(f.now, again,
-                                     how == "noise" ? "\x01\x02\r\n\r\n"
-                                     : how == "endless"
-                                         ? watch_head +
-                                               Front::chunk("{\"a\":\"" + std::string(5 << 20, 'a'))
-                                         : reply(std::stoi(how), ""));
+                        f.core.received(
+                            f.now, again,
+                            how == "noise" ? "\x01\x02\r\n\r\n"
+                            : how == "endless"
+                                ? watch_head +
+                                      TestGateway::chunk("{\"a\":\"" + std::string(5 << 20, 'a'))
+                                : reply(std::stoi(how), ""));
                 }
                 f.settle();
             }
@@ -221,27 +226,27 @@
     TEST_CASE("where all share one service: refused calls come back later each time, the first is "
               "spread, waits are borne") {
         const std::string shared = "RegistryMode=on_request\nRules.AskWithinS=10\n";
-        Front f(shared);
+        TestGateway f(shared);
         auto d = f.w.to("d1");
-        f.core.gone(f.now, d, Gone::broken);
+        f.core.disconnected(f.now, d, CloseReason::reset);
         Time since = f.now;
         int calls = 0;
         while (f.now < since + 20 * sec) {
             until_dialled(f, 10 * sec);
             ++calls;
-            f.core.up(f.now, f.w.to("d1"));
-            f.core.bytes(f.now, f.w.to("d1"), reply(429, ""));
+            f.core.connected(f.now, f.w.to("d1"));
+            f.core.received(f.now, f.w.to("d1"), reply(429, ""));
         }
         CHECK(calls <= 20); // 4 s apart at most, 2 s in the mean
         CHECK(calls >= 5);
         until_dialled(f, 10 * sec);
         auto waits = f.w.to("d1");
-        f.core.up(f.now, waits);
+        f.core.connected(f.now, waits);
         f.settle(2400 * ms); // it waits in turn there: asking again would cost one more call
         CHECK(f.w.to("d1") == waits);
         std::set<Time> firsts;
         for (std::uint64_t seed = 0; seed < 8; ++seed) {
-            Written w;
+            RecordingTransport w;
             Core core(
                 w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
                 scheduler_setup::Options(settings_text() + shared), {"read", "write"}, {"gold"},
@@ -259,37 +264,37 @@
 TEST_SUITE("discovery moves") {
     TEST_CASE("while a list is half read: the old watch's rest counts, the new one takes over once "
               "it speaks") {
-        Front f;
+        TestGateway f;
         auto old = f.w.to("d1");
         auto list = moved() + "\n";
-        f.core.bytes(f.now, old, Front::chunk(list.substr(0, 40)));
+        f.core.received(f.now, old, TestGateway::chunk(list.substr(0, 40)));
         f.core.discovery_at(f.now, "d2");
-        f.core.bytes(f.now, old, Front::chunk(list.substr(40)));
+        f.core.received(f.now, old, TestGateway::chunk(list.substr(40)));
         f.settle();
         CHECK(goes_to(f, "t1", "n9"));
-        speaks(f, "d2", watch_head + Front::chunk("\n"));
+        speaks(f, "d2", watch_head + TestGateway::chunk("\n"));
         CHECK(has(f.w.sent[f.w.to("d2")], "index=42 "));
         CHECK(f.w.closed.contains(old));
     }
     TEST_CASE("a drain told by both, in either order, counts once and stays") {
         for (bool old_first : {true, false}) {
-            Front f;
+            TestGateway f;
             auto old = f.w.to("d1");
             f.core.discovery_at(f.now, "d2");
-            f.core.up(f.now, f.w.to("d2"));
-            auto drain = Front::chunk(list_of(42, leaving(), false) + "\n");
+            f.core.connected(f.now, f.w.to("d2"));
+            auto drain = TestGateway::chunk(list_of(42, leaving(), false) + "\n");
             if (old_first)
-                f.core.bytes(f.now, old, drain);
-            f.core.bytes(f.now, f.w.to("d2"), watch_head + drain);
+                f.core.received(f.now, old, drain);
+            f.core.received(f.now, f.w.to("d2"), watch_head + drain);
             if (!old_first)
-                f.core.bytes(f.now, old, drain); // it is let go already
+                f.core.received(f.now, old, drain); // it is let go already
             f.settle();
             CHECK(!goes_to(f, "t1", "n1"));
         }
     }
     TEST_CASE("the same address, twice, back again, one that is not up: the standing watch tells "
               "until another speaks") {
-        Front f;
+        TestGateway f;
         auto d = f.w.to("d1");
         f.core.discovery_at(f.now, "d1");
         CHECK(f.w.to("d1") == d);
@@ -297,7 +302,7 @@
         f.core.discovery_at(f.now, "d3");
         CHECK(f.w.closed.contains(f.w.to("d2")));
         for (int i = 0; i < 5; ++i) {
-            f.core.failed(f.now, f.w.to("d3"));
+            f.core.connect_failed(f.now, f.w.to("d3"));
             f.settle(200 * ms);
         }
         CHECK(!f.w.closed.contains(d));
@@ -308,27 +313,27 @@
         CHECK(f.w.to("d1") == d);
     }
     TEST_CASE("the old one ends before the new one is up: only the new one is asked, until it is") {
-        Front f;
+        TestGateway f;
         f.core.discovery_at(f.now, "d2");
-        f.core.gone(f.now, f.w.to("d1"), Gone::ended);
+        f.core.disconnected(f.now, f.w.to("d1"), CloseReason::end_of_stream);
         auto dials = f.w.connected.size();
-        f.core.failed(f.now, f.w.to("d2"));
+        f.core.connect_failed(f.now, f.w.to("d2"));
         f.settle(200 * ms);
         CHECK(f.w.connected.size() == dials + 1);
-        speaks(f, "d2", watch_head + Front::chunk(moved() + "\n"));
+        speaks(f, "d2", watch_head + TestGateway::chunk(moved() + "\n"));
         CHECK(goes_to(f, "t1", "n9"));
     }
     TEST_CASE("an agent that is behind is passed over; one that stays behind for 12 s was made "
               "anew and counts") {
-        Front f;
+        TestGateway f;
         f.list(list_of(42, leaving(), false));
         f.core.discovery_at(f.now, "d2");
-        auto behind = Front::chunk(list_of(3, node_entry("s1", "n1", 5)) + "\n");
+        auto behind = TestGateway::chunk(list_of(3, node_entry("s1", "n1", 5)) + "\n");
         speaks(f, "d2", watch_head + behind);
         CHECK(!goes_to(f, "t1", "n1"));
         for (int i = 0; i < 13; ++i) {
             f.settle(sec);
-            f.core.bytes(f.now, f.w.to("d2"), behind);
+            f.core.received(f.now, f.w.to("d2"), behind);
         }
         f.settle(200 * ms);
         f.settle();
@@ -340,7 +345,7 @@
 
 TEST_SUITE("a new process") {
     struct Fresh {
-        Written w;
+        RecordingTransport w;
         Time now = 1000 * sec;
         Core core;
         explicit Fresh(const std::string &known)
@@ -352,14 +357,14 @@
             core.settle(now);
         }
         bool ready() {
-            auto c = *core.client_came(now);
-            core.bytes(now, c, "GET /healthz HTTP/1.1\r\n\r\n");
+            auto c = *core.client_connected(now);
+            core.received(now, c, "GET /healthz HTTP/1.1\r\n\r\n");
             core.settle(now);
             return w.sent[c].starts_with("HTTP/1.1 200 ");
         }
         void hears(const std::string &list) {
-            core.up(now, w.to("d1"));
-            core.bytes(now, w.to("d1"), watch_head + Front::chunk(list + "\n"));
+            core.connected(now, w.to("d1"));
+            core.received(now, w.to("d1"), watch_head + TestGateway::chunk(list + "\n"));
             core.settle(now);
         }
     };
@@ -369,8 +374,8 @@
               "list it was given") {
         Fresh f(known);
         CHECK(!f.ready());
-        auto c = *f.core.client_came(f.now);
-        f.core.bytes(f.now, c, read_of("t1"));
+        auto c = *f.core.client_connected(f.now);
+        f.core.received(f.now, c, read_of("t1"));
         f.core.settle(f.now);
         CHECK(f.w.to("n1").value == 0);
         f.hears(list_of(42, leaving(), false));
@@ -379,14 +384,14 @@
         Fresh g(known);
         g.hears(list_of(41, "", false)); // nothing has changed
         CHECK(g.ready());
-        c = *g.core.client_came(g.now);
-        g.core.bytes(g.now, c, read_of("t1"));
+        c = *g.core.client_connected(g.now);
+        g.core.received(g.now, c, read_of("t1"));
         g.core.settle(g.now);
         CHECK(g.w.to("n1").value != 0);
         Fresh h(known);
         h.hears(list_of(50, node_entry("s2", "n2", 5)));
-        c = *h.core.client_came(h.now);
-        h.core.bytes(h.now, c, read_of("t1"));
+        c = *h.core.client_connected(h.now);
+        h.core.received(h.now, c, read_of("t1"));
         h.core.settle(h.now);
         CHECK(h.w.to("n1").value == 0);
         CHECK(h.w.to("n2").value != 0);
@@ -403,8 +408,8 @@
         for (auto calls = f.w.connected.size(); f.w.connected.size() == calls;)
             f.core.settle(f.now += 5 * ms);
         f.hears(list_of(42, node_entry("s1", "n9", 5), false));
-        auto c = *f.core.client_came(f.now);
-        f.core.bytes(f.now, c, read_of("t1"));
+        auto c = *f.core.client_connected(f.now);
+        f.core.received(f.now, c, read_of("t1"));
         f.core.settle(f.now);
         CHECK(f.w.to("n9").value != 0);
     }
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -32,32 +32,32 @@
     return s.find(part) != s.npos;
 }
 
-struct Written final : Transport {
-    std::vector<std::pair<ConnId, std::string>> connected;
-    std::map<ConnId, std::string> sent;
-    std::map<ConnId, std::size_t> unwritten;
-    std::set<ConnId> closed,
+struct RecordingTransport final : Transport {
+    std::vector<std::pair<ConnectionId, std::string>> connected;
+    std::map<ConnectionId, std::string> sent;
+    std::map<ConnectionId, std::size_t> unwritten;
+    std::set<ConnectionId> closed,
         shutting; // closed: our side has ended, whether or not the other one may still be read
     std::vector<std::string> said;
-    void connect(ConnId c, const std::string &a) override { connected.push_back({c, a}); }
-    void send(ConnId c, std::string b) override {
+    void connect(ConnectionId c, const std::string &a) override { connected.push_back({c, a}); }
+    void send(ConnectionId c, std::string b) override {
         unwritten[c] += b.size(), sent[c] += b;
         if (at(c).starts_with('n'))
             asked = c;
     }
-    std::string at(ConnId c) const {
+    std::string at(ConnectionId c) const {
         for (auto &[conn, address] : connected)
             if (conn == c)
                 return address;
         return "";
     }
-    ConnId asked{}; // the connection to a node that was sent something last
-    void close(ConnId c) override { closed.insert(c), shutting.erase(c); }
-    void shut(ConnId c) override { closed.insert(c), shutting.insert(c); }
-    void say(std::string t) override { said.push_back(std::move(t)); }
+    ConnectionId asked{}; // the connection to a node that was sent something last
+    void close(ConnectionId c) override { closed.insert(c), shutting.erase(c); }
+    void finish_sending(ConnectionId c) override { closed.insert(c), shutting.insert(c); }
+    void log_event(std::string t) override { said.push_back(std::move(t)); }
     // The connection made last to an address; none: id 0.
-    ConnId to(const std::string &address) const {
-        ConnId last{};
+    ConnectionId to(const std::string &address) const {
+        ConnectionId last{};
         for (auto &[c, a] : connected)
             if (a == address)
                 last = c;
@@ -113,12 +113,12 @@
 inline const std::string watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // A front with one node at n1 that holds shard 5, driven by hand; the decisions are the real ones.
-struct Front {
-    Written w;
+struct TestGateway {
+    RecordingTransport w;
     Time now = 1000 * sec;
     Core core;
     // `more`: lines of settings, which count over the usual ones.
-    explicit Front(const std::string &more = "", const std::string &usual = settings_text())
+    explicit TestGateway(const std::string &more = "", const std::string &usual = settings_text())
         : core(
               w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
               scheduler_setup::Options(usual + more), {"read", "write"}, {"gold"}, {"a", "b"}, 1,
@@ -127,8 +127,8 @@
         if (w.to("d1").value == 0)
             settle(
                 sec); // where lists are asked for, the first call comes by chance within a second
-        core.up(now, w.to("d1"));
-        core.bytes(now, w.to("d1"), watch_head + chunk("\n"));
+        core.connected(now, w.to("d1"));
+        core.received(now, w.to("d1"), watch_head + chunk("\n"));
         for (int i = 0; i < 3; ++i) { // past the time in which a new scheduler spares cold nodes
             settle(sec);
             blank();
@@ -140,31 +140,31 @@
         return size + s + "\r\n";
     }
     // The watch lives: a blank line comes each 2 s.
-    void blank() { core.bytes(now, w.to("d1"), chunk("\n")); }
-    void list(const std::string &json) { core.bytes(now, w.to("d1"), chunk(json + "\n")); }
+    void blank() { core.received(now, w.to("d1"), chunk("\n")); }
+    void list(const std::string &json) { core.received(now, w.to("d1"), chunk(json + "\n")); }
     // Writes what was sent, as the shell does at a moment's end.
     void settle(Time later = 0) {
         now += later;
         core.settle(now);
         for (auto &[c, n] : std::exchange(w.unwritten, {}))
-            core.written(now, c, n);
+            core.sent(now, c, n);
         core.settle(now);
     }
-    ConnId client(const std::string &request) {
-        auto c = *core.client_came(now);
-        core.bytes(now, c, request);
+    ConnectionId client(const std::string &request) {
+        auto c = *core.client_connected(now);
+        core.received(now, c, request);
         settle();
         return c;
     }
-    void gone(ConnId c, Gone how = Gone::ended) {
-        core.gone(now, c, how);
+    void gone(ConnectionId c, CloseReason how = CloseReason::end_of_stream) {
+        core.disconnected(now, c, how);
         settle();
     }
     // The connection to the node, up.
-    ConnId node(Time later = 0) {
+    ConnectionId node(Time later = 0) {
         auto c = up_last = w.to("n1");
         now += later;
-        core.up(now, c);
+        core.connected(now, c);
         settle();
         return c;
     }
@@ -172,13 +172,13 @@
     // used for a moment.
     void serve(const std::string &body, Time later = 5 * ms) {
         if (auto made = w.to("n1"); made != up_last)
-            core.up(now, up_last = made), settle();
+            core.connected(now, up_last = made), settle();
         answer(w.asked, reply(200, body), later);
     }
-    ConnId up_last{};
-    void answer(ConnId node, const std::string &bytes, Time later = 5 * ms) {
+    ConnectionId up_last{};
+    void answer(ConnectionId node, const std::string &bytes, Time later = 5 * ms) {
         now += later;
-        core.bytes(now, node, bytes);
+        core.received(now, node, bytes);
         settle();
     }
 };
@@ -326,7 +326,7 @@
 }
 
 // The front on loopback, with one node that holds shard 5, its watch open.
-struct Running {
+struct LoopbackGateway {
     Peer discovery = Peer::listens(), node = Peer::listens(), watch;
     std::string path = own_file("config.json");
     loop::Loop loop;
@@ -334,7 +334,8 @@
     std::thread thread;
     std::atomic<bool> over = false;
 
-    explicit Running(const std::string &more = "", const std::string &listen = "127.0.0.1:0") {
+    explicit LoopbackGateway(const std::string &more = "",
+                             const std::string &listen = "127.0.0.1:0") {
         write(discovery.address(), more, listen);
         std::ifstream in(path);
         Config config(std::string(std::istreambuf_iterator<char>(in), {}));
@@ -347,9 +348,9 @@
         });
         watch = discovery.accept();
         watch.until("\r\n\r\n");
-        watch.send(watch_head + Front::chunk(list_of(41, "", false) + "\n"));
+        watch.send(watch_head + TestGateway::chunk(list_of(41, "", false) + "\n"));
     }
-    ~Running() { end(); }
+    ~LoopbackGateway() { end(); }
     // As a kill does: at once, with whatever is open.
     void end() {
         if (!thread.joinable())
--- a/tests/http_gateway/loopback_test.cpp
+++ b/tests/http_gateway/loopback_test.cpp
@@ -27,7 +27,7 @@
     // Exits over unread bytes reset the connection; a request that is read after our end and sent
     // on is lost.
     TEST_CASE("a request on a resting connection that crosses its end: not reset, not sent on") {
-        Running r(brief);
+        LoopbackGateway r(brief);
         auto rests = r.client("GET /healthz HTTP/1.1\r\n\r\n");
         rests.until("\r\n\r\n");
         r.stop();
@@ -43,7 +43,7 @@
     }
     TEST_CASE("stopped twice and reloaded meanwhile, a request in pieces around it and a node that "
               "hangs: all answered") {
-        Running r(brief);
+        LoopbackGateway r(brief);
         auto request = read_of("t1", "", "0.300");
         auto c = r.client(request.substr(0, 50)), hung = r.client();
         r.stop(), r.reload(), r.stop();
@@ -58,7 +58,7 @@
         CHECK(r.stops());
     }
     TEST_CASE("an answer half sent to a slow client when it stops arrives whole") {
-        Running r(brief);
+        LoopbackGateway r(brief);
         auto c = r.client(read_of("t1"));
         auto n = r.node.accept();
         n.until("\r\n\r\n");
@@ -77,13 +77,13 @@
         std::string address;
         Peer crossed;
         {
-            Running r;
+            LoopbackGateway r;
             address = r.server->address();
             crossed = r.client(read_of("t1"));
             r.end();
         }
         CHECK(crossed.end() != End::none);
-        Running again("", address);
+        LoopbackGateway again("", address);
         auto c = again.client(read_of("t1")); // the same id: this process has not seen it
         auto n = again.node.accept();
         n.until("\r\n\r\n");
@@ -96,7 +96,7 @@
     // A close over what a bad client still sends would reset the connection and take the error
     // along.
     TEST_CASE("a client that sends on behind its mistake reads its error whole") {
-        Running r;
+        LoopbackGateway r;
         auto c = r.client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n" + std::string(300'000, 'x'));
         ::usleep(100'000);
         c.send(std::string(100'000, 'y'));
@@ -108,7 +108,7 @@
     }
     TEST_CASE("a node's answer without a length: its end makes it whole, a reset does not") {
         for (bool resets : {false, true}) {
-            Running r;
+            LoopbackGateway r;
             auto c = r.client(write_of("t1", "x"));
             auto n = r.node.accept();
             n.until("x");
@@ -126,7 +126,7 @@
     }
     TEST_CASE("a client that leaves while its attempt is out: the node's connection ends, nothing "
               "more is sent") {
-        Running r;
+        LoopbackGateway r;
         auto c = r.client(read_of("t1"));
         auto n = r.node.accept();
         n.until("\r\n\r\n");
@@ -136,7 +136,7 @@
     }
     TEST_CASE("a client that sends far ahead and leaves: its leaving shows, and nothing of it is "
               "sent on") {
-        Running r;
+        LoopbackGateway r;
         std::string ahead;
         for (int i = 0; i < 400; ++i)
             ahead += read_of("a" + std::to_string(i));
@@ -155,7 +155,7 @@
 TEST_SUITE("discovery on sockets") {
     TEST_CASE("a watch that is reset is open again at once, and what changed meanwhile keeps "
               "attempts away") {
-        Running r;
+        LoopbackGateway r;
         auto c = r.client(read_of("t1"));
         auto n = r.node.accept();
         n.until("\r\n\r\n");
@@ -166,8 +166,8 @@
         CHECK(again.until("\r\n\r\n").find("index=41 ") != std::string::npos);
         again.send(
             watch_head +
-            Front::chunk(list_of(42, node_entry("s1", r.node.address(), 5, "leaving"), false) +
-                         "\n"));
+            TestGateway::chunk(
+                list_of(42, node_entry("s1", r.node.address(), 5, "leaving"), false) + "\n"));
         CHECK(n.end(500) != End::none); // resting connections to a node that drains end
         c.send(read_of("t2"));
         CHECK(!r.node.comes(200));
@@ -175,7 +175,7 @@
     }
     TEST_CASE("reloaded with a file that has a fault nothing changes; with a good one the watch "
               "moves, twice in a row too") {
-        Running r;
+        LoopbackGateway r;
         auto second = Peer::listens(), third = Peer::listens();
         std::ofstream(r.path) << "{\"name\":";
         r.reload();
@@ -191,13 +191,13 @@
         CHECK(w2.end() != End::none);
         CHECK(r.watch.end(50) == End::none); // it tells until the new one speaks
         w3.until("\r\n\r\n");
-        w3.send(watch_head + Front::chunk(list_of(42, "", false) + "\n"));
+        w3.send(watch_head + TestGateway::chunk(list_of(42, "", false) + "\n"));
         CHECK(r.watch.end() != End::none);
     }
     // Nothing may spin on a descriptor that it can't have, and all is back with the first free
     // ones.
     TEST_CASE("every descriptor used up x accept, the watch's reset, an attempt's connect") {
-        Running r;
+        LoopbackGateway r;
         auto client = r.client("GET /healthz HTTP/1.1\r\n\r\n"), late = Peer::unconnected();
         client.until("\r\n\r\n");
         rlimit was{};
