--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -95,6 +95,10 @@
   src/http_gateway/client_connections.cpp
   src/http_gateway/config.cpp
   src/http_gateway/core.cpp
+  src/http_gateway/endpoint_list.cpp
+  src/http_gateway/graceful_shutdown.cpp
+  src/http_gateway/outbound_request.cpp
+  src/http_gateway/request_parser.cpp
   src/http_gateway/discovery.cpp
   src/http_gateway/connection_pool.cpp
   src/http_gateway/trace.cpp)
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -23,7 +23,7 @@
     cmd->footer(
         "Exit codes: 0 good, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
     cmd->callback([paths, &code] {
-        http_gateway::Trace trace;
+        http_gateway::TraceSummary trace;
         for (auto &path : *paths) {
             std::ifstream file(path == "-" ? "/dev/stdin" : path);
             if (!file) {
@@ -32,7 +32,7 @@
                 return;
             }
             for (std::string line; std::getline(file, line);)
-                trace.line(line);
+                trace.add_line(line);
         }
         std::fputs(trace.report().c_str(), stdout);
     });
--- a/src/http_gateway/client_connections.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -1,10 +1,10 @@
-// Clients' connections, without I/O: requests in, one at a time on each connection, and one answer
-// to each. What can't be a request gets an error at once and its connection is closed.
+/// \file
+/// Clients' connections, without I/O.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
-#include <functional>
 #include <limits>
 #include <map>
 #include <memory>
@@ -12,110 +12,153 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <unordered_set>
+#include <utility>
 #include <vector>
 
 #include "common/time.hpp"
 #include "http/decoder.hpp"
-#include "http_gateway/connection_pool.hpp"
+#include "http_gateway/outbound_request.hpp"
+#include "http_gateway/request_parser.hpp"
 #include "http_gateway/transport.hpp"
+#include "scheduling/events.hpp"
 
 namespace knotvane::http_gateway {
 
-// What clients tell. A request that came is answered once, by its connection, unless it left
-// before.
+/// What clients do. Each request received is answered once, by its connection, unless it is
+/// canceled before.
 class ClientRequestEvents {
 public:
     virtual ~ClientRequestEvents() = default;
-    virtual void request_received(Time now, ConnectionId client, WorkloadId workload,
-                                  VolumeId volume, PlanId plan, ShardId shard, KeyId key,
-                                  double units, double hosts, bool writes, bool repeated,
-                                  Time deadline, std::shared_ptr<const OutboundRequest> work) = 0;
+
+    /// @param info all but the request's id.
+    virtual void request_received(Time now, ConnectionId client, RequestInfo info,
+                                  std::shared_ptr<const OutboundRequest> outbound) = 0;
+
+    /// The client of a request without an answer disconnected.
     virtual void request_canceled(Time now, ConnectionId client) = 0;
-    // Whether the scheduler may be put to use.
-    virtual bool serves() const = 0;
+
+    /// Whether health checks are answered that this gateway serves.
+    virtual bool serving() const = 0;
 };
 
+/// Requests in, one at a time on each connection, and one response to each. What can't be a request
+/// is answered with an error at once and its connection is closed. Bounds what clients can occupy:
+/// connections, memory and time.
 class ClientConnections {
 public:
-    // `workloads`, `plans`: names in the order of their ids. `most`: connections at once.
-    ClientConnections(Transport &transport, ClientRequestEvents &told,
-                      ConnectionIds &connection_ids, std::vector<std::string> workloads,
-                      std::vector<std::string> plans, std::size_t most);
+    /// @param parser reads the requests.
+    /// @param max_connections at once; 1 at least.
+    ClientConnections(Transport &transport, ClientRequestEvents &events,
+                      ConnectionIds &connection_ids, RequestParser parser,
+                      std::size_t max_connections);
+
+    bool owns(ConnectionId id) const { return clients_.contains(id); }
 
-    bool owns(ConnectionId conn) const { return clients_.contains(conn); }
-    // A connection that was accepted; one in excess makes the least useful one go, or is not taken.
+    /// A connection was accepted. If there are too many, the least useful one is closed.
+    /// @return nothing if each has a request in flight: the new one isn't taken.
     std::optional<ConnectionId> connected(Time now);
-    void received(Time now, ConnectionId conn, std::string_view in);
-    void disconnected(Time now, ConnectionId conn);
-    void sent(Time now, ConnectionId conn, std::size_t bytes);
+    void received(Time now, ConnectionId id, std::string_view bytes);
+    void disconnected(Time now, ConnectionId id);
+    void sent(Time now, ConnectionId id, std::size_t bytes);
 
-    // The answers: a node's body; trying again is harmless, and when (0: untold); failed.
-    void answer(Time now, ConnectionId conn, std::string body);
-    void refuse(Time now, ConnectionId conn, Time retry_after);
-    void error(Time now, ConnectionId conn);
+    /// Answers with a node's body.
+    void respond(Time now, ConnectionId id, const std::string &body);
+    /// Answers that nothing was done and that the client may ask again.
+    /// @param retry_after when; 0 leaves it to the client.
+    void reject(Time now, ConnectionId id, Time retry_after);
+    /// Answers that the request may have been executed.
+    void fail(Time now, ConnectionId id);
 
-    // From now on connections without a request stay, however long they are idle.
+    /// From now on connections without a request aren't closed for being idle.
     void keep_idle() { keep_idle_ = true; }
-    // From now on each answer is its connection's last, but where a request waits behind it.
-    void stop() { stopping_ = true; }
-    // Ends every connection without an open request: what comes on it from now on is not taken any
-    // more.
-    void finish_resting(Time now);
-    // Reads on where something came behind a request that has its answer now; not from within a
-    // decision.
-    void resume(Time now);
-    bool resumes() const { return !resume_.empty(); }
-    // Connections, but for those that only wait for the client's end.
-    std::size_t open() const { return clients_.size() - ended_; }
-    // All of them.
-    std::size_t held() const { return clients_.size(); }
+    /// From now on an answer is its connection's last, unless a request waits behind it.
+    void close_after_responses() { close_after_responses_ = true; }
+    /// Ends every connection without a request; what is received on it after that is ignored.
+    void close_idle(Time now);
+
+    /// Reads on where bytes came behind a request that has its answer now. Not to be called while
+    /// the scheduler decides.
+    void read_pipelined(Time now);
+    bool has_pipelined() const { return !answered_with_pipelined_.empty(); }
+
+    /// Connections, without those that only wait for the client's close.
+    std::size_t open_count() const { return clients_.size() - half_closed_count_; }
+    /// All connections.
+    std::size_t count() const { return clients_.size(); }
+
+    /// When on_time is due next; the largest Time if nothing is.
     Time next_due() const {
         return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
     }
-    void tick(Time now);
+    /// Closes connections whose time is over.
+    void on_time(Time now);
 
 private:
     // Heads here are some hundred bytes; bodies 64 KiB at most, by the protocol.
-    static constexpr std::size_t most_head = 8 << 10, most_body = 64 << 10;
+    static constexpr std::size_t max_head_bytes = 8 << 10;
+    static constexpr std::size_t max_body_bytes = 64 << 10;
+
+    struct PipelinedBytes {
+        Time received_at;
+        std::string bytes;
+    };
+
     struct Client {
-        http::Decoder in{http::MessageKind::request, most_head, most_body};
-        Time due = 0, since = 0; // since: it came, or its last answer left
-        // served: it had an answer; last: the answer ends it; deaf: no more requests are read;
-        // ended: our side has ended, the client's has not.
-        bool heard = false, open = false, served = false, last = false, deaf = false, ended = false;
-        std::size_t unsent = 0; // bytes of its answers that have not left
-        std::size_t thrown = 0; // bytes that came after our end
-        std::deque<std::pair<Time, std::string>>
-            behind;           // what came while a request was open, and when
-        std::size_t kept = 0; // bytes of it
+        http::Decoder decoder{http::MessageKind::request, max_head_bytes, max_body_bytes};
+        /// When its time is over; see next_due.
+        Time due = 0;
+        /// When it connected or was last answered.
+        Time idle_since = 0;
+        bool has_sent_bytes = false;
+        bool request_in_flight = false;
+        bool has_been_answered = false;
+        /// The next answer ends the connection.
+        bool close_after_response = false;
+        /// No further requests are read.
+        bool ignores_input = false;
+        /// Our side has ended, the client's hasn't.
+        bool half_closed = false;
+        /// Bytes of answers that have not left.
+        std::size_t unsent_bytes = 0;
+        /// Bytes received after our end.
+        std::size_t discarded_bytes = 0;
+        /// What was received while a request was in flight.
+        std::deque<PipelinedBytes> pipelined;
+        std::size_t pipelined_bytes = 0;
     };
-    // `came`: when these bytes did; a client's time starts there, also where they had to wait.
-    void read(Time now, Time came, ConnectionId conn, std::string_view in);
-    // Gives back the status of a refusal and why, 0 where the request was told.
-    std::pair<unsigned, const char *> request(Time now, Time came, ConnectionId conn, Client &c);
-    void send(Time now, ConnectionId conn, unsigned status, const std::string &headers,
-              std::string body);
-    void reject(Time now, ConnectionId conn, unsigned status, const char *why);
-    void due_at(ConnectionId conn, Client &c, Time at);
-    void drop(ConnectionId conn);
-    void finish(Time now, ConnectionId conn, Client &c);
-    void shed(Time now);
-    void remember(std::uint64_t trace);
+
+    /// @param received_at of these bytes: a client's timeout starts there, also if they waited
+    /// behind another request.
+    void read(Time now, Time received_at, ConnectionId id, std::string_view bytes);
+    /// Handles the whole message in the client's decoder.
+    void handle_message(Time now, Time received_at, ConnectionId id, Client &client);
+    void keep_pipelined(Client &client, Time received_at, std::string_view bytes);
+
+    void send(Time now, ConnectionId id, unsigned status, const std::string &headers,
+              const std::string &body);
+    void send_error(Time now, ConnectionId id, const RequestError &error);
+
+    void set_due(ConnectionId id, Client &client, Time due);
+    /// Forgets a connection; returns whether it had a request in flight.
+    bool forget(ConnectionId id);
+    void close(ConnectionId id);
+    /// Ends our side once all that is owed has left. What is received after that is discarded until
+    /// the client's close, or for a short while.
+    void finish_sending(Time now, ConnectionId id, Client &client);
+    static int eviction_rank(Time now, const Client &client);
+    void evict_one(Time now);
 
     Transport &transport_;
-    ClientRequestEvents &told_;
+    ClientRequestEvents &events_;
     ConnectionIds &connection_ids_;
-    std::map<std::string, WorkloadId, std::less<>> workloads_;
-    std::map<std::string, PlanId, std::less<>> plans_;
-    std::size_t most_, ended_ = 0;
+    RequestParser parser_;
+    std::size_t max_connections_;
+    std::size_t half_closed_count_ = 0;
     std::map<ConnectionId, Client> clients_;
     std::set<std::pair<Time, ConnectionId>> due_;
-    std::set<ConnectionId> resume_;
-    std::unordered_set<std::uint64_t>
-        traces_; // of open requests and of the last before them, hashed
-    std::deque<std::uint64_t> last_traces_;
-    bool keep_idle_ = false, stopping_ = false;
+    std::set<ConnectionId> answered_with_pipelined_;
+    bool keep_idle_ = false;
+    bool close_after_responses_ = false;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/config.cpp
+++ b/src/http_gateway/config.cpp
@@ -10,112 +10,142 @@
 using nlohmann::json;
 using scheduler_setup::MalformedInput;
 
-std::string plain(const json &v) {
-    std::string s = v.is_string() ? v.get<std::string>() : v.is_null() ? std::string() : v.dump();
-    for (char &c : s)
+constexpr std::int64_t min_sockets = 32;
+constexpr std::size_t max_quoted = 80;
+
+/// Returns a value as an option's text; what separates options and list entries becomes '_'.
+std::string option_text(const json &value) {
+    if (value.is_null())
+        return {};
+    std::string text = value.is_string() ? value.get<std::string>() : value.dump();
+    for (char &c : text)
         if (c == ' ' || c == ',' || c == '\n' || c == '\r')
             c = '_';
-    return s;
+    return text;
 }
-void flatten(const json &v, const std::string &path, std::string &out) {
-    auto below = [&](const std::string &name) { return path.empty() ? name : path + "." + name; };
-    if (v.is_object()) {
-        for (auto &[name, inner] : v.items())
-            flatten(inner, below(name), out);
-    } else if (v.is_array() && !v.empty() && v[0].is_object()) {
-        out += path + ".count=" + std::to_string(v.size()) + "\n";
-        for (std::size_t i = 0; i < v.size(); ++i)
-            flatten(v[i], below(std::to_string(i)), out);
-    } else if (v.is_array()) {
-        out += path + "=";
-        for (std::size_t i = 0; i < v.size(); ++i)
-            out += (i ? "," : "") + plain(v[i]);
-        out += "\n";
+
+/// Appends a line "path=value" for each value: a list of texts and numbers becomes one line with
+/// commas; a list of objects has its size at "path.count" and each object at "path.N".
+void append_options(const json &value, const std::string &path, std::string &lines) {
+    auto path_below = [&](const std::string &name) {
+        return path.empty() ? name : path + "." + name;
+    };
+    if (value.is_object()) {
+        for (const auto &[name, inner] : value.items())
+            append_options(inner, path_below(name), lines);
+    } else if (value.is_array() && !value.empty() && value[0].is_object()) {
+        lines += path + ".count=" + std::to_string(value.size()) + "\n";
+        for (std::size_t i = 0; i < value.size(); ++i)
+            append_options(value[i], path_below(std::to_string(i)), lines);
+    } else if (value.is_array()) {
+        lines += path + "=";
+        for (std::size_t i = 0; i < value.size(); ++i)
+            lines += (i > 0 ? "," : "") + option_text(value[i]);
+        lines += "\n";
     } else {
-        out += path + "=" + plain(v) + "\n";
+        lines += path + "=" + option_text(value) + "\n";
     }
 }
 
 } // namespace
 
-struct Config::Parts {
-    json doc;
-    const json &at(const char *field, bool fits(const json &), const char *what) const {
-        auto it = doc.find(field);
-        if (it == doc.end() || !fits(*it))
-            throw MalformedInput(std::string(field) + ": expected " + what);
-        return *it;
-    }
+struct Config::Document {
+    json root;
+
+    explicit Document(std::string_view text) : root(json::parse(text, nullptr, false)) {}
+
+    /// Returns a text that is there and not empty.
     std::string text(const char *field) const {
-        auto s = at(
-                     field, [](const json &v) { return v.is_string(); }, "text")
-                     .get<std::string>();
-        if (s.empty())
+        auto it = root.find(field);
+        if (it == root.end() || !it->is_string())
+            throw MalformedInput(std::string(field) + ": expected text");
+        auto text = it->get<std::string>();
+        if (text.empty())
             throw MalformedInput(std::string(field) + ": empty");
-        return s;
+        return text;
+    }
+
+    void require_object(const char *field) const {
+        auto it = root.find(field);
+        if (it == root.end() || !it->is_object())
+            throw MalformedInput(std::string(field) + ": expected an object");
     }
 };
 
-Config::Config(std::string_view text) : parts_(std::make_unique<Parts>()) {
-    parts_->doc = json::parse(text, nullptr, false);
-    if (!parts_->doc.is_object())
+Config::Config(std::string_view text) : document_(std::make_unique<Document>(text)) {
+    if (!document_->root.is_object())
         throw MalformedInput("expected a JSON object");
-    auto is_object = [](const json &v) { return v.is_object(); };
-    parts_->at("settings", is_object, "an object");
-    parts_->at("limits", is_object, "an object");
-    listen(), discovery(), seed(), sockets(), settings();
+    document_->require_object("settings");
+    document_->require_object("limits");
+    // Each throws on a fault of its own.
+    listen_address();
+    discovery_address();
+    seed();
+    max_sockets();
+    settings();
 }
+
 Config::~Config() = default;
 Config::Config(Config &&) noexcept = default;
 Config &Config::operator=(Config &&) noexcept = default;
 
 std::string Config::name() const {
-    return parts_->text("name");
+    return document_->text("name");
 }
-std::string Config::listen() const {
-    return parts_->text("listen");
+
+std::string Config::listen_address() const {
+    return document_->text("listen");
 }
-std::string Config::discovery() const {
-    return parts_->text("discovery");
+
+std::string Config::discovery_address() const {
+    return document_->text("discovery");
 }
+
 std::uint64_t Config::seed() const {
-    auto s = parts_->text("seed");
-    std::uint64_t v = 0;
-    auto [end, ec] = std::from_chars(s.data(), s.data() + s.size(), v, 16);
-    if (ec != std::errc() || end != s.data() + s.size())
-        throw MalformedInput("seed: expected up to 16 hex digits: " + s.substr(0, 80));
-    return v;
+    constexpr int hexadecimal = 16;
+    auto text = document_->text("seed");
+    const char *text_end = text.data() + text.size();
+    std::uint64_t seed = 0;
+    auto [end, error] = std::from_chars(text.data(), text_end, seed, hexadecimal);
+    if (error != std::errc() || end != text_end)
+        throw MalformedInput("seed: expected up to 16 hex digits: " + text.substr(0, max_quoted));
+    return seed;
 }
-std::size_t Config::sockets() const {
-    const json &limits = parts_->doc["limits"];
+
+std::size_t Config::max_sockets() const {
+    const json &limits = document_->root["limits"];
     auto it = limits.find("sockets");
-    if (it == limits.end() || !it->is_number_integer() || it->get<std::int64_t>() < 32)
-        throw MalformedInput("limits.sockets: expected a whole number, 32 or more");
+    if (it == limits.end() || !it->is_number_integer() || it->get<std::int64_t>() < min_sockets)
+        throw MalformedInput("limits.sockets: expected a whole number, " +
+                             std::to_string(min_sockets) + " or more");
     return it->get<std::size_t>();
 }
-std::string Config::known() const {
-    auto it = parts_->doc.find("known");
-    return it == parts_->doc.end() || it->is_null() ? std::string() : it->dump();
+
+std::string Config::known_endpoints() const {
+    auto it = document_->root.find("known");
+    return it == document_->root.end() || it->is_null() ? std::string() : it->dump();
 }
+
 scheduler_setup::Options Config::settings() const {
-    std::string out;
-    flatten(parts_->doc["settings"], "", out);
-    return scheduler_setup::Options(out);
+    std::string lines;
+    append_options(document_->root["settings"], "", lines);
+    return scheduler_setup::Options(lines);
 }
+
 std::vector<std::string> Config::names(const std::string &list) const {
-    std::vector<std::string> out;
-    auto it = parts_->doc["settings"].find(list);
-    if (it == parts_->doc["settings"].end() || !it->is_array())
+    const json &settings = document_->root["settings"];
+    auto it = settings.find(list);
+    if (it == settings.end() || !it->is_array())
         throw MalformedInput("settings." + list + ": expected a list");
-    for (std::size_t i = 0; i < it->size(); ++i) {
-        const json &v = (*it)[i];
-        const json *name = v.is_object() && v.contains("Name") ? &v["Name"] : &v;
-        if (!name->is_string())
-            throw MalformedInput("settings." + list + "." + std::to_string(i) +
+    std::vector<std::string> names;
+    for (const json &entry : *it) {
+        const json &name = entry.is_object() && entry.contains("Name") ? entry["Name"] : entry;
+        if (!name.is_string())
+            throw MalformedInput("settings." + list + "." + std::to_string(names.size()) +
                                  ": expected a name");
-        out.push_back(name->get<std::string>());
+        names.push_back(name.get<std::string>());
     }
-    return out;
+    return names;
 }
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/config.hpp
+++ b/src/http_gateway/config.hpp
@@ -1,4 +1,5 @@
-// The configuration that the platform lays down for a scheduler (JSON), read part by part.
+/// \file
+/// The configuration that the platform gives a gateway.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +12,39 @@
 
 namespace knotvane::http_gateway {
 
+/// A configuration (JSON), checked when it is read.
 class Config {
 public:
-    // Throws scheduler_setup::MalformedInput, saying which field and what was expected.
-    explicit Config(std::string_view json);
+    /// @param text JSON.
+    /// @throws scheduler_setup::MalformedInput, saying which field and what was expected.
+    explicit Config(std::string_view text);
     ~Config();
+    Config(const Config &) = delete;
+    Config &operator=(const Config &) = delete;
     Config(Config &&) noexcept;
     Config &operator=(Config &&) noexcept;
 
+    /// This gateway's name.
     std::string name() const;
-    std::string listen() const;
-    std::string discovery() const;
+    /// Where to listen, "host:port".
+    std::string listen_address() const;
+    /// Where discovery is, "host:port".
+    std::string discovery_address() const;
     std::uint64_t seed() const;
-    std::size_t sockets() const;
-    // The list as it was last had, in discovery's form; empty for none.
-    std::string known() const;
-    // The settings at the paths that the simulator's first message has.
+    /// Descriptors that the process may hold.
+    std::size_t max_sockets() const;
+    /// The endpoint list as it was last had, in discovery's form; empty for none.
+    std::string known_endpoints() const;
+    /// The settings, at the paths of the simulator's boot record.
     scheduler_setup::Options settings() const;
-    // Names in the order of their ids: of the objects of a list, or of a plain list.
+    /// Returns the names of a list of the settings, in the order of their ids: of its objects, or
+    /// its texts themselves.
+    /// @throws scheduler_setup::MalformedInput if there is no such list or an entry has no name.
     std::vector<std::string> names(const std::string &list) const;
 
 private:
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Document;
+    std::unique_ptr<Document> document_;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -1,321 +1,372 @@
 #include "http_gateway/connection_pool.hpp"
 
 #include <algorithm>
-#include <cstdio>
-#include <utility>
+#include <iterator>
+#include <optional>
+
+#include "http_gateway/trace_line.hpp"
 
 namespace knotvane::http_gateway {
 namespace {
 
-// A node's heads are a few hundred bytes. Its bodies were seen up to 400 KB, past the protocol's 64
-// KiB, and are good answers all the same; a few times that still keeps all that are read at once
-// within the least memory.
-constexpr std::size_t most_head = 8 << 10, most_body = 1 << 20;
-
-// A second answer may come some milliseconds behind the first: on a connection that was handed the
-// next request by then it would be read as that one's answer. Seen 0.8 to 3.9 ms behind; a few
-// times that, in which a new connection is made where no other one rests.
-constexpr Time quiet = 10 * ms;
-
-std::string message_of(const OutboundRequest &w, Time left) {
-    char expires[32];
-    std::snprintf(expires, sizeof expires, "%.6f", seconds(std::max<Time>(left, 0)));
-    std::string out = w.method + " " + w.target +
-                      " HTTP/1.1\r\nHost: node\r\nX-Trace-Id: " + w.trace +
-                      "\r\nX-Expires-In: " + expires + "\r\n";
-    if (!w.mark.empty())
-        out += "Idempotency-Key: " + w.mark + "\r\n";
-    if (w.method != "GET")
-        out += "Content-Length: " + std::to_string(w.body.size()) + "\r\n";
-    return out += "\r\n" + w.body;
+// A node's heads are a few hundred bytes. Bodies were seen up to 400 KB, past the protocol's 64
+// KiB, and are good answers all the same; this still keeps all that are read at once within the
+// least memory.
+constexpr std::size_t max_head_bytes = 8 << 10;
+constexpr std::size_t max_body_bytes = 1 << 20;
+
+// A connection that has just answered isn't used for this long: a second answer may come some
+// milliseconds behind the first, seen 0.8 to 3.9, and would be read as the next request's.
+constexpr Time settle_time = 10 * ms;
+
+/// Idle connections are closed before the node would close them, as a request that is written while
+/// the node closes is reset.
+Time idle_timeout_before(Time node_idle_timeout) {
+    constexpr Time margin = 250 * ms;
+    return std::max<Time>(node_idle_timeout - node_idle_timeout / 10 - margin, 0);
 }
 
-} // namespace
+AttemptOutcome outcome_of(const http::Decoder &response) {
+    if (response.state() != http::State::whole)
+        return AttemptOutcome::error;
+    auto status = response.status();
+    if (status == 200)
+        return AttemptOutcome::answered;
+    if ((status == 503 || status == 504) && response.header("X-Never-Ran") == "1")
+        return AttemptOutcome::overloaded;
+    return AttemptOutcome::error;
+}
 
-ConnectionPool::ConnectionPool(Transport &transport, UpstreamAttemptEvents &told,
-                               ConnectionIds &connection_ids, Time connect, Time idle,
-                               std::size_t most)
-    : transport_(transport), told_(told), connection_ids_(connection_ids), connect_(connect),
-      // A tenth and a quarter second before the node would: a request written as it closes is a
-      // reset.
-      idle_(std::max<Time>(idle - idle / 10 - 250 * ms, 0)), most_(std::max<std::size_t>(most, 1)) {
+/// The outcome of an attempt whose connection's time is over.
+AttemptOutcome outcome_at_due(bool timeout_reached, bool request_handed) {
+    if (timeout_reached)
+        return request_handed ? AttemptOutcome::timed_out : AttemptOutcome::not_sent;
+    // A response that stopped short is spoilt: the node is done with it, and no more will come.
+    return request_handed ? AttemptOutcome::error : AttemptOutcome::unreachable;
 }
 
-void ConnectionPool::node_at(Time now, NodeId node, const std::string &address) {
-    Peer &peer = peers_[node];
-    if (peer.address == address)
+} // namespace
+
+ConnectionPool::Connection::Connection(NodeId node_id, std::string node_address,
+                                       const AttemptKey &first_attempt)
+    : node(node_id), address(std::move(node_address)), attempt(first_attempt),
+      decoder(http::MessageKind::response, max_head_bytes, max_body_bytes) {}
+
+ConnectionPool::ConnectionPool(Transport &transport, UpstreamAttemptEvents &events,
+                               ConnectionIds &connection_ids, const ConnectionPoolOptions &options)
+    : transport_(transport), events_(events), connection_ids_(connection_ids),
+      connect_timeout_(options.connect_timeout),
+      idle_timeout_(idle_timeout_before(options.node_idle_timeout)),
+      max_connections_(std::max<std::size_t>(options.max_connections, 1)) {}
+
+void ConnectionPool::set_address(Time now, NodeId node, const std::string &address) {
+    if (nodes_[node].address == address)
         return;
-    node_gone(now, node);
-    peers_[node].address = address;
+    remove_node(now, node);
+    nodes_[node].address = address;
 }
-void ConnectionPool::node_drains(Time now, NodeId node) {
-    auto it = peers_.find(node);
-    if (it == peers_.end())
+
+void ConnectionPool::drain_node(Time now, NodeId node) {
+    auto it = nodes_.find(node);
+    if (it == nodes_.end())
         return;
-    for (auto conn : std::vector<ConnectionId>(it->second.idle))
-        drop(conn);
-    std::vector<AttemptKey> unbegun;
-    for (auto &[id, link] : links_)
-        if (link.node == node) {
-            link.leaving = true;
-            if (link.busy && !link.handed)
-                unbegun.push_back(link.attempt);
-        }
-    for (auto &key : unbegun)
-        take_back(now, key);
+    for (auto id : std::vector<ConnectionId>(it->second.idle))
+        close(id);
+    std::vector<AttemptKey> unsent;
+    for (auto &[id, connection] : connections_) {
+        if (connection.node != node)
+            continue;
+        connection.retired = true;
+        if (connection.busy && !connection.request_handed)
+            unsent.push_back(connection.attempt);
+    }
+    for (const auto &key : unsent)
+        complete_unsent(now, key);
 }
-void ConnectionPool::node_gone(Time now, NodeId node) {
-    node_drains(now, node);
-    auto it = peers_.find(node);
-    if (it == peers_.end())
+
+void ConnectionPool::remove_node(Time now, NodeId node) {
+    drain_node(now, node);
+    auto it = nodes_.find(node);
+    if (it == nodes_.end())
         return;
     it->second.address.clear();
-    if (it->second.links == 0)
-        peers_.erase(it);
+    if (it->second.connection_count == 0)
+        nodes_.erase(it);
+}
+
+void ConnectionPool::start_attempt(Time now, const AttemptKey &key, NodeId node,
+                                   std::shared_ptr<const OutboundRequest> request,
+                                   Time timeout_at) {
+    auto it = nodes_.find(node);
+    if (timeout_at <= now || it == nodes_.end() || it->second.address.empty())
+        return events_.attempt_completed({key, node, AttemptOutcome::not_sent, 0, now, {}});
+    Attempt &attempt = attempts_[key];
+    attempt = Attempt{node, {}, std::move(request), now, timeout_at};
+    attempt.connection = take_idle(now, it->second);
+    if (attempt.connection.value == 0)
+        return open_connection(now, key, it->second, attempt);
+    Connection &connection = connections_.at(attempt.connection);
+    connection.busy = true;
+    connection.attempt = key;
+    hand_request(now, attempt.connection, connection);
+}
+
+ConnectionId ConnectionPool::take_idle(Time now, Node &node) {
+    auto usable = std::find_if(node.idle.rbegin(), node.idle.rend(), [&](ConnectionId id) {
+        return connections_.at(id).idle_since + settle_time <= now;
+    });
+    if (usable == node.idle.rend())
+        return {};
+    ConnectionId id = *usable;
+    node.idle.erase(std::next(usable).base());
+    return id;
 }
 
-// Closes the idle connection that is next to be closed anyway.
+/// Closes the idle connection that is next to be closed anyway, if there are too many.
 bool ConnectionPool::make_room() {
-    if (links_.size() < most_)
+    if (connections_.size() < max_connections_)
         return true;
-    for (auto &[at, conn] : due_)
-        if (auto &link = links_.at(conn); link.up && !link.busy) {
-            drop(conn);
-            return true;
-        }
-    return false;
+    auto idle = std::find_if(due_.begin(), due_.end(), [&](const auto &entry) {
+        const Connection &connection = connections_.at(entry.second);
+        return connection.connected && !connection.busy;
+    });
+    if (idle == due_.end())
+        return false;
+    close(idle->second);
+    return true;
 }
 
-void ConnectionPool::begin(Time now, RequestId request, AttemptId attempt, NodeId node,
-                           std::shared_ptr<const OutboundRequest> work, Time until) {
-    AttemptKey key{request, attempt};
-    auto peer = peers_.find(node);
-    if (until <= now || peer == peers_.end() || peer->second.address.empty())
-        return told_.attempt_completed(now, request, attempt, node, AttemptOutcome::not_sent, 0,
-                                       {});
-    Attempt &s = attempts_[key] = Attempt{node, {}, std::move(work), now, until};
-    auto &idle = peer->second.idle;
-    auto rested = std::find_if(idle.rbegin(), idle.rend(),
-                               [&](ConnectionId c) { return links_.at(c).rests + quiet <= now; });
-    if (rested != idle.rend()) {
-        s.conn = *rested;
-        idle.erase(std::next(rested).base());
-        Link &link = links_.at(s.conn);
-        link.busy = true, link.attempt = key;
-        return give(now, s.conn, link);
-    }
+void ConnectionPool::open_connection(Time now, const AttemptKey &key, Node &node,
+                                     Attempt &attempt) {
     if (!make_room())
-        return over(now, key, AttemptOutcome::not_sent);
-    s.conn = connection_ids_.next();
-    Link &link =
-        links_
-            .emplace(s.conn,
-                     Link{node, peer->second.address, false, false, true, key, 0, false, 0, 0,
-                          http::Decoder(http::MessageKind::response, most_head, most_body)})
+        return complete(now, key, AttemptOutcome::not_sent);
+    attempt.connection = connection_ids_.next();
+    Connection &connection =
+        connections_.try_emplace(attempt.connection, Connection(attempt.node, node.address, key))
             .first->second;
-    ++peer->second.links;
-    due_at(s.conn, link, std::min(now + connect_, until));
-    transport_.connect(s.conn, link.address);
+    ++node.connection_count;
+    set_due(attempt.connection, connection, std::min(now + connect_timeout_, attempt.timeout_at));
+    transport_.connect(attempt.connection, connection.address);
 }
-// Hands the request of the attempt to its connection.
-void ConnectionPool::give(Time now, ConnectionId conn, Link &link) {
-    Attempt &s = attempts_.at(link.attempt);
-    // Between the decision and this moment a connection came up: the client may have left, the node
-    // may drain.
-    if (link.leaving || now >= s.until ||
-        !told_.may_send_attempt(now, link.attempt.first, link.attempt.second, link.node))
-        return take_back(now, AttemptKey(link.attempt));
-    auto bytes = message_of(*s.work, s.until - now);
-    link.to_write = bytes.size(), link.handed = true;
-    link.in.next();
-    due_at(conn, link, s.until);
-    transport_.send(conn, std::move(bytes));
+
+void ConnectionPool::hand_request(Time now, ConnectionId id, Connection &connection) {
+    const AttemptKey key = connection.attempt;
+    const Attempt &attempt = attempts_.at(key);
+    // Since the attempt was decided its connection came up: the client may have left by now, or the
+    // node may drain.
+    if (connection.retired || now >= attempt.timeout_at || !events_.may_send_attempt(now, key))
+        return complete_unsent(now, key);
+    auto message = encode(*attempt.request, attempt.timeout_at - now);
+    connection.unsent_bytes = message.size();
+    connection.request_handed = true;
+    connection.decoder.next();
+    set_due(id, connection, attempt.timeout_at);
+    transport_.send(id, std::move(message));
 }
-void ConnectionPool::cancel_attempt(Time now, RequestId request, AttemptId attempt) {
-    auto it = attempts_.find({request, attempt});
+
+void ConnectionPool::cancel_attempt(Time now, const AttemptKey &key) {
+    auto it = attempts_.find(key);
     if (it == attempts_.end())
         return;
-    if (!left(it->second))
-        return take_back(now, {request, attempt});
-    drop(it->second.conn);
-    over(now, {request, attempt}, AttemptOutcome::canceled);
+    if (!connections_.at(it->second.connection).request_sent())
+        return complete_unsent(now, key);
+    close(it->second.connection);
+    complete(now, key, AttemptOutcome::canceled);
 }
-bool ConnectionPool::left(const Attempt &attempt) const {
-    const Link &link = links_.at(attempt.conn);
-    return link.handed && link.to_write == 0;
-}
-// Ends an attempt whose last byte has not left, and so never will: it did not run.
-void ConnectionPool::take_back(Time now, const AttemptKey &key) {
-    drop(attempts_.at(key).conn);
-    over(now, key, AttemptOutcome::not_sent);
+
+void ConnectionPool::complete_unsent(Time now, const AttemptKey &key) {
+    close(attempts_.at(key).connection);
+    complete(now, key, AttemptOutcome::not_sent);
 }
-void ConnectionPool::withdraw(Time now, RequestId request) {
-    std::vector<AttemptKey> unwritten;
+
+void ConnectionPool::cancel_unsent(Time now, RequestId request) {
+    std::vector<AttemptKey> unsent;
     for (auto it = attempts_.lower_bound({request, AttemptId{}});
-         it != attempts_.end() && it->first.first == request; ++it)
-        if (!left(it->second))
-            unwritten.push_back(it->first);
-    for (auto &key : unwritten)
-        take_back(now, key);
+         it != attempts_.end() && it->first.request == request; ++it)
+        if (!connections_.at(it->second.connection).request_sent())
+            unsent.push_back(it->first);
+    for (const auto &key : unsent)
+        complete_unsent(now, key);
 }
-void ConnectionPool::over(Time now, const AttemptKey &key, AttemptOutcome how, std::string body) {
+
+void ConnectionPool::complete(Time now, const AttemptKey &key, AttemptOutcome outcome,
+                              std::string body) {
     auto it = attempts_.find(key);
-    Attempt s = std::move(it->second);
+    const Attempt attempt = std::move(it->second);
     attempts_.erase(it);
-    if (transport_.tracing()) {
-        auto after = [&](Time t) {
-            return t == 0 ? std::string("-") : std::to_string((t - s.began) / us);
-        };
-        transport_.trace(
-            "attempt request=" + std::to_string(key.first.value) +
-            " attempt=" + std::to_string(key.second.value) +
-            " node=" + std::to_string(s.node.value) + " conn=" + std::to_string(s.conn.value) +
-            " how=" + std::to_string(static_cast<int>(how)) +
-            " at=" + std::to_string(s.began / us) + " connected=" + after(s.connected) +
-            " written=" + after(s.written) + " first=" + after(s.first) + " over=" + after(now));
-    }
-    told_.attempt_completed(now, key.first, key.second, s.node, how, now - s.began,
-                            std::move(body));
+    if (transport_.tracing())
+        trace_attempt(now, key, attempt, outcome);
+    events_.attempt_completed(
+        {key, attempt.node, outcome, now - attempt.started_at, now, std::move(body)});
 }
-void ConnectionPool::drop(ConnectionId conn, bool close) {
-    auto it = links_.find(conn);
-    Link &link = it->second;
-    due_.erase({link.due, conn});
-    if (auto p = peers_.find(link.node); p != peers_.end()) {
-        std::erase(p->second.idle, conn);
-        if (--p->second.links == 0 && p->second.address.empty())
-            peers_.erase(p);
+
+void ConnectionPool::trace_attempt(Time now, const AttemptKey &key, const Attempt &attempt,
+                                   AttemptOutcome outcome) {
+    auto since_start = [&](Time time) {
+        return time == 0 ? std::nullopt : std::optional(time - attempt.started_at);
+    };
+    transport_.trace(TraceLine("attempt")
+                         .field("request", key.request.value)
+                         .field("attempt", key.attempt.value)
+                         .field("node", attempt.node.value)
+                         .field("conn", attempt.connection.value)
+                         .field("how", static_cast<int>(outcome))
+                         .span("at", attempt.started_at)
+                         .span("connected", since_start(attempt.connected_at))
+                         .span("written", since_start(attempt.sent_at))
+                         .span("first", since_start(attempt.first_byte_at))
+                         .span("over", now - attempt.started_at)
+                         .text());
+}
+
+void ConnectionPool::forget(ConnectionId id) {
+    auto it = connections_.find(id);
+    const Connection &connection = it->second;
+    due_.erase({connection.due, id});
+    if (auto node = nodes_.find(connection.node); node != nodes_.end()) {
+        std::erase(node->second.idle, id);
+        --node->second.connection_count;
+        if (node->second.connection_count == 0 && node->second.address.empty())
+            nodes_.erase(node);
     }
-    links_.erase(it);
-    if (close)
-        transport_.close(conn);
+    connections_.erase(it);
 }
-void ConnectionPool::due_at(ConnectionId conn, Link &link, Time at) {
-    due_.erase({link.due, conn});
-    link.due = at;
-    due_.insert({at, conn});
+
+void ConnectionPool::close(ConnectionId id) {
+    forget(id);
+    transport_.close(id);
 }
-void ConnectionPool::rest(Time now, ConnectionId conn, Link &link) {
-    link.busy = link.handed = false;
-    link.in.next();
-    link.rests = now;
-    due_at(conn, link, now + idle_);
-    peers_.at(link.node).idle.push_back(conn);
+
+void ConnectionPool::set_due(ConnectionId id, Connection &connection, Time due) {
+    due_.erase({connection.due, id});
+    connection.due = due;
+    due_.insert({due, id});
 }
 
-std::map<NodeId, std::size_t> ConnectionPool::busy() const {
-    std::map<NodeId, std::size_t> out;
-    for (auto &[id, link] : links_)
-        out[link.node] += link.busy;
-    return out;
+void ConnectionPool::make_idle(Time now, ConnectionId id, Connection &connection) {
+    connection.busy = false;
+    connection.request_handed = false;
+    connection.decoder.next();
+    connection.idle_since = now;
+    set_due(id, connection, now + idle_timeout_);
+    nodes_.at(connection.node).idle.push_back(id);
 }
 
-void ConnectionPool::connected(Time now, ConnectionId conn) {
-    auto it = links_.find(conn);
-    if (it == links_.end())
+std::map<NodeId, std::size_t> ConnectionPool::busy_connections() const {
+    std::map<NodeId, std::size_t> busy;
+    for (const auto &[id, connection] : connections_)
+        busy[connection.node] += connection.busy ? 1 : 0;
+    return busy;
+}
+
+void ConnectionPool::connected(Time now, ConnectionId id) {
+    auto it = connections_.find(id);
+    if (it == connections_.end())
         return;
-    it->second.up = true;
-    attempts_.at(it->second.attempt).connected = now;
-    give(now, conn, it->second);
+    it->second.connected = true;
+    attempts_.at(it->second.attempt).connected_at = now;
+    hand_request(now, id, it->second);
 }
-void ConnectionPool::connect_failed(Time now, ConnectionId conn, bool tried) {
-    auto it = links_.find(conn);
-    if (it == links_.end())
+
+void ConnectionPool::connect_failed(Time now, ConnectionId id, bool tried) {
+    auto it = connections_.find(id);
+    if (it == connections_.end())
         return;
     auto key = it->second.attempt;
-    drop(conn, false);
-    over(now, key, tried ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
+    forget(id);
+    complete(now, key, tried ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
 }
-void ConnectionPool::disconnected(Time now, ConnectionId conn, CloseReason how) {
-    auto it = links_.find(conn);
-    if (it == links_.end())
+
+void ConnectionPool::disconnected(Time now, ConnectionId id, CloseReason reason) {
+    auto it = connections_.find(id);
+    if (it == connections_.end())
         return;
-    bool busy = it->second.busy, whole = it->second.handed && it->second.to_write == 0;
-    auto key = it->second.attempt;
-    // An answer without a length ends with its stream; a connection that broke ends nothing.
-    if (busy && whole && how == CloseReason::end_of_stream) {
-        it->second.in.finish(), it->second.leaving = true;
-        if (it->second.in.state() == http::State::whole)
-            return answered(now, conn, {});
+    Connection &connection = it->second;
+    bool busy = connection.busy;
+    bool request_sent = connection.request_sent();
+    auto key = connection.attempt;
+    // A response without a length ends with its stream; a connection that broke ends nothing.
+    if (busy && request_sent && reason == CloseReason::end_of_stream) {
+        connection.decoder.finish();
+        connection.retired = true;
+        if (connection.decoder.state() == http::State::whole)
+            return response_ended(now, id, false);
     }
-    drop(conn, false);
-    // Before its last byte has left, the node can't have begun it.
+    forget(id);
+    // Before its last byte has left, the node can't have executed it.
     if (busy)
-        over(now, key, whole ? AttemptOutcome::reset : AttemptOutcome::unreachable);
+        complete(now, key, request_sent ? AttemptOutcome::reset : AttemptOutcome::unreachable);
 }
-void ConnectionPool::sent(Time now, ConnectionId conn, std::size_t bytes) {
-    auto it = links_.find(conn);
-    if (it == links_.end())
+
+void ConnectionPool::sent(Time now, ConnectionId id, std::size_t bytes) {
+    auto it = connections_.find(id);
+    if (it == connections_.end())
         return;
-    it->second.to_write -= std::min(bytes, it->second.to_write);
-    if (it->second.busy && it->second.to_write == 0)
-        attempts_.at(it->second.attempt).written = now;
+    Connection &connection = it->second;
+    connection.unsent_bytes -= std::min(bytes, connection.unsent_bytes);
+    if (connection.busy && connection.unsent_bytes == 0)
+        attempts_.at(connection.attempt).sent_at = now;
 }
 
-void ConnectionPool::received(Time now, ConnectionId conn, std::string_view in) {
-    auto it = links_.find(conn);
-    if (it == links_.end())
+void ConnectionPool::received(Time now, ConnectionId id, std::string_view bytes) {
+    auto it = connections_.find(id);
+    if (it == connections_.end())
         return;
-    Link &link = it->second;
-    // Nothing was asked: whatever this is, it must not be taken for the next one's answer.
-    if (!link.busy) {
+    Connection &connection = it->second;
+    // Nothing was asked: whatever this is, it must not be taken for the next response.
+    if (!connection.busy) {
         if (transport_.tracing())
-            transport_.trace("stray conn=" + std::to_string(conn.value) +
-                             " after=" + std::to_string((now - link.rests) / us));
-        return drop(conn);
+            transport_.trace(TraceLine("stray")
+                                 .field("conn", id.value)
+                                 .span("after", now - connection.idle_since)
+                                 .text());
+        return close(id);
     }
-    if (Attempt &s = attempts_.at(link.attempt); s.first == 0)
-        s.first = now;
-    in.remove_prefix(link.in.take(in));
-    auto state = link.in.state();
-    if (state != http::State::whole && state != http::State::broken)
-        return due_at(conn, link, std::min(attempts_.at(link.attempt).until, now + connect_));
-    answered(now, conn, in);
+
+    Attempt &attempt = attempts_.at(connection.attempt);
+    if (attempt.first_byte_at == 0)
+        attempt.first_byte_at = now;
+    bytes.remove_prefix(connection.decoder.take(bytes));
+    auto state = connection.decoder.state();
+    if (state == http::State::whole || state == http::State::broken)
+        return response_ended(now, id, !bytes.empty());
+    set_due(id, connection, std::min(attempt.timeout_at, now + connect_timeout_));
 }
-// The answer is whole or broken; `behind`: what came right behind it.
-void ConnectionPool::answered(Time now, ConnectionId conn, std::string_view behind) {
-    Link &link = links_.at(conn);
-    auto state = link.in.state();
-    auto key = link.attempt;
-    AttemptOutcome how = AttemptOutcome::error;
-    std::string body;
-    bool keep = false;
-    if (state == http::State::whole) {
-        auto status = link.in.status();
-        if (status == 200)
-            how = AttemptOutcome::answered, body = link.in.take_body();
-        else if ((status == 503 || status == 504) && link.in.header("X-Never-Ran") == "1")
-            how = AttemptOutcome::overloaded;
-        keep = behind.empty() && link.in.keeps_open() && !link.leaving && link.to_write == 0;
-    }
-    if (how == AttemptOutcome::error && transport_.tracing())
-        transport_.trace("error conn=" + std::to_string(conn.value) +
-                         " status=" + std::to_string(link.in.status()) +
-                         " length=" + std::string(link.in.header("Content-Length").value_or("-")) +
-                         " fault=" + (*link.in.fault() ? link.in.fault() : "-"));
-    if (keep)
-        rest(now, conn, link);
+
+/// The response is whole or broken.
+void ConnectionPool::response_ended(Time now, ConnectionId id, bool bytes_behind) {
+    Connection &connection = connections_.at(id);
+    http::Decoder &response = connection.decoder;
+    auto key = connection.attempt;
+    AttemptOutcome outcome = outcome_of(response);
+    std::string body = outcome == AttemptOutcome::answered ? response.take_body() : std::string();
+    if (outcome == AttemptOutcome::error && transport_.tracing())
+        transport_.trace(TraceLine("error")
+                             .field("conn", id.value)
+                             .field("status", response.status())
+                             .field("length", response.header("Content-Length").value_or("-"))
+                             .field("fault", *response.fault() ? response.fault() : "-")
+                             .text());
+
+    bool reusable = response.state() == http::State::whole && !bytes_behind &&
+                    response.keeps_open() && !connection.retired && connection.unsent_bytes == 0;
+    if (reusable)
+        make_idle(now, id, connection);
     else
-        drop(conn);
-    over(now, key, how, std::move(body));
+        close(id);
+    complete(now, key, outcome, std::move(body));
 }
 
-void ConnectionPool::tick(Time now) {
+void ConnectionPool::on_time(Time now) {
     while (!due_.empty() && due_.begin()->first <= now) {
-        auto conn = due_.begin()->second;
-        Link &link = links_.at(conn);
-        auto key = link.attempt;
-        bool busy = link.busy, handed = link.handed;
-        drop(conn);
-        if (!busy)
-            continue;
-        auto &s = attempts_.at(key);
-        // An answer that stopped short is spoilt: the node has done with it, and no more will come.
-        AttemptOutcome how = s.until > now
-                                 ? handed ? AttemptOutcome::error : AttemptOutcome::unreachable
-                             : handed ? AttemptOutcome::timed_out
-                                      : AttemptOutcome::not_sent;
-        over(now, key, how);
+        auto id = due_.begin()->second;
+        const Connection &connection = connections_.at(id);
+        auto key = connection.attempt;
+        bool busy = connection.busy;
+        bool request_handed = connection.request_handed;
+        close(id);
+        if (busy)
+            complete(now, key, outcome_at_due(attempts_.at(key).timeout_at <= now, request_handed));
     }
 }
 
--- a/src/http_gateway/connection_pool.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -1,7 +1,9 @@
-// Connections to nodes, without I/O: one request at a time on each, the last used first of those
-// that rested for a moment. Every outcome comes from the event that it names.
+/// \file
+/// Upstream connections, without I/O.
 #pragma once
 
+#include <compare>
+#include <cstddef>
 #include <cstdint>
 #include <limits>
 #include <map>
@@ -9,117 +11,177 @@
 #include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "common/time.hpp"
 #include "http/decoder.hpp"
+#include "http_gateway/outbound_request.hpp"
 #include "http_gateway/transport.hpp"
-#include "scheduling/scheduler.hpp"
+#include "scheduling/events.hpp"
 
 namespace knotvane::http_gateway {
 
-// What is asked of a node; the same for each attempt of a request. The head is written anew for
-// each attempt.
-struct OutboundRequest {
-    std::string method, target, trace, mark, body; // mark: the Idempotency-Key, empty for none
+/// An attempt of a client's request.
+struct AttemptKey {
+    RequestId request;
+    AttemptId attempt;
+
+    auto operator<=>(const AttemptKey &) const = default;
+};
+
+/// How an attempt ended.
+struct CompletedAttempt {
+    AttemptKey key;
+    NodeId node;
+    AttemptOutcome outcome = AttemptOutcome::error;
+    /// From its start to its end.
+    Time duration = 0;
+    Time completed_at = 0;
+    /// The response's, if it was answered.
+    std::string body;
 };
 
-// What pools tell and ask. `body`: of an answer.
+/// What attempts do, and what is asked of them.
 class UpstreamAttemptEvents {
 public:
     virtual ~UpstreamAttemptEvents() = default;
-    // Asked before an attempt's first byte, and nowhere else: is somebody owed an answer, may the
-    // node have it now?
-    virtual bool may_send_attempt(Time now, RequestId request, AttemptId attempt,
-                                  NodeId node) const = 0;
-    virtual void attempt_completed(Time now, RequestId request, AttemptId attempt, NodeId node,
-                                   AttemptOutcome how, Time took, std::string body) = 0;
+
+    /// Asked before an attempt's first byte is sent, and nowhere else: a connection may have come
+    /// up late. An attempt that may not be sent completes as not_sent.
+    virtual bool may_send_attempt(Time now, const AttemptKey &key) const = 0;
+
+    /// Each attempt that was started completes once.
+    virtual void attempt_completed(CompletedAttempt attempt) = 0;
 };
 
+struct ConnectionPoolOptions {
+    /// A connection that isn't up after this has failed, and so has a response that stops for as
+    /// long: both wait for a peer that is there, across the same network. Nanoseconds.
+    Time connect_timeout = 0;
+    /// Nodes close a connection that is idle for so long. Nanoseconds.
+    Time node_idle_timeout = 0;
+    /// Connections to all nodes together; 1 at least.
+    std::size_t max_connections = 1;
+};
+
+/// Connections to nodes, one request at a time on each. An attempt takes the idle connection that
+/// was used last, or a new one. Each outcome comes from the event that it names.
 class ConnectionPool {
 public:
-    static constexpr Time unbounded = 3600 * sec; // far past all that is waited for
-    // A connection that takes longer than `connect` failed, and so did an answer that stops for as
-    // long: both wait for a peer that is there, across the same network. One idle for `idle` is
-    // closed by the node, so it is closed here a margin before. `most`: connections to all nodes
-    // together.
-    ConnectionPool(Transport &transport, UpstreamAttemptEvents &told, ConnectionIds &connection_ids,
-                   Time connect, Time idle, std::size_t most);
-
-    // Where a node listens; connections to where it was before are not used any more.
-    void node_at(Time now, NodeId node, const std::string &address);
-    // A node that drains, or is gone: attempts out there go on; those that have not begun come back
-    // as unsent, idle connections are closed.
-    void node_drains(Time now, NodeId node);
-    void node_gone(Time now, NodeId node);
-    // Until `until` its outcome may come; then it is timed_out, or unsent where no byte went out.
-    void begin(Time now, RequestId request, AttemptId attempt, NodeId node,
-               std::shared_ptr<const OutboundRequest> work, Time until);
-    // Closes its connection before it is told.
-    void cancel_attempt(Time now, RequestId request, AttemptId attempt);
-    // Nobody is owed an answer any more: its attempts whose last byte has not left come back as
-    // never run.
-    void withdraw(Time now, RequestId request);
-
-    bool owns(ConnectionId conn) const { return links_.contains(conn); }
-    void connected(Time now, ConnectionId conn);
-    void connect_failed(Time now, ConnectionId conn, bool tried);
-    void received(Time now, ConnectionId conn, std::string_view in);
-    void disconnected(Time now, ConnectionId conn, CloseReason how);
-    void sent(Time now, ConnectionId conn, std::size_t bytes);
+    /// A timeout past all that is waited for.
+    static constexpr Time unbounded = 3600 * sec;
+
+    ConnectionPool(Transport &transport, UpstreamAttemptEvents &events,
+                   ConnectionIds &connection_ids, const ConnectionPoolOptions &options);
+
+    /// Where a node listens; connections to its former address aren't used any more.
+    void set_address(Time now, NodeId node, const std::string &address);
+    /// Attempts in flight at the node go on; those not sent complete as not_sent and idle
+    /// connections are closed.
+    void drain_node(Time now, NodeId node);
+    /// Drains a node that isn't in the endpoint list any more.
+    void remove_node(Time now, NodeId node);
 
+    /// Starts an attempt; it completes, at `timeout_at` at the latest.
+    void start_attempt(Time now, const AttemptKey &key, NodeId node,
+                       std::shared_ptr<const OutboundRequest> request, Time timeout_at);
+    /// Closes the attempt's connection; it completes as canceled, or as not_sent if its request
+    /// hasn't left.
+    void cancel_attempt(Time now, const AttemptKey &key);
+    /// Completes those of a request's attempts as not_sent whose request hasn't left.
+    void cancel_unsent(Time now, RequestId request);
+
+    bool owns(ConnectionId id) const { return connections_.contains(id); }
+    void connected(Time now, ConnectionId id);
+    /// @param tried the attempt to connect left this machine.
+    void connect_failed(Time now, ConnectionId id, bool tried);
+    void received(Time now, ConnectionId id, std::string_view bytes);
+    void disconnected(Time now, ConnectionId id, CloseReason reason);
+    void sent(Time now, ConnectionId id, std::size_t bytes);
+
+    /// When on_time is due next; the largest Time if nothing is.
     Time next_due() const {
         return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
     }
-    void tick(Time now);
-    std::size_t open() const { return links_.size(); }
-    std::size_t attempts_out() const { return attempts_.size(); }
-    // Open connections with an attempt on them, by node.
-    std::map<NodeId, std::size_t> busy() const;
+    /// Ends connections and attempts whose time is over.
+    void on_time(Time now);
+
+    std::size_t connection_count() const { return connections_.size(); }
+    std::size_t attempts_in_flight() const { return attempts_.size(); }
+    /// Connections with an attempt on them, by node.
+    std::map<NodeId, std::size_t> busy_connections() const;
 
 private:
-    using AttemptKey = std::pair<RequestId, AttemptId>;
-    struct Link {
+    struct Connection {
+        Connection(NodeId node_id, std::string node_address, const AttemptKey &first_attempt);
+
+        /// Whether the last byte of its attempt's request has left.
+        bool request_sent() const { return request_handed && unsent_bytes == 0; }
+
         NodeId node;
         std::string address;
-        bool up = false, leaving = false;
-        bool busy = false;
-        AttemptKey attempt{};
-        std::size_t to_write = 0; // of the attempt's request, bytes that have not left
-        bool handed = false;      // the request was given to the shell
-        Time due = 0, rests = 0;  // rests: since its last answer
-        http::Decoder in;
+        bool connected = false;
+        /// Closed after the attempt on it.
+        bool retired = false;
+        bool busy = true;
+        /// Read if busy.
+        AttemptKey attempt;
+        /// Its attempt's request was given to the transport.
+        bool request_handed = false;
+        /// Of that, bytes that have not left.
+        std::size_t unsent_bytes = 0;
+        /// When its time is over; see next_due.
+        Time due = 0;
+        Time idle_since = 0;
+        http::Decoder decoder;
     };
+
     struct Attempt {
         NodeId node;
-        ConnectionId conn;
-        std::shared_ptr<const OutboundRequest> work;
-        Time began, until;
-        // Its connection was up, its last byte had left, the first came back; 0: not yet.
-        Time connected = 0, written = 0, first = 0;
+        ConnectionId connection;
+        std::shared_ptr<const OutboundRequest> request;
+        Time started_at = 0;
+        Time timeout_at = 0;
+        // For the trace; 0 is not yet.
+        Time connected_at = 0;
+        Time sent_at = 0;
+        Time first_byte_at = 0;
     };
-    struct Peer {
+
+    struct Node {
         std::string address;
-        std::vector<ConnectionId> idle; // the last used last
-        std::size_t links = 0;
+        /// The last used last.
+        std::vector<ConnectionId> idle;
+        std::size_t connection_count = 0;
     };
-    void give(Time now, ConnectionId conn, Link &link);
-    void over(Time now, const AttemptKey &key, AttemptOutcome how, std::string body = {});
-    void drop(ConnectionId conn, bool close = true);
-    bool left(const Attempt &attempt) const;
-    void take_back(Time now, const AttemptKey &key);
-    void answered(Time now, ConnectionId conn, std::string_view behind);
-    void rest(Time now, ConnectionId conn, Link &link);
-    void due_at(ConnectionId conn, Link &link, Time at);
+
+    /// Returns the idle connection to use next, taken out of the idle ones; id 0 for none.
+    ConnectionId take_idle(Time now, Node &node);
     bool make_room();
+    void open_connection(Time now, const AttemptKey &key, Node &node, Attempt &attempt);
+    /// Hands the request of its attempt to a connection that is up.
+    void hand_request(Time now, ConnectionId id, Connection &connection);
+    void response_ended(Time now, ConnectionId id, bool bytes_behind);
+    void make_idle(Time now, ConnectionId id, Connection &connection);
+    void complete(Time now, const AttemptKey &key, AttemptOutcome outcome, std::string body = {});
+    /// Ends an attempt whose last byte has not left, and so never will: it was not executed.
+    void complete_unsent(Time now, const AttemptKey &key);
+    /// Forgets a connection that the other side has closed.
+    void forget(ConnectionId id);
+    void close(ConnectionId id);
+    void set_due(ConnectionId id, Connection &connection, Time due);
+    void trace_attempt(Time now, const AttemptKey &key, const Attempt &attempt,
+                       AttemptOutcome outcome);
 
     Transport &transport_;
-    UpstreamAttemptEvents &told_;
+    UpstreamAttemptEvents &events_;
     ConnectionIds &connection_ids_;
-    Time connect_, idle_;
-    std::size_t most_;
-    std::map<ConnectionId, Link> links_;
-    std::map<NodeId, Peer> peers_;
+    Time connect_timeout_;
+    Time idle_timeout_;
+    std::size_t max_connections_;
+    std::map<ConnectionId, Connection> connections_;
+    std::map<NodeId, Node> nodes_;
     std::map<AttemptKey, Attempt> attempts_;
     std::set<std::pair<Time, ConnectionId>> due_;
 };
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -1,287 +1,328 @@
 #include "http_gateway/core.hpp"
 
 #include <algorithm>
-#include <limits>
-#include <utility>
 
+#include "http_gateway/trace_line.hpp"
 #include "scheduler_setup/setup.hpp"
 
 namespace knotvane::http_gateway {
 namespace {
 
-// A stopping scheduler is killed no sooner than the longest client timeout (3 s at most) and 0.7 s
-// after it was told. What is taken is answered well before, with time for a throttled processor;
-// connections keep coming for 0.4 s.
-constexpr Time killed_after = 700 * ms, longest_counted = 3 * sec, margin = 300 * ms,
-               last_requests = 500 * ms, keep_coming = 500 * ms;
-// Resting connections end so long before that: a client answers an end in a round trip, and what
-// crosses it is read.
-constexpr Time rest = 200 * ms;
+using scheduler_setup::MalformedInput;
+using scheduler_setup::Options;
+
 // Descriptors for all that is neither a client nor a node: the loop's, the log's, discovery's, and
-// those of connections that are ending.
+// those of connections that are closing.
 constexpr std::size_t spare_sockets = 32;
-// The part of the others for nodes: the window keeps attempts few, clients come in any number.
-std::size_t for_nodes(std::size_t sockets) {
-    return (sockets - spare_sockets / 2) / 3;
+
+// The part of the other descriptors that is for nodes: the scheduler's window keeps attempts few,
+// while clients come in any number.
+constexpr std::size_t node_socket_divisor = 3;
+
+std::size_t max_node_connections(std::size_t max_sockets) {
+    return (max_sockets - spare_sockets / 2) / node_socket_divisor;
 }
-std::size_t for_clients(std::size_t sockets) {
-    auto taken = for_nodes(sockets) + spare_sockets;
-    return sockets > taken ? sockets - taken : 1;
+
+std::size_t max_client_connections(std::size_t max_sockets) {
+    auto taken = max_node_connections(max_sockets) + spare_sockets;
+    return max_sockets > taken ? max_sockets - taken : 1;
 }
 
-// A time that a site may leave out: there is no such bound then.
-Time bound(const scheduler_setup::Options &settings, const std::string &path) {
-    Time t = settings.time(path);
-    if (t < 0)
-        throw scheduler_setup::MalformedInput("setting " + path + ": expected seconds, 0 or more");
-    return t > 0 ? t : ConnectionPool::unbounded;
+/// Returns a timeout that a site may leave out: there is no such bound then.
+Time optional_timeout(const Options &settings, const std::string &path) {
+    Time timeout = settings.time(path);
+    if (timeout < 0)
+        throw MalformedInput("setting " + path + ": expected seconds, 0 or more");
+    return timeout > 0 ? timeout : ConnectionPool::unbounded;
 }
 
-} // namespace
+ConnectionPoolOptions pool_options(const CoreConfig &config) {
+    ConnectionPoolOptions options;
+    options.connect_timeout = optional_timeout(config.settings, "Permissions.ConnectTimeoutS");
+    options.node_idle_timeout = optional_timeout(config.settings, "Permissions.ConnIdleS");
+    options.max_connections = max_node_connections(config.max_sockets);
+    return options;
+}
 
-Core::Core(Transport &transport,
-           const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
-           const scheduler_setup::Options &settings, std::vector<std::string> workloads,
-           std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
-           std::size_t sockets)
-    : transport_(transport), clients_(transport, *this, connection_ids_, std::move(workloads),
-                                      std::move(plans), for_clients(sockets)),
-      pool_(transport, *this, connection_ids_, bound(settings, "Permissions.ConnectTimeoutS"),
-            bound(settings, "Permissions.ConnIdleS"), for_nodes(sockets)),
-      discovery_(transport, *this, connection_ids_, std::move(zones),
-                 settings.text("RegistryMode") == "on_request", seed),
-      scheduler_(scheduler(*this)) {
-    scheduler_setup::set_up(*scheduler_, settings);
+Time longest_client_timeout(const Options &settings) {
+    Time longest = 0;
     for (std::uint32_t i = 0; i < settings.count("Classes.count"); ++i) {
         auto path = "Classes." + std::to_string(i) + ".DeadlineS";
         if (settings.time(path) <= 0)
-            throw scheduler_setup::MalformedInput("setting " + path + ": expected seconds above 0");
-        longest_ = std::max(longest_, settings.time(path));
+            throw MalformedInput("setting " + path + ": expected seconds above 0");
+        longest = std::max(longest, settings.time(path));
     }
+    return longest;
 }
 
-std::string Core::start(Time now, const std::string &known, const std::string &discovery) {
+} // namespace
+
+Core::Core(Transport &transport, const SchedulerFactory &scheduler_factory,
+           const CoreConfig &config)
+    : transport_(transport),
+      clients_(transport, *this, connection_ids_, RequestParser(config.workloads, config.plans),
+               max_client_connections(config.max_sockets)),
+      pool_(transport, *this, connection_ids_, pool_options(config)),
+      discovery_(transport, *this, connection_ids_, config.zones,
+                 {config.settings.text("RegistryMode") == "on_request", config.seed}),
+      scheduler_(scheduler_factory(*this)) {
+    scheduler_setup::set_up(*scheduler_, config.settings);
+    max_client_timeout_ = longest_client_timeout(config.settings);
+}
+
+std::string Core::start(Time now, const std::string &known_endpoints,
+                        const std::string &discovery) {
     now_ = now;
     scheduler_->start(now);
-    return discovery_.start(now, known, discovery);
+    return discovery_.start(now, known_endpoints, discovery);
 }
+
 void Core::stop(Time now) {
-    if (stopping_)
-        return;
-    stopping_ = true;
-    ends_ = now + std::min(longest_, longest_counted) + killed_after - margin;
-    last_calls_ = std::max(ends_ - last_requests, now + keep_coming);
-    ends_ = std::max(ends_, last_calls_ + last_requests);
-    rest_ends_ = ends_ - rest;
+    shutdown_.start(now, max_client_timeout_);
     clients_.keep_idle();
 }
 
-void Core::connected(Time now, ConnectionId conn) {
+void Core::connected(Time now, ConnectionId id) {
     now_ = now;
-    pool_.owns(conn) ? pool_.connected(now, conn) : discovery_.connected(now, conn);
+    if (pool_.owns(id))
+        pool_.connected(now, id);
+    else
+        discovery_.connected(now, id);
 }
-void Core::connect_failed(Time now, ConnectionId conn, bool tried) {
+
+void Core::connect_failed(Time now, ConnectionId id, bool tried) {
     now_ = now;
-    pool_.owns(conn) ? pool_.connect_failed(now, conn, tried)
-                     : discovery_.connect_failed(now, conn);
+    if (pool_.owns(id))
+        pool_.connect_failed(now, id, tried);
+    else
+        discovery_.connect_failed(now, id);
 }
-void Core::received(Time now, ConnectionId conn, std::string_view in) {
+
+void Core::received(Time now, ConnectionId id, std::string_view bytes) {
     now_ = now;
-    if (clients_.owns(conn))
-        return clients_.received(now, conn, in);
-    pool_.owns(conn) ? pool_.received(now, conn, in) : discovery_.received(now, conn, in);
+    if (clients_.owns(id))
+        clients_.received(now, id, bytes);
+    else if (pool_.owns(id))
+        pool_.received(now, id, bytes);
+    else
+        discovery_.received(now, id, bytes);
 }
-void Core::disconnected(Time now, ConnectionId conn, CloseReason how) {
+
+void Core::disconnected(Time now, ConnectionId id, CloseReason reason) {
     now_ = now;
-    if (clients_.owns(conn))
-        return clients_.disconnected(now, conn);
-    pool_.owns(conn) ? pool_.disconnected(now, conn, how) : discovery_.disconnected(now, conn);
+    if (clients_.owns(id))
+        clients_.disconnected(now, id);
+    else if (pool_.owns(id))
+        pool_.disconnected(now, id, reason);
+    else
+        discovery_.disconnected(now, id);
 }
 
-void Core::sent(Time now, ConnectionId conn, std::size_t bytes) {
-    clients_.owns(conn) ? clients_.sent(now, conn, bytes) : pool_.sent(now, conn, bytes);
+void Core::sent(Time now, ConnectionId id, std::size_t bytes) {
+    if (clients_.owns(id))
+        clients_.sent(now, id, bytes);
+    else
+        pool_.sent(now, id, bytes);
 }
 
 void Core::settle(Time now) {
     now_ = now;
     if (transport_.tracing())
         trace_counts(now);
-    clients_.tick(now), pool_.tick(now), discovery_.tick(now);
-    // A decision may end an attempt at once, which is told like any other outcome; a few rounds do.
-    for (int round = 0; round < 8; ++round) {
+    clients_.on_time(now);
+    pool_.on_time(now);
+    discovery_.on_time(now);
+
+    // A decision may end an attempt at once, of which the scheduler learns like of any other end; a
+    // few rounds do.
+    constexpr int max_rounds = 8;
+    for (int round = 0; round < max_rounds; ++round) {
         while (!completed_attempts_.empty()) {
-            CompletedAttempt o = std::move(completed_attempts_.front());
+            CompletedAttempt attempt = std::move(completed_attempts_.front());
             completed_attempts_.pop_front();
-            tell(now, std::move(o));
+            complete_attempt(now, attempt);
         }
-        while (!timers_.empty() && timers_.begin()->first <= now) {
-            auto id = timers_.begin()->second;
-            timers_.erase(timers_.begin());
-            scheduler_->timer_expired(now, id);
-        }
-        clients_.resume(now);
+        expire_timers(now);
+        clients_.read_pipelined(now);
         scheduler_->settle(now);
-        if (completed_attempts_.empty() && !clients_.resumes())
+        if (completed_attempts_.empty() && !clients_.has_pipelined())
             break;
     }
-    // Connections end with their answers. Those that rest stay to the last: their clients can make
-    // no other any more. They end before the process does: a request that crosses the end is read
-    // and not taken, none is reset unread.
-    if (stopping_ && now >= last_calls_)
-        clients_.stop();
-    if (stopping_ && now >= rest_ends_)
-        clients_.finish_resting(now);
-    over_ =
-        stopping_ && now >= last_calls_ && asked_.empty() && (clients_.held() == 0 || now >= ends_);
+    shut_down(now);
     if (transport_.tracing())
         due_ = next_due();
 }
-// Ten times a second: how late the loop came to what was due, and what is believed to be out
-// against what is.
+
+void Core::expire_timers(Time now) {
+    while (!timers_.empty() && timers_.begin()->first <= now) {
+        auto timer = timers_.begin()->second;
+        timers_.erase(timers_.begin());
+        scheduler_->timer_expired(now, timer);
+    }
+}
+
+void Core::shut_down(Time now) {
+    if (shutdown_.answers_end_connections(now))
+        clients_.close_after_responses();
+    if (shutdown_.idle_connections_end(now))
+        clients_.close_idle(now);
+    stopped_ = shutdown_.answers_end_connections(now) && requests_by_client_.empty() &&
+               (clients_.count() == 0 || shutdown_.time_is_up(now));
+}
+
+/// Writes how late the loop came to what was due, and ten times a second the attempts that the
+/// scheduler counts in flight against those that are.
 void Core::trace_counts(Time now) {
-    constexpr Time each = 100 * ms;
-    if (due_ != never && now - due_ > 2 * ms)
-        transport_.trace("late us=" + std::to_string((now - due_) / us));
-    if (now - traced_ < each)
+    constexpr Time min_lateness = 2 * ms;
+    constexpr Time interval = 100 * ms;
+    if (due_ != never && now - due_ > min_lateness)
+        transport_.trace(TraceLine("late").span("us", now - due_).text());
+    if (now - counts_traced_at_ < interval)
         return;
-    traced_ = now;
-    auto busy = pool_.busy();
-    for (auto &[node, n] : counted_)
-        transport_.trace("node id=" + std::to_string(node.value) + " counted=" + std::to_string(n) +
-                         " open=" + std::to_string(busy[node]));
+    counts_traced_at_ = now;
+    auto busy = pool_.busy_connections();
+    for (const auto &[node, count] : scheduled_attempts_)
+        transport_.trace(TraceLine("node")
+                             .field("id", node.value)
+                             .field("counted", count)
+                             .field("open", busy[node])
+                             .text());
 }
+
 Time Core::next_due() const {
-    Time at = std::min({clients_.next_due(), pool_.next_due(), discovery_.next_due()});
-    if (!timers_.empty())
-        at = std::min(at, timers_.begin()->first);
-    if (!completed_attempts_.empty() || clients_.resumes())
-        at = now_;
-    if (stopping_)
-        at = std::min(at, std::max(last_calls_, now_ + 20 * ms));
-    return at;
-}
-
-void Core::tell(Time now, CompletedAttempt o) {
-    --requests_.at(o.request).out;
+    if (!completed_attempts_.empty() || clients_.has_pipelined())
+        return now_;
+    Time due = std::min(
+        {clients_.next_due(), pool_.next_due(), discovery_.next_due(), shutdown_.next_due(now_)});
+    return timers_.empty() ? due : std::min(due, timers_.begin()->first);
+}
+
+void Core::complete_attempt(Time now, const CompletedAttempt &attempt) {
+    RequestId id = attempt.key.request;
+    --requests_.at(id).attempts_in_flight;
     if (transport_.tracing()) {
-        --counted_[o.node];
-        transport_.trace("told request=" + std::to_string(o.request.value) +
-                         " attempt=" + std::to_string(o.attempt.value) +
-                         " late=" + std::to_string((now - o.since) / us));
+        --scheduled_attempts_[attempt.node];
+        transport_.trace(TraceLine("told")
+                             .field("request", id.value)
+                             .field("attempt", attempt.key.attempt.value)
+                             .span("late", now - attempt.completed_at)
+                             .text());
     }
-    if (o.how == AttemptOutcome::answered)
-        if (auto client = end(o.request))
-            clients_.answer(now, *client, std::move(o.body));
-    scheduler_->attempt_completed(
-        now, {o.request, o.attempt, o.node, o.how, o.took, requests_.at(o.request).ended});
-    forget_if_done(o.request);
-}
-// The request needs no answer any more; gives who is owed one, if anybody still is.
-std::optional<ConnectionId> Core::end(RequestId request) {
-    auto it = requests_.find(request);
+
+    if (attempt.outcome == AttemptOutcome::answered)
+        if (auto client = end_request(id))
+            clients_.respond(now, *client, attempt.body);
+    AttemptResult result;
+    result.request = id;
+    result.attempt = attempt.key.attempt;
+    result.node = attempt.node;
+    result.outcome = attempt.outcome;
+    result.duration = attempt.duration;
+    result.client_answered = requests_.at(id).ended;
+    scheduler_->attempt_completed(now, result);
+    forget_if_done(id);
+}
+
+std::optional<ConnectionId> Core::end_request(RequestId id) {
+    auto it = requests_.find(id);
     if (it == requests_.end() || it->second.ended)
         return std::nullopt;
     it->second.ended = true;
-    asked_.erase(it->second.client);
+    requests_by_client_.erase(it->second.client);
     return it->second.client;
 }
-void Core::forget_if_done(RequestId request) {
-    auto it = requests_.find(request);
-    if (it != requests_.end() && it->second.ended && it->second.out == 0)
+
+void Core::forget_if_done(RequestId id) {
+    auto it = requests_.find(id);
+    if (it != requests_.end() && it->second.ended && it->second.attempts_in_flight == 0)
         requests_.erase(it);
 }
 
 void Core::start_attempt(RequestId request, NodeId node, Time timeout) {
-    Request &t = requests_.at(request);
-    AttemptId attempt{t.attempts++};
-    ++t.out;
+    Request &state = requests_.at(request);
+    AttemptId attempt{state.attempts_started};
+    ++state.attempts_started;
+    ++state.attempts_in_flight;
     if (transport_.tracing())
-        ++counted_[node];
-    pool_.begin(now_, request, attempt, node, t.work,
-                timeout > 0 ? std::min(t.until, now_ + timeout) : t.until);
+        ++scheduled_attempts_[node];
+    Time timeout_at =
+        timeout > 0 ? std::min(state.client_timeout, now_ + timeout) : state.client_timeout;
+    pool_.start_attempt(now_, {request, attempt}, node, state.outbound, timeout_at);
 }
+
 void Core::cancel_attempt(RequestId request, AttemptId attempt) {
-    pool_.cancel_attempt(now_, request, attempt);
+    pool_.cancel_attempt(now_, {request, attempt});
 }
+
 void Core::reject(RequestId request, Time retry_after) {
-    if (auto client = end(request))
-        clients_.refuse(now_, *client, retry_after);
+    if (auto client = end_request(request))
+        clients_.reject(now_, *client, retry_after);
     forget_if_done(request);
 }
+
 void Core::fail(RequestId request) {
-    if (auto client = end(request))
-        clients_.error(now_, *client);
+    if (auto client = end_request(request))
+        clients_.fail(now_, *client);
     forget_if_done(request);
 }
 
-bool Core::may_send_attempt(Time now, RequestId request, AttemptId attempt, NodeId node) const {
-    auto t = requests_.find(request);
-    auto n = nodes_.find(node);
-    return t != requests_.end() && !t->second.ended && n != nodes_.end() && n->second &&
-           scheduler_->may_send_attempt(now, request, attempt);
-}
-void Core::attempt_completed(Time now, RequestId request, AttemptId attempt, NodeId node,
-                             AttemptOutcome how, Time took, std::string body) {
-    completed_attempts_.push_back({request, attempt, node, how, took, now, std::move(body)});
-}
-void Core::request_received(Time now, ConnectionId client, WorkloadId workload, VolumeId volume,
-                            PlanId plan, ShardId shard, KeyId key, double units, double hosts,
-                            bool writes, bool repeated, Time deadline,
-                            std::shared_ptr<const OutboundRequest> work) {
-    if (stopping_)
-        deadline = std::min(deadline, ends_);
-    RequestId id{++last_request_};
-    requests_.emplace(id, Request{client, std::move(work), deadline});
-    asked_[client] = id;
-    RequestInfo info;
-    info.id = id;
-    info.workload = workload;
-    info.volume = volume;
-    info.plan = plan;
-    info.shard = shard;
-    info.key = key;
-    info.units = units;
-    info.sharers = hosts;
-    info.writes = writes;
-    info.repeated = repeated;
-    info.client_timeout = deadline;
+bool Core::may_send_attempt(Time now, const AttemptKey &key) const {
+    return scheduler_->may_send_attempt(now, key.request, key.attempt);
+}
+
+void Core::attempt_completed(CompletedAttempt attempt) {
+    completed_attempts_.push_back(std::move(attempt));
+}
+
+void Core::request_received(Time now, ConnectionId client, RequestInfo info,
+                            std::shared_ptr<const OutboundRequest> outbound) {
+    ++last_request_id_;
+    info.id = RequestId{last_request_id_};
+    info.client_timeout = shutdown_.limit_timeout(info.client_timeout);
+    requests_.emplace(info.id, Request{client, std::move(outbound), info.client_timeout});
+    requests_by_client_[client] = info.id;
     scheduler_->request_received(now, info);
 }
+
 void Core::request_canceled(Time now, ConnectionId client) {
-    auto asked = asked_.find(client);
-    if (asked == asked_.end())
+    auto it = requests_by_client_.find(client);
+    if (it == requests_by_client_.end())
         return;
-    auto request = asked->second;
-    end(request);
-    pool_.withdraw(now,
-                   request); // also where attempts may not be called off: these were not made yet
+    auto request = it->second;
+    end_request(request);
+    // Also where the scheduler may not cancel attempts: these weren't sent yet.
+    pool_.cancel_unsent(now, request);
     scheduler_->request_canceled(now, request, CancelReason::client_disconnected);
     forget_if_done(request);
 }
 
 void Core::endpoint_list_begin(Time now, EndpointListKind kind) {
-    left_out_.clear();
+    unnamed_nodes_.clear();
     if (kind == EndpointListKind::full)
-        for (auto &[node, ready] : nodes_)
-            left_out_.insert(node);
+        unnamed_nodes_ = nodes_;
     scheduler_->endpoint_list_begin(now, kind);
 }
-void Core::endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                           NodeState state, Time started) {
-    left_out_.erase(node);
-    if (state == NodeState::removed) {
-        nodes_.erase(node), pool_.node_gone(now_, node);
+
+void Core::endpoint_listed(const Endpoint &endpoint, const std::string &address) {
+    NodeId node = endpoint.node;
+    unnamed_nodes_.erase(node);
+    if (endpoint.state == NodeState::removed) {
+        nodes_.erase(node);
+        pool_.remove_node(now_, node);
     } else {
-        nodes_[node] = state == NodeState::ready;
-        pool_.node_at(now_, node, address);
-        if (state == NodeState::draining)
-            pool_.node_drains(now_, node);
+        nodes_.insert(node);
+        pool_.set_address(now_, node, address);
+        if (endpoint.state == NodeState::draining)
+            pool_.drain_node(now_, node);
     }
-    scheduler_->endpoint_listed({node, shard, zone, state, started});
+    scheduler_->endpoint_listed(endpoint);
 }
+
 void Core::endpoint_list_end() {
-    for (auto node : left_out_)
-        nodes_.erase(node), pool_.node_gone(now_, node);
+    for (auto node : unnamed_nodes_) {
+        nodes_.erase(node);
+        pool_.remove_node(now_, node);
+    }
     scheduler_->endpoint_list_end();
 }
 
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -1,109 +1,125 @@
-// The front at work, without I/O: clients, attempts, discovery and the decisions. Bytes and time
-// in, bytes and calls out.
+/// \file
+/// The HTTP gateway without I/O.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <functional>
+#include <limits>
 #include <map>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "http_gateway/client_connections.hpp"
 #include "http_gateway/connection_pool.hpp"
 #include "http_gateway/discovery.hpp"
+#include "http_gateway/graceful_shutdown.hpp"
 #include "http_gateway/transport.hpp"
 #include "scheduler_setup/options.hpp"
 #include "scheduling/scheduler.hpp"
 
 namespace knotvane::http_gateway {
 
+/// What a gateway is set up with. Names are in the order of their ids.
+struct CoreConfig {
+    /// The scheduler's settings; some of them are the gateway's, too.
+    scheduler_setup::Options settings;
+    std::vector<std::string> workloads;
+    std::vector<std::string> plans;
+    std::vector<std::string> zones;
+    /// Of the random choices.
+    std::uint64_t seed = 0;
+    /// Descriptors that the process may hold.
+    std::size_t max_sockets = 0;
+};
+
+/// Makes a scheduler that acts through what it is given.
+using SchedulerFactory = std::function<std::unique_ptr<Scheduler>(SchedulerActions &)>;
+
+/// Clients, attempts, discovery and the scheduler put together: time and bytes in, bytes and calls
+/// out. All that happens in one moment is followed by one call of settle.
 class Core final : public SchedulerActions,
                    public UpstreamAttemptEvents,
                    public ClientRequestEvents,
                    public EndpointListEvents {
 public:
-    // `sockets`: descriptors the process may hold. Throws scheduler_setup::MalformedInput on
-    // settings that are wrong.
-    Core(Transport &transport,
-         const std::function<std::unique_ptr<Scheduler>(SchedulerActions &)> &scheduler,
-         const scheduler_setup::Options &settings, std::vector<std::string> workloads,
-         std::vector<std::string> plans, std::vector<std::string> zones, std::uint64_t seed,
-         std::size_t sockets);
-
-    // Once, first: the list as last had, empty for none; then the watch. Gives back why a list was
-    // refused.
-    std::string start(Time now, const std::string &known, const std::string &discovery);
+    /// @throws scheduler_setup::MalformedInput on settings that are wrong.
+    Core(Transport &transport, const SchedulerFactory &scheduler_factory, const CoreConfig &config);
+
+    /// To be called once, first.
+    /// @param known_endpoints the list as last had, in discovery's form; empty for none.
+    /// @param discovery where to watch for the list.
+    /// @return why the list was refused; empty if it was not.
+    std::string start(Time now, const std::string &known_endpoints, const std::string &discovery);
+    /// Discovery is at this address from now on.
     void discovery_at(Time now, const std::string &address) { discovery_.watch(now, address); }
-    // Serves on, on the connections that there are, for as long as may be: who sits behind them has
-    // no other way to a node until this scheduler is back. Everything is answered before it may be
-    // killed.
+    /// Starts the graceful shutdown.
     void stop(Time now);
-    bool over() const { return over_; }
+    /// Whether the shutdown is complete, as of the last call of settle.
+    bool stopped() const { return stopped_; }
 
-    // Nothing where there is no room for one more.
+    /// @return nothing if there is no room for one more.
     std::optional<ConnectionId> client_connected(Time now) { return clients_.connected(now); }
-    void connected(Time now, ConnectionId conn);
-    // `tried`: it left this machine; else a descriptor was lacking, which is not the other side's
-    // doing.
-    void connect_failed(Time now, ConnectionId conn, bool tried = true);
-    void received(Time now, ConnectionId conn, std::string_view in);
-    void disconnected(Time now, ConnectionId conn, CloseReason how);
-    void sent(Time now, ConnectionId conn, std::size_t bytes);
-    // At the end of a moment: what is due, then the outcomes, then the decisions.
+    void connected(Time now, ConnectionId id);
+    /// @param tried the attempt to connect left this machine; else a descriptor was lacking, which
+    /// is not the other side's doing.
+    void connect_failed(Time now, ConnectionId id, bool tried = true);
+    void received(Time now, ConnectionId id, std::string_view bytes);
+    void disconnected(Time now, ConnectionId id, CloseReason reason);
+    void sent(Time now, ConnectionId id, std::size_t bytes);
+    /// Ends a moment: what is due, then outcomes, then decisions.
     void settle(Time now);
+    /// When settle is due next; the largest Time if nothing is.
     Time next_due() const;
 
     const ClientConnections &clients() const { return clients_; }
     const ConnectionPool &pool() const { return pool_; }
-    std::size_t requests() const { return requests_.size(); }
+    /// Requests that aren't answered or have attempts in flight.
+    std::size_t request_count() const { return requests_.size(); }
 
     void start_attempt(RequestId request, NodeId node, Time timeout) override;
     void cancel_attempt(RequestId request, AttemptId attempt) override;
     void reject(RequestId request, Time retry_after) override;
     void fail(RequestId request) override;
-    void set_timer(TimerId timer, Time wait) override { timers_.insert({now_ + wait, timer}); }
-    void watch_endpoints() override {} // the watch always stands or is being set up
-
-    bool may_send_attempt(Time now, RequestId request, AttemptId attempt,
-                          NodeId node) const override;
-    void attempt_completed(Time now, RequestId request, AttemptId attempt, NodeId node,
-                           AttemptOutcome how, Time took, std::string body) override;
-    void request_received(Time now, ConnectionId client, WorkloadId workload, VolumeId volume,
-                          PlanId plan, ShardId shard, KeyId key, double units, double hosts,
-                          bool writes, bool repeated, Time deadline,
-                          std::shared_ptr<const OutboundRequest> work) override;
+    void set_timer(TimerId timer, Time delay) override { timers_.insert({now_ + delay, timer}); }
+    /// Nothing: the list is always watched.
+    void watch_endpoints() override {}
+
+    bool may_send_attempt(Time now, const AttemptKey &key) const override;
+    void attempt_completed(CompletedAttempt attempt) override;
+    void request_received(Time now, ConnectionId client, RequestInfo info,
+                          std::shared_ptr<const OutboundRequest> outbound) override;
     void request_canceled(Time now, ConnectionId client) override;
-    bool serves() const override { return discovery_.listed() && !stopping_; }
+    bool serving() const override { return discovery_.listed(); }
+
     void endpoint_list_begin(Time now, EndpointListKind kind) override;
-    void endpoint_listed(NodeId node, const std::string &address, ShardId shard, ZoneId zone,
-                         NodeState state, Time started) override;
+    void endpoint_listed(const Endpoint &endpoint, const std::string &address) override;
     void endpoint_list_end() override;
 
 private:
     static constexpr Time never = std::numeric_limits<Time>::max();
+
     struct Request {
         ConnectionId client;
-        std::shared_ptr<const OutboundRequest> work;
-        Time until;
-        std::uint32_t attempts = 0, out = 0;
+        std::shared_ptr<const OutboundRequest> outbound;
+        Time client_timeout = 0;
+        std::uint32_t attempts_started = 0;
+        std::uint32_t attempts_in_flight = 0;
+        /// Nobody is owed an answer any more.
         bool ended = false;
     };
-    struct CompletedAttempt {
-        RequestId request;
-        AttemptId attempt;
-        NodeId node;
-        AttemptOutcome how;
-        Time took;
-        Time since; // it was over
-        std::string body;
-    };
-    void tell(Time now, CompletedAttempt o);
-    std::optional<ConnectionId> end(RequestId request);
-    void forget_if_done(RequestId request);
+
+    void complete_attempt(Time now, const CompletedAttempt &attempt);
+    void expire_timers(Time now);
+    /// Ends a request; returns the client that is owed an answer, if one is.
+    std::optional<ConnectionId> end_request(RequestId id);
+    void forget_if_done(RequestId id);
+    void shut_down(Time now);
     void trace_counts(Time now);
 
     Transport &transport_;
@@ -113,19 +129,25 @@
     Discovery discovery_;
     std::unique_ptr<Scheduler> scheduler_;
     std::map<RequestId, Request> requests_;
-    std::map<ConnectionId, RequestId> asked_;         // open requests by their connection
-    std::deque<CompletedAttempt> completed_attempts_; // told at the end of the moment: the
-                                                      // decisions are not called from within
+    std::map<ConnectionId, RequestId> requests_by_client_;
+    std::uint64_t last_request_id_ = 0;
+    /// The scheduler learns of them at the moment's end: it isn't called while it decides.
+    std::deque<CompletedAttempt> completed_attempts_;
     std::set<std::pair<Time, TimerId>> timers_;
-    std::map<NodeId, bool> nodes_; // listed, and whether ready
-    std::set<NodeId> left_out_;    // of these, not named so far by the whole list being told
-    std::map<NodeId, std::size_t>
-        counted_; // attempts that the decisions count out, by node; for the trace
-    Time traced_ = 0, due_ = never;
-    std::uint64_t last_request_ = 0;
-    // Of a stop: answers end their connections, resting ones end, and all are answered.
-    Time now_ = 0, longest_ = 0, last_calls_ = 0, rest_ends_ = 0, ends_ = 0;
-    bool stopping_ = false, over_ = false;
+    /// Nodes of the endpoint list.
+    std::set<NodeId> nodes_;
+    /// Of these, not named so far by the full list that is being received.
+    std::set<NodeId> unnamed_nodes_;
+    GracefulShutdown shutdown_;
+    bool stopped_ = false;
+    Time now_ = 0;
+    Time max_client_timeout_ = 0;
+
+    // For the trace: attempts that the scheduler counts in flight by node, when that was last
+    // written, and when the last moment was due.
+    std::map<NodeId, std::size_t> scheduled_attempts_;
+    Time counts_traced_at_ = 0;
+    Time due_ = never;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -3,297 +3,330 @@
 #include <algorithm>
 #include <set>
 #include <utility>
-
-#include <nlohmann/json.hpp>
+#include <variant>
 
 namespace knotvane::http_gateway {
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-// What the agent has counts as told from the moment in which it can be reached again: we come back
-// sooner than the shortest grace that a drain was seen with (250 ms). It is on this machine,
-// answers at once and costs nothing to ask.
-constexpr Time first_wait = 50 * ms, longest_wait = 150 * ms, connect_wait = 250 * ms;
+
+// Pauses before a call is made again.
+struct Pauses {
+    Time first;
+    Time longest;
+};
+
+// What the agent has counts as known here from the moment in which it can be reached again: we come
+// back sooner than the shortest grace that a drain was seen with (250 ms). The agent is on this
+// machine, answers at once and costs nothing to ask.
+constexpr Pauses agent_pauses{50 * ms, 150 * ms};
 // A call that brings nothing for this long is made anew: the agent answers at once, or is down.
-constexpr Time answers_within = 500 * ms;
-// A service that all share has calls wait in turn, and what it turns away costs it, too: thirteen
-// of thirty-two schedulers that came back within 50 ms were turned away for a whole day. Such a
-// call waits longer, the first one and those after a refusal are spread, and each further refusal
-// doubles that, inside the 6 s after which all counts as told.
-constexpr Time first_wait_shared = 1 * sec, longest_wait_shared = 4 * sec,
-               answers_within_shared = 2500 * ms;
-// A blank line comes each 2 s: half as long again without one, and the watch is silent. What it
-// misses counts as told 6 s after it fell silent, so that three seconds are left for calls that
-// fail.
-constexpr Time silence = 3 * sec;
-// How long a new process waits for the agent's word before it goes by the list that it was given.
-// Clients come once it is ready, 6 s after its start at the latest.
-constexpr Time first_word = 2 * sec;
-// What discovery has to tell comes 6 s late at most: an agent that is older than our list for twice
+constexpr Time agent_answer_timeout = 500 * ms;
+
+// A service that all schedulers share has calls wait in turn, and rejecting one costs it, too. A
+// crowd of schedulers that come back within 50 ms is rejected again and again, so such calls wait
+// longer and are spread, within the 6 s after which all that discovery has counts as known.
+constexpr Pauses shared_pauses{1 * sec, 4 * sec};
+constexpr Time shared_answer_timeout = 2500 * ms;
+
+constexpr Time connect_timeout = 250 * ms;
+
+// A blank line comes each 2 s: half as long again without one, and the watch is silent. Three of
+// the 6 s are left then for calls that fail.
+constexpr Time silence_timeout = 3 * sec;
+
+// How long a new process waits for discovery before it goes by the list that it was given. Clients
+// come once it is ready, 6 s after its start at the latest.
+constexpr Time first_answer_timeout = 2 * sec;
+
+// What discovery has reaches us 6 s late at most: a discovery that is older than our list for twice
 // as long is not late but new, and counts from the start.
-constexpr Time made_anew = 12 * sec;
+constexpr Time rebuilt_after = 12 * sec;
+
 // A list of a hundred thousand nodes is a few ten megabytes; ours have ten to two hundred.
-constexpr std::size_t most_object = 4 << 20, most_head = 8 << 10;
+constexpr std::size_t max_object_bytes = 4 << 20;
+constexpr std::size_t max_head_bytes = 8 << 10;
+
+const Pauses &pauses(const DiscoveryOptions &options) {
+    return options.on_request ? shared_pauses : agent_pauses;
+}
 
 } // namespace
 
-Discovery::Discovery(Transport &transport, EndpointListEvents &told, ConnectionIds &connection_ids,
-                     std::vector<std::string> zones, bool on_request, std::uint64_t seed)
-    : transport_(transport), told_(told), connection_ids_(connection_ids), on_request_(on_request),
-      seed_(seed) {
+Discovery::Discovery(Transport &transport, EndpointListEvents &events,
+                     ConnectionIds &connection_ids, const std::vector<std::string> &zones,
+                     const DiscoveryOptions &options)
+    : transport_(transport), events_(events), connection_ids_(connection_ids), options_(options) {
     for (std::uint32_t i = 0; i < zones.size(); ++i)
         zones_[zones[i]] = ZoneId{i};
 }
 
-std::string Discovery::start(Time now, std::string_view known, const std::string &address) {
-    std::string fault;
-    if (!known.empty() && (known_ = read(known, fault)))
-        generation_ = known_->generation;
-    known_until_ = now + first_word;
+std::string Discovery::start(Time now, std::string_view known_list, const std::string &address) {
+    std::string error;
+    if (!known_list.empty()) {
+        auto parsed = parse_endpoint_list(known_list, zones_);
+        if (auto *list = std::get_if<EndpointList>(&parsed)) {
+            generation_ = list->generation;
+            known_list_ = std::move(*list);
+        } else {
+            error = std::get<EndpointListError>(parsed).text;
+        }
+    }
+    known_list_due_ = now + first_answer_timeout;
     watch(now, address);
-    return fault;
+    return error;
 }
 
-// Read whole before any of it counts.
-std::optional<Discovery::List> Discovery::read(std::string_view json, std::string &fault) const {
-    auto bad = [&](std::string why) {
-        fault = std::move(why);
-        return std::nullopt;
-    };
-    auto doc = nlohmann::json::parse(json, nullptr, false);
-    if (doc.is_discarded() || !doc.is_object())
-        return bad("not a JSON object");
-    if (!doc.contains("generation") || !doc["generation"].is_number_unsigned())
-        return bad("generation: not a count");
-    if (!doc.contains("reset") || !doc["reset"].is_boolean())
-        return bad("reset: not true or false");
-    if (!doc.contains("instances") || !doc["instances"].is_array())
-        return bad("instances: not a list");
-    List list{doc["generation"].get<std::uint64_t>(), doc["reset"].get<bool>(), {}};
-    std::size_t at = 0;
-    for (auto &e : doc["instances"]) {
-        std::string path = "instances." + std::to_string(at++) + ".";
-        auto text = [&](const char *name) {
-            auto it = e.is_object() ? e.find(name) : e.end();
-            return e.is_object() && it != e.end() && it->is_string() ? it->get<std::string>()
-                                                                     : std::string();
-        };
-        Entry entry{text("instanceId"), text("hostPort"), {}, {}, text("lifecycle"), 0};
-        if (entry.id.empty())
-            return bad(path + "instanceId: not a name");
-        if (entry.state != "active" && entry.state != "leaving" && entry.state != "left")
-            return bad(path + "lifecycle: not active, leaving or left");
-        if (entry.address.empty() && entry.state != "left")
-            return bad(path + "hostPort: not an address");
-        if (auto c = e.find("cell"); c != e.end() && c->is_number_integer())
-            entry.shard = ShardId{c->get<std::int32_t>()};
-        else if (entry.state != "left")
-            return bad(path + "cell: not a number");
-        if (auto z = zones_.find(text("zone")); z != zones_.end())
-            entry.zone = z->second;
-        if (auto s = e.find("startedAtMs"); s != e.end() && s->is_number())
-            entry.started = static_cast<Time>(std::clamp(s->get<double>(), 0.0, 9e12)) * ms;
-        list.entries.push_back(std::move(entry));
-    }
-    return list;
+void Discovery::publish_known(Time now) {
+    if (auto list = std::exchange(known_list_, std::nullopt))
+        publish(now, *list);
 }
 
-void Discovery::tell_known(Time now) {
-    if (auto known = std::exchange(known_, std::nullopt))
-        tell(now, *known);
-}
-void Discovery::tell(Time now, const List &list) {
+void Discovery::publish(Time now, const EndpointList &list) {
     std::set<std::string> named;
-    told_.endpoint_list_begin(now, list.whole ? EndpointListKind::full : EndpointListKind::delta);
-    for (auto &e : list.entries) {
-        bool left = e.state == "left";
-        auto it = ids_.find(e.id);
-        if (it == ids_.end()) {
-            if (left)
+    events_.endpoint_list_begin(now, list.kind);
+    for (const auto &instance : list.instances) {
+        bool removed = instance.state == NodeState::removed;
+        auto it = node_ids_.find(instance.id);
+        if (it == node_ids_.end()) {
+            if (removed)
                 continue;
-            it = ids_.emplace(e.id, NodeId{++last_id_}).first;
+            ++last_node_id_;
+            it = node_ids_.emplace(instance.id, NodeId{last_node_id_}).first;
         }
-        named.insert(e.id);
-        told_.endpoint_listed(it->second, e.address, e.shard, e.zone,
-                              left                   ? NodeState::removed
-                              : e.state == "leaving" ? NodeState::draining
-                                                     : NodeState::ready,
-                              e.started);
-        if (left)
-            ids_.erase(it);
+        named.insert(instance.id);
+        events_.endpoint_listed(
+            {it->second, instance.shard, instance.zone, instance.state, instance.started_at},
+            instance.address);
+        if (removed)
+            node_ids_.erase(it);
     }
-    told_.endpoint_list_end();
-    if (list.whole)
-        std::erase_if(ids_, [&](auto &i) { return !named.contains(i.first); });
+    events_.endpoint_list_end();
+    if (list.kind == EndpointListKind::full)
+        std::erase_if(node_ids_, [&](const auto &entry) { return !named.contains(entry.first); });
     generation_ = list.generation;
     listed_ = true;
 }
 
-Discovery::Watch Discovery::make(const std::string &address) {
-    return {address,
-            {},
-            false,
-            false,
-            0,
-            0,
-            http::Decoder(http::MessageKind::response, most_head, most_object),
-            JsonStream(most_object),
-            ReconnectBackoff(on_request_ ? first_wait_shared : first_wait,
-                             on_request_ ? longest_wait_shared : longest_wait, seed_ + ++watches_)};
+Discovery::Watch Discovery::make_watch(const std::string &address) {
+    ++watch_count_;
+    const Pauses &pause = pauses(options_);
+    return Watch{address,
+                 {},
+                 false,
+                 false,
+                 0,
+                 0,
+                 http::Decoder(http::MessageKind::response, max_head_bytes, max_object_bytes),
+                 JsonStream(max_object_bytes),
+                 ReconnectBackoff(pause.first, pause.longest, options_.seed + watch_count_)};
 }
-Time Discovery::silent_at(const Watch &w) const {
-    return w.heard + (w.spoke ? silence : on_request_ ? answers_within_shared : answers_within);
+
+Time Discovery::silent_at(const Watch &watch) const {
+    Time answer_timeout = options_.on_request ? shared_answer_timeout : agent_answer_timeout;
+    return watch.last_received_at + (watch.has_answered ? silence_timeout : answer_timeout);
 }
 
 void Discovery::watch(Time now, const std::string &address) {
-    if (now_ && now_->address == address) {
-        if (then_)
-            takes_over(*now_);
+    if (current_ && current_->address == address) {
+        if (next_)
+            take_over(*current_);
         return;
     }
-    if (then_ && then_->address == address)
+    if (next_ && next_->address == address)
         return;
-    if (then_ && then_->conn.value)
-        transport_.close(then_->conn);
-    Watch &w = (now_ ? then_ : now_).emplace(make(address));
-    if (on_request_)
-        w.reconnect_backoff.lost(
-            now); // all schedulers may start, or be sent elsewhere, in one moment
+    if (next_ && next_->connection.value != 0)
+        transport_.close(next_->connection);
+    Watch &watch = (current_ ? next_ : current_).emplace(make_watch(address));
+    // All schedulers may start, or be sent elsewhere, in one moment: a shared service isn't called
+    // by all of them at once.
+    if (options_.on_request)
+        watch.reconnect_backoff.lost(now);
     else
-        dial(now, w);
+        connect(now, watch);
 }
-void Discovery::dial(Time now, Watch &w) {
-    w.conn = connection_ids_.next(), w.connected = w.spoke = false, w.heard = now, w.older = 0;
-    w.in.next(), w.objects = JsonStream(most_object);
-    w.reconnect_backoff.trying(now, connect_wait);
-    transport_.connect(w.conn, w.address);
+
+void Discovery::connect(Time now, Watch &watch) {
+    watch.connection = connection_ids_.next();
+    watch.connected = false;
+    watch.has_answered = false;
+    watch.last_received_at = now;
+    watch.stale_since = 0;
+    watch.decoder.next();
+    watch.objects = JsonStream(max_object_bytes);
+    watch.reconnect_backoff.trying(now, connect_timeout);
+    transport_.connect(watch.connection, watch.address);
+}
+
+void Discovery::close_connection(Time now, Watch &watch, const std::string &reason) {
+    transport_.close(watch.connection);
+    connection_lost(now, watch, reason);
 }
-void Discovery::lost(Time now, ConnectionId conn, bool close, const char *why) {
-    Watch &w = *of(conn);
-    if (close)
-        transport_.close(conn);
-    if (*why)
-        transport_.log_event("discovery at " + w.address + ": " + why);
-    if (&w == &*now_ &&
-        then_) { // the other one is on its way, to the same place or to the one that counts now
-        now_.emplace(std::move(*then_));
-        return then_.reset();
+
+void Discovery::connection_lost(Time now, Watch &watch, const std::string &reason) {
+    if (!reason.empty())
+        transport_.log_event("discovery at " + watch.address + ": " + reason);
+    // The next one is on its way, to the same place or to the one that counts now.
+    if (&watch == &*current_ && next_) {
+        current_.emplace(std::move(*next_));
+        next_.reset();
+        return;
     }
-    w.conn = {}, w.connected = false;
-    w.reconnect_backoff.lost(now);
+    watch.connection = {};
+    watch.connected = false;
+    watch.reconnect_backoff.lost(now);
 }
-Discovery::Watch &Discovery::takes_over(Watch &w) {
-    Watch &other = &w == &*now_ ? *then_ : *now_;
-    if (other.conn.value)
-        transport_.close(other.conn);
-    if (&w == &*then_)
-        now_.emplace(std::move(*then_));
-    then_.reset();
-    return *now_;
+
+Discovery::Watch &Discovery::take_over(Watch &watch) {
+    Watch &other = &watch == &*current_ ? *next_ : *current_;
+    if (other.connection.value != 0)
+        transport_.close(other.connection);
+    if (&watch == &*next_)
+        current_.emplace(std::move(*next_));
+    next_.reset();
+    return *current_;
 }
-Discovery::Watch *Discovery::of(ConnectionId conn) {
-    return now_ && now_->conn == conn ? &*now_ : then_ && then_->conn == conn ? &*then_ : nullptr;
+
+Discovery::Watch *Discovery::find(ConnectionId id) {
+    if (current_ && current_->connection == id)
+        return &*current_;
+    return next_ && next_->connection == id ? &*next_ : nullptr;
 }
-void Discovery::connected(Time now, ConnectionId conn) {
-    Watch *w = of(conn);
-    if (!w)
+
+void Discovery::connected(Time now, ConnectionId id) {
+    Watch *watch = find(id);
+    if (!watch)
         return;
-    w->connected = true, w->heard = now;
-    transport_.send(conn, "GET /v1/servers?stream=1&index=" + std::to_string(generation_) +
-                              " HTTP/1.1\r\nHost: discovery\r\n\r\n");
+    watch->connected = true;
+    watch->last_received_at = now;
+    transport_.send(id, "GET /v1/servers?stream=1&index=" + std::to_string(generation_) +
+                            " HTTP/1.1\r\nHost: discovery\r\n\r\n");
 }
-void Discovery::connect_failed(Time now, ConnectionId conn) {
-    if (of(conn))
-        lost(now, conn, false, "");
+
+void Discovery::connect_failed(Time now, ConnectionId id) {
+    if (Watch *watch = find(id))
+        connection_lost(now, *watch, "");
 }
-void Discovery::disconnected(Time now, ConnectionId conn) {
-    if (of(conn))
-        lost(now, conn, false, "the watch ended");
+
+void Discovery::disconnected(Time now, ConnectionId id) {
+    if (Watch *watch = find(id))
+        connection_lost(now, *watch, "the watch ended");
 }
-void Discovery::received(Time now, ConnectionId conn, std::string_view in) {
-    Watch *w = of(conn);
-    if (!w)
+
+void Discovery::received(Time now, ConnectionId id, std::string_view bytes) {
+    Watch *watch = find(id);
+    if (!watch)
         return;
-    while (!in.empty() && w->in.state() != http::State::whole &&
-           w->in.state() != http::State::broken)
-        in.remove_prefix(w->in.take(in));
-    if (w->in.state() == http::State::broken)
-        return lost(now, conn, true, w->in.fault());
-    if (w->in.state() != http::State::body && w->in.state() != http::State::whole)
+    http::Decoder &decoder = watch->decoder;
+    while (!bytes.empty() && decoder.state() != http::State::whole &&
+           decoder.state() != http::State::broken)
+        bytes.remove_prefix(decoder.take(bytes));
+    auto state = decoder.state();
+    if (state == http::State::broken)
+        return close_connection(now, *watch, decoder.fault());
+    if (state != http::State::body && state != http::State::whole)
         return;
-    if (w->in.status() != 200)
-        return lost(now, conn, true, ("it answered " + std::to_string(w->in.status())).c_str());
-    auto body = w->in.take_body();
-    std::string_view rest = body;
-    while (!rest.empty()) {
-        rest.remove_prefix(w->objects.take(rest));
-        bool spoke = w->objects.blank();
-        if (*w->objects.fault())
-            return lost(now, conn, true, w->objects.fault());
-        if (auto object = w->objects.object()) {
-            std::string fault;
-            auto list = read(*object, fault);
-            if (!list)
-                return lost(now, conn, true, fault.c_str());
-            spoke = true;
-            if (!list->whole || list->generation < generation_)
-                tell_known(now);
-            known_.reset();
-            // An agent that is behind another tells of states that are over: by them a node that
-            // drains would look ready.
-            bool older = listed_ && list->generation < generation_;
-            if (!older)
-                w->older = 0;
-            if (older && w->older == 0)
-                w->older = now;
-            if (older && now >= w->older + made_anew) {
-                generation_ = 0; // asked for anew, from the start
-                return lost(now, conn, true, "tells of older lists only: taken for one made anew");
-            }
-            if (!older && !(listed_ && !list->whole && list->generation == generation_))
-                tell(now, *list);
+    if (decoder.status() != 200)
+        return close_connection(now, *watch, "it answered " + std::to_string(decoder.status()));
+    std::string body = decoder.take_body();
+    if (handle_body(now, id, body) && state == http::State::whole)
+        close_connection(now, *find(id), "the watch ended");
+}
+
+bool Discovery::handle_body(Time now, ConnectionId id, std::string_view body) {
+    while (!body.empty()) {
+        Watch &watch = *find(id);
+        JsonStream &objects = watch.objects;
+        body.remove_prefix(objects.take(body));
+        bool answered = objects.take_blank_line();
+        if (objects.has_fault()) {
+            close_connection(now, watch, objects.fault());
+            return false;
         }
-        if (!spoke)
+        if (auto object = objects.take_object()) {
+            if (!handle_object(now, watch, *object))
+                return false;
+            answered = true;
+        }
+        if (!answered)
             continue;
-        tell_known(now);
-        w->heard = now, w->spoke = true, w->reconnect_backoff.up();
-        if (then_ && (w == &*then_ || then_->address == now_->address))
-            w = &takes_over(*w);
+
+        publish_known(now);
+        watch.last_received_at = now;
+        watch.has_answered = true;
+        watch.reconnect_backoff.up();
+        if (next_ && (&watch == &*next_ || next_->address == current_->address))
+            take_over(watch);
     }
-    if (w->in.state() == http::State::whole)
-        lost(now, conn, true, "the watch ended");
+    return true;
 }
+
+bool Discovery::handle_object(Time now, Watch &watch, std::string_view json) {
+    auto parsed = parse_endpoint_list(json, zones_);
+    if (auto *error = std::get_if<EndpointListError>(&parsed)) {
+        close_connection(now, watch, error->text);
+        return false;
+    }
+    const auto &list = std::get<EndpointList>(parsed);
+    if (list.kind == EndpointListKind::delta || list.generation < generation_)
+        publish_known(now);
+    known_list_.reset();
+
+    if (is_stale(list)) {
+        if (watch.stale_since == 0)
+            watch.stale_since = now;
+        if (now < watch.stale_since + rebuilt_after)
+            return true;
+        generation_ = 0; // asked for anew, from the start
+        close_connection(now, watch, "tells of older lists only: taken for one made anew");
+        return false;
+    }
+    watch.stale_since = 0;
+    bool nothing_new =
+        listed_ && list.kind == EndpointListKind::delta && list.generation == generation_;
+    if (!nothing_new)
+        publish(now, list);
+    return true;
+}
+
+bool Discovery::is_stale(const EndpointList &list) const {
+    return listed_ && list.generation < generation_;
+}
+
 Time Discovery::next_due() const {
-    Time at = known_ ? known_until_ : never;
-    for (auto *w : {&now_, &then_}) {
-        if (!*w)
+    Time due = known_list_ ? known_list_due_ : never;
+    for (const auto *slot : {&current_, &next_}) {
+        if (!*slot)
             continue;
-        // One that has spoken and is silent stays, beside the one that is to take over.
-        bool waits = w == &now_ && (*w)->spoke && then_;
-        if (!waits)
-            at = std::min(at, (*w)->connected ? silent_at(**w) : (*w)->reconnect_backoff.due());
+        const Watch &watch = **slot;
+        // One that has answered and is silent stays, beside the one that is to take over.
+        bool waits_for_next = slot == &current_ && watch.has_answered && next_;
+        if (!waits_for_next)
+            due = std::min(due, watch.connected ? silent_at(watch) : watch.reconnect_backoff.due());
     }
-    return at;
+    return due;
 }
-void Discovery::tick(Time now) {
-    if (now >= known_until_)
-        tell_known(now);
-    if (now_ && now_->connected && now_->spoke && now >= silent_at(*now_) && !then_) {
-        transport_.log_event("discovery at " + now_->address + ": silent");
-        then_.emplace(make(now_->address));
-        dial(now, *then_);
+
+void Discovery::on_time(Time now) {
+    if (now >= known_list_due_)
+        publish_known(now);
+    if (current_ && current_->connected && current_->has_answered && now >= silent_at(*current_) &&
+        !next_) {
+        transport_.log_event("discovery at " + current_->address + ": silent");
+        next_.emplace(make_watch(current_->address));
+        connect(now, *next_);
     }
-    for (auto *slot : {&then_, &now_}) {
+    for (auto *slot : {&next_, &current_}) {
         if (!*slot)
             continue;
-        Watch &w = **slot;
-        if (w.connected && !w.spoke && now >= silent_at(w)) {
-            lost(now, w.conn, true, "");
-        } else if (!w.connected && now >= w.reconnect_backoff.due()) {
-            if (w.reconnect_backoff.trying())
-                lost(now, w.conn, true, "");
+        Watch &watch = **slot;
+        if (watch.connected && !watch.has_answered && now >= silent_at(watch)) {
+            close_connection(now, watch, "");
+        } else if (!watch.connected && now >= watch.reconnect_backoff.due()) {
+            if (watch.reconnect_backoff.trying())
+                close_connection(now, watch, "");
             else
-                dial(now, w);
+                connect(now, watch);
         }
     }
 }
--- a/src/http_gateway/json_stream.hpp
+++ b/src/http_gateway/json_stream.hpp
@@ -1,5 +1,5 @@
-// Complete JSON objects out of a stream of bytes, cut anywhere, on one line each or on many. It
-// finds where they end; what they say is the reader's to check. No I/O.
+/// \file
+/// Cuts a stream of bytes into JSON objects.
 #pragma once
 
 #include <cstddef>
@@ -10,59 +10,82 @@
 
 namespace knotvane::http_gateway {
 
+/// Finds the ends of JSON objects in a stream that may be cut anywhere, with blanks and line ends
+/// around objects and within. What is in an object is for its reader to check.
 class JsonStream {
 public:
-    // `most`: bytes of one object.
-    explicit JsonStream(std::size_t most) : most_(most) {}
+    /// @param max_object_bytes an object that is longer is a fault.
+    explicit JsonStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
-    // Takes bytes up to the end of one object at most and tells how many.
-    std::size_t take(std::string_view in) {
-        std::size_t at = 0;
-        while (at < in.size() && !whole_ && !*fault_)
-            step(in[at++]);
-        return at;
+    /// Takes bytes up to the end of one object at most; returns how many.
+    std::size_t take(std::string_view bytes) {
+        std::size_t taken = 0;
+        while (taken < bytes.size() && !complete_ && !has_fault()) {
+            take_byte(bytes[taken]);
+            ++taken;
+        }
+        return taken;
     }
-    // An object that came to its end.
-    std::optional<std::string> object() {
-        if (!whole_)
+
+    /// Returns an object that was taken to its end, once.
+    std::optional<std::string> take_object() {
+        if (!complete_)
             return std::nullopt;
-        whole_ = false;
-        return std::exchange(bytes_, {});
+        complete_ = false;
+        return std::exchange(object_, {});
     }
-    // An empty line between objects came since this was last asked.
-    bool blank() { return std::exchange(blank_, false); }
-    // Why the stream can't be read on, empty while it can.
+
+    /// Returns whether an empty line between objects came since the last call.
+    bool take_blank_line() { return std::exchange(blank_line_, false); }
+
+    bool has_fault() const { return *fault_ != '\0'; }
+    /// Why the stream can't be read on; empty while it can.
     const char *fault() const { return fault_; }
 
 private:
-    void step(char c) {
-        if (depth_ == 0) {
-            if (c == '\n')
-                blank_ |= line_empty_, line_empty_ = true;
-            if (c == ' ' || c == '\t' || c == '\r' || c == '\n')
-                return;
-            if (c != '{')
-                return void(fault_ = "not a JSON object");
-        }
+    void take_byte(char byte) {
+        if (depth_ == 0 && !starts_object(byte))
+            return;
         line_empty_ = false;
-        bytes_ += c;
-        if (bytes_.size() > most_)
-            return void(fault_ = "an object is too long");
-        if (in_text_) {
-            in_text_ = escaped_ || c != '"';
-            escaped_ = !escaped_ && c == '\\';
-        } else if (c == '"') {
-            in_text_ = true;
-        } else if (c == '{' || c == '[') {
+        object_ += byte;
+        if (object_.size() > max_object_bytes_) {
+            fault_ = "an object is too long";
+            return;
+        }
+        if (in_string_) {
+            in_string_ = escaped_ || byte != '"';
+            escaped_ = !escaped_ && byte == '\\';
+        } else if (byte == '"') {
+            in_string_ = true;
+        } else if (byte == '{' || byte == '[') {
             ++depth_;
-        } else if (c == '}' || c == ']') {
-            whole_ = --depth_ == 0;
+        } else if (byte == '}' || byte == ']') {
+            --depth_;
+            complete_ = depth_ == 0;
+        }
+    }
+
+    /// Takes a byte between objects.
+    bool starts_object(char byte) {
+        if (byte == '\n') {
+            blank_line_ |= line_empty_;
+            line_empty_ = true;
         }
+        if (byte == ' ' || byte == '\t' || byte == '\r' || byte == '\n')
+            return false;
+        if (byte != '{')
+            fault_ = "not a JSON object";
+        return byte == '{';
     }
 
-    std::size_t most_, depth_ = 0;
-    std::string bytes_;
-    bool in_text_ = false, escaped_ = false, whole_ = false, blank_ = false, line_empty_ = true;
+    std::size_t max_object_bytes_;
+    std::size_t depth_ = 0;
+    std::string object_;
+    bool in_string_ = false;
+    bool escaped_ = false;
+    bool complete_ = false;
+    bool blank_line_ = false;
+    bool line_empty_ = true;
     const char *fault_ = "";
 };
 
--- /dev/null
+++ b/src/http_gateway/request_parser.cpp
@@ -0,0 +1,207 @@
+#include "http_gateway/request_parser.hpp"
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+namespace knotvane::http_gateway {
+namespace {
+
+// Trace ids that are remembered: those of some ten seconds of a busy gateway.
+constexpr std::size_t max_trace_ids = 4096;
+
+constexpr std::size_t max_trace_id_bytes = 64;
+constexpr std::size_t max_idempotency_key_bytes = 256;
+
+// Seconds. No client waits for an hour: a longer time is a mistake.
+constexpr double max_client_timeout = 3600;
+
+constexpr double max_units = 1e6;
+constexpr double max_sharers = 1e6;
+constexpr double max_shard = 1e6;
+
+constexpr double nanoseconds_per_second = 1e9;
+
+bool is_plain_id(std::string_view id, std::size_t max_bytes) {
+    return !id.empty() && id.size() <= max_bytes && std::all_of(id.begin(), id.end(), [](char c) {
+        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+               c == '-' || c == '_' || c == '.' || c == ':' || c == '+' || c == '/' || c == '=';
+    });
+}
+
+/// Cuts the text up to a separator off `rest`, and the separator. Blanks around it are left out.
+std::string_view next_part(std::string_view &rest, char separator) {
+    auto end = std::min(rest.find(separator), rest.size());
+    auto part = rest.substr(0, end);
+    rest.remove_prefix(std::min(end + 1, rest.size()));
+    while (!part.empty() && part.front() == ' ')
+        part.remove_prefix(1);
+    while (!part.empty() && part.back() == ' ')
+        part.remove_suffix(1);
+    return part;
+}
+
+bool is_whole(double value) {
+    return value == static_cast<double>(static_cast<std::int64_t>(value));
+}
+
+/// The fields of the X-Extent header.
+struct Extent {
+    std::optional<std::uint64_t> volume;
+    std::optional<double> units;
+    std::optional<double> shard;
+    std::optional<double> sharers;
+
+    bool valid() const {
+        return volume && units && shard && sharers && *units > 0 && *units <= max_units &&
+               *sharers >= 1 && *sharers <= max_sharers && is_whole(*sharers) &&
+               *shard >= no_shard.value && *shard <= max_shard && is_whole(*shard);
+    }
+};
+
+Extent parse_extent(std::string_view text) {
+    Extent extent;
+    while (!text.empty()) {
+        auto value = next_part(text, ',');
+        auto name = next_part(value, '=');
+        if (name == "volume")
+            extent.volume = http::hex16(value);
+        if (name == "units")
+            extent.units = http::number(value);
+        if (name == "shard")
+            extent.shard = http::number(value);
+        if (name == "hosts")
+            extent.sharers = http::number(value);
+    }
+    return extent;
+}
+
+/// Returns the cookie's object id, or nothing if it has none.
+std::optional<std::uint64_t> parse_object_id(std::string_view cookie) {
+    std::optional<std::uint64_t> object_id;
+    while (!cookie.empty() && !object_id) {
+        auto value = next_part(cookie, ';');
+        if (next_part(value, '=') == "object")
+            object_id = http::hex16(value);
+    }
+    return object_id;
+}
+
+} // namespace
+
+RequestParser::RequestParser(const std::vector<std::string> &workloads,
+                             const std::vector<std::string> &plans) {
+    for (std::uint32_t i = 0; i < workloads.size(); ++i)
+        workloads_[workloads[i]] = WorkloadId{i};
+    for (std::uint32_t i = 0; i < plans.size(); ++i)
+        plans_[plans[i]] = PlanId{i};
+}
+
+ParsedRequest RequestParser::parse(http::Decoder &message) {
+    if (message.target() == "/healthz" && message.method() == "GET")
+        return HealthCheck{};
+
+    RequestInfo info;
+    if (auto error = read_target(message, info))
+        return *error;
+    if (auto error = read_plan_and_timeout(message, info))
+        return *error;
+    if (auto error = read_keys(message, info))
+        return *error;
+    if (auto error = read_extent(message, info))
+        return *error;
+    // The last check: the trace id of what isn't a request can be used again.
+    auto trace_id = message.header("X-Trace-Id").value_or("");
+    if (!remember_trace_id(trace_id))
+        return RequestError{409, "X-Trace-Id: was used before"};
+
+    info.repeated = message.header("X-Second-Try") == "1";
+    OutboundRequest outbound;
+    outbound.method = message.method();
+    outbound.target = message.target();
+    outbound.trace_id = trace_id;
+    outbound.idempotency_key = message.header("Idempotency-Key").value_or("");
+    outbound.body = message.take_body();
+    return ClientRequest{info, std::make_shared<const OutboundRequest>(std::move(outbound))};
+}
+
+std::optional<RequestError> RequestParser::read_target(const http::Decoder &message,
+                                                       RequestInfo &info) {
+    bool reads = message.method() == "GET";
+    info.writes = message.method() == "PUT";
+    if (!reads && !info.writes)
+        return RequestError{405, "neither GET nor PUT"};
+    if (reads && !message.body().empty())
+        return RequestError{400, "a GET with a body"};
+
+    std::string_view target = message.target();
+    if (target.empty() || target[0] != '/')
+        return RequestError{400, "the target is not a path"};
+    auto path = target.substr(1);
+    auto workload = workloads_.find(path.substr(0, path.find_first_of("/?#")));
+    if (workload == workloads_.end())
+        return RequestError{404, "the path names no class"};
+    info.workload = workload->second;
+    return std::nullopt;
+}
+
+std::optional<RequestError> RequestParser::read_plan_and_timeout(const http::Decoder &message,
+                                                                 RequestInfo &info) {
+    auto trace_id = message.header("X-Trace-Id");
+    if (!trace_id || !is_plain_id(*trace_id, max_trace_id_bytes))
+        return RequestError{400, "X-Trace-Id: expected one id"};
+
+    auto plan = plans_.find(message.header("X-Storage-Class").value_or(""));
+    if (plan == plans_.end())
+        return RequestError{400, "X-Storage-Class: names no plan"};
+    info.plan = plan->second;
+
+    auto timeout = http::number(message.header("X-Expires-In").value_or(""));
+    if (!timeout || *timeout <= 0 || *timeout > max_client_timeout)
+        return RequestError{400, "X-Expires-In: expected seconds"};
+    info.client_timeout = static_cast<Time>(*timeout * nanoseconds_per_second);
+    return std::nullopt;
+}
+
+std::optional<RequestError> RequestParser::read_keys(const http::Decoder &message,
+                                                     RequestInfo &info) {
+    std::string_view idempotency_key = message.header("Idempotency-Key").value_or("");
+    bool plain = idempotency_key.empty() || is_plain_id(idempotency_key, max_idempotency_key_bytes);
+    if (message.count("Idempotency-Key") > 1 || !plain)
+        return RequestError{400, "Idempotency-Key: expected one key"};
+
+    info.key = no_key;
+    if (message.count("Cookie") == 0)
+        return std::nullopt;
+    auto object_id = parse_object_id(message.header("Cookie").value_or(""));
+    if (!object_id)
+        return RequestError{400, "Cookie: expected object as 16 hex digits"};
+    info.key = KeyId{*object_id};
+    return std::nullopt;
+}
+
+std::optional<RequestError> RequestParser::read_extent(const http::Decoder &message,
+                                                       RequestInfo &info) {
+    auto extent = parse_extent(message.header("X-Extent").value_or(""));
+    if (!extent.valid())
+        return RequestError{400, "X-Extent: expected volume, units, shard and hosts"};
+    info.volume = VolumeId{*extent.volume};
+    info.units = *extent.units;
+    info.shard = ShardId{static_cast<std::int32_t>(*extent.shard)};
+    info.sharers = *extent.sharers;
+    return std::nullopt;
+}
+
+bool RequestParser::remember_trace_id(std::string_view trace_id) {
+    auto hash = static_cast<std::uint64_t>(std::hash<std::string_view>{}(trace_id));
+    if (!trace_ids_.insert(hash).second)
+        return false;
+    trace_ids_in_order_.push_back(hash);
+    if (trace_ids_in_order_.size() > max_trace_ids) {
+        trace_ids_.erase(trace_ids_in_order_.front());
+        trace_ids_in_order_.pop_front();
+    }
+    return true;
+}
+
+} // namespace knotvane::http_gateway
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -1,75 +1,95 @@
 #include "http_gateway/server.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "log/log.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::http_gateway {
+namespace {
 
-Server::Server(
-    loop::Loop &loop, std::string path, const Config &config,
-    const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t)> &scheduler,
-    bool traces)
-    : loop_(loop), path_(std::move(path)), traces_(traces) {
+CoreConfig core_config(const Config &config) {
+    return {config.settings(),     config.names("Classes"), config.names("Contracts"),
+            config.names("Zones"), config.seed(),           config.max_sockets()};
+}
+
+} // namespace
+
+Server::Server(loop::Loop &loop, std::string config_path, const Config &config,
+               const SeededSchedulerFactory &scheduler_factory, bool tracing)
+    : loop_(loop), config_path_(std::move(config_path)), tracing_(tracing) {
     core_ = std::make_unique<Core>(
-        *this, [&](SchedulerActions &a) { return scheduler(a, config.seed()); }, config.settings(),
-        config.names("Classes"), config.names("Contracts"), config.names("Zones"), config.seed(),
-        config.sockets());
-    if (auto fault = core_->start(loop::now(), config.known(), config.discovery()); !fault.empty())
-        log_event("known: " + fault);
+        *this, [&](SchedulerActions &actions) { return scheduler_factory(actions, config.seed()); },
+        core_config(config));
+    auto error = core_->start(loop::now(), config.known_endpoints(), config.discovery_address());
+    if (!error.empty())
+        Server::log_event("known: " + error);
     listener_ = std::make_unique<loop::Listener>(
-        loop_, config.listen(), [this](std::shared_ptr<loop::Socket> s) {
-            auto conn = core_->client_connected(loop::now());
-            if (!conn)
-                return s->close();
-            carry(*conn, s);
-            s->start();
-        });
+        loop_, config.listen_address(),
+        [this](const std::shared_ptr<loop::Socket> &socket) { accept(socket); });
     address_ = listener_->address();
     loop_.at_end([this] { return end_of_moment(); });
 }
+
 Server::~Server() {
     loop_.at_end(nullptr);
 }
 
-void Server::carry(ConnectionId conn, const std::shared_ptr<loop::Socket> &s) {
-    sockets_.add(conn, s);
-    s->on_bytes = [this, conn](std::string_view in) { core_->received(loop::now(), conn, in); };
-    s->on_written = [this, conn](std::size_t n) { core_->sent(loop::now(), conn, n); };
-    s->on_gone = [this, conn](loop::Gone how) {
-        sockets_.remove(conn);
-        core_->disconnected(loop::now(), conn,
-                            how == loop::Gone::ended ? CloseReason::end_of_stream
-                                                     : CloseReason::reset);
+void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
+    auto connection = core_->client_connected(loop::now());
+    if (!connection)
+        return socket->close();
+    attach(*connection, socket);
+    socket->start();
+}
+
+void Server::attach(ConnectionId connection, const std::shared_ptr<loop::Socket> &socket) {
+    sockets_.add(connection, socket);
+    socket->on_bytes = [this, connection](std::string_view bytes) {
+        core_->received(loop::now(), connection, bytes);
+    };
+    socket->on_written = [this, connection](std::size_t bytes) {
+        core_->sent(loop::now(), connection, bytes);
+    };
+    socket->on_gone = [this, connection](loop::Gone reason) {
+        sockets_.remove(connection);
+        core_->disconnected(loop::now(), connection,
+                            reason == loop::Gone::ended ? CloseReason::end_of_stream
+                                                        : CloseReason::reset);
     };
 }
-void Server::connect(ConnectionId conn, const std::string &address) {
-    auto s = std::make_shared<loop::Socket>(loop_);
-    carry(conn, s);
-    s->connect(address, [this, conn](bool well) {
-        if (!sockets_.find(conn))
+
+void Server::connect(ConnectionId connection, const std::string &address) {
+    auto socket = std::make_shared<loop::Socket>(loop_);
+    attach(connection, socket);
+    socket->connect(address, [this, connection](bool connected) {
+        if (!sockets_.find(connection))
             return;
-        if (well)
-            return core_->connected(loop::now(), conn);
-        auto failed = sockets_.remove(conn);
+        if (connected)
+            return core_->connected(loop::now(), connection);
+        auto failed = sockets_.remove(connection);
         failed->close();
-        core_->connect_failed(loop::now(), conn, failed->tried());
+        core_->connect_failed(loop::now(), connection, failed->tried());
     });
 }
-void Server::close(ConnectionId conn) {
-    // What was gathered and is not wanted any more must not leave.
-    if (auto s = sockets_.remove(conn))
-        s->close(s->has_pending());
+
+void Server::close(ConnectionId connection) {
+    // A close in order would first write what is gathered; a reset drops it.
+    if (auto socket = sockets_.remove(connection))
+        socket->close(socket->has_pending());
 }
-void Server::finish_sending(ConnectionId conn) {
-    if (auto s = sockets_.find(conn))
-        s->shut();
+
+void Server::finish_sending(ConnectionId connection) {
+    if (auto socket = sockets_.find(connection))
+        socket->shut();
 }
-void Server::trace(std::string line) {
+
+void Server::trace(const std::string &line) {
     log::line(log::info, "trace " + line);
 }
-void Server::log_event(std::string text) {
+
+void Server::log_event(const std::string &text) {
     log::line(log::warn, text);
 }
 
@@ -77,37 +97,42 @@
     log::line(log::info, "stopping");
     core_->stop(loop::now());
 }
+
 void Server::reload() {
-    std::string fault;
-    auto text = settings::File::slurp(path_, fault);
+    std::string error;
+    auto text = settings::File::slurp(config_path_, error);
     try {
-        if (!fault.empty())
-            throw scheduler_setup::MalformedInput(fault);
+        if (!error.empty())
+            throw scheduler_setup::MalformedInput(error);
         Config config(text);
-        core_->discovery_at(loop::now(), config.discovery());
-        log::line(log::info, "configuration read again", {{"discovery", config.discovery()}});
-    } catch (const scheduler_setup::MalformedInput &e) {
-        log::line(log::error, "configuration refused, the last one stays", {{"fault", e.what()}});
+        core_->discovery_at(loop::now(), config.discovery_address());
+        log::line(log::info, "configuration read again",
+                  {{"discovery", config.discovery_address()}});
+    } catch (const scheduler_setup::MalformedInput &malformed) {
+        log::line(log::error, "configuration refused, the last one stays",
+                  {{"fault", malformed.what()}});
     }
 }
 
 Time Server::end_of_moment() {
     // What was written makes room for more, which is sent in the same moment; a few rounds do.
-    for (int round = 0; round < 4; ++round) {
+    constexpr int max_rounds = 4;
+    for (int round = 0; round < max_rounds; ++round) {
         core_->settle(loop::now());
         if (!sockets_.has_out())
             break;
         sockets_.flush();
     }
-    if (!core_->over())
+    if (!core_->stopped())
         return core_->next_due();
-    // The last answers are still to leave.
-    constexpr Time leave = 100 * ms;
-    if (ends_ == 0)
-        ends_ = loop::now() + leave;
-    if (loop::now() >= ends_)
+
+    // Time for the last answers to leave.
+    constexpr Time flush_time = 100 * ms;
+    if (stops_at_ == 0)
+        stops_at_ = loop::now() + flush_time;
+    if (loop::now() >= stops_at_)
         loop_.stop();
-    return std::min(ends_, core_->next_due());
+    return std::min(stops_at_, core_->next_due());
 }
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/trace.cpp
+++ b/src/http_gateway/trace.cpp
@@ -7,80 +7,128 @@
 namespace knotvane::http_gateway {
 namespace {
 
-// The whole number behind `name=`; nothing where it is absent, a dash or no number.
-std::optional<std::int64_t> field(std::string_view line, std::string name) {
-    auto at = line.find(" " + name + "=");
-    if (at == line.npos)
+/// Returns the whole number behind " name="; nothing if it is absent, a dash or no number.
+std::optional<std::int64_t> field(std::string_view fields, const std::string &name) {
+    std::string key = " " + name + "=";
+    auto at = fields.find(key);
+    if (at == std::string_view::npos)
         return std::nullopt;
-    auto from = line.data() + at + name.size() + 2;
-    std::int64_t v = 0;
-    auto [end, ec] = std::from_chars(from, line.data() + line.size(), v);
-    return ec == std::errc() && end != from ? std::optional(v) : std::nullopt;
+    auto text = fields.substr(at + key.size());
+    std::int64_t value = 0;
+    auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc() || end == text.data())
+        return std::nullopt;
+    return value;
 }
-std::string spread(std::vector<std::int64_t> v) {
-    if (v.empty())
+
+std::string percentiles(std::vector<std::int64_t> values) {
+    if (values.empty())
         return "none";
-    std::sort(v.begin(), v.end());
+    std::sort(values.begin(), values.end());
     auto at = [&](std::size_t percent) {
-        return std::to_string(v[(v.size() - 1) * percent / 100]);
+        return std::to_string(values[(values.size() - 1) * percent / 100]);
     };
-    return std::to_string(v.size()) + ", us " + at(50) + " in the middle, " + at(99) + " at 99%, " +
-           at(100) + " at most";
+    return std::to_string(values.size()) + ", us " + at(50) + " in the middle, " + at(99) +
+           " at 99%, " + at(100) + " at most";
+}
+
+/// The report's words for outcomes.
+const char *name_of(AttemptOutcome outcome) {
+    switch (outcome) {
+    case AttemptOutcome::answered:
+        return "answered";
+    case AttemptOutcome::error:
+        return "error";
+    case AttemptOutcome::overloaded:
+        return "full";
+    case AttemptOutcome::timed_out:
+        return "timed_out";
+    case AttemptOutcome::unreachable:
+        return "unreachable";
+    case AttemptOutcome::reset:
+        return "reset";
+    case AttemptOutcome::canceled:
+        return "called_off";
+    case AttemptOutcome::not_sent:
+        return "unsent";
+    }
+    return "unknown";
 }
 
 } // namespace
 
-void Trace::line(std::string_view text) {
-    auto at = text.find("trace ");
-    if (at == text.npos)
+void TraceSummary::add_line(std::string_view line) {
+    constexpr std::string_view marker = "trace ";
+    auto at = line.find(marker);
+    if (at == std::string_view::npos)
+        return;
+    // The blank in front of the event's name stays.
+    auto fields = line.substr(at + marker.size() - 1);
+    if (fields.starts_with(" attempt "))
+        add_attempt(fields);
+    else if (fields.starts_with(" told "))
+        add_time(fields, "late", outcome_lateness_);
+    else if (fields.starts_with(" late "))
+        add_time(fields, "us", loop_lateness_);
+    else if (fields.starts_with(" node "))
+        add_node(fields);
+}
+
+void TraceSummary::add_attempt(std::string_view fields) {
+    auto outcome = field(fields, "how");
+    auto duration = field(fields, "over");
+    constexpr auto last_outcome = static_cast<std::int64_t>(AttemptOutcome::not_sent);
+    if (!outcome || !duration || *outcome < 0 || *outcome > last_outcome) {
+        ++unreadable_lines_;
         return;
-    text.remove_prefix(at + 5);
-    if (text.starts_with(" attempt ")) {
-        auto how = field(text, "how"), over = field(text, "over"), first = field(text, "first"),
-             connected = field(text, "connected");
-        if (!how || !over || *how < 0 || *how > 7)
-            return void(++broken_);
-        Attempts &s = attempts_[static_cast<int>(*how)];
-        s.over.push_back(*over), s.begun += first.has_value();
-        if (first)
-            s.answer.push_back(*over - *first);
-        if (connected)
-            s.connected.push_back(*connected);
-    } else if (text.starts_with(" told ")) {
-        if (auto late = field(text, "late"))
-            return told_.push_back(*late);
-        ++broken_;
-    } else if (text.starts_with(" late ")) {
-        if (auto late = field(text, "us"))
-            return late_.push_back(*late);
-        ++broken_;
-    } else if (text.starts_with(" node ")) {
-        auto counted = field(text, "counted"), open = field(text, "open");
-        if (!counted || !open)
-            return void(++broken_);
-        ++looks_, ++apart_[*counted - *open];
     }
+    Attempts &attempts = attempts_[static_cast<AttemptOutcome>(*outcome)];
+    attempts.durations.push_back(*duration);
+    if (auto first_byte = field(fields, "first")) {
+        ++attempts.responses_started;
+        attempts.response_times.push_back(*duration - *first_byte);
+    }
+    if (auto connected = field(fields, "connected"))
+        attempts.connect_times.push_back(*connected);
+}
+
+void TraceSummary::add_time(std::string_view fields, const char *name,
+                            std::vector<std::int64_t> &times) {
+    if (auto time = field(fields, name))
+        times.push_back(*time);
+    else
+        ++unreadable_lines_;
+}
+
+void TraceSummary::add_node(std::string_view fields) {
+    auto counted = field(fields, "counted");
+    auto open = field(fields, "open");
+    if (!counted || !open) {
+        ++unreadable_lines_;
+        return;
+    }
+    ++node_samples_;
+    ++count_excess_[*counted - *open];
 }
-std::string Trace::report() const {
-    static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
-                                            "unreachable", "reset", "called_off", "unsent"};
-    std::string out;
-    for (auto &[how, s] : attempts_) {
-        out += std::string(names[how]) + ": " + spread(s.over) + "\n";
-        out += "  new connections: " + spread(s.connected) + "\n";
-        out += "  begun to be answered: " + std::to_string(s.begun) +
-               "; first byte to end: " + spread(s.answer) + "\n";
+
+std::string TraceSummary::report() const {
+    std::string text;
+    for (const auto &[outcome, attempts] : attempts_) {
+        text += std::string(name_of(outcome)) + ": " + percentiles(attempts.durations) + "\n";
+        text += "  new connections: " + percentiles(attempts.connect_times) + "\n";
+        text += "  begun to be answered: " + std::to_string(attempts.responses_started) +
+                "; first byte to end: " + percentiles(attempts.response_times) + "\n";
     }
-    out += "outcomes told after they came: " + spread(told_) + "\n";
-    out += "turns of the loop over 2 ms late: " + spread(late_) + "\n";
-    out += "looks at a node: " + std::to_string(looks_) + "\n";
-    for (auto &[by, n] : apart_)
-        if (by != 0)
-            out += "  counted out less open connections " + std::to_string(by) + ": " +
-                   std::to_string(n) + "\n";
-    if (broken_ > 0)
-        out += "lines that could not be read: " + std::to_string(broken_) + "\n";
-    return out;
+    text += "outcomes told after they came: " + percentiles(outcome_lateness_) + "\n";
+    text += "turns of the loop over 2 ms late: " + percentiles(loop_lateness_) + "\n";
+    text += "looks at a node: " + std::to_string(node_samples_) + "\n";
+    for (const auto &[excess, count] : count_excess_)
+        if (excess != 0)
+            text += "  counted out less open connections " + std::to_string(excess) + ": " +
+                    std::to_string(count) + "\n";
+    if (unreadable_lines_ > 0)
+        text += "lines that could not be read: " + std::to_string(unreadable_lines_) + "\n";
+    return text;
 }
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/transport.hpp
+++ b/src/http_gateway/transport.hpp
@@ -1,4 +1,5 @@
-// What the front's parts ask of the shell.
+/// \file
+/// What the gateway's core asks of its sockets and its log.
 #pragma once
 
 #include <string>
@@ -7,24 +8,35 @@
 
 namespace knotvane::http_gateway {
 
-// How the other side let go of a connection: it ended its sending in order, or the connection
-// broke.
-enum class CloseReason { end_of_stream, reset };
+/// How the other side closed a connection.
+enum class CloseReason {
+    end_of_stream, ///< It ended its sending in order.
+    reset          ///< The connection broke.
+};
 
+/// Implemented by the server on sockets, and by tests without. No call may call the core back.
 class Transport {
 public:
     virtual ~Transport() = default;
-    virtual void connect(ConnectionId conn, const std::string &address) = 0;
-    // Gathers; what is gathered leaves at the end of the moment, and is then told as written.
-    virtual void send(ConnectionId conn, std::string bytes) = 0;
-    // At once; nothing is told of it any more, and what was gathered does not leave.
-    virtual void close(ConnectionId conn) = 0;
-    // Ends the sending side once all that was sent has left. What comes in, and the other side's
-    // end, are still told.
-    virtual void finish_sending(ConnectionId conn) = 0;
-    virtual void log_event(std::string text) = 0;
-    // A line of the trace: a word for what, then names and values. Only where tracing() is true.
-    virtual void trace(std::string) {}
+
+    /// Connects to "host:port"; the core is told of the outcome.
+    virtual void connect(ConnectionId connection, const std::string &address) = 0;
+
+    /// Gathers bytes, which leave at the end of the moment; the core is told as they are written.
+    virtual void send(ConnectionId connection, std::string bytes) = 0;
+
+    /// Closes at once: gathered bytes don't leave and the core is told nothing more of it.
+    virtual void close(ConnectionId connection) = 0;
+
+    /// Ends the sending side once all that was sent has left. The core is still told of what is
+    /// received and of the other side's close.
+    virtual void finish_sending(ConnectionId connection) = 0;
+
+    virtual void log_event(const std::string &text) = 0;
+
+    /// Logs a line of the trace, as TraceLine builds it. Called only if tracing() is true.
+    virtual void trace(const std::string & /*line*/) {}
+
     virtual bool tracing() const { return false; }
 };
 
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -29,7 +29,7 @@
     auto &got = f.w.sent[asked];
     if (got.find("HTTP/1.1", 8) != got.npos)
         std::abort(); // one answer
-    if (f.core.requests() != 0 || f.core.pool().attempts_out() != 0)
+    if (f.core.request_count() != 0 || f.core.pool().attempts_in_flight() != 0)
         std::abort(); // nothing held past its time
     for (auto &[conn, n] : f.w.sent)
         if (n.size() > (1 << 20))
--- a/tests/http_gateway/connection_races_test.cpp
+++ b/tests/http_gateway/connection_races_test.cpp
@@ -38,8 +38,8 @@
             f.core.connected(f.now += 200 * ms, n); // crossing the close
             f.settle(ms);
             CHECK(!asked(f, n, "t1"));
-            CHECK(f.core.requests() == 0);
-            CHECK(f.core.pool().open() == 0);
+            CHECK(f.core.request_count() == 0);
+            CHECK(f.core.pool().connection_count() == 0);
         }
     }
     TEST_CASE("in the turn in which its connection came up: what was gathered does not leave") {
@@ -51,7 +51,7 @@
                             CloseReason::reset); // before the moment's end, in which it would leave
         f.settle();
         CHECK(f.w.closed.contains(n));
-        CHECK(f.core.pool().attempts_out() == 0);
+        CHECK(f.core.pool().attempts_in_flight() == 0);
     }
     TEST_CASE("while its request is half written: the last byte never leaves") {
         TestGateway f(no_cancel);
@@ -63,7 +63,7 @@
         CHECK(f.w.closed.contains(n));
         f.w.unwritten.clear();
         f.settle();
-        CHECK(f.core.requests() == 0);
+        CHECK(f.core.request_count() == 0);
     }
     TEST_CASE("after its request was written: where that may not be called off it goes on, and is "
               "counted out") {
@@ -72,9 +72,9 @@
         auto n = f.node();
         f.gone(c);
         CHECK(!f.w.closed.contains(n));
-        CHECK(f.core.pool().attempts_out() == 1);
+        CHECK(f.core.pool().attempts_in_flight() == 1);
         f.answer(n, reply(200, "late"));
-        CHECK(f.core.requests() == 0);
+        CHECK(f.core.request_count() == 0);
         CHECK(f.w.sent[c].empty());
     }
     TEST_CASE("while it waits at a node, and when its first attempt failed: no attempt follows") {
@@ -96,7 +96,7 @@
             g.core.disconnected(g.now, waiting, CloseReason::end_of_stream);
         g.settle(50 * ms);
         CHECK(g.w.connected.size() == before);
-        CHECK(g.core.requests() == 0);
+        CHECK(g.core.request_count() == 0);
     }
     TEST_CASE(
         "in the turn in which its answer came: nothing is written to it, and nothing is left") {
@@ -111,8 +111,8 @@
                 f.core.received(f.now, n, reply(200, "one"));
             f.settle();
             CHECK(f.w.sent[c].empty());
-            CHECK(f.core.requests() == 0);
-            CHECK(f.core.clients().held() == 0);
+            CHECK(f.core.request_count() == 0);
+            CHECK(f.core.clients().count() == 0);
         }
     }
     // A request that waited behind another one was given its whole time anew: nodes were told more
@@ -207,7 +207,7 @@
                         harmless = never && attempts == made;
                     if (!harmless)
                         CHECK(!has(f.w.sent[c], "HTTP/1.1 503 "));
-                    CHECK(f.core.requests() == 0);
+                    CHECK(f.core.request_count() == 0);
                 }
     }
 }
@@ -225,10 +225,10 @@
             CHECK(f.w.shutting.contains(c));
             f.core.received(f.now, c, read_of("t2"));
             f.settle();
-            CHECK(f.core.requests() == 0);
+            CHECK(f.core.request_count() == 0);
             CHECK(!asked(f, n, "t2"));
-            CHECK(f.core.clients().open() == 0);
-            CHECK(f.core.clients().held() == 1);
+            CHECK(f.core.clients().open_count() == 0);
+            CHECK(f.core.clients().count() == 1);
             if (client_ends) {
                 f.gone(c);
             } else {
@@ -237,7 +237,7 @@
                 f.settle(ms);
                 CHECK(!f.w.shutting.contains(c)); // closed for good
             }
-            CHECK(f.core.clients().held() == 0);
+            CHECK(f.core.clients().count() == 0);
         }
     }
     TEST_CASE("a client that reads its last answer slowly has time for it; the wait for its end "
@@ -266,7 +266,7 @@
         for (int i = 0; i < 17; ++i)
             f.core.received(f.now, c, std::string(65536, 'x'));
         CHECK(!f.w.shutting.contains(c));
-        CHECK(f.core.clients().held() == 0);
+        CHECK(f.core.clients().count() == 0);
     }
     TEST_CASE("an idle connection ends in order, and a request that crosses that is not taken") {
         TestGateway f;
@@ -275,7 +275,7 @@
         CHECK(f.w.shutting.contains(c));
         f.core.received(f.now, c, read_of("t1"));
         f.settle();
-        CHECK(f.core.requests() == 0);
+        CHECK(f.core.request_count() == 0);
     }
     // One more would take a descriptor from the nodes and from discovery.
     TEST_CASE("where every client has a request open, one more is not taken; those that only end "
@@ -287,7 +287,7 @@
                 f.core.received(f.now, *c, read_of("t" + std::to_string(i)));
                 open.push_back(*c);
             }
-        CHECK(f.core.clients().held() == open.size());
+        CHECK(f.core.clients().count() == open.size());
         CHECK(open.size() < 256 - 256 / 3);
         CHECK(!f.core.client_connected(f.now));
         for (auto c : open)
@@ -297,7 +297,7 @@
         f.core.received(f.now, open[0], "noise\r\n\r\n");
         f.settle();
         CHECK(f.core.client_connected(f.now));
-        CHECK(f.core.clients().held() <= open.size());
+        CHECK(f.core.clients().count() <= open.size());
     }
 }
 
@@ -331,7 +331,7 @@
         CHECK(f.w.sent[many].ends_with("m-two"));
         CHECK(f.w.shutting.contains(many));
         stopped_until(f, told + 2000 * ms);
-        CHECK(f.core.over());
+        CHECK(f.core.stopped());
     }
     TEST_CASE("a node that hangs, a connection that does not come up: both answered before it may "
               "be killed") {
@@ -345,8 +345,8 @@
                 f.node();
             stopped_until(f, told + 2000 * ms);
             CHECK(f.w.sent[c].starts_with(up ? "HTTP/1.1 50" : "HTTP/1.1 503"));
-            CHECK(f.core.over());
-            CHECK(f.core.requests() == 0);
+            CHECK(f.core.stopped());
+            CHECK(f.core.request_count() == 0);
         }
     }
     TEST_CASE("who comes after resting connections ended is ended too, with nothing taken") {
@@ -361,10 +361,10 @@
         CHECK(f.w.shutting.contains(late));
         f.core.received(f.now, late, read_of("t1"));
         f.settle();
-        CHECK(f.core.requests() == 0);
+        CHECK(f.core.request_count() == 0);
         f.gone(rests), f.gone(late);
         f.settle(ms);
-        CHECK(f.core.over()); // sooner, as nobody is left
+        CHECK(f.core.stopped()); // sooner, as nobody is left
     }
 }
 
--- a/tests/http_gateway/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -21,7 +21,7 @@
         CHECK(!has(f.w.sent[n], "Cookie"));
         f.answer(n, reply(200, "the body", "X-Store: 1\r\n"));
         CHECK(f.w.sent[c] == "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nthe body");
-        CHECK(f.core.requests() == 0);
+        CHECK(f.core.request_count() == 0);
         // The next one on both connections.
         f.settle(10 * ms);
         f.core.received(f.now, c, read_of("t2"));
@@ -72,7 +72,7 @@
         CHECK(told.starts_with("HTTP/1.1 503 "));
         f.settle(sec);
         CHECK(f.w.sent[c] == told);
-        CHECK(f.core.requests() == 0);
+        CHECK(f.core.request_count() == 0);
     }
     TEST_CASE("a client that leaves: its attempt is closed, nothing is written to it") {
         TestGateway f;
@@ -82,8 +82,8 @@
         CHECK(f.w.closed.contains(n));
         f.answer(n, reply(200, "late"));
         CHECK(f.w.sent[c].empty());
-        CHECK(f.core.requests() == 0);
-        CHECK(f.core.pool().attempts_out() == 0);
+        CHECK(f.core.request_count() == 0);
+        CHECK(f.core.pool().attempts_in_flight() == 0);
     }
 }
 
@@ -179,8 +179,8 @@
             CHECK(
                 (f.w.sent[c].starts_with("HTTP/1.1 4") || f.w.sent[c].starts_with("HTTP/1.1 501")));
             CHECK(f.w.closed.contains(c));
-            CHECK(f.core.requests() == 0);
-            CHECK(f.core.clients().open() == 0);
+            CHECK(f.core.request_count() == 0);
+            CHECK(f.core.clients().open_count() == 0);
         }
     }
     TEST_CASE("an id that is open, or was, is refused without being told") {
@@ -188,7 +188,7 @@
         f.client(read_of("t1"));
         auto c = f.client(read_of("t1"));
         CHECK(f.w.sent[c].starts_with("HTTP/1.1 409 "));
-        CHECK(f.core.requests() == 1);
+        CHECK(f.core.request_count() == 1);
     }
     TEST_CASE("who says nothing, or does not come to an end, is closed within its time") {
         TestGateway f;
@@ -223,7 +223,7 @@
         CHECK(!f.w.closed.contains(slow));
         f.core.received(f.now, slow, read_of("t1").substr(30));
         f.settle();
-        CHECK(f.core.requests() == 1);
+        CHECK(f.core.request_count() == 1);
         f.blank();
         auto endless = f.client("GET /healthz HTTP/1.1\r\n\r\nGET");
         f.settle(5 * sec);
@@ -240,9 +240,9 @@
     TEST_CASE("requests sent at once are served one at a time, in order") {
         TestGateway f;
         auto c = f.client(read_of("t1") + read_of("t2") + "GET /healthz HTTP/1.1\r\n\r\n");
-        CHECK(f.core.requests() == 1);
+        CHECK(f.core.request_count() == 1);
         f.serve("one");
-        CHECK(f.core.requests() == 1);
+        CHECK(f.core.request_count() == 1);
         f.serve("two");
         CHECK(f.w.sent[c] == "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 "
                              "OK\r\nContent-Length: 3\r\n\r\ntwo"
@@ -261,7 +261,7 @@
             if (leaves) {
                 f.gone(c);
                 CHECK(f.w.closed.contains(n));
-                CHECK(f.core.requests() == 0);
+                CHECK(f.core.request_count() == 0);
                 continue;
             }
             f.answer(n, reply(200, "one"));
@@ -324,11 +324,11 @@
         for (int i = 0; i < 400; ++i)
             silent.push_back(*f.core.client_connected(f.now += us));
         auto late = f.client(read_of("t2"));
-        CHECK(f.core.clients().open() < 200);
+        CHECK(f.core.clients().open_count() < 200);
         CHECK(!f.w.closed.contains(asks));
         CHECK(!f.w.closed.contains(late));
         CHECK(f.w.closed.contains(silent.front()));
-        CHECK(f.core.requests() == 2);
+        CHECK(f.core.request_count() == 2);
     }
 }
 
@@ -430,7 +430,7 @@
         f.settle(ms);
         CHECK(!has(f.w.sent[n], "t4"));
         CHECK(f.w.shutting.contains(idle));
-        while (!f.core.over() && f.now < told + 2200 * ms)
+        while (!f.core.stopped() && f.now < told + 2200 * ms)
             f.settle(5 * ms);
         CHECK(f.w.sent[c].find("Connection: close\r\n") != std::string::npos);
         CHECK(f.w.closed.contains(c));
@@ -444,14 +444,14 @@
             f.core.disconnected(f.now, c, CloseReason::end_of_stream);
             f.settle(20 * ms);
         }
-        CHECK(f.core.requests() == 0);
-        CHECK(f.core.clients().open() == 0);
-        CHECK(f.core.pool().open() == 0);
+        CHECK(f.core.request_count() == 0);
+        CHECK(f.core.clients().open_count() == 0);
+        CHECK(f.core.pool().connection_count() == 0);
     }
 }
 
 TEST_CASE("a trace tells where what was counted and what was open differ, and what it can't read") {
-    Trace t;
+    TraceSummary t;
     for (auto line : {"[1] info trace attempt request=1 attempt=0 node=2 conn=3 how=0 at=5 "
                       "connected=100 written=120 first=900 over=950",
                       "trace attempt request=2 attempt=0 node=2 conn=3 how=5 at=5 connected=- "
@@ -459,7 +459,7 @@
                       "trace told request=1 attempt=0 late=40", "trace late us=2500",
                       "trace node id=2 counted=3 open=1", "trace node id=2 counted=1 open=1",
                       "serves address=x", "trace attempt how=x", "trace node counted=-"})
-        t.line(line);
+        t.add_line(line);
     auto r = t.report();
     for (auto part :
          {"answered: 1, us 950 in", "begun to be answered: 1; first byte to end: 1, us 50",
@@ -497,7 +497,7 @@
     for (int i = 0; i < 8; ++i)
         wait.push_back(g.client(read_of("w" + std::to_string(i))));
     g.settle(20 * ms);
-    CHECK(g.core.requests() == wait.size()); // none is late yet
+    CHECK(g.core.request_count() == wait.size()); // none is late yet
 }
 TEST_CASE(
     "configuration: settings at the simulator's paths, names in order, a fault names its field") {
--- a/tests/http_gateway/discovery_test.cpp
+++ b/tests/http_gateway/discovery_test.cpp
@@ -47,7 +47,7 @@
         for (std::size_t at = 0; at < in.size(); at += piece)
             for (auto bite = in.substr(at, piece); !bite.empty();) {
                 bite.remove_prefix(s.take(bite));
-                if (auto o = s.object())
+                if (auto o = s.take_object())
                     out.push_back(*o);
                 if (*s.fault())
                     return out;
@@ -70,20 +70,20 @@
         JsonStream s(10);
         s.take("{\"a\":12345678}");
         CHECK(*s.fault());
-        CHECK(!s.object());
+        CHECK(!s.take_object());
     }
     TEST_CASE("a blank line is one between objects, not within") {
         JsonStream s(100);
         s.take("\n");
-        CHECK(s.blank());
+        CHECK(s.take_blank_line());
         s.take("{\n\n");
-        CHECK(!s.blank());
+        CHECK(!s.take_blank_line());
         s.take("}");
-        CHECK(s.object());
+        CHECK(s.take_object());
         s.take("\r\n");
-        CHECK(!s.blank()); // the object's own line
+        CHECK(!s.take_blank_line()); // the object's own line
         s.take("\r\n");
-        CHECK(s.blank());
+        CHECK(s.take_blank_line());
     }
 }
 
@@ -249,8 +249,7 @@
             RecordingTransport w;
             Core core(
                 w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-                scheduler_setup::Options(settings_text() + shared), {"read", "write"}, {"gold"},
-                {"a", "b"}, seed, 256);
+                core_config(settings_text() + shared, seed));
             core.start(1000 * sec, list_of(41, node_entry("s1", "n1", 5)), "d1");
             CHECK(w.connected.empty());
             firsts.insert(core.next_due());
@@ -351,8 +350,7 @@
         explicit Fresh(const std::string &known)
             : core(
                   w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-                  scheduler_setup::Options(settings_text()), {"read", "write"}, {"gold"},
-                  {"a", "b"}, 1, 256) {
+                  core_config(settings_text(), 1)) {
             core.start(now, known, "d1");
             core.settle(now);
         }
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -54,7 +54,7 @@
     ConnectionId asked{}; // the connection to a node that was sent something last
     void close(ConnectionId c) override { closed.insert(c), shutting.erase(c); }
     void finish_sending(ConnectionId c) override { closed.insert(c), shutting.insert(c); }
-    void log_event(std::string t) override { said.push_back(std::move(t)); }
+    void log_event(const std::string &text) override { said.push_back(text); }
     // The connection made last to an address; none: id 0.
     ConnectionId to(const std::string &address) const {
         ConnectionId last{};
@@ -99,6 +99,10 @@
            "25\nRules.FallS=2\n"
            "Rules.WarmAfterS=18\nRules.StartCapacity=0.24\n";
 }
+/// What the tests' gateways are set up with.
+inline CoreConfig core_config(const std::string &settings, std::uint64_t seed = 1) {
+    return {scheduler_setup::Options(settings), {"read", "write"}, {"gold"}, {"a", "b"}, seed, 256};
+}
 inline std::string node_entry(const std::string &id, const std::string &address, int shard,
                               const std::string &state = "active") {
     return R"({"instanceId":")" + id + R"(","hostPort":")" + address +
@@ -121,8 +125,7 @@
     explicit TestGateway(const std::string &more = "", const std::string &usual = settings_text())
         : core(
               w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-              scheduler_setup::Options(usual + more), {"read", "write"}, {"gold"}, {"a", "b"}, 1,
-              256) {
+              core_config(usual + more, 1)) {
         core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
         if (w.to("d1").value == 0)
             settle(
