--- a/src/http/decoder.cpp
+++ b/src/http/decoder.cpp
@@ -3,264 +3,373 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
-#include <cstdint>
 #include <limits>
+#include <utility>
+#include <vector>
 
 #include <http_parser.h>
 
 namespace knotvane::http {
 namespace {
 
-// Names of a message's headers: ours have ten at most, other programs' seldom more than thirty.
-constexpr std::size_t most_headers = 64;
+// Headers of a message: ours have ten at most, other programs' seldom more than thirty.
+constexpr std::size_t max_headers = 64;
 
-bool token(std::string_view name) {
+// A length of more digits doesn't fit the parser's 64 bits.
+constexpr std::size_t max_length_digits = 18;
+
+// Bytes of a message, against its largest body: room for the wrapping of usual chunks.
+constexpr std::size_t max_wrapping_factor = 8;
+
+bool is_token(std::string_view text) {
     constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
-    return !name.empty() && std::all_of(name.begin(), name.end(), [&](char c) {
+    return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
         return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-               marks.find(c) != marks.npos;
+               marks.find(c) != std::string_view::npos;
     });
 }
-bool digits(std::string_view v) {
-    return !v.empty() && v.size() <= 18 && v.find_first_not_of("0123456789") == v.npos;
+
+bool is_length(std::string_view text) {
+    return !text.empty() && text.size() <= max_length_digits &&
+           text.find_first_not_of("0123456789") == std::string_view::npos;
 }
-std::string_view trimmed(std::string_view v) {
-    auto from = v.find_first_not_of(" \t");
-    return from == v.npos ? std::string_view()
-                          : v.substr(from, v.find_last_not_of(" \t") - from + 1);
+
+bool has_control_characters(std::string_view text) {
+    constexpr char delete_character = 127;
+    return std::any_of(text.begin(), text.end(), [](char c) {
+        return (static_cast<unsigned char>(c) < ' ' && c != '\t') || c == delete_character;
+    });
 }
 
-} // namespace
+std::string_view trimmed(std::string_view text) {
+    auto first = text.find_first_not_of(" \t");
+    if (first == std::string_view::npos)
+        return {};
+    return text.substr(first, text.find_last_not_of(" \t") - first + 1);
+}
 
-struct Decoder::Parts {
-    http_parser parser{};
-    MessageKind side;
-    std::size_t most_head, most_body;
-    State state = State::empty;
-    const char *fault = "";
-    unsigned fault_status = 400;
-    std::string target, body;
-    std::vector<std::pair<std::string, std::string>> headers;
-    bool in_name = false, head_done = false, keeps_open = true;
-    std::size_t raw = 0; // bytes since the message began, or since its body was last taken
+} // namespace
 
-    Parts(MessageKind s, std::size_t head, std::size_t most)
-        : side(s), most_head(head), most_body(most) {
-        begin();
+/// The message that is being decoded. The parser calls back with each piece of it.
+class Decoder::Message {
+public:
+    Message(MessageKind message_kind, std::size_t max_head_bytes, std::size_t max_body_bytes)
+        : kind(message_kind), max_head(max_head_bytes), max_body(max_body_bytes) {
+        start();
     }
-    void begin() {
-        http_parser_init(&parser, side == MessageKind::request ? HTTP_REQUEST : HTTP_RESPONSE);
+
+    void start() {
+        http_parser_init(&parser, kind == MessageKind::request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
-        state = State::empty, fault = "", fault_status = 400;
-        target.clear(), body.clear(), headers.clear();
-        in_name = head_done = false, keeps_open = true, raw = 0;
+        state = State::empty;
+        fault = "";
+        fault_status = 400;
+        target.clear();
+        body.clear();
+        headers.clear();
+        in_header_name_ = false;
+        head_complete_ = false;
+        keeps_open = true;
+        raw_bytes = 0;
     }
-    int bad(const char *what, unsigned as = 400) {
-        if (state != State::broken)
-            fault = what, fault_status = as;
+
+    /// Returns how many bytes were taken, up to the message's end at most.
+    std::size_t take(std::string_view bytes);
+
+    /// Marks the message as broken; the first fault counts. Returns what stops the parser.
+    int fail(const char *reason, unsigned status = 400) {
+        if (state != State::broken) {
+            fault = reason;
+            fault_status = status;
+        }
         state = State::broken;
         return -1;
     }
-    std::size_t counted(std::string_view name) const {
-        return static_cast<std::size_t>(std::count_if(
-            headers.begin(), headers.end(), [&](auto &h) { return alike(h.first, name); }));
+
+    /// Returns how many headers have a name.
+    std::size_t count(std::string_view name) const {
+        return static_cast<std::size_t>(
+            std::count_if(headers.begin(), headers.end(), [&](const auto &header) {
+                return equal_ignoring_case(header.first, name);
+            }));
     }
+
+    /// Returns the value of the first header of a name; empty if there is none.
     std::string_view value(std::string_view name) const {
-        for (auto &[n, v] : headers)
-            if (alike(n, name))
-                return v;
+        for (const auto &[header_name, header_value] : headers)
+            if (equal_ignoring_case(header_name, name))
+                return header_value;
         return {};
     }
-    int name_bytes(std::string_view in) {
-        if (head_done)
-            return 0; // a trailer
-        if (!in_name) {
-            if (headers.size() >= most_headers)
-                return bad("too many headers", 431);
-            headers.emplace_back();
-        }
-        in_name = true;
-        headers.back().first += in;
-        return 0;
-    }
-    int value_bytes(std::string_view in) {
-        if (head_done)
-            return 0;
-        if (headers.empty())
-            return bad("a header without a name");
-        in_name = false;
-        headers.back().second += in;
-        return 0;
+
+    /// The parser's callbacks.
+    static const http_parser_settings &callbacks();
+
+    http_parser parser{};
+    MessageKind kind;
+    std::size_t max_head;
+    std::size_t max_body;
+    State state = State::empty;
+    const char *fault = "";
+    unsigned fault_status = 400;
+    std::string target;
+    std::string body;
+    std::vector<std::pair<std::string, std::string>> headers;
+    bool keeps_open = true;
+    /// Bytes since the message began, or since its body was last taken.
+    std::size_t raw_bytes = 0;
+
+private:
+    static Message &of(http_parser *source) { return *static_cast<Message *>(source->data); }
+
+    int on_header_name(std::string_view bytes);
+    int on_header_value(std::string_view bytes);
+    int on_head_complete();
+    int on_body(std::string_view bytes);
+    /// Checks what the parser lets pass; each returns 0 or what stops the parser.
+    int check_headers();
+    int check_length();
+    /// Marks the message as broken if it is too long or the parser found a fault.
+    void check_progress(std::size_t taken);
+
+    bool in_header_name_ = false;
+    bool head_complete_ = false;
+};
+
+int Decoder::Message::on_header_name(std::string_view bytes) {
+    if (head_complete_)
+        return 0; // a trailer
+    if (!in_header_name_) {
+        if (headers.size() >= max_headers)
+            return fail("too many headers", 431);
+        headers.emplace_back();
     }
-    // What the parser lets pass and two readers might take in two ways.
-    int head() {
-        for (auto &[name, v] : headers) {
-            if (!token(name))
-                return bad("a header's name has odd characters");
-            v = std::string(trimmed(v));
-            if (std::any_of(v.begin(), v.end(), [](char c) {
-                    return (static_cast<unsigned char>(c) < 32 && c != '\t') || c == 127;
-                }))
-                return bad("a header's value has control characters");
-        }
-        auto lengths = counted("content-length"), codings = counted("transfer-encoding");
-        if (lengths + codings > 1)
-            return bad("the length is told twice");
-        if (lengths == 1 && !digits(value("content-length")))
-            return bad("Content-Length is not a number");
-        if (codings == 1 && !alike(value("transfer-encoding"), "chunked"))
-            return bad("Transfer-Encoding is not chunked", 501);
-        if (parser.http_major != 1)
-            return bad("not HTTP/1", 505);
-        if (parser.upgrade)
-            return bad("another protocol is asked for", 501);
-        if (lengths == 1 && parser.content_length != std::numeric_limits<std::uint64_t>::max() &&
-            parser.content_length > most_body)
-            return bad("the body is too long", 413);
-        keeps_open = http_should_keep_alive(&parser) != 0;
-        head_done = true, state = State::body;
-        return 0;
+    in_header_name_ = true;
+    headers.back().first += bytes;
+    return 0;
+}
+
+int Decoder::Message::on_header_value(std::string_view bytes) {
+    if (head_complete_)
+        return 0; // a trailer
+    if (headers.empty())
+        return fail("a header without a name");
+    in_header_name_ = false;
+    headers.back().second += bytes;
+    return 0;
+}
+
+int Decoder::Message::check_headers() {
+    for (auto &[name, value] : headers) {
+        if (!is_token(name))
+            return fail("a header's name has odd characters");
+        value = std::string(trimmed(value));
+        if (has_control_characters(value))
+            return fail("a header's value has control characters");
     }
-    static Parts &of(http_parser *p) { return *static_cast<Parts *>(p->data); }
-    static const http_parser_settings &calls() {
-        static const http_parser_settings all = [] {
-            http_parser_settings s;
-            http_parser_settings_init(&s);
-            s.on_url = [](http_parser *p, const char *at, std::size_t n) {
-                Parts::of(p).target.append(at, n);
-                return 0;
-            };
-            s.on_header_field = [](http_parser *p, const char *at, std::size_t n) {
-                return Parts::of(p).name_bytes({at, n});
-            };
-            s.on_header_value = [](http_parser *p, const char *at, std::size_t n) {
-                return Parts::of(p).value_bytes({at, n});
-            };
-            s.on_headers_complete = [](http_parser *p) { return Parts::of(p).head(); };
-            s.on_body = [](http_parser *p, const char *at, std::size_t n) {
-                auto &m = Parts::of(p);
-                if (m.body.size() + n > m.most_body)
-                    return m.bad("the body is too long", 413);
-                m.body.append(at, n);
-                return 0;
-            };
-            s.on_message_complete = [](http_parser *p) {
-                Parts::of(p).state = State::whole;
-                http_parser_pause(p, 1);
-                return 0;
-            };
-            return s;
-        }();
-        return all;
+    return 0;
+}
+
+int Decoder::Message::check_length() {
+    auto lengths = count("content-length");
+    auto codings = count("transfer-encoding");
+    if (lengths + codings > 1)
+        return fail("the length is told twice");
+    if (lengths == 1 && !is_length(value("content-length")))
+        return fail("Content-Length is not a number");
+    if (codings == 1 && !equal_ignoring_case(value("transfer-encoding"), "chunked"))
+        return fail("Transfer-Encoding is not chunked", 501);
+    return 0;
+}
+
+int Decoder::Message::on_head_complete() {
+    if (int stop = check_headers())
+        return stop;
+    if (int stop = check_length())
+        return stop;
+    if (parser.http_major != 1)
+        return fail("not HTTP/1", 505);
+    if (parser.upgrade)
+        return fail("another protocol is asked for", 501);
+    constexpr auto unknown_length = std::numeric_limits<std::uint64_t>::max();
+    if (count("content-length") == 1 && parser.content_length != unknown_length &&
+        parser.content_length > max_body)
+        return fail("the body is too long", 413);
+    keeps_open = http_should_keep_alive(&parser) != 0;
+    head_complete_ = true;
+    state = State::body;
+    return 0;
+}
+
+int Decoder::Message::on_body(std::string_view bytes) {
+    if (body.size() + bytes.size() > max_body)
+        return fail("the body is too long", 413);
+    body.append(bytes);
+    return 0;
+}
+
+const http_parser_settings &Decoder::Message::callbacks() {
+    static const http_parser_settings all = [] {
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_url = [](http_parser *source, const char *bytes, std::size_t size) {
+            of(source).target.append(bytes, size);
+            return 0;
+        };
+        settings.on_header_field = [](http_parser *source, const char *bytes, std::size_t size) {
+            return of(source).on_header_name({bytes, size});
+        };
+        settings.on_header_value = [](http_parser *source, const char *bytes, std::size_t size) {
+            return of(source).on_header_value({bytes, size});
+        };
+        settings.on_headers_complete = [](http_parser *source) {
+            return of(source).on_head_complete();
+        };
+        settings.on_body = [](http_parser *source, const char *bytes, std::size_t size) {
+            return of(source).on_body({bytes, size});
+        };
+        settings.on_message_complete = [](http_parser *source) {
+            of(source).state = State::whole;
+            http_parser_pause(source, 1);
+            return 0;
+        };
+        return settings;
+    }();
+    return all;
+}
+
+std::size_t Decoder::Message::take(std::string_view bytes) {
+    std::size_t total = 0;
+    while (total < bytes.size() && state != State::whole && state != State::broken) {
+        if (state == State::empty)
+            state = State::head;
+        // A head is read in no larger pieces than it may be long.
+        auto max_piece =
+            head_complete_ ? std::string_view::npos : max_head + 1 - std::min(raw_bytes, max_head);
+        auto piece = bytes.substr(total, max_piece);
+        auto taken = http_parser_execute(&parser, &callbacks(), piece.data(), piece.size());
+        total += taken;
+        raw_bytes += taken;
+        if (state != State::whole)
+            check_progress(taken);
+        else if (kind == MessageKind::response && parser.status_code < 200)
+            start();
     }
-};
+    return total;
+}
+
+void Decoder::Message::check_progress(std::size_t taken) {
+    auto error = static_cast<enum http_errno>(parser.http_errno);
+    if (error != HPE_OK)
+        fail(http_errno_description(error));
+    else if (!head_complete_ && raw_bytes > max_head)
+        fail("the head is too long", 431);
+    // Tiny chunks, endless chunk extensions or trailers.
+    else if (raw_bytes > max_head + max_wrapping_factor * max_body)
+        fail("the body is wrapped in too much", 413);
+    else if (taken == 0)
+        fail("cannot be read");
+}
+
+Decoder::Decoder(MessageKind kind, std::size_t max_head, std::size_t max_body)
+    : message_(std::make_unique<Message>(kind, max_head, max_body)) {}
 
-Decoder::Decoder(MessageKind side, std::size_t most_head, std::size_t most_body)
-    : parts_(std::make_unique<Parts>(side, most_head, most_body)) {}
 Decoder::~Decoder() = default;
 Decoder::Decoder(Decoder &&) noexcept = default;
 Decoder &Decoder::operator=(Decoder &&) noexcept = default;
 
-std::size_t Decoder::take(std::string_view in) {
-    Parts &m = *parts_;
-    std::size_t taken = 0;
-    while (taken < in.size() && m.state != State::whole && m.state != State::broken) {
-        if (m.state == State::empty)
-            m.state = State::head;
-        // A head is read in no larger bites than it may be long.
-        auto bite = in.substr(taken, m.head_done ? in.npos
-                                                 : m.most_head + 1 - std::min(m.raw, m.most_head));
-        auto n = http_parser_execute(&m.parser, &Parts::calls(), bite.data(), bite.size());
-        taken += n, m.raw += n;
-        auto error = static_cast<enum http_errno>(m.parser.http_errno);
-        if (m.state == State::whole && m.side == MessageKind::response &&
-            m.parser.status_code < 200) {
-            m.begin();
-            continue;
-        }
-        if (m.state == State::whole)
-            break;
-        if (error != HPE_OK)
-            m.bad(http_errno_description(error));
-        else if (!m.head_done && m.raw > m.most_head)
-            m.bad("the head is too long", 431);
-        else if (m.raw >
-                 m.most_head + 8 * m.most_body) // tiny chunks, endless extensions or trailers
-            m.bad("the body is wrapped in too much", 413);
-        else if (n == 0)
-            m.bad("cannot be read");
-    }
-    return taken;
+std::size_t Decoder::take(std::string_view bytes) {
+    return message_->take(bytes);
 }
+
 void Decoder::finish() {
-    Parts &m = *parts_;
-    if (m.state != State::head && m.state != State::body)
+    Message &message = *message_;
+    if (message.state != State::head && message.state != State::body)
         return;
-    http_parser_execute(&m.parser, &Parts::calls(), nullptr, 0);
-    if (m.state != State::whole)
-        m.bad("it ended in the middle");
+    http_parser_execute(&message.parser, &Message::callbacks(), nullptr, 0);
+    if (message.state != State::whole)
+        message.fail("it ended in the middle");
 }
+
 void Decoder::next() {
-    parts_->begin();
+    message_->start();
 }
+
 State Decoder::state() const {
-    return parts_->state;
+    return message_->state;
 }
+
 const char *Decoder::fault() const {
-    return parts_->fault;
+    return message_->fault;
 }
+
 unsigned Decoder::fault_status() const {
-    return parts_->fault_status;
+    return message_->fault_status;
 }
+
 std::string_view Decoder::method() const {
-    return http_method_str(static_cast<enum http_method>(parts_->parser.method));
+    return http_method_str(static_cast<enum http_method>(message_->parser.method));
 }
+
 const std::string &Decoder::target() const {
-    return parts_->target;
+    return message_->target;
 }
+
 unsigned Decoder::status() const {
-    return parts_->parser.status_code;
+    return message_->parser.status_code;
 }
+
 bool Decoder::keeps_open() const {
-    return parts_->keeps_open;
+    return message_->keeps_open;
 }
+
 std::optional<std::string_view> Decoder::header(std::string_view name) const {
-    if (parts_->counted(name) != 1)
+    if (message_->count(name) != 1)
         return std::nullopt;
-    return parts_->value(name);
+    return message_->value(name);
 }
+
 std::size_t Decoder::count(std::string_view name) const {
-    return parts_->counted(name);
+    return message_->count(name);
 }
+
 const std::string &Decoder::body() const {
-    return parts_->body;
+    return message_->body;
 }
+
 std::string Decoder::take_body() {
-    parts_->raw = 0;
-    return std::exchange(parts_->body, {});
+    message_->raw_bytes = 0;
+    return std::exchange(message_->body, {});
 }
 
 std::optional<double> number(std::string_view text) {
-    if (text.empty() || text.size() > 32 || text.find_first_not_of("0123456789.-") != text.npos)
+    constexpr std::size_t max_size = 32;
+    if (text.empty() || text.size() > max_size ||
+        text.find_first_not_of("0123456789.-") != std::string_view::npos)
         return std::nullopt;
-    double v = 0;
-    auto [end, ec] =
-        std::from_chars(text.data(), text.data() + text.size(), v, std::chars_format::fixed);
-    if (ec != std::errc() || end != text.data() + text.size() || !std::isfinite(v))
+    const char *text_end = text.data() + text.size();
+    double value = 0;
+    auto [end, error] = std::from_chars(text.data(), text_end, value, std::chars_format::fixed);
+    if (error != std::errc() || end != text_end || !std::isfinite(value))
         return std::nullopt;
-    return v;
+    return value;
 }
+
 std::optional<std::uint64_t> hex16(std::string_view text) {
-    std::uint64_t v = 0;
-    auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), v, 16);
-    if (text.size() != 16 || ec != std::errc() || end != text.data() + text.size())
+    constexpr std::size_t digits = 16;
+    constexpr int hexadecimal = 16;
+    const char *text_end = text.data() + text.size();
+    std::uint64_t value = 0;
+    auto [end, error] = std::from_chars(text.data(), text_end, value, hexadecimal);
+    if (text.size() != digits || error != std::errc() || end != text_end)
         return std::nullopt;
-    return v;
+    return value;
 }
-bool alike(std::string_view a, std::string_view b) {
-    auto low = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
+
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
+    auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; };
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                      [&](char x, char y) { return low(x) == low(y); });
+                      [&](char x, char y) { return lower(x) == lower(y); });
 }
 
 } // namespace knotvane::http
