--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -80,11 +80,15 @@
 package_tests(
   http_gateway
   SOURCES
+    tests/http_gateway/config_test.cpp
     tests/http_gateway/core_test.cpp
     tests/http_gateway/connection_races_test.cpp
     tests/http_gateway/discovery_test.cpp
+    tests/http_gateway/graceful_shutdown_test.cpp
+    tests/http_gateway/json_stream_test.cpp
     tests/http_gateway/loopback_test.cpp
     tests/http_gateway/server_test.cpp
+    tests/http_gateway/trace_test.cpp
   LIBS knotvane_http_gateway_server)
 package_tests(
   store
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -13,25 +13,26 @@
         return 0;
     std::size_t piece = 1 + data[0];
     std::string_view in(reinterpret_cast<const char *>(data + 2), size - 2);
-    TestGateway f;
-    auto from = data[1] % 3 == 0 ? *f.core.client_connected(f.now) : ConnectionId{};
-    auto asked = f.client(read_of("good"));
+    TestGateway gateway;
+    auto from = data[1] % 3 == 0 ? *gateway.core.client_connected(gateway.now) : ConnectionId{};
+    auto asked = gateway.client(read_of("good"));
     if (data[1] % 3 == 1)
-        from = f.node();
+        from = gateway.node();
     if (data[1] % 3 == 2)
-        f.core.connected(f.now, from = f.w.to("d1"));
-    for (std::size_t at = 0; at < in.size() && !f.w.closed.contains(from); at += piece) {
-        f.core.received(f.now, from, in.substr(at, piece));
-        f.settle(ms);
+        gateway.core.connected(gateway.now, from = gateway.transport.to("d1"));
+    for (std::size_t at = 0; at < in.size() && !gateway.transport.closed.contains(from);
+         at += piece) {
+        gateway.core.received(gateway.now, from, in.substr(at, piece));
+        gateway.settle(ms);
     }
-    f.settle(5 * sec);
-    f.settle(5 * sec);
-    auto &got = f.w.sent[asked];
+    gateway.settle(5 * sec);
+    gateway.settle(5 * sec);
+    auto &got = gateway.transport.sent[asked];
     if (got.find("HTTP/1.1", 8) != got.npos)
         std::abort(); // one answer
-    if (f.core.request_count() != 0 || f.core.pool().attempts_in_flight() != 0)
+    if (gateway.core.request_count() != 0 || gateway.core.pool().attempts_in_flight() != 0)
         std::abort(); // nothing held past its time
-    for (auto &[conn, n] : f.w.sent)
+    for (auto &[conn, n] : gateway.transport.sent)
         if (n.size() > (1 << 20))
             std::abort();
     return 0;
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -118,20 +118,20 @@
 
 // A front with one node at n1 that holds shard 5, driven by hand; the decisions are the real ones.
 struct TestGateway {
-    RecordingTransport w;
+    RecordingTransport transport;
     Time now = 1000 * sec;
     Core core;
     // `more`: lines of settings, which count over the usual ones.
     explicit TestGateway(const std::string &more = "", const std::string &usual = settings_text())
         : core(
-              w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
+              transport, [](SchedulerActions &a) { return make_scheduler(a, 7); },
               core_config(usual + more, 1)) {
         core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
-        if (w.to("d1").value == 0)
+        if (transport.to("d1").value == 0)
             settle(
                 sec); // where lists are asked for, the first call comes by chance within a second
-        core.connected(now, w.to("d1"));
-        core.received(now, w.to("d1"), watch_head + chunk("\n"));
+        core.connected(now, transport.to("d1"));
+        core.received(now, transport.to("d1"), watch_head + chunk("\n"));
         for (int i = 0; i < 3; ++i) { // past the time in which a new scheduler spares cold nodes
             settle(sec);
             blank();
@@ -143,13 +143,15 @@
         return size + s + "\r\n";
     }
     // The watch lives: a blank line comes each 2 s.
-    void blank() { core.received(now, w.to("d1"), chunk("\n")); }
-    void list(const std::string &json) { core.received(now, w.to("d1"), chunk(json + "\n")); }
+    void blank() { core.received(now, transport.to("d1"), chunk("\n")); }
+    void list(const std::string &json) {
+        core.received(now, transport.to("d1"), chunk(json + "\n"));
+    }
     // Writes what was sent, as the shell does at a moment's end.
     void settle(Time later = 0) {
         now += later;
         core.settle(now);
-        for (auto &[c, n] : std::exchange(w.unwritten, {}))
+        for (auto &[c, n] : std::exchange(transport.unwritten, {}))
             core.sent(now, c, n);
         core.settle(now);
     }
@@ -165,7 +167,7 @@
     }
     // The connection to the node, up.
     ConnectionId node(Time later = 0) {
-        auto c = up_last = w.to("n1");
+        auto c = up_last = transport.to("n1");
         now += later;
         core.connected(now, c);
         settle();
@@ -174,9 +176,9 @@
     // Answers the attempt that is out, wherever it is: a connection that has just answered is not
     // used for a moment.
     void serve(const std::string &body, Time later = 5 * ms) {
-        if (auto made = w.to("n1"); made != up_last)
+        if (auto made = transport.to("n1"); made != up_last)
             core.connected(now, up_last = made), settle();
-        answer(w.asked, reply(200, body), later);
+        answer(transport.asked, reply(200, body), later);
     }
     ConnectionId up_last{};
     void answer(ConnectionId node, const std::string &bytes, Time later = 5 * ms) {
--- a/tests/http_gateway/loopback_test.cpp
+++ b/tests/http_gateway/loopback_test.cpp
@@ -27,68 +27,68 @@
     // Exits over unread bytes reset the connection; a request that is read after our end and sent
     // on is lost.
     TEST_CASE("a request on a resting connection that crosses its end: not reset, not sent on") {
-        LoopbackGateway r(brief);
-        auto rests = r.client("GET /healthz HTTP/1.1\r\n\r\n");
+        LoopbackGateway gateway(brief);
+        auto rests = gateway.client("GET /healthz HTTP/1.1\r\n\r\n");
         rests.until("\r\n\r\n");
-        r.stop();
+        gateway.stop();
         std::string got;
         CHECK(rests.end(got) == End::ended);
         CHECK(got.empty());
         rests.send(read_of("t1"));
-        CHECK(!r.node.comes(100));
+        CHECK(!gateway.node.comes(100));
         rests.send("x"); // a reset would show here
         CHECK(rests.end(20) != End::broken);
         rests.close();
-        CHECK(r.stops());
+        CHECK(gateway.stops());
     }
     TEST_CASE("stopped twice and reloaded meanwhile, a request in pieces around it and a node that "
               "hangs: all answered") {
-        LoopbackGateway r(brief);
+        LoopbackGateway gateway(brief);
         auto request = read_of("t1", "", "0.300");
-        auto c = r.client(request.substr(0, 50)), hung = r.client();
-        r.stop(), r.reload(), r.stop();
+        auto client = gateway.client(request.substr(0, 50)), hung = gateway.client();
+        gateway.stop(), gateway.reload(), gateway.stop();
         ::usleep(50'000);
-        c.send(request.substr(50));
-        auto n = r.node.accept();
-        n.until("\r\n\r\n");
-        n.send(reply(200, "one"));
-        CHECK(c.until("one").starts_with("HTTP/1.1 200 "));
+        client.send(request.substr(50));
+        auto node = gateway.node.accept();
+        node.until("\r\n\r\n");
+        node.send(reply(200, "one"));
+        CHECK(client.until("one").starts_with("HTTP/1.1 200 "));
         hung.send(read_of("t2", "", "0.300"));
         CHECK(hung.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
-        CHECK(r.stops());
+        CHECK(gateway.stops());
     }
     TEST_CASE("an answer half sent to a slow client when it stops arrives whole") {
-        LoopbackGateway r(brief);
-        auto c = r.client(read_of("t1"));
-        auto n = r.node.accept();
-        n.until("\r\n\r\n");
+        LoopbackGateway gateway(brief);
+        auto client = gateway.client(read_of("t1"));
+        auto node = gateway.node.accept();
+        node.until("\r\n\r\n");
         const std::string body(1'000'000, 'b');
-        n.send(reply(200, body));
+        node.send(reply(200, body));
         ::usleep(50'000);
-        r.stop();
+        gateway.stop();
         ::usleep(200'000);
         std::string got;
-        CHECK(c.end(got) == End::ended);
+        CHECK(client.end(got) == End::ended);
         CHECK(got.ends_with(body));
-        CHECK(r.stops());
+        CHECK(gateway.stops());
     }
     TEST_CASE("killed just after it accepted, started again at once on its address: who comes "
               "again is served") {
         std::string address;
         Peer crossed;
         {
-            LoopbackGateway r;
-            address = r.server->address();
-            crossed = r.client(read_of("t1"));
-            r.end();
+            LoopbackGateway gateway;
+            address = gateway.server->address();
+            crossed = gateway.client(read_of("t1"));
+            gateway.end();
         }
         CHECK(crossed.end() != End::none);
         LoopbackGateway again("", address);
-        auto c = again.client(read_of("t1")); // the same id: this process has not seen it
-        auto n = again.node.accept();
-        n.until("\r\n\r\n");
-        n.send(reply(200, "one"));
-        CHECK(c.until("one").starts_with("HTTP/1.1 200 "));
+        auto client = again.client(read_of("t1")); // the same id: this process has not seen it
+        auto node = again.node.accept();
+        node.until("\r\n\r\n");
+        node.send(reply(200, "one"));
+        CHECK(client.until("one").starts_with("HTTP/1.1 200 "));
     }
 }
 
@@ -96,28 +96,29 @@
     // A close over what a bad client still sends would reset the connection and take the error
     // along.
     TEST_CASE("a client that sends on behind its mistake reads its error whole") {
-        LoopbackGateway r;
-        auto c = r.client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n" + std::string(300'000, 'x'));
+        LoopbackGateway gateway;
+        auto client =
+            gateway.client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n" + std::string(300'000, 'x'));
         ::usleep(100'000);
-        c.send(std::string(100'000, 'y'));
+        client.send(std::string(100'000, 'y'));
         std::string got;
-        c.shut();
-        CHECK(c.end(got) == End::ended);
+        client.shut();
+        CHECK(client.end(got) == End::ended);
         CHECK(got.starts_with("HTTP/1.1 404 "));
         CHECK(got.ends_with("the path names no class\n"));
     }
     TEST_CASE("a node's answer without a length: its end makes it whole, a reset does not") {
         for (bool resets : {false, true}) {
-            LoopbackGateway r;
-            auto c = r.client(write_of("t1", "x"));
-            auto n = r.node.accept();
-            n.until("x");
-            n.send("HTTP/1.1 200 OK\r\n\r\nhalf ");
+            LoopbackGateway gateway;
+            auto client = gateway.client(write_of("t1", "x"));
+            auto node = gateway.node.accept();
+            node.until("x");
+            node.send("HTTP/1.1 200 OK\r\n\r\nhalf ");
             ::usleep(30'000); // read before the reset, which takes along what was not
-            n.send("and half");
+            node.send("and half");
             ::usleep(30'000);
-            resets ? n.reset() : n.close();
-            auto got = c.until(resets ? "\r\n\r\n" : "and half", 2500);
+            resets ? node.reset() : node.close();
+            auto got = client.until(resets ? "\r\n\r\n" : "and half", 2500);
             if (resets)
                 CHECK(got.find("half") == got.npos);
             else
@@ -126,79 +127,79 @@
     }
     TEST_CASE("a client that leaves while its attempt is out: the node's connection ends, nothing "
               "more is sent") {
-        LoopbackGateway r;
-        auto c = r.client(read_of("t1"));
-        auto n = r.node.accept();
-        n.until("\r\n\r\n");
-        c.close();
-        CHECK(n.end() != End::none);
-        CHECK(!r.node.comes(300));
+        LoopbackGateway gateway;
+        auto client = gateway.client(read_of("t1"));
+        auto node = gateway.node.accept();
+        node.until("\r\n\r\n");
+        client.close();
+        CHECK(node.end() != End::none);
+        CHECK(!gateway.node.comes(300));
     }
     TEST_CASE("a client that sends far ahead and leaves: its leaving shows, and nothing of it is "
               "sent on") {
-        LoopbackGateway r;
+        LoopbackGateway gateway;
         std::string ahead;
         for (int i = 0; i < 400; ++i)
             ahead += read_of("a" + std::to_string(i));
-        auto c = r.client(ahead);
-        auto n = r.node.accept();
-        n.until("\r\n\r\n");
+        auto client = gateway.client(ahead);
+        auto node = gateway.node.accept();
+        node.until("\r\n\r\n");
         ::usleep(50'000);
-        c.close();
+        client.close();
         std::string got;
-        CHECK(n.end(got) != End::none);
+        CHECK(node.end(got) != End::none);
         CHECK(got.empty());
-        CHECK(!r.node.comes(300));
+        CHECK(!gateway.node.comes(300));
     }
 }
 
 TEST_SUITE("discovery on sockets") {
     TEST_CASE("a watch that is reset is open again at once, and what changed meanwhile keeps "
               "attempts away") {
-        LoopbackGateway r;
-        auto c = r.client(read_of("t1"));
-        auto n = r.node.accept();
-        n.until("\r\n\r\n");
-        n.send(reply(200, "one"));
-        c.until("one");
-        r.watch.reset();
-        auto again = r.discovery.accept(500);
+        LoopbackGateway gateway;
+        auto client = gateway.client(read_of("t1"));
+        auto node = gateway.node.accept();
+        node.until("\r\n\r\n");
+        node.send(reply(200, "one"));
+        client.until("one");
+        gateway.watch.reset();
+        auto again = gateway.discovery.accept(500);
         CHECK(again.until("\r\n\r\n").find("index=41 ") != std::string::npos);
         again.send(
             watch_head +
             TestGateway::chunk(
-                list_of(42, node_entry("s1", r.node.address(), 5, "leaving"), false) + "\n"));
-        CHECK(n.end(500) != End::none); // resting connections to a node that drains end
-        c.send(read_of("t2"));
-        CHECK(!r.node.comes(200));
-        CHECK(c.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
+                list_of(42, node_entry("s1", gateway.node.address(), 5, "leaving"), false) + "\n"));
+        CHECK(node.end(500) != End::none); // resting connections to a node that drains end
+        client.send(read_of("t2"));
+        CHECK(!gateway.node.comes(200));
+        CHECK(client.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
     }
     TEST_CASE("reloaded with a file that has a fault nothing changes; with a good one the watch "
               "moves, twice in a row too") {
-        LoopbackGateway r;
+        LoopbackGateway gateway;
         auto second = Peer::listens(), third = Peer::listens();
-        std::ofstream(r.path) << "{\"name\":";
-        r.reload();
+        std::ofstream(gateway.path) << "{\"name\":";
+        gateway.reload();
         CHECK(!second.comes(100));
-        r.write(second.address());
-        r.reload();
-        r.reload();
+        gateway.write(second.address());
+        gateway.reload();
+        gateway.reload();
         auto w2 = second.accept();
         w2.until("\r\n\r\n");
-        r.write(third.address());
-        r.reload();
+        gateway.write(third.address());
+        gateway.reload();
         auto w3 = third.accept();
         CHECK(w2.end() != End::none);
-        CHECK(r.watch.end(50) == End::none); // it tells until the new one speaks
+        CHECK(gateway.watch.end(50) == End::none); // it tells until the new one speaks
         w3.until("\r\n\r\n");
         w3.send(watch_head + TestGateway::chunk(list_of(42, "", false) + "\n"));
-        CHECK(r.watch.end() != End::none);
+        CHECK(gateway.watch.end() != End::none);
     }
     // Nothing may spin on a descriptor that it can't have, and all is back with the first free
     // ones.
     TEST_CASE("every descriptor used up x accept, the watch's reset, an attempt's connect") {
-        LoopbackGateway r;
-        auto client = r.client("GET /healthz HTTP/1.1\r\n\r\n"), late = Peer::unconnected();
+        LoopbackGateway gateway;
+        auto client = gateway.client("GET /healthz HTTP/1.1\r\n\r\n"), late = Peer::unconnected();
         client.until("\r\n\r\n");
         rlimit was{};
         getrlimit(RLIMIT_NOFILE, &was);
@@ -211,12 +212,12 @@
         };
         fill();
         double cpu = cpu_seconds();
-        late.connect(r.server->address());
+        late.connect(gateway.server->address());
         CHECK(late.end() != End::none); // no descriptor for it: closed, not left to wait
         client.send(
             read_of("t1")); // nor for a connection to the node: turned away, with when to come back
         CHECK(client.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
-        r.watch.reset();
+        gateway.watch.reset();
         for (int i = 0; i < 10; ++i)
             fill(), ::usleep(30'000);
         cpu = cpu_seconds() - cpu;
@@ -224,12 +225,12 @@
             ::close(fd);
         setrlimit(RLIMIT_NOFILE, &was);
         CHECK(cpu < 0.3);
-        auto again = r.discovery.accept(1000);
+        auto again = gateway.discovery.accept(1000);
         CHECK(again.until("\r\n\r\n").starts_with("GET /v1/servers"));
-        auto c = r.client(read_of("t2"));
-        auto n = r.node.accept();
-        n.until("\r\n\r\n");
-        n.send(reply(200, "two"));
-        CHECK(c.until("two").ends_with("two"));
+        auto next_client = gateway.client(read_of("t2"));
+        auto node = gateway.node.accept();
+        node.until("\r\n\r\n");
+        node.send(reply(200, "two"));
+        CHECK(next_client.until("two").ends_with("two"));
     }
 }
