--- a/src/scheduling/budget_feedback.cpp
+++ b/src/scheduling/budget_feedback.cpp
@@ -15,6 +15,7 @@
         samples_.add({units / seconds(duration), exhausted});
 }
 
+// The filter's weights, 7/8 and 1/8, are the paper's.
 double ServiceRateEstimator::rate() const {
     double filtered = 0;
     for (const auto &[rate, exhausted] : samples_) {
@@ -30,6 +31,7 @@
     return std::max(largest_request, seconds(service_slice) * rate);
 }
 
+// The factors are the paper's.
 double next_budget(ServiceEnd end, bool attempts_in_flight, double budget, double maximum) {
     if (end == ServiceEnd::exhausted)
         return budget * 4;
--- a/src/scheduling/latency_estimate.hpp
+++ b/src/scheduling/latency_estimate.hpp
@@ -61,7 +61,8 @@
     /// and past the pauses of disks.
     Time response_timeout() const {
         constexpr Time longest_disk_pause = 500 * ms;
-        return std::max(longest_disk_pause, 3 * durations_.maximum());
+        constexpr Time slowest_answers = 3;
+        return std::max(longest_disk_pause, slowest_answers * durations_.maximum());
     }
 
 private:
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -100,8 +100,7 @@
     request.admission_lot =
         static_cast<double>(random_()) / static_cast<double>(RandomGenerator::max());
 
-    // Two steps early, so that the answer leaves with a batch that comes before the client is gone.
-    request.answer_deadline = info.client_timeout - 2 * config_.time_step;
+    request.answer_deadline = info.client_timeout - delivery_margin();
     request.latency_deadline =
         std::min(now + workloads_[request.workload].latency_objective, request.answer_deadline);
     repeat_detector_.recognize(request, config_.clients_mark_repeats);
@@ -334,7 +333,12 @@
 }
 
 RepeatTarget RequestScheduler::repeat_target(const NodeRecord &node, Time now) const {
-    return {node.location, now, 2 * config_.time_step};
+    return {node.location, now, delivery_margin()};
+}
+
+// Two steps: an action leaves with its step's batch, and that batch may arrive a step later.
+Time RequestScheduler::delivery_margin() const {
+    return 2 * config_.time_step;
 }
 
 // Its connection may have come up late: the client left, the node drains, or the window in which
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -96,6 +96,7 @@
     QueueRank rank(const Request &request);
     double relative_value(const NodeRecord &node);
     RepeatTarget repeat_target(const NodeRecord &node, Time now) const;
+    Time delivery_margin() const;
 
     void requeue_elsewhere(const NodeRecord &node);
     void watch_endpoints(Time now);
