--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -16,6 +16,7 @@
 package_tests(
   scheduling
   SOURCES
+    tests/scheduling/attempt_outcome_test.cpp
     tests/scheduling/budget_feedback_test.cpp
     tests/scheduling/concurrency_window_test.cpp
     tests/scheduling/early_disconnects_test.cpp
@@ -25,6 +26,7 @@
     tests/scheduling/latency_estimate_test.cpp
     tests/scheduling/load_shedding_test.cpp
     tests/scheduling/node_health_test.cpp
+    tests/scheduling/node_table_test.cpp
     tests/scheduling/overload_hold_test.cpp
     tests/scheduling/placement_test.cpp
     tests/scheduling/plan_table_test.cpp
@@ -170,10 +172,14 @@
 package_tests(
   edge
   SOURCES
-    tests/edge/core_test.cpp
+    tests/edge/core_snapshots_test.cpp
+    tests/edge/endpoint_file_test.cpp
+    tests/edge/layout_test.cpp
+    tests/edge/node_connections_test.cpp
     tests/edge/planner_client_test.cpp
+    tests/edge/settings_test.cpp
     tests/edge/snapshot_participant_test.cpp
-    tests/edge/core_snapshots_test.cpp
+    tests/edge/unflushed_writes_test.cpp
   LIBS knotvane_edge_settings knotvane_load)
 package_tests(
   rules
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -43,8 +43,8 @@
 
 void Server::connect_planner(const Settings &settings) {
     planner_ = std::make_unique<loop::Dialled>(loop_, settings.planner_address);
-    registration_ = std::make_unique<Registration>(
-        Registration::Line{
+    registration_ = std::make_unique<PlannerRegistration>(
+        PlannerRegistration::Actions{
             [this] { planner_->dial(); }, [this] { planner_->hang_up(); },
             [this](std::string bytes) { planner_->send(std::move(bytes)); },
             [this](std::string text) { log_event(std::move(text)); },
@@ -60,9 +60,9 @@
             },
             [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
         id_, shard_, settings.zone, address_, settings.random_seed + id_.value, heartbeat_interval);
-    planner_->on_up = [this] { registration_->up(loop::now()); };
-    planner_->on_down = [this] { registration_->down(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) { registration_->bytes(loop::now(), in); };
+    planner_->on_up = [this] { registration_->connected(loop::now()); };
+    planner_->on_down = [this] { registration_->disconnected(loop::now()); };
+    planner_->on_bytes = [this](std::string_view in) { registration_->received(loop::now(), in); };
     start_registration();
 }
 
