--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -1,4 +1,4 @@
-// What a front's trace tells.
+// What an HTTP gateway's trace shows.
 #include "cli/commands.hpp"
 
 #include <cstdio>
--- a/tests/fuzz/run_http_fixed.cpp
+++ b/tests/fuzz/run_http_fixed.cpp
@@ -1,5 +1,5 @@
-// Runs the front's fuzz target over a fixed, seeded set: good messages with bytes changed, cut and
-// repeated.
+// Runs the HTTP gateway's fuzz target over a fixed, seeded set: good messages with bytes changed,
+// cut and repeated.
 #include <cstdint>
 #include <cstdio>
 #include <random>
--- a/tests/http_gateway/connection_races_test.cpp
+++ b/tests/http_gateway/connection_races_test.cpp
@@ -1,6 +1,6 @@
-// Where two events cross, forced by hand on the core: clients, attempts and connections. Each case
-// guards against the fault that its comment names. What needs real sockets is in loopback_test.cpp,
-// discovery's in discovery_test.cpp.
+// Races of two events on clients' and nodes' connections, made by hand on the core. Each case
+// guards against the failure that its comment names. What needs real sockets is in
+// loopback_test.cpp, discovery's races are in discovery_test.cpp.
 #include <doctest/doctest.h>
 
 #include "helpers.hpp"
@@ -91,9 +91,9 @@
         CHECK(count_of(gateway.transport.sent[node], "t1") == 1);
         CHECK(gateway.transport.to("n1") == node);
         TestGateway other_gateway;
-        std::vector<ConnectionId> clients;
-        for (int i = 0; i < 12; ++i)
-            clients.push_back(other_gateway.client(read_of("w" + std::to_string(i))));
+        std::vector<ConnectionId> clients(12);
+        for (std::size_t i = 0; i < clients.size(); ++i)
+            clients[i] = other_gateway.client(read_of("w" + std::to_string(i)));
         auto before = other_gateway.transport.connected.size();
         for (auto waiting : clients)
             other_gateway.core.disconnected(other_gateway.now, waiting, CloseReason::end_of_stream);
@@ -153,70 +153,92 @@
                 CHECK(gateway.transport.sent[client].starts_with("HTTP/1.1 502 "));
         }
     }
+    struct Effect {
+        std::string idempotency;
+        std::string group;
+    };
+
+    // Ends the attempt in flight in the way that `outcome` names, `later` after its start.
+    void end_attempt(TestGateway & gateway, ConnectionId node, const std::string &outcome,
+                     Time later) {
+        auto &core = gateway.core;
+        if (outcome == "connect refused") {
+            gateway.settle(later);
+            core.connect_failed(gateway.now, node);
+            return;
+        }
+        core.connected(gateway.now, node);
+        if (outcome == "before its last byte") {
+            core.sent(gateway.now, node, 500);
+            gateway.transport.unwritten.clear();
+        }
+        gateway.settle(later);
+        if (outcome == "reset" || outcome == "before its last byte")
+            core.disconnected(gateway.now, node, CloseReason::reset);
+        else
+            core.received(gateway.now, node,
+                          reply(outcome == "500" ? 500 : 503, "",
+                                outcome == "never ran" ? "X-Never-Ran: 1\r\n" : ""));
+    }
+
+    // Connects a further attempt, if one was started, and returns how many were sent in all.
+    std::size_t attempts_sent(TestGateway & gateway, ConnectionId first) {
+        auto latest = gateway.transport.to("n1");
+        if (latest != first) {
+            gateway.core.connected(gateway.now, latest);
+            gateway.settle();
+        }
+        std::size_t attempts = count_of(gateway.transport.sent[first], "X-Trace-Id: t1\r\n");
+        if (latest != first)
+            attempts += count_of(gateway.transport.sent[latest], "X-Trace-Id: t1\r\n");
+        return attempts;
+    }
+
+    void check_further_attempts(const Effect &effect, const std::string &outcome, bool past) {
+        CAPTURE(effect.idempotency + " " + effect.group + ", " + outcome +
+                (past ? ", past" : ", inside"));
+        TestGateway gateway("Classes.1.Effect=" + effect.idempotency +
+                            "\nClasses.1.Group=" + effect.group +
+                            "\nClasses.1.RepeatWindowS=0.2\nClasses.1.TargetS=0.8\n");
+        auto client = gateway.client(write_of("t1", std::string(1000, 'x')));
+        auto node = gateway.transport.to("n1");
+        end_attempt(gateway, node, outcome, past ? 210 * ms : 5 * ms);
+        gateway.settle();
+        gateway.settle(60 * ms); // a full node is held for a moment
+        std::size_t attempts = attempts_sent(gateway, node);
+
+        bool never_executed = outcome == "never ran" || outcome == "before its last byte" ||
+                              outcome == "connect refused";
+        std::size_t first_attempts = outcome == "connect refused" ? 0 : 1;
+        bool may_retry = never_executed || effect.idempotency == "idempotent" ||
+                         (effect.idempotency == "deduplicated" && !past);
+        CHECK(attempts <= first_attempts + may_retry);
+        if (!may_retry)
+            CHECK(attempts == first_attempts);
+        gateway.settle(2 * sec);
+
+        // A rejection says that trying again is harmless.
+        bool harmless =
+            attempts == 0 || effect.idempotency == "idempotent" || effect.group == "all";
+        if (effect.idempotency == "at_most_once")
+            harmless = never_executed && attempts == first_attempts;
+        if (!harmless)
+            CHECK(!has(gateway.transport.sent[client], "HTTP/1.1 503 "));
+        CHECK(gateway.core.request_count() == 0);
+    }
+
     TEST_CASE("every effect and group, every outcome, inside and past the window: a further "
               "attempt only where harmless") {
-        struct {
-            std::string effect, group;
-        } effects[] = {{"idempotent", "all"},
-                       {"deduplicated", "all"},
-                       {"deduplicated", "zone"},
-                       {"deduplicated", "cell"},
-                       {"at_most_once", "all"}};
-        for (auto &e : effects)
-            for (std::string outcome :
+        const Effect effects[] = {{"idempotent", "all"},
+                                  {"deduplicated", "all"},
+                                  {"deduplicated", "zone"},
+                                  {"deduplicated", "cell"},
+                                  {"at_most_once", "all"}};
+        for (const auto &effect : effects)
+            for (const char *outcome :
                  {"500", "503", "never ran", "reset", "before its last byte", "connect refused"})
-                for (bool past : {false, true}) {
-                    CAPTURE(e.effect + " " + e.group + ", " + outcome +
-                            (past ? ", past" : ", inside"));
-                    TestGateway gateway("Classes.1.Effect=" + e.effect +
-                                        "\nClasses.1.Group=" + e.group +
-                                        "\nClasses.1.RepeatWindowS=0.2\nClasses.1.TargetS=0.8\n");
-                    auto client = gateway.client(write_of("t1", std::string(1000, 'x')));
-                    auto node = gateway.transport.to("n1");
-                    if (outcome == "connect refused") {
-                        gateway.settle(past ? 210 * ms : 5 * ms);
-                        gateway.core.connect_failed(gateway.now, node);
-                    } else {
-                        gateway.core.connected(gateway.now, node);
-                        if (outcome == "before its last byte")
-                            gateway.core.sent(gateway.now, node, 500),
-                                gateway.transport.unwritten.clear();
-                        gateway.settle(past ? 210 * ms : 5 * ms);
-                        if (outcome == "reset" || outcome == "before its last byte")
-                            gateway.core.disconnected(gateway.now, node, CloseReason::reset);
-                        else
-                            gateway.core.received(
-                                gateway.now, node,
-                                reply(outcome == "500" ? 500 : 503, "",
-                                      outcome == "never ran" ? "X-Never-Ran: 1\r\n" : ""));
-                    }
-                    gateway.settle();
-                    gateway.settle(60 * ms); // a full node is held for a moment
-                    if (gateway.transport.to("n1") != node)
-                        gateway.core.connected(gateway.now, gateway.transport.to("n1")),
-                            gateway.settle();
-                    std::size_t attempts =
-                        count_of(gateway.transport.sent[node], "X-Trace-Id: t1\r\n");
-                    if (gateway.transport.to("n1") != node)
-                        attempts += count_of(gateway.transport.sent[gateway.transport.to("n1")],
-                                             "X-Trace-Id: t1\r\n");
-                    bool never = outcome == "never ran" || outcome == "before its last byte" ||
-                                 outcome == "connect refused";
-                    std::size_t made = outcome == "connect refused" ? 0 : 1;
-                    bool again =
-                        never || e.effect == "idempotent" || (e.effect == "deduplicated" && !past);
-                    CHECK(attempts <= made + again);
-                    if (!again)
-                        CHECK(attempts == made);
-                    gateway.settle(2 * sec);
-                    // A refusal says that trying again is harmless.
-                    bool harmless = attempts == 0 || e.effect == "idempotent" || e.group == "all";
-                    if (e.effect == "at_most_once")
-                        harmless = never && attempts == made;
-                    if (!harmless)
-                        CHECK(!has(gateway.transport.sent[client], "HTTP/1.1 503 "));
-                    CHECK(gateway.core.request_count() == 0);
-                }
+                for (bool past : {false, true})
+                    check_further_attempts(effect, outcome, past);
     }
 }
 
--- a/tests/http_gateway/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -288,7 +288,7 @@
             gateway.serve("x", 100 * us);
         CHECK(gateway.transport.closed.contains(client));
         for (auto &[conn, sent] : gateway.transport.sent) {
-            if (!gateway.transport.at(conn).starts_with('n'))
+            if (!gateway.transport.address_of(conn).starts_with('n'))
                 continue;
             CHECK(!has(sent, "X-Trace-Id: late"));
             CHECK(!has(sent, "X-Trace-Id: cut"));
@@ -309,12 +309,12 @@
     TEST_CASE("past its bound an idle connection goes before one that just came, whose request may "
               "wait unread") {
         TestGateway gateway;
-        std::vector<ConnectionId> idle;
-        for (int i = 0; i < 140; ++i)
-            idle.push_back(gateway.client("GET /healthz HTTP/1.1\r\n\r\n"));
-        std::vector<ConnectionId> fresh;
-        for (int i = 0; i < 60; ++i)
-            fresh.push_back(*gateway.core.client_connected(gateway.now += us));
+        std::vector<ConnectionId> idle(140);
+        for (auto &client : idle)
+            client = gateway.client("GET /healthz HTTP/1.1\r\n\r\n");
+        std::vector<ConnectionId> fresh(60);
+        for (auto &client : fresh)
+            client = *gateway.core.client_connected(gateway.now += us);
         for (auto client : fresh)
             CHECK(!gateway.transport.closed.contains(client));
         CHECK(gateway.transport.closed.contains(idle.front()));
@@ -323,9 +323,9 @@
         "past its bound of connections the silent go first; one with an open request never does") {
         TestGateway gateway;
         auto asks = gateway.client(read_of("t1"));
-        std::vector<ConnectionId> silent;
-        for (int i = 0; i < 400; ++i)
-            silent.push_back(*gateway.core.client_connected(gateway.now += us));
+        std::vector<ConnectionId> silent(400);
+        for (auto &client : silent)
+            client = *gateway.core.client_connected(gateway.now += us);
         auto late = gateway.client(read_of("t2"));
         CHECK(gateway.core.clients().open_count() < 200);
         CHECK(!gateway.transport.closed.contains(asks));
@@ -480,9 +480,9 @@
     other_gateway.answer(other_gateway.node(), reply(200, "one"),
                          200 * ms); // in time until its deadline
     CHECK(other_gateway.transport.sent[client].ends_with("one"));
-    std::vector<ConnectionId> wait;
-    for (int i = 0; i < 8; ++i)
-        wait.push_back(other_gateway.client(read_of("w" + std::to_string(i))));
+    std::vector<ConnectionId> wait(8);
+    for (std::size_t i = 0; i < wait.size(); ++i)
+        wait[i] = other_gateway.client(read_of("w" + std::to_string(i)));
     other_gateway.settle(20 * ms);
     CHECK(other_gateway.core.request_count() == wait.size()); // none is late yet
 }
--- a/tests/http_gateway/discovery_test.cpp
+++ b/tests/http_gateway/discovery_test.cpp
@@ -140,6 +140,26 @@
         }
         CHECK(gateway.now - since <= 3200 * ms);
     }
+    // Ends the call that was made last in the way that `how` names.
+    void fail_call(TestGateway & gateway, const std::string &how) {
+        auto call = gateway.transport.to("d1");
+        auto &core = gateway.core;
+        if (how == "refused")
+            return core.connect_failed(gateway.now, call);
+        core.connected(gateway.now, call);
+        if (how == "reset")
+            return core.disconnected(gateway.now, call, CloseReason::reset);
+        if (how == "ended")
+            return core.disconnected(gateway.now, call, CloseReason::end_of_stream);
+        std::string bytes;
+        if (how == "noise")
+            bytes = "\x01\x02\r\n\r\n";
+        else if (how == "endless")
+            bytes = watch_head + TestGateway::chunk("{\"a\":\"" + std::string(5 << 20, 'a'));
+        else
+            bytes = reply(std::stoi(how), "");
+        core.received(gateway.now, call, bytes);
+    }
     TEST_CASE(
         "reset, ended, refused, no 200, noise, endless: asked again at once, in time for a drain") {
         for (std::string how : {"reset", "ended", "refused", "429", "302", "noise", "endless"}) {
@@ -152,24 +172,7 @@
             for (int fails = 0; fails < 6; ++fails) {
                 auto waited = until_dialled(gateway, 10 * sec);
                 CHECK(waited <= 155 * ms);
-                auto again = gateway.transport.to("d1");
-                if (how == "refused") {
-                    gateway.core.connect_failed(gateway.now, again);
-                } else {
-                    gateway.core.connected(gateway.now, again);
-                    if (how == "reset" || how == "ended")
-                        gateway.core.disconnected(gateway.now, again,
-                                                  how == "ended" ? CloseReason::end_of_stream
-                                                                 : CloseReason::reset);
-                    else
-                        gateway.core.received(
-                            gateway.now, again,
-                            how == "noise" ? "\x01\x02\r\n\r\n"
-                            : how == "endless"
-                                ? watch_head +
-                                      TestGateway::chunk("{\"a\":\"" + std::string(5 << 20, 'a'))
-                                : reply(std::stoi(how), ""));
-                }
+                fail_call(gateway, how);
                 gateway.settle();
             }
             CHECK(gateway.now - since < sec);
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -1,5 +1,6 @@
-// What the front's tests share: a shell written down, requests and answers spelled out, a front set
-// up by hand, and one on loopback sockets between scripted peers.
+/// \file
+/// What the gateway's tests share: a transport that records, requests and responses as text, a
+/// gateway whose events are made by hand, and one on loopback sockets between scripted peers.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,39 +29,56 @@
 
 namespace knotvane::http_gateway {
 
-inline bool has(const std::string &s, const std::string &part) {
-    return s.find(part) != s.npos;
+inline bool has(const std::string &text, const std::string &part) {
+    return text.find(part) != std::string::npos;
 }
 
+/// A transport that records what it is asked for.
 struct RecordingTransport final : Transport {
     std::vector<std::pair<ConnectionId, std::string>> connected;
     std::map<ConnectionId, std::string> sent;
+    /// Bytes sent that the core wasn't told of as written.
     std::map<ConnectionId, std::size_t> unwritten;
-    std::set<ConnectionId> closed,
-        shutting; // closed: our side has ended, whether or not the other one may still be read
+    /// Our side has ended, whether or not the other one may still be read.
+    std::set<ConnectionId> closed;
+    /// Of these, those whose other side may still be read.
+    std::set<ConnectionId> shutting;
     std::vector<std::string> said;
-    void connect(ConnectionId c, const std::string &a) override { connected.push_back({c, a}); }
-    void send(ConnectionId c, std::string b) override {
-        unwritten[c] += b.size(), sent[c] += b;
-        if (at(c).starts_with('n'))
-            asked = c;
-    }
-    std::string at(ConnectionId c) const {
-        for (auto &[conn, address] : connected)
-            if (conn == c)
+    /// The connection to a node that was sent something last.
+    ConnectionId asked{};
+
+    void connect(ConnectionId id, const std::string &address) override {
+        connected.emplace_back(id, address);
+    }
+    void send(ConnectionId id, std::string bytes) override {
+        unwritten[id] += bytes.size();
+        sent[id] += bytes;
+        if (address_of(id).starts_with('n'))
+            asked = id;
+    }
+    void close(ConnectionId id) override {
+        closed.insert(id);
+        shutting.erase(id);
+    }
+    void finish_sending(ConnectionId id) override {
+        closed.insert(id);
+        shutting.insert(id);
+    }
+    void log_event(const std::string &text) override { said.push_back(text); }
+
+    /// Returns where a connection goes to; empty for a client's.
+    std::string address_of(ConnectionId id) const {
+        for (const auto &[connection, address] : connected)
+            if (connection == id)
                 return address;
         return "";
     }
-    ConnectionId asked{}; // the connection to a node that was sent something last
-    void close(ConnectionId c) override { closed.insert(c), shutting.erase(c); }
-    void finish_sending(ConnectionId c) override { closed.insert(c), shutting.insert(c); }
-    void log_event(const std::string &text) override { said.push_back(text); }
-    // The connection made last to an address; none: id 0.
-    ConnectionId to(const std::string &address) const {
+    /// Returns the connection made last to an address; id 0 for none.
+    ConnectionId to(const std::string &wanted) const {
         ConnectionId last{};
-        for (auto &[c, a] : connected)
-            if (a == address)
-                last = c;
+        for (const auto &[id, address] : connected)
+            if (address == wanted)
+                last = id;
         return last;
     }
 };
@@ -116,7 +134,8 @@
 
 inline const std::string watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// A front with one node at n1 that holds shard 5, driven by hand; the decisions are the real ones.
+/// A gateway with one node at n1 that holds shard 5, driven by hand; the decisions are the real
+/// ones.
 struct TestGateway {
     RecordingTransport transport;
     Time now = 1000 * sec;
@@ -216,7 +235,7 @@
         p.connect(address);
         return p;
     }
-    void connect(const std::string &address) {
+    void connect(const std::string &address) const {
         auto a = parse(address);
         int on = 1;
         if (::connect(fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0)
@@ -233,13 +252,13 @@
         pollfd p{fd_, POLLIN, 0};
         return ::poll(&p, 1, wait_ms) == 1;
     }
-    Peer accept(int wait_ms = 3000) {
+    Peer accept(int wait_ms = 3000) const {
         if (!comes(wait_ms))
             throw std::runtime_error("nobody came");
         return Peer(::accept(fd_, nullptr, nullptr));
     }
     // False where the other side has broken the connection.
-    bool send(std::string_view bytes) {
+    bool send(std::string_view bytes) const {
         while (!bytes.empty()) {
             auto n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
             if (n <= 0)
@@ -251,10 +270,10 @@
     // What came, up to and with `last`; less if nothing more comes for a while or the connection
     // ends.
     std::string until(const std::string &last, int wait_ms = 3000) {
-        while (got_.find(last) == got_.npos && read_some(wait_ms) == End::none && !idle_) {
+        while (got_.find(last) == std::string::npos && read_some(wait_ms) == End::none && !idle_) {
         }
         auto end = got_.find(last);
-        auto out = got_.substr(0, end == got_.npos ? got_.npos : end + last.size());
+        auto out = got_.substr(0, end == std::string::npos ? end : end + last.size());
         got_.erase(0, out.size());
         return out;
     }
@@ -270,7 +289,7 @@
         std::string rest;
         return end(rest, wait_ms);
     }
-    void shut() { ::shutdown(fd_, SHUT_WR); }
+    void shut() const { ::shutdown(fd_, SHUT_WR); }
     void close() {
         if (fd_ >= 0)
             ::close(std::exchange(fd_, -1));
@@ -330,9 +349,11 @@
     return "/tmp/knotvane-platform-test-" + std::to_string(::getpid()) + "-" + name;
 }
 
-// The front on loopback, with one node that holds shard 5, its watch open.
+/// A gateway on loopback, with one node that holds shard 5, its watch open.
 struct LoopbackGateway {
-    Peer discovery = Peer::listens(), node = Peer::listens(), watch;
+    Peer discovery = Peer::listens();
+    Peer node = Peer::listens();
+    Peer watch;
     std::string path = own_file("config.json");
     loop::Loop loop;
     std::unique_ptr<Server> server;
@@ -366,7 +387,7 @@
         std::remove(path.c_str());
     }
     void write(const std::string &discovery_at, const std::string &more = "",
-               const std::string &listen = "127.0.0.1:0") {
+               const std::string &listen = "127.0.0.1:0") const {
         nlohmann::json config{
             {"name", "n0"},
             {"listen", listen},
@@ -384,12 +405,12 @@
         loop.post([this] { server->reload(); });
     }
     // Stops by itself within so long.
-    bool stops(int within_ms = 4000) {
+    bool stops(int within_ms = 4000) const {
         for (int i = 0; i < within_ms / 10 && !over; ++i)
             ::usleep(10'000);
         return over;
     }
-    Peer client(const std::string &request = "") {
+    Peer client(const std::string &request = "") const {
         auto c = Peer::to(server->address());
         c.send(request);
         return c;
--- a/tests/http_gateway/loopback_test.cpp
+++ b/tests/http_gateway/loopback_test.cpp
@@ -1,4 +1,4 @@
-// The front between scripted clients, nodes and discovery on loopback sockets: crossings that need
+// The gateway between scripted clients, nodes and discovery on loopback sockets: races that need
 // a real connection.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
--- a/tests/http_gateway/server_test.cpp
+++ b/tests/http_gateway/server_test.cpp
@@ -1,4 +1,4 @@
-// The front's shell on loopback.
+// The server's sockets on loopback.
 #include <doctest/doctest.h>
 
 #include "loop/loop.hpp"
@@ -10,7 +10,7 @@
     std::shared_ptr<loop::Socket> server;
     auto client = std::make_shared<loop::Socket>(loop);
     bool told = false;
-    loop::Listener listener(loop, "127.0.0.1:0", [&](std::shared_ptr<loop::Socket> s) {
+    loop::Listener listener(loop, "127.0.0.1:0", [&](const std::shared_ptr<loop::Socket> &s) {
         server = s;
         s->on_gone = [&](loop::Gone) {
             told = true;
