--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -10,7 +10,7 @@
 find_package(CLI11 REQUIRED)
 find_package(Threads REQUIRED)
 
-add_library(knotvane_nbd src/nbd/server.cpp)
+add_library(knotvane_nbd src/nbd/negotiation.cpp src/nbd/session.cpp)
 target_include_directories(knotvane_nbd PUBLIC src)
 add_library(knotvane_node_protocol src/node_protocol/frame.cpp)
 target_link_libraries(knotvane_node_protocol PUBLIC knotvane_scheduling PkgConfig::isal)
@@ -25,14 +25,44 @@
   src/planner/core_snapshots.cpp
   src/planner/snapshot_coordinator.cpp)
 target_link_libraries(knotvane_planner PUBLIC knotvane_control PRIVATE nlohmann_json::nlohmann_json)
-add_library(knotvane_store src/store/medium.cpp src/store/store.cpp)
+add_library(
+  knotvane_store
+  src/store/block_allocator.cpp
+  src/store/checkpoint.cpp
+  src/store/deduplication_marks.cpp
+  src/store/extent_map.cpp
+  src/store/format.cpp
+  src/store/journal.cpp
+  src/store/medium.cpp
+  src/store/store.cpp
+  src/store/store_check.cpp
+  src/store/store_recovery.cpp
+  src/store/store_snapshots.cpp)
 target_link_libraries(knotvane_store PUBLIC knotvane_node_protocol)
-add_library(knotvane_node src/node/disk.cpp src/node/registration.cpp)
+add_library(
+  knotvane_node
+  src/node/fault_injection.cpp
+  src/node/pause_schedule.cpp
+  src/node/registration.cpp
+  src/node/request_execution.cpp
+  src/node/slow_start.cpp
+  src/node/storage_node.cpp)
 target_link_libraries(knotvane_node PUBLIC knotvane_control knotvane_store)
 add_library(knotvane_settings src/settings/ini.cpp src/settings/fleet_sections.cpp)
 target_include_directories(knotvane_settings PUBLIC src)
 target_link_libraries(knotvane_settings PRIVATE PkgConfig::inih PkgConfig::xxhash)
-add_library(knotvane_edge src/edge/layout.cpp src/edge/node_connections.cpp src/edge/core.cpp src/edge/planner_client.cpp)
+add_library(
+  knotvane_edge
+  src/edge/attempt_tracker.cpp
+  src/edge/client_session.cpp
+  src/edge/core.cpp
+  src/edge/layout.cpp
+  src/edge/node_connections.cpp
+  src/edge/open_volumes.cpp
+  src/edge/planner_client.cpp
+  src/edge/request_splitter.cpp
+  src/edge/request_table.cpp
+  src/edge/snapshot_participant.cpp)
 target_link_libraries(knotvane_edge PUBLIC knotvane_control knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_load src/load/session.cpp)
 target_link_libraries(knotvane_load PUBLIC knotvane_nbd)
@@ -54,7 +84,7 @@
 target_link_libraries(knotvane_loop PUBLIC PkgConfig::uv Threads::Threads)
 add_library(knotvane_edge_settings src/edge/settings.cpp src/edge/endpoint_file.cpp src/edge/plan_cache_file.cpp)
 target_link_libraries(knotvane_edge_settings PUBLIC knotvane_edge knotvane_settings PRIVATE PkgConfig::xxhash)
-add_library(knotvane_servers src/edge/server.cpp src/node/server.cpp)
+add_library(knotvane_servers src/edge/server.cpp src/node/server.cpp src/node/settings.cpp)
 target_link_libraries(
   knotvane_servers
   PUBLIC knotvane_edge_settings knotvane_node knotvane_loop
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -20,8 +20,6 @@
 namespace knotvane::day {
 namespace {
 
-constexpr const char *node_faults[] = {"mute", "hang", "slow",   "reset", "refuse", "full",
-                                       "fail", "cut",  "garble", "late",  "rot"};
 constexpr const char *others[] = {"restart",       "drain",   "hold",      "split",
                                   "swallow",       "sever",   "late_list", "planner_kill",
                                   "planner_pause", "undrain", "snapshot"};
@@ -85,12 +83,11 @@
         x.edge = t->has("edge") ? t->count("edge", 0, s.edges - 1) : ~std::size_t{0};
         x.count = t->count("count", 0, 1000000, 0), x.size = t->number("size", 0, 1e6, 0);
         x.lose = t->flag("lose", false);
-        bool known = std::find(std::begin(node_faults), std::end(node_faults), x.kind) !=
-                         std::end(node_faults) ||
+        bool known = node::fault_kind_from_name(x.kind).has_value() ||
                      std::find(std::begin(others), std::end(others), x.kind) != std::end(others);
         if (!known) {
             std::string all;
-            for (auto *k : node_faults)
+            for (auto k : node::fault_kind_names)
                 all += std::string(k) + ", ";
             for (auto *k : others)
                 all += std::string(k) + (k == std::end(others)[-1] ? "" : ", ");
@@ -130,8 +127,8 @@
             relay->put(record::Kind::figures, 0, 0, 0,
                        rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
-        fleet.on_told = [this](std::size_t edge, const edge::NodeList &list) {
-            relay_worker.loop().post([this, edge, nodes = list.nodes] { told(edge, nodes); });
+        fleet.on_told = [this](std::size_t edge, const edge::EndpointList &list) {
+            relay_worker.loop().post([this, edge, nodes = list.entries] { told(edge, nodes); });
         };
         fleet.address_for = [this](std::size_t edge, NodeId node, const std::string &address) {
             std::string front;
@@ -157,9 +154,10 @@
             writer.flush();
         });
     }
-    void told(std::size_t edge, const std::vector<edge::ListedNode> &nodes) {
-        for (auto &n : nodes)
-            relay->put(record::Kind::told, edge, n.id.value, static_cast<std::uint64_t>(n.state));
+    void told(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
+        for (const auto &[endpoint, address] : nodes)
+            relay->put(record::Kind::told, edge, endpoint.node.value,
+                       static_cast<std::uint64_t>(endpoint.state));
     }
     // The operator asks until the planner does it: it may be down.
     void drain(NodeId node, bool on) {
@@ -225,7 +223,7 @@
         if (script.planner)
             return; // tells its edges itself
         fleet.tell(edge);
-        on_relay([&] { told(edge, fleet.list().nodes); });
+        on_relay([&] { told(edge, fleet.list().entries); });
     }
     void begin(const Trouble &t);
 
@@ -239,11 +237,9 @@
     auto id = fleet.node_id(t.node);
     log::line(log::info, "trouble", {{"kind", t.kind}, {"node", std::to_string(id.value)}});
     on_relay([&] { relay->put(record::Kind::note, id.value, 0, 0, t.kind); });
-    auto fault = std::find(std::begin(node_faults), std::end(node_faults), t.kind);
-    if (fault != std::end(node_faults)) {
+    if (auto fault = node::fault_kind_from_name(t.kind)) {
         fleet.with_node(t.node, [&](node::Server &n) {
-            n.disk().fault(static_cast<node::Fault>(fault - std::begin(node_faults)), now, until,
-                           t.count, t.size);
+            n.storage_node().inject_fault({*fault, now, until, t.count, t.size});
         });
     } else if (t.kind == "restart") {
         // Its connections end first: no answer of the life before can come after the loss was
@@ -251,7 +247,7 @@
         on_relay([&] { relay->block(id); });
         fleet.with_node(t.node, [&](node::Server &n) {
             n.listen(false);
-            n.disk().restart(loop::now(), t.lose);
+            n.storage_node().restart(loop::now(), t.lose);
             n.listen(false);
         });
         on_relay([&] {
@@ -261,9 +257,9 @@
         at(until, [this, node = t.node, id] {
             Time started = 0;
             fleet.with_node(node, [&](node::Server &n) {
-                n.disk().restart(loop::now(), false);
+                n.storage_node().restart(loop::now(), false);
                 n.listen(true);
-                started = n.disk().started();
+                started = n.storage_node().started_at();
             });
             on_relay([&] {
                 relay->put(record::Kind::started, id.value, 0, 0);
@@ -291,7 +287,7 @@
             fleet.replace(node);
             on_relay([&] { relay->put(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             at(loop::now() + 2 * sec, [this, id] {
-                fleet.change_settings([&](planner::Wanted &w) { w.nodes.erase(id); });
+                fleet.change_settings([&](planner::DesiredState &w) { w.nodes.erase(id); });
             });
         });
     } else if (t.kind == "drain") {
@@ -311,8 +307,9 @@
             late_until_[e] = until;
             if (!script.planner)
                 continue;
-            fleet.with_edge(e, [](edge::Server &s) { s.deafen(true); });
-            at(until, [this, e] { fleet.with_edge(e, [](edge::Server &s) { s.deafen(false); }); });
+            fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(true); });
+            at(until,
+               [this, e] { fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(false); }); });
         }
     } else {
         on_relay([&] {
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -1,4 +1,5 @@
-// An edge on sockets: the core's shell. It carries bytes, time and calls, and decides nothing.
+/// \file
+/// An edge on sockets: the core's shell. It carries bytes, time and calls, and decides nothing.
 #pragma once
 
 #include <functional>
@@ -9,6 +10,7 @@
 #include "edge/core.hpp"
 #include "edge/endpoint_file.hpp"
 #include "edge/planner_client.hpp"
+#include "edge/settings.hpp"
 #include "loop/dialled.hpp"
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
@@ -16,44 +18,48 @@
 
 namespace knotvane::edge {
 
-class Server final : public Shell, public Line {
+/// Runs a core on an event loop, on whose thread all calls are made.
+class Server final : public Shell, public PlannerClientActions {
 public:
-    // Sets up from settings that were checked; `scheduler` makes the decisions. Throws
-    // std::runtime_error where the address can't be listened on.
+    /// @param loop must outlive the server.
+    /// @param file settings that were checked.
+    /// @param scheduler makes the scheduler, given its actions and the seed of its random choices.
+    /// @throw std::runtime_error if the address can't be listened on.
     Server(loop::Loop &loop, settings::File &file,
            const std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>
                &scheduler);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
     Core &core() { return *core_; }
-    // The list of nodes as it stands in the file; a list with faults or an old version changes
-    // nothing.
-    void read_list();
-    // Told after each list that was taken.
-    std::function<void(const NodeList &)> on_list;
-    // Gives the address to connect to for a node's; for a relay between.
-    std::function<std::string(NodeId node, const std::string &address)> on_the_way;
+    /// Takes the endpoint list as it is in the file; one with faults or an old version changes
+    /// nothing.
+    void load_endpoint_file();
+    /// Called after each list that was accepted.
+    std::function<void(const EndpointList &)> on_endpoint_list;
+    /// Gives the address to connect to for a node's own; for a relay between them.
+    std::function<std::string(NodeId node, const std::string &address)> resolve_address;
     // With a planner: its word, and whether to leave unread what it says.
-    const Subscription *subscription() const { return subscription_.get(); }
-    void deafen(bool deaf) { planner_->hold(deaf); }
+    const PlannerClient *planner_client() const { return planner_client_.get(); }
+    void pause_planner(bool paused) { planner_->hold(paused); }
 
-    void connect(LinkId link, const std::string &address) override;
-    void send(LinkId link, std::string bytes) override;
-    void close(LinkId link) override;
-    void send_client(ClientId client, std::string bytes) override;
-    void close_client(ClientId client) override;
-    void hold_client(ClientId client, bool hold) override;
-    void say(std::string text) override;
-    void attempt_completed(RequestId task, NodeId node, AttemptOutcome how, Time took) override;
+    void connect(NodeConnectionId id, const std::string &address) override;
+    void send(NodeConnectionId id, std::string bytes) override;
+    void close(NodeConnectionId id) override;
+    void send_client(ClientId id, std::string bytes) override;
+    void close_client(ClientId id) override;
+    void pause_client(ClientId id, bool paused) override;
+    void log_event(std::string text) override;
+    void attempt_completed(RequestId request, NodeId node, AttemptOutcome outcome,
+                           Time duration) override;
     void volume_used(VolumeId volume, bool on) override;
-    void cut_told(VolumeId as, control::SnapshotStep step,
-                  control::EdgeIncarnation incarnation) override;
-    void dial() override { planner_->dial(); }
-    void hang_up() override { planner_->hang_up(); }
+    void snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                            control::EdgeIncarnation incarnation) override;
+    void connect_planner() override { planner_->dial(); }
+    void disconnect_planner() override { planner_->hang_up(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
-    void keep_plan(std::string bytes, bool anew) override;
-    void plan_taken(const control::ClusterState &table, bool nodes, bool plans,
-                    const std::map<NodeId, Time> &started) override;
+    void store_plan(std::string bytes, bool anew) override;
+    void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
+                               const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId volume, double hosts) override;
     void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
     void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
@@ -61,21 +67,25 @@
     void planner_lost() override;
 
 private:
-    void take_list(const NodeList &list);
-    void follow_planner(settings::File &file, std::uint64_t seed);
+    void apply_endpoint_list(const EndpointList &list);
+    void accept(const std::shared_ptr<loop::Socket> &socket);
+    void follow_planner(const PlannerSettings &settings, std::uint64_t seed);
     Time end_of_moment();
     loop::Loop &loop_;
-    std::string nodes_path_, plan_path_, last_faults_;
-    std::uint64_t id_ = 0, next_client_ = 0;
+    std::string endpoint_path_; // of the endpoint list; empty with a planner
+    std::string plan_path_;
+    std::vector<std::string> last_faults_; // of the endpoint list
+    std::uint64_t id_ = 0;
+    std::uint64_t last_client_ = 0;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::Watch> watch_;
     std::unique_ptr<loop::Dialled> planner_;
-    std::unique_ptr<Subscription> subscription_; // with a planner
+    std::unique_ptr<PlannerClient> planner_client_; // with a planner
     std::uint64_t lists_ = 0;
     bool said_unkept_ = false;
     loop::Sockets<ClientId> clients_;
-    loop::Sockets<LinkId> links_;
+    loop::Sockets<NodeConnectionId> node_connections_;
 };
 
 } // namespace knotvane::edge
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -227,8 +227,8 @@
         host.address = host.server->address();
     });
     host.id = id;
-    list_.nodes.push_back(
-        {id, host.address, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age});
+    list_.entries.push_back(
+        {{id, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age}, host.address});
 }
 
 std::string Fleet::list_path(std::size_t edge) const {
@@ -262,7 +262,7 @@
     std::ofstream(dir_ + "/planner.ini")
         << "[planner]\nlisten = " << planner_address_ << "\nstore = " << dir_
         << "/planner.store\nfleet = " << dir_ << "/fleet.ini\n\n[times]\ndrain_time = 300ms\n";
-    change_settings([](planner::Wanted &) {});
+    change_settings([](planner::DesiredState &) {});
     start_planner(true);
 }
 void Fleet::start_planner(bool first) {
@@ -288,7 +288,7 @@
     }
     return done;
 }
-void Fleet::change_settings(const std::function<void(planner::Wanted &)> &call) {
+void Fleet::change_settings(const std::function<void(planner::DesiredState &)> &call) {
     ++wanted_.version;
     call(wanted_);
     auto path = dir_ + "/fleet.ini", beside = path + ".new";
@@ -312,11 +312,11 @@
             must_be_good(first);
             host.server = std::make_unique<edge::Server>(host.worker->loop(), again, make_);
             host.address = host.server->address();
-            host.server->on_the_way = [this, i](NodeId node, const std::string &address) {
+            host.server->resolve_address = [this, i](NodeId node, const std::string &address) {
                 return planner_address_.empty() ? address : address_for(i, node, address);
             };
             if (!planner_address_.empty())
-                host.server->on_list = [this, i](const edge::NodeList &list) {
+                host.server->on_endpoint_list = [this, i](const edge::EndpointList &list) {
                     if (on_told)
                         on_told(i, list);
                 };
@@ -329,8 +329,8 @@
         std::size_t know = 0;
         for (std::size_t e = 0; e < edges_.size(); ++e)
             with_edge(e, [&](edge::Server &s) {
-                auto &copy = s.subscription()->copy();
-                know += copy.table().nodes.size() == nodes_.size();
+                auto &copy = s.planner_client()->replica();
+                know += copy.cluster_state().nodes.size() == nodes_.size();
             });
         if (know == edges_.size())
             return;
@@ -344,18 +344,20 @@
 }
 
 void Fleet::list_as(NodeId node, NodeState state, Time started) {
-    for (auto &n : list_.nodes)
-        if (n.id == node)
-            n.state = state, n.started = started;
+    for (auto &[endpoint, address] : list_.entries)
+        if (endpoint.node == node) {
+            endpoint.state = state;
+            endpoint.started_at = started;
+        }
 }
 void Fleet::tell(std::size_t edge) {
     ++list_.version;
     auto told = list_;
-    for (auto &n : told.nodes)
-        n.address = address_for(edge, n.id, n.address);
+    for (auto &[endpoint, address] : told.entries)
+        address = address_for(edge, endpoint.node, address);
     // Written beside and renamed: a reader finds the old list or the new one.
     auto path = list_path(edge), beside = path + ".new";
-    std::ofstream(beside) << write_nodes(told);
+    std::ofstream(beside) << format_endpoint_list(told);
     if (std::rename(beside.c_str(), path.c_str()) != 0)
         throw std::runtime_error(path + ": can't be written");
 }
@@ -369,7 +371,7 @@
         if (!nodes_[node]->server)
             return;
         call(*nodes_[node]->server);
-        nodes_[node]->server->stirred();
+        nodes_[node]->server->process_due();
     });
 }
 void Fleet::with_edge(std::size_t edge, const std::function<void(edge::Server &)> &call) {
@@ -381,7 +383,7 @@
 void Fleet::replace(std::size_t node) {
     NodeId id{++next_node_};
     if (!planner_address_.empty())
-        change_settings([&](planner::Wanted &w) {
+        change_settings([&](planner::DesiredState &w) {
             w.nodes[id] = {nodes_[node]->shard, ZoneId{0}, false, "", 0};
         });
     start_node(*nodes_[node], id, 0);
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -110,7 +110,7 @@
     // ---- With a planner. Empty without one.
     const std::string &planner_address() const { return planner_address_; }
     // An edge has taken news of nodes; called on the edge's thread. Set before start.
-    std::function<void(std::size_t edge, const edge::NodeList &list)> on_told;
+    std::function<void(std::size_t edge, const edge::EndpointList &list)> on_told;
     // Ends the planner's process without a word, or stops and wakes it; and starts it again.
     void kill_planner();
     void pause_planner(bool on) const;
@@ -118,14 +118,14 @@
     // The operator's word. False where the planner does not answer or does not do it.
     bool drain(NodeId node, bool on) const;
     // The fleet's file without a node, or with the settings changed as the call likes.
-    void change_settings(const std::function<void(planner::Wanted &)> &call);
+    void change_settings(const std::function<void(planner::DesiredState &)> &call);
 
     // A node as the lists name it, from the next tell on.
     void list_as(NodeId node, NodeState state, Time started);
     // Writes the list of one edge, or of all; a new version each time.
     void tell(std::size_t edge);
     void tell_all();
-    const edge::NodeList &list() const { return list_; }
+    const edge::EndpointList &list() const { return list_; }
 
     // On the node's own thread.
     void with_node(std::size_t node, const std::function<void(node::Server &)> &call);
@@ -141,13 +141,13 @@
     std::string list_path(std::size_t edge) const;
 
     std::string dir_, scheduling_, service_, planner_address_;
-    planner::Wanted wanted_;
+    planner::DesiredState wanted_;
     std::unique_ptr<Process> planner_;
     std::uint16_t ports_;
     bool sync_;
     MakeScheduler make_;
     std::uint64_t next_node_ = 0;
-    edge::NodeList list_;
+    edge::EndpointList list_;
     std::vector<std::unique_ptr<NodeHost>> nodes_;
     std::vector<std::unique_ptr<EdgeHost>> edges_;
 };
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -12,53 +12,68 @@
 namespace knotvane::edge {
 
 // Writes down what links ask for and what they tell.
-struct Wired : Transport, Told {
-    std::vector<LinkId> connected, closed;
-    std::map<LinkId, std::string> sent;
+struct Wired : Transport, NodeConnectionEvents {
+    std::vector<NodeConnectionId> connected, closed;
+    std::map<NodeConnectionId, std::string> sent;
     std::vector<std::string> told, said;
-    void connect(LinkId l, const std::string &) override { connected.push_back(l); }
-    void send(LinkId l, std::string b) override { sent[l] += b; }
-    void close(LinkId l) override { closed.push_back(l); }
-    void shot_over(Time, RequestId t, AttemptId, NodeId, AttemptOutcome how, node_protocol::Status,
-                   std::uint64_t, std::string_view payload, std::uint32_t) override {
+    void connect(NodeConnectionId l, const std::string &) override { connected.push_back(l); }
+    void send(NodeConnectionId l, std::string b) override { sent[l] += b; }
+    void close(NodeConnectionId l) override { closed.push_back(l); }
+    void attempt_completed(AttemptCompletion completion) override {
         static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
                                                 "unreachable", "reset", "called_off", "unsent"};
-        told.push_back(std::to_string(t.value) + " " + names[static_cast<int>(how)] + " " +
-                       std::string(payload));
+        told.push_back(std::to_string(completion.request.value) + " " +
+                       names[static_cast<int>(completion.outcome)] + " " +
+                       completion.answer.payload);
     }
-    void say(std::string t) override { said.push_back(std::move(t)); }
+    void log_event(std::string t) override { said.push_back(std::move(t)); }
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
-    return node_protocol::make(node_protocol::Kind::welcome, 0, {}, node, VolumeId{}, 0, 0, 0, 1, 0,
-                               clock, ShardId{0}, {});
+    return node_protocol::encode({.kind = node_protocol::FrameKind::welcome,
+                                  .tag = node,
+                                  .incarnation = 1,
+                                  .not_after = clock});
 }
 inline std::string answer(std::uint64_t tag, node_protocol::Status status,
                           std::string_view payload = {}) {
-    return node_protocol::make(node_protocol::Kind::answer, 0, status, tag, VolumeId{}, 0, 0, 0, 1,
-                               0, 0, ShardId{0}, payload);
+    return node_protocol::encode({.kind = node_protocol::FrameKind::answer,
+                                  .status = status,
+                                  .tag = tag,
+                                  .incarnation = 1,
+                                  .payload = payload});
 }
 
 // Links to node 1, greeted on one connection.
 struct Linked {
     Wired w;
-    Links links;
-    LinkId link{1};
-    std::shared_ptr<Work> work = std::make_shared<Work>(Work{
-        node_protocol::Kind::read, VolumeId{5}, ShardId{0}, 0, 512, 1, false, 1, false, 0, {}});
+    NodeConnections links;
+    NodeConnectionId link{1};
+    std::shared_ptr<NodeRequest> work =
+        std::make_shared<NodeRequest>(NodeRequest{node_protocol::FrameKind::read,
+                                                  VolumeId{5},
+                                                  ShardId{0},
+                                                  0,
+                                                  512,
+                                                  1,
+                                                  false,
+                                                  1,
+                                                  false,
+                                                  0,
+                                                  {}});
     explicit Linked(bool up = true, std::size_t most_out = 1 << 20)
-        : links(w, w, 0, 1, 1, 100 * ms, 200 * ms, 10 * sec, most_out) {
-        links.nodes({{NodeId{1}, "a"}});
+        : links(w, w, 0, 1, {1, 100 * ms, 200 * ms, 10 * sec, most_out}) {
+        links.set_nodes({{NodeId{1}, "a"}});
         if (up) {
-            links.start_attempt(0, RequestId{99}, AttemptId{0}, NodeId{1}, work, sec);
-            links.up(0, link);
-            links.bytes(0, link, welcome(1));
-            links.bytes(0, link, answer(1, node_protocol::Status::ok));
+            links.start_attempt(0, {RequestId{99}, AttemptId{0}, NodeId{1}, work, sec});
+            links.connected(0, link);
+            links.received(0, link, welcome(1));
+            links.received(0, link, answer(1, node_protocol::Status::ok));
             w.told.clear();
         }
     }
     void start_attempt(std::uint64_t task, Time now = 0, std::uint64_t node = 1) {
-        links.start_attempt(now, RequestId{task}, AttemptId{0}, NodeId{node}, work, now + sec);
+        links.start_attempt(now, {RequestId{task}, AttemptId{0}, NodeId{node}, work, now + sec});
     }
 };
 
