--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -1,6 +1,6 @@
 // Any bytes from clients, nodes and discovery: nothing crashes, bounds hold, every request taken is
 // answered once at most, and a client gets only what a node's whole answer held. Built with
-// libFuzzer, or over a fixed set.
+// libFuzzer, or run over a fixed set of inputs.
 #include <cstdint>
 #include <cstdlib>
 
@@ -28,7 +28,7 @@
     gateway.settle(5 * sec);
     gateway.settle(5 * sec);
     auto &got = gateway.transport.sent[asked];
-    if (got.find("HTTP/1.1", 8) != got.npos)
+    if (got.find("HTTP/1.1", 8) != std::string::npos)
         std::abort(); // one answer
     if (gateway.core.request_count() != 0 || gateway.core.pool().attempts_in_flight() != 0)
         std::abort(); // nothing held past its time
