--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -89,10 +89,12 @@
     planner_ = std::make_unique<loop::Dialled>(loop_, settings.address);
     planner_client_ =
         std::make_unique<PlannerClient>(*this, control::EdgeId{id_}, listener_->address(), seed,
-                                       settings.renew_every, settings.max_plan_age);
+                                        settings.renew_every, settings.max_plan_age);
     planner_->on_up = [this] { planner_client_->connected(loop::now()); };
     planner_->on_down = [this] { planner_client_->disconnected(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) { planner_client_->received(loop::now(), in); };
+    planner_->on_bytes = [this](std::string_view in) {
+        planner_client_->received(loop::now(), in);
+    };
     core_->follow_cluster_state(planner_client_->replica().cluster_state());
     std::string fault;
     planner_client_->start(loop::now(),
@@ -104,10 +106,10 @@
         planner_client_->volume_used(loop::now(), volume, on);
 }
 
-void Server::snapshot_step_done(VolumeId as, control::SnapshotStep step,
+void Server::snapshot_step_done(VolumeId snapshot, control::SnapshotStep step,
                                 control::EdgeIncarnation incarnation) {
     if (planner_client_)
-        planner_client_->report_snapshot_step(as, step, incarnation);
+        planner_client_->report_snapshot_step(snapshot, step, incarnation);
 }
 
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
@@ -131,7 +133,7 @@
 }
 
 void Server::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
-                        const std::map<NodeId, Time> &started) {
+                                   const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[id, p] : table.plans)
             core_->set_plan(id, plan_config(p));
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -38,8 +38,9 @@
     std::function<void(const EndpointList &)> on_endpoint_list;
     /// Gives the address to connect to for a node's own; for a relay between them.
     std::function<std::string(NodeId node, const std::string &address)> resolve_address;
-    // With a planner: its word, and whether to leave unread what it says.
+    /// @return null without a planner.
     const PlannerClient *planner_client() const { return planner_client_.get(); }
+    /// Whether to leave unread what the planner sends; for tests of a planner that hangs.
     void pause_planner(bool paused) { planner_->hold(paused); }
 
     void connect(NodeConnectionId id, const std::string &address) override;
@@ -52,7 +53,7 @@
     void attempt_completed(RequestId request, NodeId node, AttemptOutcome outcome,
                            Time duration) override;
     void volume_used(VolumeId volume, bool on) override;
-    void snapshot_step_done(VolumeId as, control::SnapshotStep step,
+    void snapshot_step_done(VolumeId snapshot, control::SnapshotStep step,
                             control::EdgeIncarnation incarnation) override;
     void connect_planner() override { planner_->dial(); }
     void disconnect_planner() override { planner_->hang_up(); }
--- a/tests/edge/layout_test.cpp
+++ b/tests/edge/layout_test.cpp
@@ -13,6 +13,7 @@
 TEST_SUITE("layout") {
     TEST_CASE("every edge places alike, and shards share evenly") {
         std::vector<ShardId> shards;
+        shards.reserve(8);
         for (int i = 0; i < 8; ++i)
             shards.emplace_back(i);
         Layout a(1 << 20, 1 << 16, shards), b(1 << 20, 1 << 16, {shards.rbegin(), shards.rend()});
--- a/tests/edge/node_connections_test.cpp
+++ b/tests/edge/node_connections_test.cpp
@@ -72,6 +72,8 @@
         std::sort(m.w.told.begin(), m.w.told.end());
         CHECK(std::count(m.w.told.begin(), m.w.told.end(), "3 unsent ") == 1);
     }
+    // A node stops in the middle of an answer. Everything behind it on the connection would wait
+    // for what never comes, so the connection is closed well before its attempts time out.
     TEST_CASE("a node silent in the middle of an answer costs its connection, soon") {
         Linked l;
         l.start_attempt(1);
@@ -119,6 +121,8 @@
         l.links.tick(3 * ms);
         CHECK(l.w.told.back() == "2 unreachable ");
     }
+    // A node's clock is ahead of ours. A write that is late by our clock must not be executed
+    // because it isn't late by the node's.
     TEST_CASE("a not-after time by the node's clock is never later than by ours") {
         Linked l(false);
         l.work->kind = node_protocol::FrameKind::write, l.work->not_after = 500 * ms;
