--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -106,10 +106,10 @@
         planner_client_->volume_used(loop::now(), volume, on);
 }
 
-void Server::snapshot_step_done(VolumeId as, control::SnapshotStep step,
+void Server::snapshot_step_done(VolumeId snapshot, control::SnapshotStep step,
                                 control::EdgeIncarnation incarnation) {
     if (planner_client_)
-        planner_client_->report_snapshot_step(as, step, incarnation);
+        planner_client_->report_snapshot_step(snapshot, step, incarnation);
 }
 
 void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
