--- a/src/scheduling/config.hpp
+++ b/src/scheduling/config.hpp
@@ -104,6 +104,7 @@
     Time max_age = 0;
 };
 
+/// All of a scheduler's settings but workloads and plans.
 struct SchedulerConfig {
     /// This scheduler's number, from 0.
     PeerId self;
--- a/src/scheduling/plan_table.hpp
+++ b/src/scheduling/plan_table.hpp
@@ -13,11 +13,13 @@
 inline constexpr double least_weight = 1e-6;
 inline constexpr double least_rate = 1e-6;
 
+/// Plans by id. Values are relative to a reserved unit of a plan with the price 1.
 class PlanTable {
 public:
     /// @param units with defaults filled in.
     void configure(const UnitConfig &units) { units_ = units; }
 
+    /// Sets or changes a plan; counts for what comes after.
     void set(PlanId id, const PlanConfig &config);
 
     /// @return the plan; one with PlanConfig's defaults if it was never set.
@@ -36,6 +38,7 @@
     /// @return the sum of all plans' unit values at their usual rates.
     double total_usual_value() const;
 
+    /// The number of plans.
     double size() const { return static_cast<double>(plans_.size()); }
 
 private:
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -43,15 +43,21 @@
 public:
     virtual ~Scheduler() = default;
 
+    /// Called once, before start.
     virtual void configure(const SchedulerConfig &config) = 0;
+    /// Called before requests of the workload are received.
     virtual void set_workload(WorkloadId id, const WorkloadConfig &workload) = 0;
     /// May be called again at any time; counts for what comes after.
     virtual void set_plan(PlanId id, const PlanConfig &plan) = 0;
+    /// Asks for the endpoint list where it comes on request.
     virtual void start(Time now) = 0;
 
     virtual void endpoint_list_begin(Time now, EndpointListKind kind) = 0;
+    /// A node as the list has it now.
     virtual void endpoint_listed(const Endpoint &endpoint) = 0;
+    /// The list counts from now on: what waits at nodes that aren't ready is placed anew.
     virtual void endpoint_list_end() = 0;
+    /// The list that was asked for couldn't be had; it is asked for again later.
     virtual void endpoint_list_failed(Time now) = 0;
 
     /// This scheduler's share of a volume's limit is one over `sharers` from now on, infinity for
@@ -59,13 +65,18 @@
     /// the first call for a volume RequestInfo::sharers counts.
     virtual void quota_share_changed(Time /*now*/, VolumeId, double /*sharers*/) {}
 
+    /// A client's request. It ends with one of reject, fail, an attempt that answers the client,
+    /// and request_canceled.
     virtual void request_received(Time now, const RequestInfo &request) = 0;
+    /// Each attempt that was started completes once.
     virtual void attempt_completed(Time now, const AttemptResult &result) = 0;
+    /// The request needs no answer any more.
     virtual void request_canceled(Time now, RequestId request, CancelReason reason) = 0;
     /// Whether an attempt that was started but not yet sent may still be sent. One that may not
     /// completes as not_sent.
     virtual bool may_send_attempt(Time /*now*/, RequestId, AttemptId) const { return true; }
 
+    /// What is due is decided at the settle that follows.
     virtual void timer_expired(Time now, TimerId timer) = 0;
     /// Ends a moment: decides what is due and dispatches.
     virtual void settle(Time now) = 0;
