--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -123,6 +123,7 @@
   store
   SOURCES
     tests/store/block_allocator_test.cpp
+    tests/store/format_test.cpp
     tests/store/recovery_test.cpp
     tests/store/snapshots_test.cpp
     tests/store/store_test.cpp
