--- a/src/http_gateway/ids.hpp
+++ b/src/http_gateway/ids.hpp
@@ -1,17 +1,18 @@
-// Ids of the platform's front.
+/// \file
+/// Ids of the gateway's connections.
 #pragma once
 
 #include "common/ids.hpp"
 
 namespace knotvane::http_gateway {
 
-// A connection of any kind, never used again.
-using ConnId = Id<struct ConnKind, std::uint64_t>;
+/// A connection of any kind, never used again. 0 is no connection.
+using ConnectionId = Id<struct ConnectionKind, std::uint64_t>;
 
-// Gives out the ids of connections.
-class Conns {
+/// Gives out the ids of connections.
+class ConnectionIds {
 public:
-    ConnId next() { return ConnId{++last_}; }
+    ConnectionId next() { return ConnectionId{++last_}; }
 
 private:
     std::uint64_t last_ = 0;
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -32,32 +32,32 @@
     return s.find(part) != s.npos;
 }
 
-struct Written final : Transport {
-    std::vector<std::pair<ConnId, std::string>> connected;
-    std::map<ConnId, std::string> sent;
-    std::map<ConnId, std::size_t> unwritten;
-    std::set<ConnId> closed,
+struct RecordingTransport final : Transport {
+    std::vector<std::pair<ConnectionId, std::string>> connected;
+    std::map<ConnectionId, std::string> sent;
+    std::map<ConnectionId, std::size_t> unwritten;
+    std::set<ConnectionId> closed,
         shutting; // closed: our side has ended, whether or not the other one may still be read
     std::vector<std::string> said;
-    void connect(ConnId c, const std::string &a) override { connected.push_back({c, a}); }
-    void send(ConnId c, std::string b) override {
+    void connect(ConnectionId c, const std::string &a) override { connected.push_back({c, a}); }
+    void send(ConnectionId c, std::string b) override {
         unwritten[c] += b.size(), sent[c] += b;
         if (at(c).starts_with('n'))
             asked = c;
     }
-    std::string at(ConnId c) const {
+    std::string at(ConnectionId c) const {
         for (auto &[conn, address] : connected)
             if (conn == c)
                 return address;
         return "";
     }
-    ConnId asked{}; // the connection to a node that was sent something last
-    void close(ConnId c) override { closed.insert(c), shutting.erase(c); }
-    void shut(ConnId c) override { closed.insert(c), shutting.insert(c); }
-    void say(std::string t) override { said.push_back(std::move(t)); }
+    ConnectionId asked{}; // the connection to a node that was sent something last
+    void close(ConnectionId c) override { closed.insert(c), shutting.erase(c); }
+    void finish_sending(ConnectionId c) override { closed.insert(c), shutting.insert(c); }
+    void log_event(const std::string &text) override { said.push_back(text); }
     // The connection made last to an address; none: id 0.
-    ConnId to(const std::string &address) const {
-        ConnId last{};
+    ConnectionId to(const std::string &address) const {
+        ConnectionId last{};
         for (auto &[c, a] : connected)
             if (a == address)
                 last = c;
@@ -99,6 +99,10 @@
            "25\nRules.FallS=2\n"
            "Rules.WarmAfterS=18\nRules.StartCapacity=0.24\n";
 }
+/// What the tests' gateways are set up with.
+inline CoreConfig core_config(const std::string &settings, std::uint64_t seed = 1) {
+    return {scheduler_setup::Options(settings), {"read", "write"}, {"gold"}, {"a", "b"}, seed, 256};
+}
 inline std::string node_entry(const std::string &id, const std::string &address, int shard,
                               const std::string &state = "active") {
     return R"({"instanceId":")" + id + R"(","hostPort":")" + address +
@@ -113,22 +117,21 @@
 inline const std::string watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // A front with one node at n1 that holds shard 5, driven by hand; the decisions are the real ones.
-struct Front {
-    Written w;
+struct TestGateway {
+    RecordingTransport transport;
     Time now = 1000 * sec;
     Core core;
     // `more`: lines of settings, which count over the usual ones.
-    explicit Front(const std::string &more = "", const std::string &usual = settings_text())
+    explicit TestGateway(const std::string &more = "", const std::string &usual = settings_text())
         : core(
-              w, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-              scheduler_setup::Options(usual + more), {"read", "write"}, {"gold"}, {"a", "b"}, 1,
-              256) {
+              transport, [](SchedulerActions &a) { return make_scheduler(a, 7); },
+              core_config(usual + more, 1)) {
         core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
-        if (w.to("d1").value == 0)
+        if (transport.to("d1").value == 0)
             settle(
                 sec); // where lists are asked for, the first call comes by chance within a second
-        core.up(now, w.to("d1"));
-        core.bytes(now, w.to("d1"), watch_head + chunk("\n"));
+        core.connected(now, transport.to("d1"));
+        core.received(now, transport.to("d1"), watch_head + chunk("\n"));
         for (int i = 0; i < 3; ++i) { // past the time in which a new scheduler spares cold nodes
             settle(sec);
             blank();
@@ -140,45 +143,47 @@
         return size + s + "\r\n";
     }
     // The watch lives: a blank line comes each 2 s.
-    void blank() { core.bytes(now, w.to("d1"), chunk("\n")); }
-    void list(const std::string &json) { core.bytes(now, w.to("d1"), chunk(json + "\n")); }
+    void blank() { core.received(now, transport.to("d1"), chunk("\n")); }
+    void list(const std::string &json) {
+        core.received(now, transport.to("d1"), chunk(json + "\n"));
+    }
     // Writes what was sent, as the shell does at a moment's end.
     void settle(Time later = 0) {
         now += later;
         core.settle(now);
-        for (auto &[c, n] : std::exchange(w.unwritten, {}))
-            core.written(now, c, n);
+        for (auto &[c, n] : std::exchange(transport.unwritten, {}))
+            core.sent(now, c, n);
         core.settle(now);
     }
-    ConnId client(const std::string &request) {
-        auto c = *core.client_came(now);
-        core.bytes(now, c, request);
+    ConnectionId client(const std::string &request) {
+        auto c = *core.client_connected(now);
+        core.received(now, c, request);
         settle();
         return c;
     }
-    void gone(ConnId c, Gone how = Gone::ended) {
-        core.gone(now, c, how);
+    void gone(ConnectionId c, CloseReason how = CloseReason::end_of_stream) {
+        core.disconnected(now, c, how);
         settle();
     }
     // The connection to the node, up.
-    ConnId node(Time later = 0) {
-        auto c = up_last = w.to("n1");
+    ConnectionId node(Time later = 0) {
+        auto c = up_last = transport.to("n1");
         now += later;
-        core.up(now, c);
+        core.connected(now, c);
         settle();
         return c;
     }
     // Answers the attempt that is out, wherever it is: a connection that has just answered is not
     // used for a moment.
     void serve(const std::string &body, Time later = 5 * ms) {
-        if (auto made = w.to("n1"); made != up_last)
-            core.up(now, up_last = made), settle();
-        answer(w.asked, reply(200, body), later);
+        if (auto made = transport.to("n1"); made != up_last)
+            core.connected(now, up_last = made), settle();
+        answer(transport.asked, reply(200, body), later);
     }
-    ConnId up_last{};
-    void answer(ConnId node, const std::string &bytes, Time later = 5 * ms) {
+    ConnectionId up_last{};
+    void answer(ConnectionId node, const std::string &bytes, Time later = 5 * ms) {
         now += later;
-        core.bytes(now, node, bytes);
+        core.received(now, node, bytes);
         settle();
     }
 };
@@ -326,7 +331,7 @@
 }
 
 // The front on loopback, with one node that holds shard 5, its watch open.
-struct Running {
+struct LoopbackGateway {
     Peer discovery = Peer::listens(), node = Peer::listens(), watch;
     std::string path = own_file("config.json");
     loop::Loop loop;
@@ -334,7 +339,8 @@
     std::thread thread;
     std::atomic<bool> over = false;
 
-    explicit Running(const std::string &more = "", const std::string &listen = "127.0.0.1:0") {
+    explicit LoopbackGateway(const std::string &more = "",
+                             const std::string &listen = "127.0.0.1:0") {
         write(discovery.address(), more, listen);
         std::ifstream in(path);
         Config config(std::string(std::istreambuf_iterator<char>(in), {}));
@@ -347,9 +353,9 @@
         });
         watch = discovery.accept();
         watch.until("\r\n\r\n");
-        watch.send(watch_head + Front::chunk(list_of(41, "", false) + "\n"));
+        watch.send(watch_head + TestGateway::chunk(list_of(41, "", false) + "\n"));
     }
-    ~Running() { end(); }
+    ~LoopbackGateway() { end(); }
     // As a kill does: at once, with whatever is open.
     void end() {
         if (!thread.joinable())
