--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -25,13 +25,13 @@
 
 namespace knotvane::store {
 
-/// How making a snapshot or a clone went. The order is that of the planner protocol.
+/// How making a snapshot or a clone went. The values are those of the planner protocol.
 enum class SnapshotResult : std::uint8_t {
-    created,
-    already_exists, ///< By this id, from the same source, in the same state: a resend.
-    id_taken,       ///< The id is another volume's, or the epoch is in use.
-    no_space,       ///< The reserve that writes need would be touched.
-    medium_failed,
+    created = 0,
+    already_exists = 1, ///< By this id, from the same source, in the same state: a resend.
+    id_taken = 2,       ///< The id is another volume's, or the epoch is in use.
+    no_space = 3,       ///< The reserve that writes need would be touched.
+    medium_failed = 4,
 };
 
 /// A run of bytes that hold data, or read as zeroes because they were never written.
