--- a/tests/scheduling/scheduler_core_test.cpp
+++ b/tests/scheduling/scheduler_core_test.cpp
@@ -215,5 +215,21 @@
     CHECK(fixture.actions.timers == std::vector<Time>{5 * ms, 5 * ms});
 }
 
+TEST_CASE("an unresponsive node gets one trial attempt in this scheduler's slot, none before") {
+    SchedulerFixture fixture; // the first of two schedulers
+    fixture.list_endpoints(0);
+    for (std::uint64_t i = 1; i <= 2; ++i)
+        fixture.receive(10 * sec, i);
+    fixture.scheduler->settle(10 * sec);
+    REQUIRE(fixture.actions.count("start") == 2);
+    for (std::uint64_t i = 3; i <= 4; ++i)
+        fixture.receive(10750 * ms, i);
+    fixture.scheduler->settle(10750 * ms);
+    fixture.scheduler->settle(10999 * ms);
+    CHECK(fixture.actions.count("start") == 2);
+    fixture.scheduler->settle(11 * sec);
+    CHECK(fixture.actions.count("start") == 3);
+}
+
 } // namespace
 } // namespace knotvane::scheduling
