--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -113,20 +113,37 @@
 package_tests(
   http_gateway
   SOURCES
+    tests/http_gateway/config_test.cpp
     tests/http_gateway/core_test.cpp
     tests/http_gateway/connection_races_test.cpp
     tests/http_gateway/discovery_test.cpp
+    tests/http_gateway/graceful_shutdown_test.cpp
+    tests/http_gateway/json_stream_test.cpp
     tests/http_gateway/loopback_test.cpp
     tests/http_gateway/server_test.cpp
+    tests/http_gateway/trace_test.cpp
   LIBS knotvane_http_gateway_server)
 package_tests(
   store
-  SOURCES tests/store/store_test.cpp
+  SOURCES
+    tests/store/block_allocator_test.cpp
+    tests/store/recovery_test.cpp
+    tests/store/snapshots_test.cpp
+    tests/store/store_test.cpp
   LIBS knotvane_store)
 package_tests(
   node
-  SOURCES tests/node/node_test.cpp tests/node/snapshot_test.cpp
+  SOURCES
+    tests/node/background_schedule_test.cpp
+    tests/node/deduplication_test.cpp
+    tests/node/fault_injection_test.cpp
+    tests/node/snapshot_test.cpp
+    tests/node/storage_node_test.cpp
   LIBS knotvane_node)
+package_tests(
+  node_protocol
+  SOURCES tests/node_protocol/frame_test.cpp
+  LIBS knotvane_node_protocol)
 package_tests(
   sim
   SOURCES tests/sim/sim_test.cpp
