--- a/tests/http_gateway/connection_races_test.cpp
+++ b/tests/http_gateway/connection_races_test.cpp
@@ -280,7 +280,9 @@
         auto size = std::exchange(gateway.transport.unwritten, {})[client];
         REQUIRE(size > 900'000);
         gateway.core.sent(gateway.now, client, 200'000);
-        gateway.settle(1500 * ms), gateway.blank(), gateway.settle(1500 * ms);
+        gateway.settle(1500 * ms);
+        gateway.blank();
+        gateway.settle(1500 * ms);
         CHECK(gateway.transport.shutting.contains(client));
         gateway.core.sent(gateway.now, client, size - 200'000);
         gateway.settle(499 * ms);
@@ -301,7 +303,9 @@
     TEST_CASE("an idle connection ends in order, and a request that crosses that is not taken") {
         TestGateway gateway;
         auto client = gateway.client("GET /healthz HTTP/1.1\r\n\r\n");
-        gateway.settle(sec), gateway.blank(), gateway.settle(1500 * ms);
+        gateway.settle(sec);
+        gateway.blank();
+        gateway.settle(1500 * ms);
         CHECK(gateway.transport.shutting.contains(client));
         gateway.core.received(gateway.now, client, read_of("t1"));
         gateway.settle();
@@ -393,7 +397,8 @@
         gateway.core.received(gateway.now, late, read_of("t1"));
         gateway.settle();
         CHECK(gateway.core.request_count() == 0);
-        gateway.gone(rests), gateway.gone(late);
+        gateway.gone(rests);
+        gateway.gone(late);
         gateway.settle(ms);
         CHECK(gateway.core.stopped()); // sooner, as nobody is left
     }
--- a/tests/http_gateway/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -219,7 +219,10 @@
         gateway.core.received(gateway.now, slow, read_of("t1").substr(0, 30));
         gateway.settle(800 * ms);
         CHECK(gateway.transport.closed.contains(late));
-        gateway.blank(), gateway.settle(2 * sec), gateway.blank(), gateway.settle(2100 * ms);
+        gateway.blank();
+        gateway.settle(2 * sec);
+        gateway.blank();
+        gateway.settle(2100 * ms);
         CHECK(!gateway.transport.closed.contains(slow));
         gateway.core.received(gateway.now, slow, read_of("t1").substr(30));
         gateway.settle();
@@ -464,8 +467,10 @@
     auto node = gateway.node(100 * ms);
     gateway.answer(node, reply(200, "one"));
     CHECK(gateway.transport.sent[client].ends_with("one"));
-    for (int i = 0; i < 20; ++i)
-        gateway.settle(sec), gateway.blank();
+    for (int i = 0; i < 20; ++i) {
+        gateway.settle(sec);
+        gateway.blank();
+    }
     CHECK(!gateway.transport.closed.contains(node));
     for (std::string wrong :
          {"Classes.1.DeadlineS=0", "Classes.1.DeadlineS=-1", "Permissions.ConnIdleS=-1"})
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -195,8 +195,11 @@
     // Answers the attempt that is out, wherever it is: a connection that has just answered is not
     // used for a moment.
     void serve(const std::string &body, Time later = 5 * ms) {
-        if (auto made = transport.to("n1"); made != up_last)
-            core.connected(now, up_last = made), settle();
+        if (auto made = transport.to("n1"); made != up_last) {
+            up_last = made;
+            core.connected(now, made);
+            settle();
+        }
         answer(transport.asked, reply(200, body), later);
     }
     ConnectionId up_last{};
--- a/tests/http_gateway/loopback_test.cpp
+++ b/tests/http_gateway/loopback_test.cpp
@@ -46,7 +46,9 @@
         LoopbackGateway gateway(brief);
         auto request = read_of("t1", "", "0.300");
         auto client = gateway.client(request.substr(0, 50)), hung = gateway.client();
-        gateway.stop(), gateway.reload(), gateway.stop();
+        gateway.stop();
+        gateway.reload();
+        gateway.stop();
         ::usleep(50'000);
         client.send(request.substr(50));
         auto node = gateway.node.accept();
@@ -218,8 +220,10 @@
             read_of("t1")); // nor for a connection to the node: turned away, with when to come back
         CHECK(client.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
         gateway.watch.reset();
-        for (int i = 0; i < 10; ++i)
-            fill(), ::usleep(30'000);
+        for (int i = 0; i < 10; ++i) {
+            fill();
+            ::usleep(30'000);
+        }
         cpu = cpu_seconds() - cpu;
         for (int fd : filler)
             ::close(fd);
