--- a/bench/cut_bench.cpp
+++ b/bench/cut_bench.cpp
@@ -65,12 +65,12 @@
         fleet::Worker worker;
         int taken = 0;
         auto take = [&] {
-            bool allowed = false, done = false;
             auto began = loop::now();
-            auto text = planner::ask_cut(fleet.planner_address(), 0, "members",
-                                         std::to_string(++taken), "", allowed, done, 30 * sec);
-            if (!done)
-                std::printf("not taken: %s\n", text.c_str());
+            const planner::AdminClient client(fleet.planner_address(), 30 * sec);
+            auto result = client.snapshot(
+                {control::SnapshotOperation::take, "members", std::to_string(++taken), ""});
+            if (!result.done)
+                std::printf("not taken: %s\n", result.text.c_str());
             return loop::now() - began;
         };
         auto shape = [&](std::size_t edge, double rate, std::uint32_t size, std::uint64_t region,
@@ -137,10 +137,12 @@
                             with.size(), us_of(load::quantile(with, 0.5)),
                             us_of(load::quantile(with, 0.99)), us_of(load::quantile(with, 1)));
             }
-            bool allowed = false, cloned = false;
             auto from = loop::now();
-            planner::ask_cut(fleet.planner_address(), 2, "members@" + std::to_string(taken),
-                             full ? "c2" : "c1", "", allowed, cloned, 30 * sec);
+            const bool cloned =
+                planner::AdminClient(fleet.planner_address(), 30 * sec)
+                    .snapshot({control::SnapshotOperation::clone,
+                               "members@" + std::to_string(taken), full ? "c2" : "c1", ""})
+                    .done;
             std::printf("cloned: %s, %.1f ms\n", cloned ? "yes" : "no",
                         static_cast<double>(loop::now() - from) / 1e6);
             std::printf(
--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -39,18 +39,18 @@
 };
 
 std::string whole(std::uint64_t volumes, std::uint64_t version) {
-    std::string out =
-        control::begins(control::Term{1}, 1, 1, control::Version{version}, control::Version{0}, 0) +
-        control::put(PlanId{0}, control::Plan{"p"});
+    auto out = control::encode(
+                   control::UpdateBegin{control::Term{1}, 1, 1, control::Version{version}, {}, 0}) +
+               control::encode(control::PlanUpdate{PlanId{0}, control::Plan{"p"}});
     for (std::uint64_t v = 0; v < volumes; ++v)
-        out += control::put(
-            VolumeId{v}, control::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}});
-    return out + control::ends(control::Version{version}, volumes + 1);
+        out += control::encode(control::VolumeUpdate{
+            VolumeId{v}, control::Volume{"volume-" + std::to_string(v), 1 << 30, 512, PlanId{0}}});
+    return out + control::encode(control::UpdateEnd{control::Version{version}, volumes + 1});
 }
 
 void edge_moments(std::uint64_t volumes) {
     FileActions actions;
-    edge::PlannerClient s(actions, control::EdgeId{1}, "e", 1, sec, sec);
+    edge::PlannerClient s(actions, {control::EdgeId{1}, "e", 1, sec, sec});
     s.start(0, {});
     s.connected(0);
     double longest[2] = {}, total[2] = {};
@@ -71,11 +71,12 @@
     double change = 0;
     for (std::uint64_t i = 0; i < 200; ++i) {
         auto v = 3 + i;
-        auto news = control::begins(control::Term{1}, 1, 1, control::Version{v},
-                                    control::Version{v - 1}, 0) +
-                    control::put(VolumeId{i}, control::Volume{"volume-" + std::to_string(i),
-                                                              1 << 30, 4096, PlanId{0}}) +
-                    control::ends(control::Version{v}, 1);
+        auto news = control::encode(control::UpdateBegin{
+                        control::Term{1}, 1, 1, control::Version{v}, control::Version{v - 1}, 0}) +
+                    control::encode(control::VolumeUpdate{
+                        VolumeId{i},
+                        control::Volume{"volume-" + std::to_string(i), 1 << 30, 4096, PlanId{0}}}) +
+                    control::encode(control::UpdateEnd{control::Version{v}, 1});
         auto t = Clock::now();
         s.received(3 * sec, news);
         change = std::max(change, us_since(t));
@@ -93,8 +94,7 @@
     auto w = planner::desired(2);
     for (std::uint64_t n = 1; n <= nodes; ++n)
         w.nodes[NodeId{n}] = {ShardId{static_cast<std::int32_t>(n) - 1}, ZoneId{0}, false, "", 0};
-    std::vector<std::pair<int, std::string>> faults;
-    p.core.apply_desired_state(0, w, faults);
+    p.core.apply_desired_state(0, w);
     for (std::uint64_t n = 1; n <= nodes; ++n)
         p.node(0, n);
     p.core.settle(0);
--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -14,25 +14,40 @@
 target_include_directories(knotvane_nbd PUBLIC src)
 add_library(knotvane_node_protocol src/node_protocol/frame.cpp)
 target_link_libraries(knotvane_node_protocol PUBLIC knotvane_scheduling PkgConfig::isal)
-add_library(knotvane_control src/control/cluster_state.cpp src/control/messages.cpp)
+add_library(
+  knotvane_control
+  src/control/cluster_state.cpp
+  src/control/cluster_state_replica.cpp
+  src/control/encode.cpp
+  src/control/decode.cpp)
 target_link_libraries(knotvane_control PUBLIC knotvane_node_protocol)
 add_library(
   knotvane_planner
-  src/planner/quota_allocation.cpp
-  src/planner/membership.cpp
-  src/planner/versioned_state.cpp
   src/planner/core.cpp
-  src/planner/core_snapshots.cpp
-  src/planner/snapshot_coordinator.cpp)
+  src/planner/desired_state_change.cpp
+  src/planner/diff_questions.cpp
+  src/planner/leadership.cpp
+  src/planner/lease_table.cpp
+  src/planner/node_liveness.cpp
+  src/planner/node_manager.cpp
+  src/planner/quota_allocation.cpp
+  src/planner/quota_manager.cpp
+  src/planner/receiver.cpp
+  src/planner/snapshot_coordinator.cpp
+  src/planner/snapshot_operations.cpp
+  src/planner/state_rows.cpp
+  src/planner/status_report.cpp
+  src/planner/update_sender.cpp
+  src/planner/versioned_state.cpp)
 target_link_libraries(knotvane_planner PUBLIC knotvane_control PRIVATE nlohmann_json::nlohmann_json)
 add_library(knotvane_store src/store/medium.cpp src/store/store.cpp)
 target_link_libraries(knotvane_store PUBLIC knotvane_node_protocol)
-add_library(knotvane_node src/node/disk.cpp src/node/registration.cpp)
+add_library(knotvane_node src/node/disk.cpp src/node/planner_registration.cpp)
 target_link_libraries(knotvane_node PUBLIC knotvane_control knotvane_store)
 add_library(knotvane_settings src/settings/ini.cpp src/settings/fleet_sections.cpp)
 target_include_directories(knotvane_settings PUBLIC src)
 target_link_libraries(knotvane_settings PRIVATE PkgConfig::inih PkgConfig::xxhash)
-add_library(knotvane_edge src/edge/layout.cpp src/edge/node_connections.cpp src/edge/core.cpp src/edge/planner_client.cpp)
+add_library(knotvane_edge src/edge/layout.cpp src/edge/node_connections.cpp src/edge/core.cpp src/edge/node_reachability.cpp src/edge/planner_client.cpp)
 target_link_libraries(knotvane_edge PUBLIC knotvane_control knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_load src/load/session.cpp)
 target_link_libraries(knotvane_load PUBLIC knotvane_nbd)
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -104,7 +104,16 @@
   LIBS knotvane_sim_cutting)
 package_tests(
   planner
-  SOURCES tests/planner/core_test.cpp tests/planner/sqlite_state_store_test.cpp tests/planner/snapshot_coordinator_test.cpp
+  SOURCES
+    tests/control/cluster_state_replica_test.cpp
+    tests/control/messages_test.cpp
+    tests/planner/core_test.cpp
+    tests/planner/desired_state_test.cpp
+    tests/planner/node_liveness_test.cpp
+    tests/planner/quota_manager_test.cpp
+    tests/planner/snapshot_coordinator_test.cpp
+    tests/planner/snapshot_operations_test.cpp
+    tests/planner/sqlite_state_store_test.cpp
   LIBS knotvane_planner_server PkgConfig::sqlite)
 package_tests(
   gateway
--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -115,8 +115,7 @@
             } else {
                 settings::File file(path, text);
                 if (text.find("[planner]") != std::string::npos)
-                    planner::read_own(
-                        file, [](auto...) {}, [](auto...) {});
+                    planner::read_planner_settings(file);
                 else if (text.find("[node]") != std::string::npos)
                     node::check(file);
                 else
--- a/src/cli/planner.cpp
+++ b/src/cli/planner.cpp
@@ -53,11 +53,10 @@
 }
 
 int drain(const std::string &planner, std::uint64_t node, bool on, bool yes, bool force) {
-    bool allowed = false, done = false;
-    NodeId id{node};
-    auto text = planner::ask_drain(planner, id, on, 0, allowed, done, patience);
-    std::printf("%s\n", text.c_str());
-    if (!allowed && !force) {
+    const planner::AdminClient client(planner, patience);
+    const auto preview = client.drain({NodeId{node}, on, control::DrainMode::preview});
+    std::printf("%s\n", preview.text.c_str());
+    if (!preview.allowed && !force) {
         std::fprintf(stderr, "not done%s\n",
                      on ? "; --force does it where only the shard's service is at stake" : "");
         return 1;
@@ -74,7 +73,8 @@
         if (answer != "y" && answer != "yes")
             return 1;
     }
-    planner::ask_drain(planner, id, on, force ? 2 : 1, allowed, done, patience);
+    const auto mode = force ? control::DrainMode::force : control::DrainMode::apply;
+    const bool done = client.drain({NodeId{node}, on, mode}).done;
     std::printf(done ? "done\n" : "not done: it can't be, or the fleet changed meanwhile\n");
     return done ? 0 : 1;
 }
@@ -95,7 +95,7 @@
     status->footer("Example: knotvane status --planner 127.0.0.1:10810");
     status->callback([o, &code] {
         code = visit([&] {
-            auto text = planner::ask_status(o->planner, patience);
+            auto text = planner::AdminClient(o->planner, patience).status();
             if (o->json)
                 std::printf("%s\n", text.c_str());
             else
--- a/src/cli/planner_main.cpp
+++ b/src/cli/planner_main.cpp
@@ -30,8 +30,8 @@
                 loop.stop();
             };
             return;
-        } catch (const std::exception &e) {
-            if (!standby || std::string(e.what()).find("in use") == std::string::npos)
+        } catch (const planner::StateStoreInUse &) {
+            if (!standby)
                 throw;
         }
         if (!std::exchange(waits, true))
@@ -68,10 +68,7 @@
         "knotvane-planner: members, drains and parts of limits for the edges.\n"
         "Exit codes: 0 stopped, 1 it could not run, 2 usage or settings, 3 another planner is "
         "followed",
-        [](settings::File &f) {
-            planner::read_own(
-                f, [](auto...) {}, [](auto...) {});
-        },
+        [](settings::File &f) { planner::read_planner_settings(f); },
         [&](loop::Loop &loop, settings::File &f) -> std::shared_ptr<void> {
             using From = planner::Server::From;
             auto from = rebuild ? From::rebuild : first ? From::first : From::store;
--- a/src/cli/snapshots.cpp
+++ b/src/cli/snapshots.cpp
@@ -19,12 +19,10 @@
 // told.
 constexpr Time patience = 90 * sec;
 
-int ask(const std::string &planner, std::uint8_t what, const std::string &name,
-        const std::string &as, const std::string &plan) {
-    bool allowed = false, done = false;
-    auto text = planner::ask_cut(planner, what, name, as, plan, allowed, done, patience);
-    std::fprintf(done ? stdout : stderr, "%s\n", text.c_str());
-    return done ? 0 : 1;
+int ask(const std::string &planner, const control::SnapshotRequest &request) {
+    auto result = planner::AdminClient(planner, patience).snapshot(request);
+    std::fprintf(result.done ? stdout : stderr, "%s\n", result.text.c_str());
+    return result.done ? 0 : 1;
 }
 
 void table(const nlohmann::json &s) {
@@ -54,32 +52,36 @@
         std::string planner = default_planner, a, b, plan;
         bool json = false;
     };
+    using Operation = control::SnapshotOperation;
     auto o = std::make_shared<Options>();
     auto *snapshot =
         app.add_subcommand("snapshot", "take, list, drop and compare snapshots of volumes");
     snapshot->require_subcommand(1);
-    auto command = [&](CLI::App *to, const char *name, const char *about, std::uint8_t what) {
+    auto command = [&](CLI::App *to, const char *name, const char *about, Operation operation) {
         auto *cmd = to->add_subcommand(name, about);
         cmd->add_option("--planner", o->planner, "its address");
-        cmd->callback([o, &code, what] {
-            code = visit([&] { return ask(o->planner, what, o->a, o->b, o->plan); });
+        cmd->callback([o, &code, operation] {
+            code = visit([&] { return ask(o->planner, {operation, o->a, o->b, o->plan}); });
         });
         return cmd;
     };
     auto *take =
         command(snapshot, "take",
-                "every write answered before, none begun after; found over NBD as VOLUME@NAME", 0);
+                "every write answered before, none begun after; found over NBD as VOLUME@NAME",
+                Operation::take);
     take->add_option("VOLUME", o->a, "its name")->required();
     take->add_option("NAME", o->b, "of the snapshot")->required();
     take->footer(
         "Exit code 0 only if it is whole; else nothing is left of it.\nExample: knotvane snapshot "
         "take members before-rules");
-    auto *drop = command(snapshot, "drop",
-                         "drop a snapshot or a clone; refused while a client has it open", 1);
+    auto *drop =
+        command(snapshot, "drop", "drop a snapshot or a clone; refused while a client has it open",
+                Operation::drop);
     drop->add_option("NAME", o->a, "VOLUME@NAME, or a clone's name")->required();
     drop->footer("Example: knotvane snapshot drop members@before-rules");
-    auto *diff = command(snapshot, "diff",
-                         "the ranges in which two differ, as offset and length in bytes", 3);
+    auto *diff =
+        command(snapshot, "diff", "the ranges in which two differ, as offset and length in bytes",
+                Operation::compare);
     diff->add_option("A", o->a, "VOLUME@NAME, or a volume or clone as it is now")->required();
     diff->add_option("B", o->b, "another of the same origin")->required();
     diff->footer("Example: knotvane snapshot diff members@before-rules members");
@@ -89,7 +91,7 @@
     list->add_flag("--json", o->json, "as JSON");
     list->callback([o, &code] {
         code = visit([&] {
-            auto s = nlohmann::json::parse(planner::ask_status(o->planner, 3 * sec));
+            auto s = nlohmann::json::parse(planner::AdminClient(o->planner, 3 * sec).status());
             if (!o->json)
                 table(s);
             else
@@ -101,8 +103,8 @@
             return 0;
         });
     });
-    auto *clone =
-        command(&app, "clone", "a writable copy of a snapshot, sharing what is unchanged", 2);
+    auto *clone = command(&app, "clone", "a writable copy of a snapshot, sharing what is unchanged",
+                          Operation::clone);
     clone->add_option("SNAPSHOT", o->a, "VOLUME@NAME")->required();
     clone->add_option("NAME", o->b, "of the clone, found over NBD by it")->required();
     clone->add_option(
--- /dev/null
+++ b/src/control/cluster_state_replica.cpp
@@ -0,0 +1,112 @@
+#include "control/cluster_state_replica.hpp"
+
+#include <utility>
+
+namespace knotvane::control {
+namespace {
+
+// Entries freed at once: a tenth of a millisecond's work.
+constexpr std::size_t entries_freed_at_once = 512;
+
+template <class Map>
+bool free_entries(Map &map) {
+    for (std::size_t i = 0; i < entries_freed_at_once && !map.empty(); ++i)
+        map.erase(map.begin());
+    return !map.empty();
+}
+
+} // namespace
+
+void ClusterStateReplica::begin(const UpdateBegin &update) {
+    if (!incoming_.volumes.empty() || !incoming_.nodes.empty())
+        replaced_.push_back(std::exchange(incoming_, {}));
+    changes_.clear();
+    next_update_ = update;
+    received_entries_ = 0;
+    open_ = true;
+}
+
+void ClusterStateReplica::apply(const NodeRemoval &entry) {
+    add_change([id = entry.id](ClusterState &state) { state.drop(id); });
+}
+
+void ClusterStateReplica::apply(const PlanRemoval &entry) {
+    add_change([id = entry.id](ClusterState &state) { state.drop(id); });
+}
+
+void ClusterStateReplica::apply(const VolumeRemoval &entry) {
+    add_change([id = entry.id](ClusterState &state) { state.drop_volume(id); });
+}
+
+void ClusterStateReplica::apply(const QuotaShareRemoval &entry) {
+    add_change([id = entry.volume](ClusterState &state) { state.drop_quota_share(id); });
+}
+
+void ClusterStateReplica::add_change(Change change) {
+    if (!open_)
+        return;
+    ++received_entries_;
+    changes_.push_back(std::move(change));
+}
+
+UpdateResult ClusterStateReplica::judge(const UpdateEnd &update) const {
+    const auto &next = next_update_;
+    if (update.version != next.version || update.entries != received_entries_)
+        return UpdateResult::broken;
+    if (next.term < update_.term ||
+        (next.term == update_.term && next.instance != update_.instance))
+        return UpdateResult::foreign;
+
+    // Versions go on counting from one term to the next; only another store's begin anew.
+    bool comparable = update_.term != Term{0} && next.lineage == update_.lineage;
+    if (comparable && next.version < update_.version)
+        return UpdateResult::old;
+    if (comparable && next.term == update_.term && next.version == update_.version)
+        return UpdateResult::old;
+    if (is_full())
+        return UpdateResult::whole;
+    return comparable && next.from_version == update_.version ? UpdateResult::changes
+                                                              : UpdateResult::gap;
+}
+
+UpdateResult ClusterStateReplica::end(const UpdateEnd &update) {
+    if (!std::exchange(open_, false))
+        return UpdateResult::broken;
+    auto result = judge(update);
+    if (result == UpdateResult::whole)
+        replace_state();
+    else if (result == UpdateResult::changes)
+        apply_changes();
+    else
+        return result;
+    update_ = next_update_;
+    return result;
+}
+
+void ClusterStateReplica::replace_state() {
+    nodes_changed_ = incoming_.nodes != current_.nodes;
+    plans_changed_ = incoming_.plans != current_.plans;
+    replaced_.push_back(std::exchange(current_, std::exchange(incoming_, {})));
+}
+
+void ClusterStateReplica::apply_changes() {
+    auto nodes = current_.nodes;
+    auto plans = current_.plans;
+    for (auto &change : changes_)
+        change(current_);
+    nodes_changed_ = nodes != current_.nodes;
+    plans_changed_ = plans != current_.plans;
+    changes_.clear();
+}
+
+bool ClusterStateReplica::free_replaced_state() {
+    if (replaced_.empty())
+        return false;
+    auto &state = replaced_.back();
+    if (!free_entries(state.volumes) && !free_entries(state.names) &&
+        !free_entries(state.quota_shares))
+        replaced_.pop_back();
+    return !replaced_.empty();
+}
+
+} // namespace knotvane::control
--- /dev/null
+++ b/src/control/decode.cpp
@@ -0,0 +1,201 @@
+#include "control/decode.hpp"
+
+#include <cmath>
+#include <cstring>
+#include <type_traits>
+#include <utility>
+
+#include <msgpack.hpp>
+
+#include "control/message_layout.hpp"
+#include "node_protocol/crc.hpp"
+
+namespace knotvane::control {
+namespace {
+
+// Length and checksum, 32 bits each.
+constexpr std::size_t header_bytes = 8;
+// The status of some hundred edges is the longest message; a length past this is no length.
+constexpr std::uint32_t max_message_bytes = 1u << 20;
+// Nothing is nested deeper than a list in a message.
+constexpr std::size_t max_depth = 4;
+constexpr std::size_t max_list_entries = 1 << 16;
+
+// The highest value of each enumeration on the wire.
+constexpr NodeState max_value(NodeState) {
+    return NodeState::ready;
+}
+constexpr DrainMode max_value(DrainMode) {
+    return DrainMode::force;
+}
+constexpr SnapshotOperation max_value(SnapshotOperation) {
+    return SnapshotOperation::compare;
+}
+constexpr SnapshotStep max_value(SnapshotStep) {
+    return SnapshotStep::cloned;
+}
+constexpr SnapshotResult max_value(SnapshotResult) {
+    return SnapshotResult::failed;
+}
+
+// Takes the fields of one message one by one, in wire order.
+class FieldReader {
+public:
+    explicit FieldReader(const msgpack::object &message) {
+        if (message.type != msgpack::type::ARRAY || message.via.array.size == 0)
+            throw ProtocolError("expected a list");
+        next_ = message.via.array.ptr;
+        end_ = next_ + message.via.array.size;
+    }
+
+    template <class Field>
+    void read(Field &field) {
+        if (next_ == end_)
+            throw ProtocolError("a field is missing");
+        convert(*next_++, field);
+    }
+
+    void expect_end() const {
+        if (next_ != end_)
+            throw ProtocolError("more fields than expected");
+    }
+
+private:
+    template <class Field>
+    static void convert(const msgpack::object &from, Field &field) {
+        if constexpr (std::is_enum_v<Field>) {
+            auto value = from.as<std::uint8_t>();
+            constexpr auto max = static_cast<std::uint8_t>(max_value(Field{}));
+            if (value > max)
+                throw ProtocolError("value " + std::to_string(value) + ", expected 0 to " +
+                                    std::to_string(max));
+            field = static_cast<Field>(value);
+        } else {
+            field = from.as<Field>();
+        }
+    }
+
+    template <class Kind, class Rep>
+    static void convert(const msgpack::object &from, Id<Kind, Rep> &id) {
+        id.value = from.as<Rep>();
+    }
+
+    static void convert(const msgpack::object &from, double &number) {
+        number = from.as<double>();
+        if (!std::isfinite(number))
+            throw ProtocolError("expected a finite number");
+    }
+
+    static void convert(const msgpack::object &from, ProtocolVersion &version) {
+        version.value = from.as<std::uint32_t>();
+        if (version.value != ProtocolVersion::current)
+            throw ProtocolError("protocol " + std::to_string(version.value) + ", expected " +
+                                std::to_string(ProtocolVersion::current));
+    }
+
+    template <class Kind, class Rep>
+    static void convert(const msgpack::object &from, std::vector<Id<Kind, Rep>> &ids) {
+        if (from.type != msgpack::type::ARRAY)
+            throw ProtocolError("expected a list of ids");
+        for (std::uint32_t i = 0; i < from.via.array.size; ++i)
+            convert(from.via.array.ptr[i], ids.emplace_back());
+    }
+
+    static void convert(const msgpack::object &from, std::vector<ByteRange> &ranges) {
+        if (from.type != msgpack::type::ARRAY || from.via.array.size % 2 != 0)
+            throw ProtocolError("expected offsets and lengths in turn");
+        for (std::uint32_t i = 0; i < from.via.array.size; i += 2) {
+            auto &range = ranges.emplace_back();
+            convert(from.via.array.ptr[i], range.offset);
+            convert(from.via.array.ptr[i + 1], range.length);
+        }
+    }
+
+    const msgpack::object *next_;
+    const msgpack::object *end_;
+};
+
+// What a message's fields must fulfil together or beyond their types.
+template <class Message>
+void validate(const Message &) {}
+
+void validate(const NodeHello &hello) {
+    if (hello.age < 0)
+        throw ProtocolError("expected an age of 0 or more");
+}
+
+void validate(const QuotaShareUpdate &update) {
+    if (update.share.millionths > whole_limit)
+        throw ProtocolError("a quota share of more than the whole limit");
+}
+
+template <class Message>
+void decode_as(FieldReader &reader, MessageHandler &handler) {
+    Message message;
+    std::apply([&reader](auto &...fields) { (reader.read(fields), ...); },
+               MessageLayout<Message>::fields(message));
+    reader.expect_end();
+    validate(message);
+    handler.handle(message);
+}
+
+// Decodes as the one message of the list that has this type.
+template <class... Messages>
+bool decode_as_one_of(std::tuple<Messages...> *, std::uint8_t type, FieldReader &reader,
+                      MessageHandler &handler) {
+    return ((type == static_cast<std::uint8_t>(MessageLayout<Messages>::type) &&
+             (decode_as<Messages>(reader, handler), true)) ||
+            ...);
+}
+
+void decode_message(std::string_view body, MessageHandler &handler) {
+    auto handle = msgpack::unpack(body.data(), body.size(), nullptr, nullptr,
+                                  msgpack::unpack_limit(max_list_entries, 0, max_message_bytes,
+                                                        max_message_bytes, 0, max_depth));
+    FieldReader reader(handle.get());
+    std::uint8_t type = 0;
+    reader.read(type);
+    if (!decode_as_one_of(static_cast<AllMessages *>(nullptr), type, reader, handler))
+        throw ProtocolError("type " + std::to_string(type) + " is not known");
+}
+
+} // namespace
+
+void MessageDecoder::decode(std::string_view bytes, MessageHandler &handler) {
+    if (error_)
+        throw *error_;
+    buffer_.append(bytes);
+    try {
+        decode_messages(handler);
+    } catch (const ProtocolError &error) {
+        error_ = error;
+        throw;
+    }
+}
+
+void MessageDecoder::decode_messages(MessageHandler &handler) {
+    std::string_view rest = buffer_;
+    while (rest.size() >= header_bytes) {
+        std::uint32_t header[2];
+        static_assert(sizeof header == header_bytes);
+        std::memcpy(header, rest.data(), sizeof header);
+        const auto [length, checksum] = header;
+        if (length == 0 || length > max_message_bytes)
+            throw ProtocolError("a message of " + std::to_string(length) +
+                                " bytes, expected 1 to " + std::to_string(max_message_bytes));
+        if (rest.size() < header_bytes + length)
+            break;
+        auto body = rest.substr(header_bytes, length);
+        if (crc32c(body) != checksum)
+            throw ProtocolError("a message does not match its checksum");
+        try {
+            decode_message(body, handler);
+        } catch (const std::exception &error) {
+            throw ProtocolError(std::string("no message of this protocol: ") + error.what());
+        }
+        rest.remove_prefix(header_bytes + length);
+    }
+    buffer_.erase(0, buffer_.size() - rest.size());
+}
+
+} // namespace knotvane::control
--- /dev/null
+++ b/src/control/message_layout.hpp
@@ -0,0 +1,302 @@
+/// \file
+/// Each message's number and the order of its fields on the wire: the one place where both stand,
+/// for encoding and decoding alike. Internal to the control package.
+#pragma once
+
+#include <cstdint>
+#include <tuple>
+
+#include "control/messages.hpp"
+
+namespace knotvane::control {
+
+/// A message's first field on the wire.
+enum class MessageType : std::uint8_t {
+    edge_hello = 1,
+    lease_renewal = 2,
+    full_state_request = 3,
+    volume_served = 4,
+    reachability_report = 5,
+    superseded = 6,
+    node_hello = 7,
+    node_renewal = 8,
+    status_request = 9,
+    drain_request = 10,
+    snapshot_request = 11,
+    snapshot_step_report = 12,
+    diff_report = 13,
+    update_begin = 20,
+    node_update = 21,
+    plan_update = 22,
+    volume_update = 23,
+    quota_share_update = 24,
+    node_removal = 25,
+    plan_removal = 26,
+    volume_removal = 27,
+    quota_share_removal = 28,
+    update_end = 29,
+    lease_renewed = 30,
+    node_state_notice = 31,
+    status = 32,
+    operation_result = 33,
+    reachability_request = 34,
+    snapshot_hold = 35,
+    snapshot_resume = 36,
+    snapshot_release = 37,
+    snapshot_open = 38,
+    snapshot_seal = 39,
+    snapshot_drop = 40,
+    clone_open = 41,
+    diff_request = 42,
+};
+
+/// Type and fields of message M. `fields` gives references to them, in wire order.
+template <class M>
+struct MessageLayout;
+
+template <>
+struct MessageLayout<EdgeHello> {
+    static constexpr auto type = MessageType::edge_hello;
+    static auto fields(auto &m) {
+        return std::tie(m.protocol, m.edge, m.listen_address, m.term, m.instance, m.lineage,
+                        m.version, m.draining, m.serving);
+    }
+};
+
+template <>
+struct MessageLayout<LeaseRenewal> {
+    static constexpr auto type = MessageType::lease_renewal;
+    static auto fields(auto &m) { return std::tie(m.sent_at, m.term, m.version); }
+};
+
+template <>
+struct MessageLayout<FullStateRequest> {
+    static constexpr auto type = MessageType::full_state_request;
+    static auto fields(auto &) { return std::tie(); }
+};
+
+template <>
+struct MessageLayout<VolumeServed> {
+    static constexpr auto type = MessageType::volume_served;
+    static auto fields(auto &m) { return std::tie(m.volume, m.served); }
+};
+
+template <>
+struct MessageLayout<ReachabilityReport> {
+    static constexpr auto type = MessageType::reachability_report;
+    static auto fields(auto &m) { return std::tie(m.node, m.reachable); }
+};
+
+template <>
+struct MessageLayout<Superseded> {
+    static constexpr auto type = MessageType::superseded;
+    static auto fields(auto &m) { return std::tie(m.term); }
+};
+
+template <>
+struct MessageLayout<NodeHello> {
+    static constexpr auto type = MessageType::node_hello;
+    static auto fields(auto &m) {
+        return std::tie(m.protocol, m.node, m.shard, m.zone, m.address, m.incarnation, m.age);
+    }
+};
+
+template <>
+struct MessageLayout<NodeRenewal> {
+    static constexpr auto type = MessageType::node_renewal;
+    static auto fields(auto &) { return std::tie(); }
+};
+
+template <>
+struct MessageLayout<StatusRequest> {
+    static constexpr auto type = MessageType::status_request;
+    static auto fields(auto &) { return std::tie(); }
+};
+
+template <>
+struct MessageLayout<DrainRequest> {
+    static constexpr auto type = MessageType::drain_request;
+    static auto fields(auto &m) { return std::tie(m.node, m.draining, m.mode); }
+};
+
+template <>
+struct MessageLayout<SnapshotRequest> {
+    static constexpr auto type = MessageType::snapshot_request;
+    static auto fields(auto &m) { return std::tie(m.operation, m.name, m.other_name, m.plan); }
+};
+
+template <>
+struct MessageLayout<SnapshotStepReport> {
+    static constexpr auto type = MessageType::snapshot_step_report;
+    static auto fields(auto &m) { return std::tie(m.snapshot, m.step, m.result, m.incarnation); }
+};
+
+template <>
+struct MessageLayout<DiffReport> {
+    static constexpr auto type = MessageType::diff_report;
+    static auto fields(auto &m) { return std::tie(m.question, m.ranges, m.more); }
+};
+
+template <>
+struct MessageLayout<UpdateBegin> {
+    static constexpr auto type = MessageType::update_begin;
+    static auto fields(auto &m) {
+        return std::tie(m.term, m.instance, m.lineage, m.version, m.from_version, m.planner_time);
+    }
+};
+
+template <>
+struct MessageLayout<NodeUpdate> {
+    static constexpr auto type = MessageType::node_update;
+    static auto fields(auto &m) {
+        return std::tie(m.id, m.node.address, m.node.shard, m.node.zone, m.node.state,
+                        m.node.started, m.node.incarnation);
+    }
+};
+
+template <>
+struct MessageLayout<PlanUpdate> {
+    static constexpr auto type = MessageType::plan_update;
+    static auto fields(auto &m) {
+        return std::tie(m.id, m.plan.name, m.plan.weight, m.plan.usual, m.plan.reserve,
+                        m.plan.price, m.plan.rate, m.plan.burst);
+    }
+};
+
+template <>
+struct MessageLayout<VolumeUpdate> {
+    static constexpr auto type = MessageType::volume_update;
+    static auto fields(auto &m) {
+        return std::tie(m.id, m.volume.name, m.volume.size, m.volume.least, m.volume.plan,
+                        m.volume.place, m.volume.charge, m.volume.of, m.volume.epoch,
+                        m.volume.frozen, m.volume.taken);
+    }
+};
+
+template <>
+struct MessageLayout<QuotaShareUpdate> {
+    static constexpr auto type = MessageType::quota_share_update;
+    static auto fields(auto &m) { return std::tie(m.volume, m.share.millionths, m.share.sharers); }
+};
+
+template <>
+struct MessageLayout<NodeRemoval> {
+    static constexpr auto type = MessageType::node_removal;
+    static auto fields(auto &m) { return std::tie(m.id); }
+};
+
+template <>
+struct MessageLayout<PlanRemoval> {
+    static constexpr auto type = MessageType::plan_removal;
+    static auto fields(auto &m) { return std::tie(m.id); }
+};
+
+template <>
+struct MessageLayout<VolumeRemoval> {
+    static constexpr auto type = MessageType::volume_removal;
+    static auto fields(auto &m) { return std::tie(m.id); }
+};
+
+template <>
+struct MessageLayout<QuotaShareRemoval> {
+    static constexpr auto type = MessageType::quota_share_removal;
+    static auto fields(auto &m) { return std::tie(m.volume); }
+};
+
+template <>
+struct MessageLayout<UpdateEnd> {
+    static constexpr auto type = MessageType::update_end;
+    static auto fields(auto &m) { return std::tie(m.version, m.entries); }
+};
+
+template <>
+struct MessageLayout<LeaseRenewed> {
+    static constexpr auto type = MessageType::lease_renewed;
+    static auto fields(auto &m) {
+        return std::tie(m.sent_at, m.term, m.lease, m.fade, m.min_version);
+    }
+};
+
+template <>
+struct MessageLayout<NodeStateNotice> {
+    static constexpr auto type = MessageType::node_state_notice;
+    static auto fields(auto &m) { return std::tie(m.state); }
+};
+
+template <>
+struct MessageLayout<Status> {
+    static constexpr auto type = MessageType::status;
+    static auto fields(auto &m) { return std::tie(m.json); }
+};
+
+template <>
+struct MessageLayout<OperationResult> {
+    static constexpr auto type = MessageType::operation_result;
+    static auto fields(auto &m) { return std::tie(m.allowed, m.done, m.text); }
+};
+
+template <>
+struct MessageLayout<ReachabilityRequest> {
+    static constexpr auto type = MessageType::reachability_request;
+    static auto fields(auto &m) { return std::tie(m.node); }
+};
+
+template <>
+struct MessageLayout<SnapshotHold> {
+    static constexpr auto type = MessageType::snapshot_hold;
+    static auto fields(auto &m) { return std::tie(m.volume, m.snapshot, m.epoch, m.max_hold); }
+};
+
+template <>
+struct MessageLayout<SnapshotResume> {
+    static constexpr auto type = MessageType::snapshot_resume;
+    static auto fields(auto &m) { return std::tie(m.volume, m.snapshot, m.epoch); }
+};
+
+template <>
+struct MessageLayout<SnapshotRelease> {
+    static constexpr auto type = MessageType::snapshot_release;
+    static auto fields(auto &m) { return std::tie(m.volume, m.snapshot); }
+};
+
+template <>
+struct MessageLayout<SnapshotOpen> {
+    static constexpr auto type = MessageType::snapshot_open;
+    static auto fields(auto &m) { return std::tie(m.volume, m.snapshot, m.epoch, m.late_writers); }
+};
+
+template <>
+struct MessageLayout<SnapshotSeal> {
+    static constexpr auto type = MessageType::snapshot_seal;
+    static auto fields(auto &m) { return std::tie(m.volume, m.snapshot); }
+};
+
+template <>
+struct MessageLayout<SnapshotDrop> {
+    static constexpr auto type = MessageType::snapshot_drop;
+    static auto fields(auto &m) { return std::tie(m.snapshot); }
+};
+
+template <>
+struct MessageLayout<CloneOpen> {
+    static constexpr auto type = MessageType::clone_open;
+    static auto fields(auto &m) { return std::tie(m.source, m.clone); }
+};
+
+template <>
+struct MessageLayout<DiffRequest> {
+    static constexpr auto type = MessageType::diff_request;
+    static auto fields(auto &m) { return std::tie(m.question, m.first, m.second, m.from_offset); }
+};
+
+/// Every message.
+using AllMessages =
+    std::tuple<EdgeHello, LeaseRenewal, FullStateRequest, VolumeServed, ReachabilityReport,
+               Superseded, NodeHello, NodeRenewal, StatusRequest, DrainRequest, SnapshotRequest,
+               SnapshotStepReport, DiffReport, UpdateBegin, NodeUpdate, PlanUpdate, VolumeUpdate,
+               QuotaShareUpdate, NodeRemoval, PlanRemoval, VolumeRemoval, QuotaShareRemoval,
+               UpdateEnd, LeaseRenewed, NodeStateNotice, Status, OperationResult,
+               ReachabilityRequest, SnapshotHold, SnapshotResume, SnapshotRelease, SnapshotOpen,
+               SnapshotSeal, SnapshotDrop, CloneOpen, DiffRequest>;
+
+} // namespace knotvane::control
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -1,169 +1,269 @@
-// What planner, edges, nodes and operators say to each other: a length, a checksum and a msgpack
-// array, field by field (docs/planner-protocol.md). Writers give the bytes of one message; a Reader
-// takes bytes as they come and calls for each message.
+/// \file
+/// The messages between planner, edges, nodes and operators (docs/planner-protocol.md). Times are
+/// nanoseconds. Encoding: control/encode.hpp; decoding: control/decode.hpp.
 #pragma once
 
 #include <cstdint>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "control/cluster_state.hpp"
+#include "control/ids.hpp"
+#include "control/snapshot_types.hpp"
 
 namespace knotvane::control {
 
-inline constexpr std::uint32_t protocol = 2;
-
-// What a side may hear; what it doesn't expect says so and the connection is closed.
-class MessageHandler {
-public:
-    virtual ~MessageHandler() = default;
-    // ---- To the planner. Times: nanoseconds.
-    // `draining`: nodes that the edge holds as draining; `serving`: volumes with a client at it.
-    virtual void edge_hello(EdgeId, const std::string & /*listen*/, Term,
-                            std::uint64_t /*instance*/, std::uint64_t /*lineage*/, Version,
-                            const std::vector<NodeId> & /*draining*/,
-                            const std::vector<VolumeId> & /*serving*/) {
-        unexpected("an edge's hello");
-    }
-    // `at`: by the edge's clock, sent back with the answer. The version is the one that the edge
-    // goes by.
-    virtual void renew(Time /*at*/, Term, Version) { unexpected("a renewal"); }
-    virtual void ask() { unexpected("an ask for the whole"); }
-    virtual void serve(VolumeId, bool /*on*/) { unexpected("a volume served"); }
-    virtual void witness(NodeId, bool /*reached*/) { unexpected("a witness"); }
-    virtual void superseded(Term) { unexpected("another planner's term"); }
-    // `life`: of the node's process, another each time it starts; `age`: how long ago it did.
-    virtual void node_hello(NodeId, ShardId, ZoneId, const std::string & /*address*/,
-                            std::uint64_t /*life*/, Time /*age*/) {
-        unexpected("a node's hello");
-    }
-    virtual void node_renew() { unexpected("a node's renewal"); }
-    virtual void status_asked() { unexpected("an ask for status"); }
-    // `how`: 0 tell the effect only, 1 do it, 2 do it even where nothing else serves the shard.
-    virtual void drain_asked(NodeId, bool /*draining*/, std::uint8_t /*how*/) {
-        unexpected("a drain");
-    }
-    // What an operator wants of snapshots: 0 take (`name` of a volume, `as`), 1 drop, 2 clone (of a
-    // snapshot; `plan` empty: part of its source's), 3 which ranges differ (`name`, `as`).
-    virtual void cut_asked(std::uint8_t /*what*/, const std::string & /*name*/,
-                           const std::string & /*as*/, const std::string & /*plan*/) {
-        unexpected("a snapshot asked for");
-    }
-    // An edge's or a node's step of a cut. `how`, of a node: as store::Store::Cut counts; `life`:
-    // of an edge.
-    virtual void cut_told(VolumeId /*as*/, SnapshotStep, std::uint8_t /*how*/, EdgeIncarnation) {
-        unexpected("a step of a cut");
-    }
-    // Offsets and lengths, in turn; `more`: they go on past the last.
-    virtual void diff_told(std::uint64_t /*question*/,
-                           const std::vector<std::uint64_t> & /*ranges*/, bool /*more*/) {
-        unexpected("ranges");
-    }
-    // ---- From the planner.
-    virtual void begins(Term, std::uint64_t /*instance*/, std::uint64_t /*lineage*/, Version,
-                        Version /*from*/, Time /*now*/) {
-        unexpected("news");
-    }
-    virtual void node(NodeId, Node) { unexpected("a node"); }
-    virtual void plan(PlanId, Plan) { unexpected("a plan"); }
-    virtual void volume(VolumeId, Volume) { unexpected("a volume"); }
-    virtual void part(VolumeId, QuotaShare) { unexpected("a part"); }
-    virtual void no_node(NodeId) { unexpected("a node's end"); }
-    virtual void no_plan(PlanId) { unexpected("a plan's end"); }
-    virtual void no_volume(VolumeId) { unexpected("a volume's end"); }
-    virtual void no_part(VolumeId) { unexpected("a part's end"); }
-    virtual void ends(Version, std::uint64_t /*count*/) { unexpected("the end of news"); }
-    // The edge's right to its parts runs `lease` on from `at`, if it goes by `least` or later;
-    // `fade` after that for a piece of them.
-    virtual void renewed(Time /*at*/, Term, Time /*lease*/, Time /*fade*/, Version /*least*/) {
-        unexpected("a renewal's answer");
-    }
-    // Whether the edge reaches a node that the planner does not hear.
-    virtual void witness_asked(NodeId) { unexpected("an ask for a witness"); }
-    // Of a cut, to edges: begin no change of the volume for so long; go on, in the epoch; go on as
-    // before.
-    virtual void cut_hold(VolumeId /*of*/, VolumeId /*as*/, std::uint32_t /*epoch*/,
-                          Time /*longest*/) {
-        unexpected("a cut");
-    }
-    virtual void cut_go(VolumeId /*of*/, VolumeId /*as*/, std::uint32_t /*epoch*/) {
-        unexpected("a cut");
-    }
-    virtual void cut_release(VolumeId /*of*/, VolumeId /*as*/) { unexpected("a cut"); }
-    // To nodes: see node::Disk.
-    virtual void cut_open(VolumeId /*of*/, VolumeId /*as*/, std::uint32_t /*epoch*/,
-                          const std::vector<EdgeIncarnation> & /*late*/) {
-        unexpected("a cut");
-    }
-    virtual void cut_seal(VolumeId /*of*/, VolumeId /*as*/) { unexpected("a cut"); }
-    virtual void cut_drop(VolumeId /*as*/) { unexpected("a cut"); }
-    virtual void cut_clone(VolumeId /*of*/, VolumeId /*as*/) { unexpected("a cut"); }
-    virtual void diff_asked(std::uint64_t /*question*/, VolumeId, VolumeId,
-                            std::uint64_t /*from*/) {
-        unexpected("an ask for ranges");
-    }
-    virtual void node_told(NodeState) { unexpected("a node's state"); }
-    virtual void status(const std::string & /*json*/) { unexpected("a status"); }
-    virtual void effect(bool /*allowed*/, bool /*done*/, const std::string & /*text*/) {
-        unexpected("an effect");
-    }
-
-    virtual void unexpected(const char *what) = 0;
-};
-
-std::string edge_hello(EdgeId edge, const std::string &listen, Term term, std::uint64_t instance,
-                       std::uint64_t lineage, Version version, const std::vector<NodeId> &draining,
-                       const std::vector<VolumeId> &serving);
-std::string renew(Time at, Term term, Version version);
-std::string ask();
-std::string serve(VolumeId volume, bool on);
-std::string witness(NodeId node, bool reached);
-std::string superseded(Term term);
-std::string node_hello(NodeId node, ShardId shard, ZoneId zone, const std::string &address,
-                       std::uint64_t incarnation, Time age);
-std::string node_renew();
-std::string ask_status();
-std::string ask_drain(NodeId node, bool draining, std::uint8_t how);
-std::string ask_cut(std::uint8_t what, const std::string &name, const std::string &as,
-                    const std::string &plan);
-std::string tell_cut(VolumeId as, SnapshotStep step, std::uint8_t how,
-                     EdgeIncarnation incarnation = {});
-std::string tell_diff(std::uint64_t question, const std::vector<std::uint64_t> &ranges, bool more);
-std::string cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest);
-std::string cut_go(VolumeId of, VolumeId as, std::uint32_t epoch);
-std::string cut_release(VolumeId of, VolumeId as);
-std::string cut_open(VolumeId of, VolumeId as, std::uint32_t epoch,
-                     const std::vector<EdgeIncarnation> &late);
-std::string cut_seal(VolumeId of, VolumeId as);
-std::string cut_drop(VolumeId as);
-std::string cut_clone(VolumeId of, VolumeId as);
-std::string ask_diff(std::uint64_t question, VolumeId a, VolumeId b, std::uint64_t from);
-std::string begins(Term term, std::uint64_t instance, std::uint64_t lineage, Version version,
-                   Version from, Time now);
-std::string put(NodeId id, const Node &n);
-std::string put(PlanId id, const Plan &p);
-std::string put(VolumeId id, const Volume &v);
-std::string put(VolumeId id, const QuotaShare &p);
-std::string drop(NodeId id);
-std::string drop(PlanId id);
-std::string drop_volume(VolumeId id);
-std::string drop_quota_share(VolumeId id);
-std::string ends(Version version, std::uint64_t count);
-std::string renewed(Time at, Term term, Time lease, Time fade, Version least);
-std::string ask_witness(NodeId node);
-std::string tell_node(NodeState state);
-std::string status(const std::string &json);
-std::string effect(bool allowed, bool done, const std::string &text);
-
-class Reader {
-public:
-    // Calls for each whole message. An empty answer is good; else the bytes are no message, which
-    // and why, and nothing after them is read.
-    std::string bytes(std::string_view in, MessageHandler &to);
-
-private:
-    std::string rest_, fault_;
+/// The version of the protocol that a process speaks. One of another version is refused where it
+/// is decoded.
+struct ProtocolVersion {
+    static constexpr std::uint32_t current = 2;
+    std::uint32_t value = current;
+};
+
+// ---- To the planner.
+
+/// An edge's first message.
+struct EdgeHello {
+    ProtocolVersion protocol{};
+    EdgeId edge;
+    std::string listen_address;    ///< where clients reach it
+    Term term;                     ///< of the update that it holds; 0: none
+    std::uint64_t instance = 0;    ///< of the planner that it follows
+    std::uint64_t lineage = 0;     ///< of the store that its version belongs to
+    Version version;               ///< of the update that it holds
+    std::vector<NodeId> draining;  ///< nodes that it knows as draining
+    std::vector<VolumeId> serving; ///< volumes with a client at it
+};
+
+/// An edge asks to prolong the lease on its quota shares, and acknowledges the version it holds.
+struct LeaseRenewal {
+    Time sent_at = 0; ///< by the edge's clock; comes back in LeaseRenewed
+    Term term;
+    Version version;
+};
+
+/// An edge has missed updates and needs the full state.
+struct FullStateRequest {};
+
+/// A volume's first client came to an edge, or its last one left.
+struct VolumeServed {
+    VolumeId volume;
+    bool served = false;
+};
+
+/// Whether an edge reaches a node.
+struct ReachabilityReport {
+    NodeId node;
+    bool reachable = false;
+};
+
+/// An edge follows a newer planner.
+struct Superseded {
+    Term term; ///< of the planner that it follows
+};
+
+/// A node's first message.
+struct NodeHello {
+    ProtocolVersion protocol{};
+    NodeId node;
+    ShardId shard;
+    ZoneId zone;
+    std::string address;
+    std::uint64_t incarnation = 0; ///< of its process; another with each start
+    Time age = 0;                  ///< since the start of its process
+};
+
+/// A node is there.
+struct NodeRenewal {};
+
+/// An operator asks for Status.
+struct StatusRequest {};
+
+/// How far a drain request goes.
+enum class DrainMode : std::uint8_t {
+    preview = 0, ///< only tell the effect
+    apply = 1,   ///< do it unless nothing else serves the node's shard
+    force = 2,   ///< do it in any case
+};
+
+/// An operator asks to drain a node, or to end its drain; answered by OperationResult.
+struct DrainRequest {
+    NodeId node;
+    bool draining = false;
+    DrainMode mode = DrainMode::preview;
+};
+
+/// An operator asks for an operation on snapshots; answered by OperationResult.
+struct SnapshotRequest {
+    SnapshotOperation operation = SnapshotOperation::take;
+    std::string name;       ///< take: the volume; clone: the snapshot; drop, compare: the one meant
+    std::string other_name; ///< take: name after the @; clone: its name; compare: the other one
+    std::string plan;       ///< clone: its plan; empty: it shares its source's quota
+};
+
+/// An edge or a node has done its step of a snapshot or clone.
+struct SnapshotStepReport {
+    VolumeId snapshot;
+    SnapshotStep step = SnapshotStep::ready;
+    SnapshotResult result = SnapshotResult::done; ///< of a node's step
+    EdgeIncarnation incarnation{};                ///< of an edge's step
+};
+
+/// Bytes of a volume.
+struct ByteRange {
+    std::uint64_t offset = 0;
+    std::uint64_t length = 0;
+};
+
+/// A node's answer to a DiffRequest.
+struct DiffReport {
+    std::uint64_t question = 0;
+    std::vector<ByteRange> ranges; ///< in order of their offsets
+    bool more = false;             ///< further ranges follow the last
+};
+
+// ---- From the planner to edges.
+
+/// Begins an update: entries follow, then UpdateEnd.
+struct UpdateBegin {
+    Term term;
+    std::uint64_t instance = 0; ///< of the planner's process: tells two under one term apart
+    std::uint64_t lineage = 0;  ///< of the planner's store; versions of another can't be compared
+    Version version;
+    Version from_version;  ///< the version that these are changes to; 0: the full state follows
+    Time planner_time = 0; ///< the planner's clock
+};
+
+struct NodeUpdate {
+    NodeId id;
+    Node node;
+};
+
+struct PlanUpdate {
+    PlanId id;
+    Plan plan;
+};
+
+struct VolumeUpdate {
+    VolumeId id;
+    Volume volume;
+};
+
+struct QuotaShareUpdate {
+    VolumeId volume;
+    QuotaShare share;
+};
+
+struct NodeRemoval {
+    NodeId id;
+};
+
+struct PlanRemoval {
+    PlanId id;
+};
+
+struct VolumeRemoval {
+    VolumeId id;
+};
+
+struct QuotaShareRemoval {
+    VolumeId volume;
+};
+
+/// Ends an update.
+struct UpdateEnd {
+    Version version;           ///< that of UpdateBegin
+    std::uint64_t entries = 0; ///< how many came in between
+};
+
+/// The lease on an edge's quota shares runs for `lease` from `sent_at`, where the edge holds
+/// `min_version` or a later one.
+struct LeaseRenewed {
+    Time sent_at = 0; ///< as in the LeaseRenewal that is answered, by the edge's clock
+    Term term;
+    Time lease = 0;
+    Time fade = 0; ///< how long after the lease a quarter of each share may still be used
+    Version min_version;
+};
+
+/// The planner does not hear a node and asks whether the edge reaches it.
+struct ReachabilityRequest {
+    NodeId node;
+};
+
+/// Begin no write of the volume until SnapshotResume or SnapshotRelease.
+struct SnapshotHold {
+    VolumeId volume;
+    VolumeId snapshot;
+    std::uint32_t epoch = 0; ///< of the writes after the snapshot
+    Time max_hold = 0;       ///< after it the edge goes on by itself
+};
+
+/// Go on, with writes of the new epoch.
+struct SnapshotResume {
+    VolumeId volume;
+    VolumeId snapshot;
+    std::uint32_t epoch = 0;
+};
+
+/// Go on as before: no snapshot is taken with this edge's help.
+struct SnapshotRelease {
+    VolumeId volume;
+    VolumeId snapshot;
+};
+
+// ---- From the planner to nodes.
+
+/// Open a snapshot: it has all writes of before `epoch`.
+struct SnapshotOpen {
+    VolumeId volume;
+    VolumeId snapshot;
+    std::uint32_t epoch = 0;
+    std::vector<EdgeIncarnation> late_writers; ///< edges whose writes of before may still come
+};
+
+/// Make a snapshot whole and durable; no late write comes any more.
+struct SnapshotSeal {
+    VolumeId volume;
+    VolumeId snapshot;
+};
+
+/// Drop a snapshot or a clone.
+struct SnapshotDrop {
+    VolumeId snapshot;
+};
+
+/// Make a writable copy of a snapshot.
+struct CloneOpen {
+    VolumeId source;
+    VolumeId clone;
+};
+
+/// Which ranges of two volumes differ; answered by DiffReport.
+struct DiffRequest {
+    std::uint64_t question = 0; ///< comes back in the answer
+    VolumeId first;
+    VolumeId second;
+    std::uint64_t from_offset = 0; ///< ranges before it are not wanted
+};
+
+/// What the planner has the node as.
+struct NodeStateNotice {
+    NodeState state = NodeState::removed;
+};
+
+// ---- From the planner to operators.
+
+/// The state of the planner, its nodes and edges.
+struct Status {
+    std::string json;
+};
+
+/// What an operator's request would do, or did.
+struct OperationResult {
+    bool allowed = false; ///< may be done, without force
+    bool done = false;    ///< was done, and is durable
+    std::string text;     ///< the effect, or the reason why not
 };
 
 } // namespace knotvane::control
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -171,21 +171,22 @@
         auto name = std::to_string(operators.size());
         operators.emplace_back([this, volume, name, length] {
             constexpr Time patience = 20 * sec;
-            auto ask = [&](std::uint8_t what, const std::string &a, const std::string &b,
+            using Operation = control::SnapshotOperation;
+            auto ask = [&](Operation operation, const std::string &a, const std::string &b,
                            Time wait) {
-                bool allowed = false, done = false;
-                std::string text;
+                control::OperationResult result;
                 try {
-                    text = planner::ask_cut(fleet.planner_address(), what, a, b, "", allowed, done,
-                                            wait);
+                    const planner::AdminClient client(fleet.planner_address(), wait);
+                    result = client.snapshot({operation, a, b, ""});
                 } catch (const std::exception &e) {
-                    text = e.what();
+                    result.text = e.what();
                 }
-                log::line(log::info, done ? "operator" : "operator: not done", {{"answer", text}});
-                return done;
+                log::line(log::info, result.done ? "operator" : "operator: not done",
+                          {{"answer", result.text}});
+                return result.done;
             };
             auto began = loop::now();
-            bool taken = ask(0, volume, name, patience);
+            bool taken = ask(Operation::take, volume, name, patience);
             auto took = loop::now() - began;
             {
                 std::lock_guard lock(tally_lock);
@@ -196,7 +197,8 @@
             if (!taken)
                 return;
             std::this_thread::sleep_for(std::chrono::nanoseconds(length));
-            for (int tries = 0; tries < 10 && !ask(1, volume + "@" + name, "", 2 * sec); ++tries)
+            for (int tries = 0;
+                 tries < 10 && !ask(Operation::drop, volume + "@" + name, "", 2 * sec); ++tries)
                 std::this_thread::sleep_for(std::chrono::milliseconds(200));
         });
     }
--- a/src/edge/plan_cache_file.cpp
+++ b/src/edge/plan_cache_file.cpp
@@ -6,11 +6,11 @@
 namespace knotvane::edge {
 
 bool write_plan(const std::string &path, const std::string &bytes, bool anew) {
-    auto to = anew ? path + ".new" : path;
-    std::ofstream out(to, std::ios::binary | (anew ? std::ios::trunc : std::ios::app));
+    const auto target = anew ? path + ".new" : path;
+    std::ofstream out(target, std::ios::binary | (anew ? std::ios::trunc : std::ios::app));
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     out.close();
-    return out.good() && (!anew || std::rename(to.c_str(), path.c_str()) == 0);
+    return out.good() && (!anew || std::rename(target.c_str(), path.c_str()) == 0);
 }
 
 } // namespace knotvane::edge
--- a/src/edge/plan_cache_file.hpp
+++ b/src/edge/plan_cache_file.hpp
@@ -1,13 +1,16 @@
-// The edge's last plan on disk.
+/// \file
+/// The file that an edge keeps its last cluster state in.
 #pragma once
 
 #include <string>
 
 namespace knotvane::edge {
 
-// Writes it anew, beside and renamed, so that a start finds the old plan or the new one; or after
-// what is there. What is added and cut short is dropped at the next start. False where it could not
-// be written.
+/// Writes updates as they came from the planner.
+/// \param anew  replaces the file, beside and renamed, so that a start finds the old state or the
+///              new one; else the bytes go after what is there, and an update that is cut short is
+///              dropped at the next start
+/// \return false where it could not be written
 bool write_plan(const std::string &path, const std::string &bytes, bool anew);
 
 } // namespace knotvane::edge
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -6,321 +6,380 @@
 namespace knotvane::edge {
 namespace {
 
-// The first try after a loss comes within this; each failure doubles it, up to the longest. 280
-// edges that lose a planner together come back over a quarter of a second, and load a dead one's
-// host with under a hundred tries a second.
-constexpr Time first_wait = 250 * ms, longest_wait = 4 * sec;
-// A try that has come to nothing by then is given up.
-constexpr Time dial_time = 2 * sec;
-// How many failures a planner that was left for what it said counts as.
-constexpr std::uint32_t left = 4;
+// The first attempt after a loss comes within this; each failure doubles it, up to the longest.
+// 280 edges that lose a planner together come back over a quarter of a second, and load a dead
+// one's host with under a hundred attempts a second.
+constexpr Time first_reconnect_within = 250 * ms;
+constexpr Time max_reconnect_within = 4 * sec;
+constexpr Time connect_timeout = 2 * sec;
+// As how many failures it counts that a planner was left for what it sent.
+constexpr std::uint32_t failures_of_bad_planner = 4;
 // A planner that answers nothing for so many renewals is taken for hung, and the connection for
 // lost.
 constexpr Time silent_renewals = 5;
-// A node is called out of reach after so many shots in a row came to nothing, over at least this
-// time; answered even once, it is in reach.
-constexpr std::uint32_t failures_enough = 3;
-constexpr Time failing_for = 500 * ms;
-// Past so much on disk the whole is asked for again, which starts the file anew.
-constexpr std::size_t most_on_disk = 8 << 20;
-// An answer this old still says that a node is reached: a few renewals' time.
-constexpr Time vouch_for = 5 * sec;
-// News is read so many bytes a moment: about three hundred volumes, under a third of a millisecond.
-constexpr std::size_t slice = 16 << 10;
-// A plan from the disk may be from the future by this, for clocks that are set.
+// Past so much on the disk the full state is asked for again, which starts the file anew.
+constexpr std::size_t max_stored_bytes = 8 << 20;
+// Read at once: about three hundred volumes, under a third of a millisecond.
+constexpr std::size_t max_bytes_read_at_once = 16 << 10;
+// A state from the disk may be from the future by this, for clocks that are set.
 constexpr Time clock_slack = 60 * sec;
+// Seeds of neighbouring edges must not give neighbouring sequences.
+constexpr std::uint64_t seed_factor = 7919;
 
 } // namespace
 
-PlannerClient::PlannerClient(PlannerClientActions &line, control::EdgeId edge, std::string listen,
-                             std::uint64_t seed, Time renew_every, Time trust)
-    : actions_(line), edge_(edge), listen_(std::move(listen)),
-      reconnect_backoff_(first_wait, longest_wait, seed * 7919 + edge.value + 1),
-      renew_every_(renew_every), trust_(trust) {}
+PlannerClient::PlannerClient(PlannerClientActions &actions, PlannerClientConfig config)
+    : actions_(actions), config_(std::move(config)),
+      reconnect_backoff_(first_reconnect_within, max_reconnect_within,
+                         config_.seed * seed_factor + config_.edge.value + 1) {}
 
-void PlannerClient::start(Time now, std::string_view disk) {
+// ---- The state on the disk.
+
+void PlannerClient::start(Time now, std::string_view stored_plan) {
     now_ = now;
     reconnect_backoff_.at_once(now);
-    if (disk.empty())
+    if (stored_plan.empty())
         return;
-    from_disk_ = true;
-    // News that the file holds only in part is dropped by the copy, as if its end were lost on the
-    // way.
-    auto fault = reader_.bytes(disk, *this);
-    reader_ = {};
-    fault_.clear();
-    auto age = now - planner_now_;
+    restoring_ = true;
+    restore_plan(stored_plan);
+    restoring_ = false;
+}
+
+void PlannerClient::restore_plan(std::string_view stored_plan) {
+    try {
+        decoder_.decode(stored_plan, *this);
+    } catch (const control::ProtocolError &) {
+        // Whole updates before the damage count. The replica drops one that is there in part, as
+        // if its end were lost on the way.
+    }
+    decoder_ = {};
+    error_.clear();
+    auto age = now_ - planner_time_;
     if (replica_.term() == control::Term{0}) {
         actions_.log_event("the plan on disk is not used: it holds nothing whole");
-    } else if (age > trust_ || age < -clock_slack) {
+    } else if (age > config_.max_cache_age || age < -clock_slack) {
         actions_.log_event("the plan on disk is not used: it is " + std::to_string(age / sec) +
-                           "s old, at most " + std::to_string(trust_ / sec) + "s are trusted");
+                           "s old, at most " + std::to_string(config_.max_cache_age / sec) +
+                           "s are trusted");
         replica_ = {};
     } else {
         actions_.log_event("started from the plan on disk, stale: term " +
                            std::to_string(replica_.term().value) + ", version " +
                            std::to_string(replica_.version().value) + ", " +
                            std::to_string(age / sec) + "s old");
-        // Written anew: what is added after a piece that was cut short would never be read.
-        auto &t = replica_.cluster_state();
-        std::string all = control::begins(replica_.term(), replica_.instance(), replica_.lineage(),
-                                          replica_.version(), control::Version{0}, planner_now_);
-        for (auto &[id, p] : t.plans)
-            all += control::put(id, p);
-        for (auto &[id, v] : t.volumes)
-            all += control::put(id, v);
-        for (auto &[id, n] : t.nodes)
-            all += control::put(id, n);
-        for (auto &[id, p] : t.quota_shares)
-            all += control::put(id, p);
-        all += control::ends(replica_.version(), t.plans.size() + t.volumes.size() +
-                                                     t.nodes.size() + t.quota_shares.size());
-        on_disk_ = all.size();
-        actions_.store_plan(std::move(all), true);
-        taken(true, true);
+        rewrite_stored_plan();
+        state_changed(true, true);
     }
-    from_disk_ = false;
+}
+
+// What is added after a piece that was cut short would never be read.
+void PlannerClient::rewrite_stored_plan() {
+    const auto &state = replica_.cluster_state();
+    auto bytes = control::encode(control::UpdateBegin{replica_.term(), replica_.instance(),
+                                                      replica_.lineage(), replica_.version(),
+                                                      control::Version{0}, planner_time_});
+    for (const auto &[id, plan] : state.plans)
+        bytes += control::encode(control::PlanUpdate{id, plan});
+    for (const auto &[id, volume] : state.volumes)
+        bytes += control::encode(control::VolumeUpdate{id, volume});
+    for (const auto &[id, node] : state.nodes)
+        bytes += control::encode(control::NodeUpdate{id, node});
+    for (const auto &[id, share] : state.quota_shares)
+        bytes += control::encode(control::QuotaShareUpdate{id, share});
+    auto entries =
+        state.plans.size() + state.volumes.size() + state.nodes.size() + state.quota_shares.size();
+    bytes += control::encode(control::UpdateEnd{replica_.version(), entries});
+    stored_bytes_ = bytes.size();
+    actions_.store_plan(std::move(bytes), true);
 }
 
 // ---- The connection.
+
 void PlannerClient::connected(Time now) {
-    now_ = heard_ = now;
-    up_ = true;
+    now_ = now;
+    last_received_ = now;
+    connected_ = true;
     reconnect_backoff_.up();
-    reader_ = {}, unread_.clear(), read_ = 0;
-    fault_.clear();
-    std::vector<NodeId> draining;
-    for (auto &[id, n] : replica_.cluster_state().nodes)
-        if (n.state == NodeState::draining)
-            draining.push_back(id);
-    send(control::edge_hello(edge_, listen_, replica_.term(), replica_.instance(),
-                             replica_.lineage(), replica_.version(), draining,
-                             {used_.begin(), used_.end()}));
-    for (auto &[id, r] : reach_)
-        if (r.unreached)
-            send(control::witness(id, false));
+    decoder_ = {};
+    unread_.clear();
+    read_bytes_ = 0;
+    error_.clear();
+
+    control::EdgeHello hello;
+    hello.edge = config_.edge;
+    hello.listen_address = config_.listen_address;
+    hello.term = replica_.term();
+    hello.instance = replica_.instance();
+    hello.lineage = replica_.lineage();
+    hello.version = replica_.version();
+    for (const auto &[id, node] : replica_.cluster_state().nodes)
+        if (node.state == NodeState::draining)
+            hello.draining.push_back(id);
+    hello.serving = {used_.begin(), used_.end()};
+    send(control::encode(hello));
+    for (auto node : reachability_.unreachable())
+        report_reachability(node, false);
     send_renewal();
 }
+
 void PlannerClient::disconnected(Time now) {
     now_ = now;
-    up_ = false, renew_at_ = never;
+    connected_ = false;
+    renew_at_ = never;
     reconnect_backoff_.lost(now);
     actions_.planner_lost();
 }
+
 void PlannerClient::leave(const std::string &why) {
     actions_.log_event("planner: connection closed: " + why);
     actions_.disconnect_planner();
-    up_ = false, renew_at_ = never;
-    reconnect_backoff_.lost(now_, left);
+    connected_ = false;
+    renew_at_ = never;
+    reconnect_backoff_.lost(now_, failures_of_bad_planner);
     actions_.planner_lost();
 }
+
 void PlannerClient::send(std::string bytes) {
-    if (up_)
+    if (connected_)
         actions_.send_planner(std::move(bytes));
 }
+
 void PlannerClient::send_renewal() {
     // What the planner seems not to have heard is said again, both ways.
-    auto &quota_shares = replica_.cluster_state().quota_shares;
-    for (auto v : used_)
-        if (!quota_shares.contains(v))
-            send(control::serve(v, true));
-    for (auto &[v, p] : quota_shares)
-        if (!used_.contains(v))
-            send(control::serve(v, false));
-    send(control::renew(now_, replica_.term(), replica_.version()));
-    renew_at_ = now_ + renew_every_;
+    const auto &shares = replica_.cluster_state().quota_shares;
+    for (auto volume : used_)
+        if (!shares.contains(volume))
+            send(control::encode(control::VolumeServed{volume, true}));
+    for (const auto &[volume, share] : shares)
+        if (!used_.contains(volume))
+            send(control::encode(control::VolumeServed{volume, false}));
+    send(control::encode(control::LeaseRenewal{now_, replica_.term(), replica_.version()}));
+    renew_at_ = now_ + config_.renewal_interval;
 }
 
-void PlannerClient::received(Time now, std::string_view in) {
-    now_ = heard_ = now;
-    unread_.append(in);
+void PlannerClient::received(Time now, std::string_view bytes) {
+    now_ = now;
+    last_received_ = now;
+    unread_.append(bytes);
     read_some();
 }
+
+// Guards against a full state that comes at once: clients would wait for all of it to be read.
 void PlannerClient::read_some() {
-    // Guards against a whole list that comes at once: clients would wait for all of it to be read.
-    auto some = std::string_view(unread_).substr(read_, slice);
-    if (some.empty())
+    auto piece = std::string_view(unread_).substr(read_bytes_, max_bytes_read_at_once);
+    if (piece.empty())
         return;
-    read_ += some.size();
-    auto fault = reader_.bytes(some, *this);
-    if (read_ == unread_.size())
-        unread_.clear(), read_ = 0;
-    if (fault.empty())
-        fault = fault_;
-    if (!fault.empty() && up_)
-        leave(fault);
+    read_bytes_ += piece.size();
+    std::string why;
+    try {
+        decoder_.decode(piece, *this);
+    } catch (const control::ProtocolError &error) {
+        why = error.what();
+    }
+    if (read_bytes_ == unread_.size()) {
+        unread_.clear();
+        read_bytes_ = 0;
+    }
+    if (why.empty())
+        why = error_;
+    if (!why.empty() && connected_)
+        leave(why);
 }
-void PlannerClient::unexpected(const char *what) {
-    if (fault_.empty())
-        fault_ = std::string(what) + " is not expected from a planner";
+
+void PlannerClient::unexpected(std::string_view message) {
+    if (error_.empty())
+        error_ = std::string(message) + " is not expected from a planner";
 }
 
-// ---- News.
-void PlannerClient::begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
-                           control::Version version, control::Version from, Time planner_now) {
-    raw_ = control::begins(term, instance, lineage, version, from, planner_now);
-    planner_now_ = planner_now;
-    replica_.begins(term, instance, lineage, version, from);
+// ---- Updates.
+
+void PlannerClient::handle(const control::UpdateBegin &message) {
+    update_bytes_ = control::encode(message);
+    planner_time_ = message.planner_time;
+    replica_.begin(message);
 }
-void PlannerClient::ends(control::Version version, std::uint64_t count) {
-    raw_ += control::ends(version, count);
-    auto how = replica_.ends(version, count);
-    auto raw = std::exchange(raw_, {});
-    if (from_disk_)
+
+void PlannerClient::handle(const control::UpdateEnd &message) {
+    update_bytes_ += control::encode(message);
+    auto result = replica_.end(message);
+    auto bytes = std::exchange(update_bytes_, {});
+    if (restoring_)
         return;
-    switch (how) {
+    switch (result) {
     case control::UpdateResult::old:
         break;
     case control::UpdateResult::foreign:
-        send(control::superseded(replica_.term()));
-        if (fault_.empty())
-            fault_ = "it plans with an older term, or twice under one; term " +
+        send(control::encode(control::Superseded{replica_.term()}));
+        if (error_.empty())
+            error_ = "it plans with an older term, or twice under one; term " +
                      std::to_string(replica_.term().value) + " is followed";
         return;
     case control::UpdateResult::gap:
     case control::UpdateResult::broken:
-        send(control::ask());
+        send(control::encode(control::FullStateRequest{}));
         return;
     case control::UpdateResult::whole:
-        on_disk_ = raw.size();
-        actions_.store_plan(std::move(raw), true);
-        taken(replica_.nodes_changed(), replica_.plans_changed());
-        break;
     case control::UpdateResult::changes:
-        on_disk_ += raw.size();
-        actions_.store_plan(std::move(raw), false);
-        if (on_disk_ >= most_on_disk)
-            send(control::ask()), on_disk_ = 0;
-        taken(replica_.nodes_changed(), replica_.plans_changed());
+        update_taken(result, std::move(bytes));
         break;
     }
-    send_renewal(); // says what is held now
+    send_renewal(); // acknowledges what is held now
+}
+
+void PlannerClient::update_taken(control::UpdateResult result, std::string bytes) {
+    bool whole = result == control::UpdateResult::whole;
+    stored_bytes_ = bytes.size() + (whole ? 0 : stored_bytes_);
+    actions_.store_plan(std::move(bytes), whole);
+    if (!whole && stored_bytes_ >= max_stored_bytes) {
+        send(control::encode(control::FullStateRequest{}));
+        stored_bytes_ = 0;
+    }
+    state_changed(replica_.nodes_changed(), replica_.plans_changed());
+}
+
+void PlannerClient::state_changed(bool nodes, bool plans) {
+    const auto &state = replica_.cluster_state();
+    auto starts = node_starts();
+    reachability_.retain([&](NodeId node) { return state.nodes.contains(node); });
+    has_replaced_state_ = true;
+    actions_.cluster_state_changed(state, nodes, plans, starts);
+    announce_quota_shares();
 }
-void PlannerClient::taken(bool nodes, bool plans) {
-    std::map<NodeId, Time> started;
-    for (auto &[id, n] : replica_.cluster_state().nodes) {
-        // One life of a node keeps the start that was first worked out here: told again it would
-        // differ by what the message took. Late news makes a node younger, and so colder, never
-        // warmer.
-        auto [it, is_new] = started_.try_emplace(id, n.incarnation, 0);
-        if (is_new || it->second.first != n.incarnation)
-            it->second = {n.incarnation, now_ - (planner_now_ - n.started)};
-        started[id] = it->second.second;
+
+// A node's start by this edge's clock. One incarnation keeps the start that was worked out first:
+// told again it would differ by what the message took. A late update makes a node younger, and so
+// its slow start longer, never shorter.
+std::map<NodeId, Time> PlannerClient::node_starts() {
+    const auto &nodes = replica_.cluster_state().nodes;
+    std::map<NodeId, Time> out;
+    for (const auto &[id, node] : nodes) {
+        auto [it, is_new] = node_starts_.try_emplace(id);
+        if (is_new || it->second.incarnation != node.incarnation)
+            it->second = {node.incarnation, now_ - (planner_time_ - node.started)};
+        out[id] = it->second.started;
     }
-    std::erase_if(started_,
-                  [&](auto &s) { return !replica_.cluster_state().nodes.contains(s.first); });
-    std::erase_if(reach_,
-                  [&](auto &r) { return !replica_.cluster_state().nodes.contains(r.first); });
-    clearing_ = true;
-    actions_.cluster_state_changed(replica_.cluster_state(), nodes, plans, started);
-    tell_parts();
+    std::erase_if(node_starts_, [&](const auto &entry) { return !nodes.contains(entry.first); });
+    return out;
 }
 
-// ---- Rights.
-void PlannerClient::renewed(Time at, control::Term term, Time lease, Time fade,
-                            control::Version least) {
-    // Of a version that this edge does not go by yet, it would prolong parts that have been lowered
+// ---- Quota shares.
+
+void PlannerClient::handle(const control::LeaseRenewed &message) {
+    // Of a version that this edge does not hold yet, it would prolong shares that have been lowered
     // since.
-    if (from_disk_ || term != replica_.term() || replica_.version() < least)
+    if (restoring_ || message.term != replica_.term() || replica_.version() < message.min_version)
         return;
-    // From when it was asked for, by this clock: the planner counts from later on.
-    lease_until_ = std::max(lease_until_, at + lease), fade_ = fade;
-    if (std::exchange(stage_, stage()) != stage())
-        tell_parts();
+    lease_.renew(message.sent_at, message.lease, message.fade);
+    auto stage = lease_.stage(now_);
+    if (std::exchange(announced_stage_, stage) != stage)
+        announce_quota_shares();
 }
-void PlannerClient::tell_parts() {
-    for (auto v : used_) {
-        auto it = replica_.cluster_state().quota_shares.find(v);
-        auto millionths =
-            it == replica_.cluster_state().quota_shares.end() ? 0 : it->second.millionths;
-        auto now_usable = control::usable_millionths(millionths, past_lease(now_), fade_);
-        auto [told, is_new] = told_.try_emplace(v, now_usable);
-        if (!is_new && std::exchange(told->second, now_usable) == now_usable)
+
+void PlannerClient::announce_quota_shares() {
+    const auto &shares = replica_.cluster_state().quota_shares;
+    for (auto volume : used_) {
+        auto it = shares.find(volume);
+        auto usable = control::usable_millionths(it == shares.end() ? 0 : it->second.millionths,
+                                                 lease_.past(now_), lease_.fade());
+        auto [announced, is_new] = announced_millionths_.try_emplace(volume, usable);
+        if (!is_new && std::exchange(announced->second, usable) == usable)
             continue;
         actions_.quota_share_changed(
-            v, now_usable == 0 ? std::numeric_limits<double>::infinity()
-                               : static_cast<double>(control::whole_limit) / now_usable);
+            volume, usable == 0 ? std::numeric_limits<double>::infinity()
+                                : static_cast<double>(control::whole_limit) / usable);
     }
 }
-void PlannerClient::volume_used(Time now, VolumeId volume, bool on) {
+
+void PlannerClient::volume_used(Time now, VolumeId volume, bool used) {
     now_ = now;
-    if (on) {
+    if (used) {
         used_.insert(volume);
-        tell_parts();
+        announce_quota_shares();
     } else {
-        // Nothing may come in meanwhile: the part may be another's when the next client of the
-        // volume comes.
-        used_.erase(volume), told_.erase(volume);
+        // No request may use it meanwhile: the share may be another's when the volume's next
+        // client comes.
+        used_.erase(volume);
+        announced_millionths_.erase(volume);
         actions_.quota_share_changed(volume, std::numeric_limits<double>::infinity());
     }
-    send(control::serve(volume, on));
+    send(control::encode(control::VolumeServed{volume, used}));
+}
+
+// ---- Nodes.
+
+void PlannerClient::report_reachability(NodeId node, bool reachable) {
+    send(control::encode(control::ReachabilityReport{node, reachable}));
 }
 
-// ---- Witness.
-void PlannerClient::attempt_completed(Time now, NodeId node, AttemptOutcome how) {
+void PlannerClient::attempt_completed(Time now, NodeId node, AttemptOutcome outcome) {
     now_ = now;
-    auto &r = reach_[node];
-    bool met = how == AttemptOutcome::answered || how == AttemptOutcome::error ||
-               how == AttemptOutcome::overloaded;
-    bool lost = how == AttemptOutcome::unreachable || how == AttemptOutcome::reset ||
-                how == AttemptOutcome::timed_out;
-    if (met) {
-        r.failures = 0, r.met = now;
-        if (std::exchange(r.unreached, false))
-            send(control::witness(node, true));
-    } else if (lost) {
-        if (r.failures++ == 0)
-            r.first = now;
-        if (r.failures >= failures_enough && now - r.first >= failing_for &&
-            !std::exchange(r.unreached, true))
-            send(control::witness(node, false));
-    }
+    if (auto reachable = reachability_.attempt_completed(now, node, outcome))
+        report_reachability(node, *reachable);
 }
 
-void PlannerClient::witness_asked(NodeId node) {
-    auto it = reach_.find(node);
-    if (it == reach_.end())
-        return;
-    if (it->second.unreached)
-        send(control::witness(node, false));
-    else if (now_ - it->second.met <= vouch_for)
-        send(control::witness(node, true));
+void PlannerClient::handle(const control::ReachabilityRequest &message) {
+    if (auto reachable = reachability_.is_reachable(now_, message.node))
+        report_reachability(message.node, *reachable);
+}
+
+// ---- Snapshots. Bytes from the disk order nothing.
+
+void PlannerClient::handle(const control::SnapshotHold &message) {
+    if (!restoring_)
+        actions_.snapshot_hold(message);
+}
+
+void PlannerClient::handle(const control::SnapshotResume &message) {
+    if (!restoring_)
+        actions_.snapshot_resume(message);
+}
+
+void PlannerClient::handle(const control::SnapshotRelease &message) {
+    if (!restoring_)
+        actions_.snapshot_release(message);
+}
+
+void PlannerClient::report_snapshot_step(VolumeId snapshot, control::SnapshotStep step,
+                                         control::EdgeIncarnation incarnation) {
+    send(control::encode(
+        control::SnapshotStepReport{snapshot, step, control::SnapshotResult::done, incarnation}));
 }
 
 // ---- Time.
+
 Time PlannerClient::next_due() const {
-    Time due = up_ ? std::min(renew_at_, heard_ + silent_renewals * renew_every_)
-                   : reconnect_backoff_.due();
-    // The right runs out at a moment of its own, told before anything is done in it.
-    if (stage_ < 2)
-        due = std::min(due, lease_until_ + (stage_ == 0 ? 0 : fade_) + 1);
-    if (clearing_ || read_ < unread_.size())
+    Time due = connected_ ? std::min(renew_at_,
+                                     last_received_ + silent_renewals * config_.renewal_interval)
+                          : reconnect_backoff_.due();
+    due = std::min(due, lease_.next_change(announced_stage_));
+    if (has_replaced_state_ || read_bytes_ < unread_.size())
         due = std::min(due, now_);
     return due;
 }
+
 void PlannerClient::tick(Time now) {
     now_ = now;
-    if (up_)
+    if (connected_)
         read_some();
-    if (auto is = stage(); std::exchange(stage_, is) != is) {
-        actions_.log_event(
-            is == 1
-                ? "planner: no word for a lease; parts of limits fall to a piece, all else as last "
-                  "told"
-                : "planner: no word for long; no part of any limit is used, all else as last told");
-        tell_parts();
+    if (auto stage = lease_.stage(now); std::exchange(announced_stage_, stage) != stage) {
+        actions_.log_event(stage == QuotaLease::Stage::faded
+                               ? "planner: the lease ran out; a quarter of each quota share is "
+                                 "used, all else as last told"
+                               : "planner: the lease ran out for long; no quota share is used, all "
+                                 "else as last told");
+        announce_quota_shares();
     }
-    if (clearing_)
-        clearing_ = replica_.clear_away();
-    if (up_ && now - heard_ >= silent_renewals * renew_every_)
+    if (has_replaced_state_)
+        has_replaced_state_ = replica_.free_replaced_state();
+    if (connected_ && now - last_received_ >= silent_renewals * config_.renewal_interval)
         return leave("it has answered nothing for long");
-    if (up_ && now >= renew_at_)
+    if (connected_ && now >= renew_at_)
         send_renewal();
-    if (up_ || now < reconnect_backoff_.due())
+    if (connected_ || now < reconnect_backoff_.due())
         return;
     if (reconnect_backoff_.trying())
         actions_.disconnect_planner();
-    reconnect_backoff_.trying(now, dial_time);
+    reconnect_backoff_.trying(now, connect_timeout);
     actions_.connect_planner();
 }
 
--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -1,14 +1,18 @@
-// The edge's word with the planner, without I/O: news taken whole or not at all, rights to parts of
-// limits that run out, what is told to whom by how old the news is. The edge never waits for any of
-// it.
-//
-// What an edge does by how old its word from the planner is:
-//   within the lease      all that the plan says
-//   past it               volumes, weights and nodes as last told, drains among them; a quarter of
-//   each limit's part past lease and fade   the same, and no part of any limit: its tasks wait and
-//   are denied started from the disk the same; a plan older than `trust`, or from the future, is
-//   not used at all
-// It never ends a drain, takes up a node or gives itself a part that it was not told of.
+/// \file
+/// The edge's side of its connection to the planner: updates of the cluster state, the lease on
+/// quota shares, reports on nodes. No I/O. Client requests never wait for any of it.
+///
+/// What an edge goes by, by how old its word from the planner is:
+///
+/// - within the lease: all of the cluster state;
+/// - past the lease: volumes, plans and nodes as last told, drains among them; a quarter of each
+///   quota share;
+/// - past lease and fade: the same, and no quota share: requests that need one wait, and are
+///   rejected;
+/// - started from the disk: the same; a cached state older than `max_cache_age`, or from the
+///   future, is not used at all.
+///
+/// It never ends a drain, uses a node or gives itself a quota share that it was not told of.
 #pragma once
 
 #include <cstdint>
@@ -17,144 +21,170 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "common/reconnect_backoff.hpp"
-#include "control/messages.hpp"
+#include "control/cluster_state_replica.hpp"
+#include "control/decode.hpp"
+#include "control/encode.hpp"
+#include "edge/node_reachability.hpp"
+#include "edge/quota_lease.hpp"
 #include "scheduling/scheduler.hpp"
 
 namespace knotvane::edge {
 
-// What the subscription asks of its shell.
+/// What a PlannerClient asks of its owner.
 class PlannerClientActions {
 public:
     virtual ~PlannerClientActions() = default;
+
+    /// Try to connect; answered by connected or disconnected.
     virtual void connect_planner() = 0;
+
+    /// End the connection, or the attempt to connect; not answered.
     virtual void disconnect_planner() = 0;
     virtual void send_planner(std::string bytes) = 0;
-    // The last plan for the disk: from anew, or after what is there.
+
+    /// Keep bytes for the next start.
+    /// \param anew  replaces what was kept; else they go after it
     virtual void store_plan(std::string bytes, bool anew) = 0;
     virtual void log_event(std::string text) = 0;
-    // News was taken: what in it changed. `started`: of nodes, by this edge's clock.
+
+    /// An update was taken.
+    /// \param nodes    whether any node changed
+    /// \param plans    whether any plan changed
+    /// \param started  when each node's process started, by this edge's clock
     virtual void cluster_state_changed(const control::ClusterState &cluster_state, bool nodes,
                                        bool plans, const std::map<NodeId, Time> &started) = 0;
+
+    /// \param sharers  the whole limit over this edge's usable share; infinite where it has none
     virtual void quota_share_changed(VolumeId volume, double sharers) = 0;
-    // Of a cut: see Cuts. Lost: nobody will end a hold.
-    virtual void cut_hold(VolumeId, VolumeId, std::uint32_t, Time) {}
-    virtual void cut_go(VolumeId, VolumeId, std::uint32_t) {}
-    virtual void cut_release(VolumeId, VolumeId) {}
+
+    /// The planner's orders for a snapshot.
+    virtual void snapshot_hold(const control::SnapshotHold &) {}
+    virtual void snapshot_resume(const control::SnapshotResume &) {}
+    virtual void snapshot_release(const control::SnapshotRelease &) {}
+
+    /// The connection was lost: nobody ends a hold any more.
     virtual void planner_lost() {}
 };
 
+/// How an edge speaks to its planner.
+struct PlannerClientConfig {
+    control::EdgeId edge;
+    /// Where clients reach the edge; shown to operators.
+    std::string listen_address;
+    /// Spreads the reconnects of many edges; any number.
+    std::uint64_t seed = 1;
+    /// Between two lease renewals: a third of the planner's lease or less. Shorter survives more
+    /// lost renewals and loads the planner more.
+    Time renewal_interval = 2 * sec;
+    /// How old a cluster state from the disk may be.
+    Time max_cache_age = 24 * 3600 * sec;
+};
+
+/// Follows one planner. Its owner carries bytes and time, and calls `tick` when `next_due` says.
 class PlannerClient final : control::MessageHandler {
 public:
-    // `renew_every`: a third of the planner's lease or less. `trust`: how old a plan from the disk
-    // may be.
-    PlannerClient(PlannerClientActions &line, control::EdgeId edge, std::string listen,
-                  std::uint64_t seed, Time renew_every, Time trust);
-
-    // `disk`: what keep_plan kept, or nothing. Calls plan_taken where it holds a plan that may be
-    // used.
-    void start(Time now, std::string_view disk);
+    /// \param actions  must outlive this
+    PlannerClient(PlannerClientActions &actions, PlannerClientConfig config);
+
+    /// \param stored_plan  what store_plan kept, or nothing. Calls cluster_state_changed where it
+    ///                     holds a state that may be used.
+    void start(Time now, std::string_view stored_plan);
     void connected(Time now);
-    // The connection failed or went.
+
+    /// The connection failed or went.
     void disconnected(Time now);
-    void received(Time now, std::string_view in);
-    void volume_used(Time now, VolumeId volume, bool on);
-    void attempt_completed(Time now, NodeId node, AttemptOutcome how);
-    // A step of a cut, told on.
-    void report_snapshot_step(VolumeId as, control::SnapshotStep step,
-                              control::EdgeIncarnation incarnation) {
-        send(control::tell_cut(as, step, 0, incarnation));
-    }
+    void received(Time now, std::string_view bytes);
+
+    /// The volume's first client came, or its last one left.
+    void volume_used(Time now, VolumeId volume, bool used);
+    void attempt_completed(Time now, NodeId node, AttemptOutcome outcome);
+
+    /// This edge has done its step of a snapshot.
+    void report_snapshot_step(VolumeId snapshot, control::SnapshotStep step,
+                              control::EdgeIncarnation incarnation);
 
+    /// The maximum of Time where nothing is due.
     Time next_due() const;
-    // Call before the decisions go on: a right that ran out while the edge stood still must not be
-    // used.
+
+    /// Does what is due. To be called before clients' requests are worked on: a lease that ran out
+    /// while the edge stood still must not be used.
     void tick(Time now);
 
     const control::ClusterStateReplica &replica() const { return replica_; }
-    bool is_connected() const { return up_; }
-    // How long the right to parts has run out, at most 0 while it holds.
-    Time past_lease(Time now) const { return now - lease_until_; }
+    bool is_connected() const { return connected_; }
+
+    /// How long ago the lease ran out; 0 or less while it is held.
+    Time past_lease(Time now) const { return lease_.past(now); }
 
 private:
     static constexpr Time never = std::numeric_limits<Time>::max();
-    struct Reach {
-        std::uint32_t failures = 0;
-        Time first = 0, met = -never / 2;
-        bool unreached = false;
+
+    // A node's process, and when it started by this edge's clock.
+    struct NodeStart {
+        std::uint64_t incarnation = 0;
+        Time started = 0;
     };
 
-    void begins(control::Term term, std::uint64_t instance, std::uint64_t lineage,
-                control::Version version, control::Version from, Time now) override;
-    void node(NodeId id, control::Node n) override {
-        note(control::put(id, n)), replica_.put(id, std::move(n));
-    }
-    void plan(PlanId id, control::Plan p) override {
-        note(control::put(id, p)), replica_.put(id, std::move(p));
-    }
-    void volume(VolumeId id, control::Volume v) override {
-        note(control::put(id, v)), replica_.put(id, std::move(v));
-    }
-    void part(VolumeId id, control::QuotaShare p) override {
-        note(control::put(id, p)), replica_.put(id, p);
-    }
-    void no_node(NodeId id) override { note(control::drop(id)), replica_.drop(id); }
-    void no_plan(PlanId id) override { note(control::drop(id)), replica_.drop(id); }
-    void no_volume(VolumeId id) override {
-        note(control::drop_volume(id)), replica_.drop_volume(id);
-    }
-    void no_part(VolumeId id) override {
-        note(control::drop_quota_share(id)), replica_.drop_quota_share(id);
-    }
-    void ends(control::Version version, std::uint64_t count) override;
-    void renewed(Time at, control::Term term, Time lease, Time fade,
-                 control::Version least) override;
-    void witness_asked(NodeId node) override;
-    void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override {
-        if (!from_disk_)
-            actions_.cut_hold(of, as, epoch, longest);
-    }
-    void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override {
-        if (!from_disk_)
-            actions_.cut_go(of, as, epoch);
-    }
-    void cut_release(VolumeId of, VolumeId as) override {
-        if (!from_disk_)
-            actions_.cut_release(of, as);
-    }
-    void unexpected(const char *what) override;
+    using MessageHandler::handle;
+    void handle(const control::UpdateBegin &message) override;
+    void handle(const control::NodeUpdate &message) override { apply(message); }
+    void handle(const control::PlanUpdate &message) override { apply(message); }
+    void handle(const control::VolumeUpdate &message) override { apply(message); }
+    void handle(const control::QuotaShareUpdate &message) override { apply(message); }
+    void handle(const control::NodeRemoval &message) override { apply(message); }
+    void handle(const control::PlanRemoval &message) override { apply(message); }
+    void handle(const control::VolumeRemoval &message) override { apply(message); }
+    void handle(const control::QuotaShareRemoval &message) override { apply(message); }
+    void handle(const control::UpdateEnd &message) override;
+    void handle(const control::LeaseRenewed &message) override;
+    void handle(const control::ReachabilityRequest &message) override;
+    void handle(const control::SnapshotHold &message) override;
+    void handle(const control::SnapshotResume &message) override;
+    void handle(const control::SnapshotRelease &message) override;
+    void unexpected(std::string_view message) override;
 
-    void note(const std::string &bytes) { raw_ += bytes; }
+    template <class Entry>
+    void apply(const Entry &entry) {
+        update_bytes_ += control::encode(entry);
+        replica_.apply(entry);
+    }
+    void restore_plan(std::string_view stored_plan);
+    void rewrite_stored_plan();
     void read_some();
     void send(std::string bytes);
+    void report_reachability(NodeId node, bool reachable);
     void send_renewal();
     void leave(const std::string &why);
-    void tell_parts();
-    void taken(bool nodes, bool plans);
-    int stage() const { return past_lease(now_) <= 0 ? 0 : past_lease(now_) <= fade_ ? 1 : 2; }
+    void update_taken(control::UpdateResult result, std::string bytes);
+    void state_changed(bool nodes, bool plans);
+    std::map<NodeId, Time> node_starts();
+    void announce_quota_shares();
 
     PlannerClientActions &actions_;
-    control::EdgeId edge_;
-    std::string listen_;
+    PlannerClientConfig config_;
     ReconnectBackoff reconnect_backoff_;
-    Time renew_every_, trust_;
-    control::Reader reader_;
+    control::MessageDecoder decoder_;
     control::ClusterStateReplica replica_;
-    std::string raw_, fault_; // of the news being told, for the disk
+    std::string update_bytes_; // of the update that is being received, for the disk
+    std::string error_;        // why the connection has to be closed
     std::string unread_;
-    std::size_t read_ = 0; // of unread_
-    std::size_t on_disk_ = 0;
-    Time now_ = 0, lease_until_ = -never / 2, fade_ = 0, renew_at_ = never, heard_ = 0;
-    Time planner_now_ = 0;
-    bool up_ = false, from_disk_ = false, clearing_ = false;
-    int stage_ = 2; // of the right: held, a piece, none
+    std::size_t read_bytes_ = 0;   // of unread_
+    std::size_t stored_bytes_ = 0; // on the disk
+    Time now_ = 0;
+    Time renew_at_ = never;
+    Time last_received_ = 0;
+    Time planner_time_ = 0; // of the last update
+    bool connected_ = false;
+    bool restoring_ = false; // reads what was stored
+    bool has_replaced_state_ = false;
+    QuotaLease lease_;
+    QuotaLease::Stage announced_stage_ = QuotaLease::Stage::expired;
     std::set<VolumeId> used_;
-    std::map<VolumeId, std::uint32_t> told_; // millionths that the decisions were told
-    std::map<NodeId, Reach> reach_;
-    std::map<NodeId, std::pair<std::uint64_t, Time>>
-        started_; // a node's life, and when by our clock it began
+    std::map<VolumeId, std::uint32_t> announced_millionths_;
+    NodeReachability reachability_;
+    std::map<NodeId, NodeStart> node_starts_;
 };
 
 } // namespace knotvane::edge
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -63,8 +63,9 @@
     if (planner.empty())
         return;
     planner_ = std::make_unique<loop::Dialled>(loop_, planner);
-    subscription_ = std::make_unique<PlannerClient>(*this, control::EdgeId{id_},
-                                                    listener_->address(), seed, renew_every, trust);
+    subscription_ = std::make_unique<PlannerClient>(
+        *this,
+        PlannerClientConfig{control::EdgeId{id_}, listener_->address(), seed, renew_every, trust});
     planner_->on_up = [this] { subscription_->connected(loop::now()); };
     planner_->on_down = [this] { subscription_->disconnected(loop::now()); };
     planner_->on_bytes = [this](std::string_view in) { subscription_->received(loop::now(), in); };
@@ -82,14 +83,14 @@
     if (subscription_)
         subscription_->report_snapshot_step(as, step, incarnation);
 }
-void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-    core_->cut_hold(loop::now(), of, as, epoch, longest);
+void Server::snapshot_hold(const control::SnapshotHold &order) {
+    core_->cut_hold(loop::now(), order.volume, order.snapshot, order.epoch, order.max_hold);
 }
-void Server::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
-    core_->cut_go(loop::now(), of, as, epoch);
+void Server::snapshot_resume(const control::SnapshotResume &order) {
+    core_->cut_go(loop::now(), order.volume, order.snapshot, order.epoch);
 }
-void Server::cut_release(VolumeId of, VolumeId as) {
-    core_->cut_release(loop::now(), of, as);
+void Server::snapshot_release(const control::SnapshotRelease &order) {
+    core_->cut_release(loop::now(), order.volume, order.snapshot);
 }
 void Server::planner_lost() {
     core_->planner_lost(loop::now());
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -56,9 +56,9 @@
     void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
                                const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId volume, double hosts) override;
-    void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
-    void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
-    void cut_release(VolumeId of, VolumeId as) override;
+    void snapshot_hold(const control::SnapshotHold &order) override;
+    void snapshot_resume(const control::SnapshotResume &order) override;
+    void snapshot_release(const control::SnapshotRelease &order) override;
     void planner_lost() override;
 
 private:
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -280,13 +280,12 @@
     planner_->signal(on ? SIGSTOP : SIGCONT);
 }
 bool Fleet::drain(NodeId node, bool on) const {
-    bool allowed = false, done = false;
     try {
-        planner::ask_drain(planner_address_, node, on, 2, allowed, done, sec);
+        const planner::AdminClient client(planner_address_, sec);
+        return client.drain({node, on, control::DrainMode::force}).done;
     } catch (const std::exception &) {
         return false; // it is down or slow
     }
-    return done;
 }
 void Fleet::change_settings(const std::function<void(planner::DesiredState &)> &call) {
     ++wanted_.version;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -82,16 +82,17 @@
                 [this](std::string text) { say(std::move(text)); },
                 [this](VolumeId of, VolumeId as, std::uint32_t epoch,
                        const std::vector<control::EdgeIncarnation> &late) {
-                    return static_cast<std::uint8_t>(
+                    return static_cast<control::SnapshotResult>(
                         disk_->open_cut(of, as, epoch, {late.begin(), late.end()}));
                 },
                 [this](VolumeId of, VolumeId as) { return disk_->seal(of, as); },
                 [this](VolumeId as) { return disk_->drop(as); },
                 [this](VolumeId of, VolumeId as) {
-                    return static_cast<std::uint8_t>(disk_->clone(of, as));
+                    return static_cast<control::SnapshotResult>(disk_->clone(of, as));
                 },
                 [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
-            id_, shard_, ZoneId{static_cast<std::uint32_t>(zone)}, address_, seed + id, sign_every);
+            PlannerRegistrationConfig{id_, shard_, ZoneId{static_cast<std::uint32_t>(zone)},
+                                      address_, seed + id, sign_every});
         planner_->on_up = [this] { registration_->connected(loop::now()); };
         planner_->on_down = [this] { registration_->disconnected(loop::now()); };
         planner_->on_bytes = [this](std::string_view in) {
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -8,7 +8,7 @@
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
 #include "node/disk.hpp"
-#include "node/registration.hpp"
+#include "node/planner_registration.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::node {
--- a/src/planner/admin_client.cpp
+++ b/src/planner/admin_client.cpp
@@ -2,78 +2,87 @@
 
 #include <stdexcept>
 
-#include "control/messages.hpp"
+#include "control/decode.hpp"
+#include "control/encode.hpp"
 #include "loop/dialled.hpp"
 
 namespace knotvane::planner {
 namespace {
 
 struct Answer final : control::MessageHandler {
-    std::string text, fault;
-    bool come = false, allowed = false, done = false;
-    void status(const std::string &json) override { text = json, come = true; }
-    void effect(bool may, bool was, const std::string &what) override {
-        text = what, allowed = may, done = was, come = true;
+    std::string status;
+    control::OperationResult result;
+    std::string error;
+    bool received = false;
+
+    using MessageHandler::handle;
+    void handle(const control::Status &message) override {
+        status = message.json;
+        received = true;
+    }
+    void handle(const control::OperationResult &message) override {
+        result = message;
+        received = true;
     }
-    void unexpected(const char *what) override { fault = what; }
+    void unexpected(std::string_view message) override { error = message; }
 };
 
-Answer visit(const std::string &address, const std::string &question, Time wait) {
+Answer ask(const std::string &address, const std::string &request, Time timeout) {
     Answer answer;
-    control::Reader reader;
+    control::MessageDecoder decoder;
     loop::Loop loop;
-    loop::Dialled line(loop, address);
-    std::string fault;
-    line.on_up = [&] {
-        line.send(question);
-        line.flush();
+    loop::Dialled connection(loop, address);
+    std::string error;
+    connection.on_up = [&] {
+        connection.send(request);
+        connection.flush();
     };
-    line.on_down = [&] {
-        if (!answer.come)
-            fault = "no planner answers there";
+    connection.on_down = [&] {
+        if (!answer.received)
+            error = "no planner answers there";
         loop.stop();
     };
-    line.on_bytes = [&](std::string_view in) {
-        auto bad = reader.bytes(in, answer);
-        if (bad.empty())
-            bad = answer.fault;
-        if (!bad.empty())
-            fault = "what answers is no planner: " + bad;
-        if (answer.come || !bad.empty())
+    connection.on_bytes = [&](std::string_view bytes) {
+        std::string why;
+        try {
+            decoder.decode(bytes, answer);
+            why = answer.error;
+        } catch (const control::ProtocolError &e) {
+            why = e.what();
+        }
+        if (!why.empty())
+            error = "what answers is no planner: " + why;
+        if (answer.received || !why.empty())
             loop.stop();
     };
-    Time until = loop::now() + wait;
+    const Time deadline = loop::now() + timeout;
     loop.at_end([&] {
-        if (loop::now() >= until && !answer.come)
-            fault = "no answer within " + std::to_string(wait / ms) + "ms", loop.stop();
-        return until;
+        if (loop::now() >= deadline && !answer.received) {
+            error = "no answer within " + std::to_string(timeout / ms) + "ms";
+            loop.stop();
+        }
+        return deadline;
     });
-    line.dial();
+    connection.dial();
     loop.run();
-    line.hang_up();
-    if (!fault.empty())
-        throw std::runtime_error("planner " + address + ": " + fault);
+    connection.hang_up();
+    if (!error.empty())
+        throw std::runtime_error("planner " + address + ": " + error);
     return answer;
 }
 
 } // namespace
 
-std::string ask_status(const std::string &address, Time wait) {
-    return visit(address, control::ask_status(), wait).text;
+std::string AdminClient::status() const {
+    return ask(address_, control::encode(control::StatusRequest{}), timeout_).status;
 }
-std::string ask_drain(const std::string &address, NodeId node, bool draining, std::uint8_t how,
-                      bool &allowed, bool &done, Time wait) {
-    auto a = visit(address, control::ask_drain(node, draining, how), wait);
-    allowed = a.allowed, done = a.done;
-    return a.text;
+
+control::OperationResult AdminClient::drain(const control::DrainRequest &request) const {
+    return ask(address_, control::encode(request), timeout_).result;
 }
 
-std::string ask_cut(const std::string &address, std::uint8_t what, const std::string &name,
-                    const std::string &as, const std::string &plan, bool &allowed, bool &done,
-                    Time wait) {
-    auto a = visit(address, control::ask_cut(what, name, as, plan), wait);
-    allowed = a.allowed, done = a.done;
-    return a.text;
+control::OperationResult AdminClient::snapshot(const control::SnapshotRequest &request) const {
+    return ask(address_, control::encode(request), timeout_).result;
 }
 
 } // namespace knotvane::planner
--- a/src/planner/admin_client.hpp
+++ b/src/planner/admin_client.hpp
@@ -1,26 +1,33 @@
-// An operator's visit to a planner: one question over a connection of its own, waited for.
+/// \file
+/// An operator's client of a planner: one request over a connection of its own, waited for.
 #pragma once
 
-#include <cstdint>
 #include <string>
+#include <utility>
 
-#include "common/ids.hpp"
 #include "common/time.hpp"
+#include "control/messages.hpp"
 
 namespace knotvane::planner {
 
-// The planner's and its edges' state as JSON. Throws std::runtime_error where no answer comes
-// within `wait`.
-std::string ask_status(const std::string &address, Time wait);
-// A drain, or its end: `how` 0 asks what it would do, 1 does it, 2 does it even where nothing else
-// serves the node's shard. Gives the effect as text, whether it may be done (without force), and
-// whether it was. Of snapshots: 0 take (volume, name), 1 drop (name), 2 clone (snapshot, name, plan
-// or nothing), 3 compare (two names). Gives the answer as text, whether it may be done, and whether
-// it was.
-std::string ask_cut(const std::string &address, std::uint8_t what, const std::string &name,
-                    const std::string &as, const std::string &plan, bool &allowed, bool &done,
-                    Time wait);
-std::string ask_drain(const std::string &address, NodeId node, bool draining, std::uint8_t how,
-                      bool &allowed, bool &done, Time wait);
+/// Sends requests to one planner. Each call blocks for an answer and throws std::runtime_error, in
+/// one line, where none comes in time or what answers is no planner; then the request may have
+/// been carried out all the same.
+class AdminClient {
+public:
+    /// \param address  of the planner, host:port
+    /// \param timeout  for each request
+    AdminClient(std::string address, Time timeout)
+        : address_(std::move(address)), timeout_(timeout) {}
+
+    /// The planner's and its edges' state, as JSON.
+    std::string status() const;
+    control::OperationResult drain(const control::DrainRequest &request) const;
+    control::OperationResult snapshot(const control::SnapshotRequest &request) const;
+
+private:
+    std::string address_;
+    Time timeout_;
+};
 
 } // namespace knotvane::planner
--- /dev/null
+++ b/src/planner/desired_state_change.hpp
@@ -0,0 +1,43 @@
+/// \file
+/// Whether new settings may replace those in use, and what they change.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "planner/config.hpp"
+#include "planner/context.hpp"
+#include "planner/node_manager.hpp"
+#include "planner/quota_manager.hpp"
+
+namespace knotvane::planner {
+
+/// Settings are taken whole or, with any fault, not at all.
+class DesiredStateChange {
+public:
+    DesiredStateChange(PlannerContext &context, const PlannerConfig &config, NodeManager &nodes,
+                       const QuotaManager &quotas)
+        : context_(context), config_(config), nodes_(nodes), quotas_(quotas) {}
+
+    /// Faults that the settings have against the cluster as it is; none where they may be applied.
+    std::vector<DesiredStateFault> check(const DesiredState &desired) const;
+    void apply(const DesiredState &desired);
+
+private:
+    using Faults = std::vector<DesiredStateFault>;
+
+    void check_nodes(const DesiredState &desired, Faults &faults) const;
+    void check_volumes(const DesiredState &desired, Faults &faults) const;
+    void check_left_out(VolumeId id, const std::string &name, Faults &faults) const;
+    void check_snapshots(const DesiredState &desired, Faults &faults) const;
+    bool may_leave_out(NodeId node) const;
+    void apply_nodes(const DesiredState &desired);
+    void apply_plans_and_volumes(const DesiredState &desired);
+
+    PlannerContext &context_;
+    const PlannerConfig &config_;
+    NodeManager &nodes_;
+    const QuotaManager &quotas_;
+};
+
+} // namespace knotvane::planner
--- a/src/planner/desired_state_files.hpp
+++ b/src/planner/desired_state_files.hpp
@@ -1,28 +1,40 @@
-// The planner's settings: its own, and the fleet's, which is watched and taken whole or not at all.
+/// \file
+/// The planner's settings: its own file, and the cluster's, which is watched and taken whole or not
+/// at all.
 #pragma once
 
-#include <functional>
+#include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include "planner/core.hpp"
+#include "planner/config.hpp"
+#include "planner/desired_state.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::planner {
 
-// The planner's own: where it listens, its store, the fleet's file, and its times.
-void read_own(settings::File &file,
-              const std::function<void(std::string listen, std::string store, std::string fleet,
-                                       std::uint64_t seed)> &where,
-              const std::function<void(Time lease, Time margin, Time fade, Time silent_for,
-                                       Time out_after, Time back_after, Time drain_time)> &times);
+/// The planner's own settings.
+struct PlannerSettings {
+    std::string listen_address;
+    std::string store_path;
+    /// The file that read_fleet reads.
+    std::string fleet_path;
+    /// Mixed into the instance of each start; any number.
+    std::uint64_t seed = 1;
+    PlannerConfig config;
+};
 
-// The fleet's nodes, plans and volumes. A file that is cut short, counts wrong or contradicts
-// itself adds faults and must not be used; `name` is what faults call it.
+/// Faults are added to `file`; with any, the result must not be used.
+PlannerSettings read_planner_settings(settings::File &file);
+
+/// The cluster's nodes, plans and volumes. A file that is cut short, counts wrong or contradicts
+/// itself has faults.
+/// \param name    what faults call the file
+/// \param faults  receives one line for each; with any, the result must not be used
 DesiredState read_fleet(const std::string &name, const std::string &text,
                         std::vector<std::string> &faults);
-// The text that read_fleet reads.
+
+/// The text that read_fleet reads.
 std::string write_fleet(const DesiredState &desired);
 
 } // namespace knotvane::planner
--- /dev/null
+++ b/src/planner/diff_questions.cpp
@@ -0,0 +1,105 @@
+#include "planner/diff_questions.hpp"
+
+#include <algorithm>
+#include <limits>
+#include <utility>
+#include <vector>
+
+#include "control/encode.hpp"
+
+namespace knotvane::planner {
+namespace {
+
+constexpr Time answer_timeout = 5 * sec;
+// Ranges told to an operator, in one message; the sum is of all.
+constexpr std::size_t max_ranges_told = 20000;
+
+// Ranges of two shards may touch.
+std::vector<control::ByteRange>
+merge_touching(const std::map<std::uint64_t, std::uint64_t> &ranges) {
+    std::vector<control::ByteRange> out;
+    for (const auto &[offset, length] : ranges) {
+        if (!out.empty() && out.back().offset + out.back().length == offset)
+            out.back().length += length;
+        else
+            out.push_back({offset, length});
+    }
+    return out;
+}
+
+std::string describe(const std::vector<control::ByteRange> &ranges) {
+    std::uint64_t sum = 0;
+    for (const auto &range : ranges)
+        sum += range.length;
+    auto out =
+        std::to_string(sum) + " bytes in " + std::to_string(ranges.size()) + " ranges differ";
+    if (ranges.size() > max_ranges_told)
+        out += ", the first " + std::to_string(max_ranges_told) + " are";
+    for (std::size_t i = 0; i < ranges.size() && i < max_ranges_told; ++i)
+        out += "\n" + std::to_string(ranges[i].offset) + " " + std::to_string(ranges[i].length);
+    return out;
+}
+
+} // namespace
+
+void DiffQuestions::ask(SessionId session, VolumeId first, VolumeId second,
+                        const std::set<NodeId> &nodes) {
+    const auto number = ++last_number_;
+    auto &question = questions_[number];
+    question = {session, first, second, nodes, {}, context_.now + answer_timeout};
+    for (auto node : nodes)
+        send_request(node, number, question, 0);
+}
+
+void DiffQuestions::send_request(NodeId node, std::uint64_t number, const Question &question,
+                                 std::uint64_t from_offset) {
+    const auto &nodes = context_.sessions.nodes;
+    if (auto it = nodes.find(node); it != nodes.end())
+        context_.transport.send(
+            it->second, control::encode(control::DiffRequest{number, question.first,
+                                                             question.second, from_offset}));
+}
+
+void DiffQuestions::answered(NodeId node, const control::DiffReport &report) {
+    auto it = questions_.find(report.question);
+    if (it == questions_.end() || !it->second.waits_for.contains(node))
+        return;
+    auto &question = it->second;
+    for (const auto &range : report.ranges)
+        question.ranges[range.offset] = range.length;
+    if (report.more && !report.ranges.empty()) {
+        send_request(node, report.question, question, report.ranges.back().offset + 1);
+        return;
+    }
+    question.waits_for.erase(node);
+    if (question.waits_for.empty())
+        finish(report.question, {});
+}
+
+void DiffQuestions::finish(std::uint64_t number, const std::string &error) {
+    const auto question = std::move(questions_.extract(number).mapped());
+    if (!context_.sessions.all.contains(question.session))
+        return;
+    control::OperationResult result{true, error.empty(), error};
+    if (error.empty())
+        result.text = describe(merge_touching(question.ranges));
+    context_.transport.send(question.session, control::encode(result));
+}
+
+void DiffQuestions::expire() {
+    std::vector<std::uint64_t> late;
+    for (const auto &[number, question] : questions_)
+        if (context_.now >= question.deadline)
+            late.push_back(number);
+    for (auto number : late)
+        finish(number, "a node did not answer in time");
+}
+
+Time DiffQuestions::next_due() const {
+    Time due = std::numeric_limits<Time>::max();
+    for (const auto &[number, question] : questions_)
+        due = std::min(due, question.deadline);
+    return due;
+}
+
+} // namespace knotvane::planner
--- /dev/null
+++ b/src/planner/leadership.cpp
@@ -0,0 +1,45 @@
+#include "planner/leadership.hpp"
+
+#include <utility>
+
+namespace knotvane::planner {
+
+bool Leadership::check(const control::EdgeHello &hello) {
+    const auto who = "edge " + text(hello.edge);
+    const bool other = hello.term > context_.term ||
+                       (hello.term == context_.term && hello.instance != context_.instance);
+    if (other && !met_other(hello.term, who))
+        return false;
+    if (hello.lineage == context_.lineage && hello.version > context_.state.version()) {
+        retire(who + " goes by version " + text(hello.version) +
+               " of this store, which stands at " + text(context_.state.version()) +
+               ": the store is an old copy; start with the right one, or rebuild");
+        return false;
+    }
+    return true;
+}
+
+bool Leadership::met_other(Term term, const std::string &who) {
+    if (!context_.recovering || term < context_.term) {
+        retire(who + " follows another planner with term " + text(term));
+        return false;
+    }
+    // A store made anew knows nothing of the terms before: it goes above each that it meets.
+    context_.term = Term{term.value + 1};
+    context_.commit_due = true;
+    for (auto &[id, session] : context_.sessions.all)
+        session.edge_view.in_flight = false;
+    context_.transport.log_event(who + " follows term " + text(term) + ": going on as term " +
+                                 text(context_.term));
+    return true;
+}
+
+void Leadership::retire(const std::string &why) {
+    if (std::exchange(context_.retired, true))
+        return;
+    context_.transport.log_event("this planner (term " + text(context_.term) +
+                                 ") stops planning: " + why);
+    context_.transport.retired();
+}
+
+} // namespace knotvane::planner
--- /dev/null
+++ b/src/planner/node_liveness.cpp
@@ -0,0 +1,118 @@
+#include "planner/node_liveness.hpp"
+
+#include <algorithm>
+#include <limits>
+
+namespace knotvane::planner {
+namespace {
+
+constexpr Time never = std::numeric_limits<Time>::max();
+// Times the usual silence for which a node that no edge says it reaches stays in: edges are asked
+// each second.
+constexpr Time silences_without_reports = 5;
+constexpr Time report_interval = sec;
+// For how long a removal counts for how steady the node has to be to return.
+constexpr Time removal_memory = 60 * sec;
+
+} // namespace
+
+void NodeLiveness::registered(Time now, const std::string &address, std::uint64_t incarnation,
+                              Time started) {
+    bool is_new = incarnation != incarnation_ || !was_heard();
+    last_heard_ = now;
+    address_ = address;
+    // Of one incarnation the first start told stays: told again it differs by what the message
+    // took, and edges would take that for a restart.
+    if (!is_new)
+        return;
+    incarnation_ = incarnation;
+    started_ = started;
+    in_ = true;
+    lost_ = false;
+    steady_ = false;
+    // What edges met was the incarnation before.
+    unreachable_.clear();
+    reachable_.clear();
+}
+
+void NodeLiveness::restore(Time now, const std::string &address, std::uint64_t incarnation,
+                           Time started) {
+    last_heard_ = now;
+    address_ = address;
+    incarnation_ = incarnation;
+    started_ = started;
+    in_ = true;
+}
+
+void NodeLiveness::report(EdgeId edge, bool reachable) {
+    (reachable ? unreachable_ : reachable_).erase(edge);
+    (reachable ? reachable_ : unreachable_).insert(edge);
+}
+
+void NodeLiveness::drop_reports(EdgeId edge) {
+    unreachable_.erase(edge);
+    reachable_.erase(edge);
+}
+
+bool NodeLiveness::is_lost(Time now, std::size_t edges) const {
+    auto silence = now - last_heard_;
+    if (silence <= silence_)
+        return false;
+    // Where no edge says that it reaches the node, long silence is enough.
+    bool most_edges_lost_it = unreachable_.size() * 2 > edges;
+    bool nobody_reaches_it = reachable_.empty() && silence > silences_without_reports * silence_;
+    return edges == 0 || most_edges_lost_it || nobody_reaches_it;
+}
+
+// Guards against flapping: each time it was removed of late it has to be steady for longer.
+Time NodeLiveness::required_steadiness() const {
+    return return_delay_ * static_cast<Time>(std::max<std::size_t>(1, removals_.size()));
+}
+
+bool NodeLiveness::update(Time now, std::size_t edges) {
+    if (!was_heard())
+        return false;
+    bool silent = now - last_heard_ > silence_;
+    if (!silent)
+        reachable_.clear(); // what edges say when asked counts for one silence
+
+    bool lost = is_lost(now, edges);
+    if (lost && !lost_)
+        lost_since_ = now;
+    lost_ = lost;
+    if (!silent && !steady_)
+        steady_since_ = now;
+    steady_ = !silent;
+    while (!removals_.empty() && now - removals_.front() > removal_memory)
+        removals_.pop_front();
+
+    if (in_ && lost_ && now - lost_since_ >= removal_delay_) {
+        in_ = false;
+        removals_.push_back(now);
+    } else if (!in_ && steady_ && now - steady_since_ >= required_steadiness()) {
+        in_ = true;
+    }
+    return in_;
+}
+
+bool NodeLiveness::wants_reports(Time now) {
+    if (!in_ || steady_ || !was_heard() || now - last_asked_ < report_interval)
+        return false;
+    last_asked_ = now;
+    return true;
+}
+
+Time NodeLiveness::next_due() const {
+    if (!was_heard())
+        return never;
+    if (!in_)
+        return steady_ ? steady_since_ + required_steadiness() : never;
+    if (lost_)
+        return lost_since_ + removal_delay_;
+    if (steady_)
+        return last_heard_ + silence_ + 1;
+    return std::min(std::max(last_asked_, last_heard_ + silences_without_reports * silence_ + 1),
+                    last_asked_ + report_interval);
+}
+
+} // namespace knotvane::planner
--- a/src/planner/quota_allocation.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -5,166 +5,189 @@
 
 namespace knotvane::planner {
 
-void QuotaAllocation::restore(VolumeId volume, EdgeId edge, std::uint32_t part, std::uint32_t bound,
-                              Version since, bool serves, bool lapsed) {
-    volumes_[volume][edge] = {part, bound, since, serves};
-    if (lapsed)
+void QuotaAllocation::restore(VolumeId volume, EdgeId edge, const Holding &holding,
+                              bool edge_lapsed) {
+    volumes_[volume][edge] = holding;
+    if (edge_lapsed)
         lapsed_.insert(edge);
     of_edge_[edge].insert(volume);
-    if (bound > part)
-        unsettled_[edge].insert(volume);
-    dirty_.insert(volume);
+    if (holding.bound > holding.share)
+        unacknowledged_[edge].insert(volume);
+    changed_.insert(volume);
 }
-void QuotaAllocation::unknown(std::uint32_t bound) {
-    unknown_ = bound;
-    for (auto &[v, holds] : volumes_)
-        dirty_.insert(v);
+
+void QuotaAllocation::set_unknown_bound(std::uint32_t bound) {
+    unknown_bound_ = bound;
+    for (const auto &[volume, holdings] : volumes_)
+        changed_.insert(volume);
 }
 
-void QuotaAllocation::serve(VolumeId volume, EdgeId edge, bool on) {
+void QuotaAllocation::serve(VolumeId volume, EdgeId edge, bool serves) {
     auto it = volumes_.find(volume);
-    if (!on && (it == volumes_.end() || !it->second.contains(edge)))
+    if (!serves && (it == volumes_.end() || !it->second.contains(edge)))
         return;
-    auto &hold = volumes_[volume][edge];
+    auto &holding = volumes_[volume][edge];
     of_edge_[edge].insert(volume);
-    if (std::exchange(hold.serves, on) != on)
-        dirty_.insert(volume);
+    if (std::exchange(holding.serves, serves) != serves)
+        changed_.insert(volume);
 }
+
 std::vector<VolumeId> QuotaAllocation::served_by(EdgeId edge) const {
     std::vector<VolumeId> out;
     if (auto it = of_edge_.find(edge); it != of_edge_.end())
-        for (auto v : it->second)
-            if (volumes_.at(v).at(edge).serves)
-                out.push_back(v);
+        for (auto volume : it->second)
+            if (volumes_.at(volume).at(edge).serves)
+                out.push_back(volume);
     return out;
 }
 
-void QuotaAllocation::acked(EdgeId edge, Version version) {
-    auto &open = unsettled_[edge];
+void QuotaAllocation::acknowledged(EdgeId edge, Version version) {
+    auto &open = unacknowledged_[edge];
     for (auto it = open.begin(); it != open.end();) {
-        auto &hold = volumes_.at(*it).at(edge);
-        if (hold.since > version) {
+        auto &holding = volumes_.at(*it).at(edge);
+        if (holding.since > version) {
             ++it;
             continue;
         }
-        hold.bound = hold.part;
-        dirty_.insert(*it);
+        holding.bound = holding.share;
+        changed_.insert(*it);
         it = open.erase(it);
     }
 }
 
 bool QuotaAllocation::lapsed(EdgeId edge) {
-    bool fell = false;
     if (!lapsed_.insert(edge).second)
         return false;
-    for (auto v : of_edge_[edge]) {
-        auto &hold = volumes_.at(v).at(edge);
-        hold.bound = control::usable_millionths(hold.bound, 1, 1);
-        fell |= hold.part > hold.bound;
-        dirty_.insert(v);
+    bool any_falls = false;
+    for (auto volume : of_edge_[edge]) {
+        auto &holding = volumes_.at(volume).at(edge);
+        holding.bound = control::usable_millionths(holding.bound, 1, 1);
+        any_falls |= holding.share > holding.bound;
+        changed_.insert(volume);
     }
-    return fell;
+    return any_falls;
 }
-void QuotaAllocation::back(EdgeId edge) {
+
+void QuotaAllocation::renewed(EdgeId edge) {
     if (lapsed_.erase(edge) == 0)
         return;
-    for (auto v : of_edge_[edge])
-        dirty_.insert(v);
+    for (auto volume : of_edge_[edge])
+        changed_.insert(volume);
 }
+
 void QuotaAllocation::forgotten(EdgeId edge) {
-    for (auto v : of_edge_[edge]) {
-        auto &hold = volumes_.at(v).at(edge);
-        hold.bound = 0, hold.serves = false;
-        dirty_.insert(v);
+    for (auto volume : of_edge_[edge]) {
+        auto &holding = volumes_.at(volume).at(edge);
+        holding.bound = 0;
+        holding.serves = false;
+        changed_.insert(volume);
     }
-    unsettled_.erase(edge);
+    unacknowledged_.erase(edge);
     lapsed_.erase(edge);
 }
 
 std::uint64_t QuotaAllocation::bound(VolumeId volume) const {
-    std::uint64_t sum = unknown_;
+    std::uint64_t sum = unknown_bound_;
     if (auto it = volumes_.find(volume); it != volumes_.end())
-        for (auto &[e, h] : it->second)
-            sum += h.bound;
+        for (const auto &[edge, holding] : it->second)
+            sum += holding.bound;
     return sum;
 }
+
 std::uint32_t QuotaAllocation::sharers(VolumeId volume) const {
-    std::uint32_t n = 0;
+    std::uint32_t count = 0;
     if (auto it = volumes_.find(volume); it != volumes_.end())
-        for (auto &[e, h] : it->second)
-            n += h.serves && !is_lapsed(e);
-    return n;
+        for (const auto &[edge, holding] : it->second)
+            count += shares(edge, holding);
+    return count;
 }
 
-void QuotaAllocation::share(VolumeId volume, std::map<EdgeId, Hold> &holds, Version version) {
-    // What can't be parted: the unknown, those that were released and have not said so, those that
-    // lapsed.
-    std::uint32_t apart = unknown_, sharing = sharers(volume);
-    for (auto &[edge, h] : holds) {
-        if (h.serves && !is_lapsed(edge))
+// Lowers the shares of those that have too much. Gives the even share of those that share now:
+// what others may still go by is not shared out.
+std::uint32_t QuotaAllocation::shrink(Holdings &holdings, std::uint32_t sharers,
+                                      Version version) const {
+    auto reserved = unknown_bound_;
+    for (auto &[edge, holding] : holdings) {
+        if (shares(edge, holding))
             continue;
-        auto part = is_lapsed(edge) ? std::min(h.part, h.bound) : 0;
-        if (part != h.part)
-            h.part = part, h.since = version;
-        apart += h.bound;
-    }
-    std::uint32_t even =
-        sharing == 0 ? 0 : (control::whole_limit - std::min(apart, control::whole_limit)) / sharing;
-    std::uint64_t used = unknown_;
-    for (auto &[edge, h] : holds) {
-        if (h.serves && !is_lapsed(edge) && h.part > even)
-            h.part = even, h.since = version;
-        used += h.bound;
+        auto share = is_lapsed(edge) ? std::min(holding.share, holding.bound) : 0;
+        if (share != holding.share) {
+            holding.share = share;
+            holding.since = version;
+        }
+        reserved += holding.bound;
     }
+    auto available = control::whole_limit - std::min(reserved, control::whole_limit);
+    auto even_share = sharers == 0 ? 0 : available / sharers;
+    for (auto &[edge, holding] : holdings)
+        if (shares(edge, holding) && holding.share > even_share) {
+            holding.share = even_share;
+            holding.since = version;
+        }
+    return even_share;
+}
+
+void QuotaAllocation::grow(Holdings &holdings, std::uint32_t even_share, Version version) const {
+    std::uint64_t used = unknown_bound_;
+    for (const auto &[edge, holding] : holdings)
+        used += holding.bound;
     std::uint64_t free = control::whole_limit - std::min<std::uint64_t>(used, control::whole_limit);
-    for (auto &[edge, h] : holds) {
-        if (!h.serves || is_lapsed(edge) || h.part >= even)
+    for (auto &[edge, holding] : holdings) {
+        if (!shares(edge, holding) || holding.share >= even_share)
             continue;
-        auto part = static_cast<std::uint32_t>(std::min<std::uint64_t>(even, h.bound + free));
-        // In few steps: to the even part at once, or to twice what it has. Each step is news to its
-        // edge.
-        if (part <= h.part || (part < even && part < 2 * h.part))
+        auto share =
+            static_cast<std::uint32_t>(std::min<std::uint64_t>(even_share, holding.bound + free));
+        // In few steps: to the even share at once, or to twice what it has. Each step is an update
+        // to its edge.
+        if (share <= holding.share || (share < even_share && share < 2 * holding.share))
             continue;
-        if (part > h.bound)
-            free -= part - h.bound, h.bound = part;
-        h.part = part, h.since = version;
+        if (share > holding.bound) {
+            free -= share - holding.bound;
+            holding.bound = share;
+        }
+        holding.share = share;
+        holding.since = version;
     }
 }
 
+void QuotaAllocation::forget(VolumeId volume, EdgeId edge) {
+    told_.erase({volume, edge});
+    of_edge_[edge].erase(volume);
+    if (auto it = unacknowledged_.find(edge); it != unacknowledged_.end())
+        it->second.erase(volume);
+}
+
 void QuotaAllocation::allocate(
     Version version, const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &tell,
-    const std::function<void(VolumeId, EdgeId, const Hold *)> &keep) {
-    for (auto volume : std::exchange(dirty_, {})) {
+    const std::function<void(VolumeId, EdgeId, const Holding *)> &keep) {
+    for (auto volume : std::exchange(changed_, {})) {
         auto it = volumes_.find(volume);
         if (it == volumes_.end())
             continue;
-        auto &holds = it->second;
-        share(volume, holds, version);
-        auto n = sharers(volume);
-        for (auto h = holds.begin(); h != holds.end();) {
-            auto &[edge, hold] = *h;
-            if (hold.bound > hold.part)
-                unsettled_[edge].insert(volume);
-            control::QuotaShare part{hold.part, n};
-            if (!hold.serves)
-                part.sharers = 0;
+        auto &holdings = it->second;
+        auto count = sharers(volume);
+        grow(holdings, shrink(holdings, count, version), version);
+        for (auto entry = holdings.begin(); entry != holdings.end();) {
+            auto &[edge, holding] = *entry;
+            if (holding.bound > holding.share)
+                unacknowledged_[edge].insert(volume);
+            control::QuotaShare share{holding.share, holding.serves ? count : 0};
             auto &told = told_[{volume, edge}];
-            if (told != part)
-                told = part, tell(volume, edge, part);
-            if (hold.serves || hold.bound > 0) {
-                keep(volume, edge, &hold);
-                ++h;
+            if (told != share) {
+                told = share;
+                tell(volume, edge, share);
+            }
+            if (holding.serves || holding.bound > 0) {
+                keep(volume, edge, &holding);
+                ++entry;
                 continue;
             }
             // Nothing held and nothing wanted.
             keep(volume, edge, nullptr);
-            told_.erase({volume, edge});
-            of_edge_[edge].erase(volume);
-            if (auto u = unsettled_.find(edge); u != unsettled_.end())
-                u->second.erase(volume);
-            h = holds.erase(h);
+            forget(volume, edge);
+            entry = holdings.erase(entry);
         }
-        if (holds.empty())
+        if (holdings.empty())
             volumes_.erase(it);
     }
 }
--- a/src/planner/quota_allocation.hpp
+++ b/src/planner/quota_allocation.hpp
@@ -1,13 +1,17 @@
-// How the limit of each volume is parted among the edges that serve it, and handed over so that
-// what edges may use never adds past the whole: parts shrink first, and what a shrunk part set free
-// is given out once its edge has said that it goes by less, or its right to more has run out. No
-// I/O, no clock.
+/// \file
+/// How the limit of each volume is shared among the edges that serve it. No I/O, no clock.
+///
+/// What edges may use never adds up to more than the whole limit: shares shrink first, and what a
+/// shrunk share set free is given out once its edge has acknowledged the version that told it of
+/// less, or its lease on more has run out.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <set>
+#include <utility>
+#include <vector>
 
 #include "control/cluster_state.hpp"
 
@@ -16,55 +20,74 @@
 using control::EdgeId;
 using control::Version;
 
+/// Shares and bounds are millionths of a volume's limit.
 class QuotaAllocation {
 public:
-    // An edge's part, and what it may still go by: never less than the part.
-    struct Hold {
-        std::uint32_t part = 0, bound = 0;
-        Version since;       // the version that told the part
-        bool serves = false; // has a client of the volume
+    /// What one edge has of one volume's limit.
+    struct Holding {
+        std::uint32_t share = 0; ///< what it is told
+        std::uint32_t bound = 0; ///< what it may still go by: never less than the share
+        Version since;           ///< the version that told the share
+        bool serves = false;     ///< has a client of the volume
     };
 
-    // A hold as the store has it.
-    void restore(VolumeId volume, EdgeId edge, std::uint32_t part, std::uint32_t bound,
-                 Version since, bool serves, bool lapsed);
-    // What others than the known holders may go by in every volume, after a store was lost.
-    void unknown(std::uint32_t bound);
+    /// \param edge_lapsed  the edge's lease had run out
+    void restore(VolumeId volume, EdgeId edge, const Holding &holding, bool edge_lapsed);
 
-    void serve(VolumeId volume, EdgeId edge, bool on);
+    /// After the store was lost: what edges may go by that are not known here, in every volume.
+    void set_unknown_bound(std::uint32_t bound);
+
+    /// The volume's first client came to the edge, or its last one left.
+    void serve(VolumeId volume, EdgeId edge, bool serves);
     std::vector<VolumeId> served_by(EdgeId edge) const;
-    // The edge goes by this version.
-    void acked(EdgeId edge, Version version);
-    // The edge's right to its parts has run out for all but a piece. With an answer of true a part
-    // falls, which the next version tells. It must not have the whole of any part again before it
-    // goes by all told until then.
+
+    /// The edge goes by this version.
+    void acknowledged(EdgeId edge, Version version);
+
+    /// The edge's lease has run out; a quarter of its shares is left to it.
+    /// \return true where a share falls, which the next version tells. The edge must not have the
+    ///         whole of any share again before it goes by all that was told until then.
     bool lapsed(EdgeId edge);
-    void back(EdgeId edge);
-    // ... for all of them.
+
+    /// The edge's lease was renewed.
+    void renewed(EdgeId edge);
+
+    /// The edge may use none of its shares any more.
     void forgotten(EdgeId edge);
 
-    // Parts out what is due; `version` tells it. Calls for each part that changes, and for each
-    // hold to be kept. Volumes' cost only where something changed.
+    /// Shares out what is due. Costs by the volumes in which something changed.
+    /// \param version  the version that tells the new shares
+    /// \param tell     called for each share that changes
+    /// \param keep     called for each holding to be stored, or with null to be dropped
     void allocate(Version version,
                   const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &tell,
-                  const std::function<void(VolumeId, EdgeId, const Hold *)> &keep);
-    // What all edges together may go by.
+                  const std::function<void(VolumeId, EdgeId, const Holding *)> &keep);
+
+    /// What all edges together may go by.
     std::uint64_t bound(VolumeId volume) const;
+
+    /// How many edges with a lease serve the volume.
     std::uint32_t sharers(VolumeId volume) const;
-    // The edge's right ran out; it has a piece of what it had.
     bool is_lapsed(EdgeId edge) const { return lapsed_.contains(edge); }
-    const std::map<VolumeId, std::map<EdgeId, Hold>> &all() const { return volumes_; }
+    const std::map<VolumeId, std::map<EdgeId, Holding>> &all() const { return volumes_; }
 
 private:
-    void share(VolumeId volume, std::map<EdgeId, Hold> &holds, Version version);
+    using Holdings = std::map<EdgeId, Holding>;
+
+    bool shares(EdgeId edge, const Holding &holding) const {
+        return holding.serves && !is_lapsed(edge);
+    }
+    std::uint32_t shrink(Holdings &holdings, std::uint32_t sharers, Version version) const;
+    void grow(Holdings &holdings, std::uint32_t even_share, Version version) const;
+    void forget(VolumeId volume, EdgeId edge);
 
-    std::map<VolumeId, std::map<EdgeId, Hold>> volumes_;
+    std::map<VolumeId, Holdings> volumes_;
     std::map<EdgeId, std::set<VolumeId>> of_edge_;
-    std::map<EdgeId, std::set<VolumeId>> unsettled_; // holds whose bound is past the part
-    std::set<VolumeId> dirty_;
+    std::map<EdgeId, std::set<VolumeId>> unacknowledged_; // holdings whose bound is past the share
+    std::set<VolumeId> changed_;
     std::set<EdgeId> lapsed_;
     std::map<std::pair<VolumeId, EdgeId>, control::QuotaShare> told_;
-    std::uint32_t unknown_ = 0;
+    std::uint32_t unknown_bound_ = 0;
 };
 
 } // namespace knotvane::planner
--- /dev/null
+++ b/src/planner/quota_manager.cpp
@@ -0,0 +1,138 @@
+#include "planner/quota_manager.hpp"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+#include "control/encode.hpp"
+
+namespace knotvane::planner {
+namespace {
+
+// How much longer than a lease what a lost store gave out may be in use: a tenth, and this.
+constexpr Time recovery_slack = sec;
+
+} // namespace
+
+void QuotaManager::start(Version version) {
+    // What edges were told before, they may still be about to go by: none has its lease renewed by
+    // this planner before it goes by all that the last one decided.
+    min_version_of_all_ = version;
+    for (const auto &[volume, holdings] : allocation_.all())
+        for (const auto &[edge, holding] : holdings) {
+            leases_.restore(edge, context_.now, allocation_.is_lapsed(edge));
+            if (holding.share == 0 && !holding.serves)
+                continue;
+            context_.state.restoring(holding.since);
+            context_.state.put_quota_share(edge, volume,
+                                           {holding.share, allocation_.sharers(volume)});
+        }
+}
+
+void QuotaManager::start_recovery() {
+    allocation_.set_unknown_bound(control::whole_limit);
+    recovery_until_ = context_.now + leases_.lease() + leases_.lease() / 10 + recovery_slack;
+    context_.recovering = true;
+}
+
+void QuotaManager::edge_connected(const Session &session, const std::vector<VolumeId> &serving) {
+    if (session.edge_view.acknowledged > Version{0})
+        allocation_.acknowledged(session.edge, session.edge_view.acknowledged);
+    const std::set<VolumeId> now_serving(serving.begin(), serving.end());
+    for (auto volume : allocation_.served_by(session.edge))
+        if (!now_serving.contains(volume))
+            allocation_.serve(volume, session.edge, false);
+    for (auto volume : now_serving)
+        allocation_.serve(volume, session.edge, true);
+}
+
+void QuotaManager::renew(Session &session, const control::LeaseRenewal &renewal) {
+    auto &view = session.edge_view;
+    const bool same_term = renewal.term == context_.term;
+    view.term = renewal.term;
+    // Versions of another store say nothing here, until the edge goes by one of ours.
+    if (same_term)
+        view.lineage = context_.lineage;
+    if (view.lineage != context_.lineage)
+        return;
+    view.acknowledged = std::max(view.acknowledged, renewal.version);
+    if (same_term && view.acknowledged >= view.sent)
+        view.in_flight = false;
+    view.sent = std::max(view.sent, view.acknowledged);
+    allocation_.acknowledged(session.edge, view.acknowledged);
+
+    // The lease goes on only once the edge goes by what lowered its shares while it was away.
+    const auto needed = min_version(session.edge);
+    if (!same_term || renewal.version < needed || context_.retired)
+        return;
+    const bool was_away = leases_.stage(session.edge) != LeaseTable::Stage::held;
+    leases_.renew(session.edge, context_.now);
+    if (was_away)
+        allocation_.renewed(session.edge);
+    context_.transport.send(
+        session.id, control::encode(control::LeaseRenewed{
+                        renewal.sent_at, context_.term, leases_.lease(), leases_.fade(), needed}));
+}
+
+Version QuotaManager::min_version(EdgeId edge) const {
+    auto it = min_versions_.find(edge);
+    return it == min_versions_.end() ? min_version_of_all_
+                                     : std::max(it->second, min_version_of_all_);
+}
+
+void QuotaManager::lease_changed(EdgeId edge, LeaseTable::Stage stage) {
+    if (stage == LeaseTable::Stage::lapsed) {
+        context_.transport.log_event("edge " + text(edge) +
+                                     " has not renewed its lease: a quarter of its quota shares "
+                                     "is left to it");
+        // Not before it goes by all that it was told until now, too: a share that was lowered and
+        // never reached it counts for a quarter from here on, and must not be whole again.
+        min_versions_[edge] =
+            allocation_.lapsed(edge) ? context_.state.next() : context_.state.version();
+    } else {
+        context_.transport.log_event("edge " + text(edge) +
+                                     " is forgotten: its quota shares go to others");
+        allocation_.forgotten(edge);
+        min_versions_[edge] = context_.state.next();
+    }
+}
+
+void QuotaManager::expire() {
+    leases_.expire(context_.now,
+                   [this](EdgeId edge, LeaseTable::Stage stage) { lease_changed(edge, stage); });
+    if (recovery_until_ == 0)
+        return;
+    if (context_.now > recovery_until_ && !std::exchange(recovery_faded_, true))
+        allocation_.set_unknown_bound(control::usable_millionths(control::whole_limit, 1, 1));
+    if (context_.now > recovery_until_ + leases_.fade()) {
+        allocation_.set_unknown_bound(0);
+        recovery_until_ = 0;
+        context_.recovering = false;
+    }
+}
+
+void QuotaManager::allocate() {
+    using Row = StateStore::Row;
+    const auto version = context_.state.next();
+    allocation_.allocate(
+        version,
+        [&](VolumeId volume, EdgeId edge, const control::QuotaShare &share) {
+            context_.state.put_quota_share(edge, volume, share);
+        },
+        [&](VolumeId volume, EdgeId edge, const QuotaAllocation::Holding *holding) {
+            if (holding)
+                context_.store.keep(Row::quota_share, edge.value, volume.value, version,
+                                    encode_row({*holding, allocation_.is_lapsed(edge)}));
+            else
+                context_.store.drop(Row::quota_share, edge.value, volume.value);
+        });
+}
+
+Time QuotaManager::next_due() const {
+    auto due = leases_.next_due();
+    if (recovery_until_ == 0)
+        return due;
+    return std::min(due, recovery_until_ + (recovery_faded_ ? leases_.fade() : 0) + 1);
+}
+
+} // namespace knotvane::planner
--- /dev/null
+++ b/src/planner/receiver.hpp
@@ -0,0 +1,41 @@
+/// \file
+/// Hands a session's messages to the parts of the planner's core. Internal to the core.
+#pragma once
+
+#include <string>
+
+#include "planner/core.hpp"
+
+namespace knotvane::planner {
+
+/// What a session says it is decides which messages it may send; any other is noted as the
+/// session's error.
+class Core::Receiver final : public control::MessageHandler {
+public:
+    Receiver(Core &core, Session &session) : core_(core), session_(session) {}
+
+    using MessageHandler::handle;
+    void handle(const control::EdgeHello &message) override;
+    void handle(const control::LeaseRenewal &message) override;
+    void handle(const control::FullStateRequest &message) override;
+    void handle(const control::VolumeServed &message) override;
+    void handle(const control::ReachabilityReport &message) override;
+    void handle(const control::Superseded &message) override;
+    void handle(const control::NodeHello &message) override;
+    void handle(const control::NodeRenewal &message) override;
+    void handle(const control::StatusRequest &message) override;
+    void handle(const control::DrainRequest &message) override;
+    void handle(const control::SnapshotRequest &message) override;
+    void handle(const control::SnapshotStepReport &message) override;
+    void handle(const control::DiffReport &message) override;
+
+private:
+    void unexpected(std::string_view message) override;
+    bool expect(Session::Role role, std::string_view message);
+    bool expect_operator(std::string_view message);
+
+    Core &core_;
+    Session &session_;
+};
+
+} // namespace knotvane::planner
--- a/src/planner/snapshot_coordinator.cpp
+++ b/src/planner/snapshot_coordinator.cpp
@@ -8,35 +8,32 @@
 namespace knotvane::planner {
 namespace {
 
-// The longest that an edge holds changes back, by its own clock from when it hears. Far below any
+// The longest that an edge holds writes back, by its own clock from when it hears. Far below any
 // client's patience, some hundred times a round trip between halls.
-constexpr Time hold_time = 500 * ms;
-// An edge that has not stopped by then is left out: its changes wait at the nodes until the cut is
-// sealed.
-constexpr Time ready_time = 100 * ms;
-// After this nodes have cut or the cut ends: edges must hear to go on before they go on by
-// themselves.
-constexpr Time open_time = 400 * ms;
-constexpr Time moved_time = sec;
-// Changes that began before end by then: longer than any client timeout in use.
-constexpr Time drain_time = 15 * sec;
-// Making a cut durable: a node may have much to flush.
-constexpr Time seal_time = 15 * sec;
-constexpr Time clone_time = 15 * sec;
-// How often nodes are told again of what they have to take back.
-constexpr Time undo_every = 2 * sec;
-
-const char *name(int phase) {
-    static constexpr const char *names[] = {"edges to stop",  "nodes to cut",  "edges to go on",
-                                            "changes to end", "nodes to seal", "nodes to clone"};
-    return names[phase];
-}
+constexpr Time max_hold = 500 * ms;
+// An edge that does not hold by then is left out: its writes wait at the nodes until the snapshot
+// is sealed.
+constexpr Time ready_timeout = 100 * ms;
+// After this nodes have opened the snapshot or it ends: edges must hear to go on before they go on
+// by themselves.
+constexpr Time open_timeout = 400 * ms;
+constexpr Time resume_timeout = sec;
+// Writes that began before end by then: longer than any client timeout in use.
+constexpr Time drain_timeout = 15 * sec;
+// Making a snapshot durable: a node may have much to flush.
+constexpr Time seal_timeout = 15 * sec;
+constexpr Time clone_timeout = 15 * sec;
+// How often nodes are told again of what they have to drop.
+constexpr Time drop_interval = 2 * sec;
+// Ids in one line for operators.
+constexpr std::size_t max_ids_listed = 5;
+
 template <class Ids>
 std::string list(const Ids &ids) {
     std::string out;
-    std::size_t told = 0;
+    std::size_t listed = 0;
     for (auto id : ids) {
-        if (told++ == 5)
+        if (listed++ == max_ids_listed)
             return out + ", ... (" + std::to_string(ids.size()) + ")";
         out += (out.empty() ? "" : ", ") + std::to_string(id.value);
     }
@@ -45,240 +42,319 @@
 
 } // namespace
 
-void SnapshotCoordinator::begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch,
-                                    std::set<EdgeId> edges, std::set<NodeId> nodes) {
-    auto &a = attempts_[as];
-    a.of = of, a.epoch = epoch, a.began = now, a.until = now + ready_time;
-    a.asked = a.waited = std::move(edges), a.nodes = std::move(nodes);
-    for (auto e : a.asked)
-        orders_.hold(e, of, as, epoch, hold_time);
-    step(now, as, a);
+const char *SnapshotCoordinator::awaited_action(Phase phase) {
+    switch (phase) {
+    case Phase::holding:
+        return "edges to stop";
+    case Phase::opening:
+        return "nodes to cut";
+    case Phase::resuming:
+        return "edges to go on";
+    case Phase::draining:
+        return "changes to end";
+    case Phase::sealing:
+        return "nodes to seal";
+    case Phase::cloning:
+        return "nodes to clone";
+    }
+    return "";
 }
-void SnapshotCoordinator::begin_clone(Time now, VolumeId of, VolumeId as, std::set<NodeId> nodes) {
-    auto &a = attempts_[as];
-    a.of = of, a.phase = Phase::cloning, a.began = now, a.until = now + clone_time;
-    a.nodes = a.missing = std::move(nodes);
-    for (auto n : a.nodes)
-        orders_.clone(n, of, as);
+
+void SnapshotCoordinator::begin_snapshot(Time now, VolumeId volume, VolumeId snapshot,
+                                         std::uint32_t epoch, std::set<EdgeId> edges,
+                                         std::set<NodeId> nodes) {
+    auto &run = running_[snapshot];
+    run.source = volume;
+    run.epoch = epoch;
+    run.began = now;
+    run.deadline = now + ready_timeout;
+    run.edges = std::move(edges);
+    run.awaited = run.edges;
+    run.nodes = std::move(nodes);
+    for (auto edge : run.edges)
+        actions_.hold(edge, volume, snapshot, epoch, max_hold);
+    advance(now, snapshot, run);
 }
 
-void SnapshotCoordinator::open(Time now, VolumeId as, Attempt &a) {
-    a.phase = Phase::opening, a.until = a.began + open_time;
-    a.missing = a.nodes;
-    // Whoever has not stopped is not among these, and so can't change the cut: not a slow edge, not
-    // one that the planner does not know of.
-    for (auto e : a.waited)
-        orders_.release(e, a.of, as);
-    a.waited.clear();
-    // By process, not by edge: one that restarts in the middle may go by an old plan.
-    std::vector<control::EdgeIncarnation> late;
-    for (auto &[e, incarnation] : a.late)
-        late.push_back(incarnation);
-    for (auto n : a.nodes)
-        orders_.open(n, a.of, as, a.epoch, late);
-    step(now, as, a);
+void SnapshotCoordinator::begin_clone(Time now, VolumeId source, VolumeId clone,
+                                      std::set<NodeId> nodes) {
+    auto &run = running_[clone];
+    run.source = source;
+    run.phase = Phase::cloning;
+    run.began = now;
+    run.deadline = now + clone_timeout;
+    run.nodes = std::move(nodes);
+    run.awaited_nodes = run.nodes;
+    for (auto node : run.nodes)
+        actions_.clone(node, source, clone);
 }
-// Goes on to the next phase where this one has all it waits for.
-void SnapshotCoordinator::step(Time now, VolumeId as, Attempt &a) {
-    switch (a.phase) {
-    case Phase::holding:
-        if (a.waited.empty())
-            open(now, as, a);
+
+void SnapshotCoordinator::open(Time now, VolumeId snapshot, Run &run) {
+    run.phase = Phase::opening;
+    run.deadline = run.began + open_timeout;
+    run.awaited_nodes = run.nodes;
+    // Whoever does not hold is not among the late writers, and so can't change the snapshot: not a
+    // slow edge, not one that the planner does not know of.
+    for (auto edge : run.awaited)
+        actions_.release(edge, run.source, snapshot);
+    run.awaited.clear();
+    // By process, not by edge: one that restarts in the middle may go by an old state.
+    std::vector<control::EdgeIncarnation> late_writers;
+    for (const auto &[edge, incarnation] : run.held)
+        late_writers.push_back(incarnation);
+    for (auto node : run.nodes)
+        actions_.open(node, run.source, snapshot, run.epoch, late_writers);
+    advance(now, snapshot, run);
+}
+
+// Enters each next phase for as long as the one before has all that it waits for.
+void SnapshotCoordinator::advance(Time now, VolumeId snapshot, Run &run) {
+    if (!run.awaited.empty() || !run.awaited_nodes.empty())
         return;
+    switch (run.phase) {
+    case Phase::holding:
+        return open(now, snapshot, run);
     case Phase::opening:
-        if (!a.missing.empty())
-            return;
-        a.phase = Phase::moving, a.until = now + moved_time;
-        for (auto &[e, incarnation] : a.late)
-            a.waited.insert(e), orders_.go(e, a.of, as, a.epoch);
-        [[fallthrough]];
-    case Phase::moving:
-        if (!a.waited.empty())
-            return;
-        a.phase = Phase::draining, a.until = now + drain_time;
-        for (auto &[e, incarnation] : a.late)
-            if (!a.drained.contains(e))
-                a.waited.insert(e);
-        [[fallthrough]];
+        enter_resuming(now, snapshot, run);
+        return advance(now, snapshot, run);
+    case Phase::resuming:
+        enter_draining(now, run);
+        return advance(now, snapshot, run);
     case Phase::draining:
-        if (!a.waited.empty())
-            return;
-        a.phase = Phase::sealing, a.until = now + seal_time, a.missing = a.nodes;
-        for (auto n : a.nodes)
-            orders_.seal(n, a.of, as);
-        return;
+        return enter_sealing(now, snapshot, run);
     case Phase::sealing:
     case Phase::cloning:
-        if (!a.missing.empty())
-            return;
-        attempts_.erase(as);
-        orders_.whole(as);
+        running_.erase(snapshot);
+        actions_.completed(snapshot);
     }
 }
-void SnapshotCoordinator::fail(VolumeId as, const std::string &why, bool again) {
-    auto node = attempts_.extract(as);
-    auto &a = node.mapped();
-    if (a.phase == Phase::holding || a.phase == Phase::opening)
-        for (auto e : a.asked)
-            orders_.release(e, a.of, as);
-    orders_.failed(as, why, again);
+
+void SnapshotCoordinator::enter_resuming(Time now, VolumeId snapshot, Run &run) {
+    run.phase = Phase::resuming;
+    run.deadline = now + resume_timeout;
+    for (const auto &[edge, incarnation] : run.held) {
+        run.awaited.insert(edge);
+        actions_.resume(edge, run.source, snapshot, run.epoch);
+    }
 }
 
-void SnapshotCoordinator::edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation,
-                                    VolumeId as, SnapshotStep what) {
-    auto it = attempts_.find(as);
-    if (it == attempts_.end())
-        return;
-    auto &a = it->second;
-    if (!a.asked.contains(edge))
+void SnapshotCoordinator::enter_draining(Time now, Run &run) {
+    run.phase = Phase::draining;
+    run.deadline = now + drain_timeout;
+    for (const auto &[edge, incarnation] : run.held)
+        if (!run.drained.contains(edge))
+            run.awaited.insert(edge);
+}
+
+void SnapshotCoordinator::enter_sealing(Time now, VolumeId snapshot, Run &run) {
+    run.phase = Phase::sealing;
+    run.deadline = now + seal_timeout;
+    run.awaited_nodes = run.nodes;
+    for (auto node : run.nodes)
+        actions_.seal(node, run.source, snapshot);
+}
+
+void SnapshotCoordinator::fail(VolumeId snapshot, const std::string &why, bool retry) {
+    const auto run = std::move(running_.extract(snapshot).mapped());
+    if (run.phase == Phase::holding || run.phase == Phase::opening)
+        for (auto edge : run.edges)
+            actions_.release(edge, run.source, snapshot);
+    actions_.failed(snapshot, why, retry);
+}
+
+// ---- Steps.
+
+// False where the edge is too late.
+bool SnapshotCoordinator::edge_ready(EdgeId edge, control::EdgeIncarnation incarnation,
+                                     VolumeId snapshot, Run &run) {
+    if (run.phase != Phase::holding) {
+        if (!run.held.contains(edge))
+            actions_.release(edge, run.source, snapshot);
+        return false;
+    }
+    run.awaited.erase(edge);
+    run.held[edge] = incarnation;
+    return true;
+}
+
+void SnapshotCoordinator::edge_step(Time now, EdgeId edge, control::EdgeIncarnation incarnation,
+                                    VolumeId snapshot, SnapshotStep step) {
+    auto it = running_.find(snapshot);
+    if (it == running_.end() || !it->second.edges.contains(edge))
         return;
-    switch (what) {
+    auto &run = it->second;
+    switch (step) {
     case SnapshotStep::ready:
-        if (a.phase != Phase::holding) {
-            if (!a.late.contains(edge))
-                orders_.release(edge, a.of, as);
+        if (!edge_ready(edge, incarnation, snapshot, run))
             return;
-        }
-        a.waited.erase(edge);
-        a.late[edge] = incarnation;
         break;
     case SnapshotStep::lapsed:
         // Guards against an edge that went on by itself, in the epoch before, while others are in
         // the new one.
-        if (!a.late.contains(edge))
-            return;
-        return fail(
-            as, "edge " + std::to_string(edge.value) + " held its changes back for too long", true);
+        if (run.held.contains(edge))
+            fail(snapshot,
+                 "edge " + std::to_string(edge.value) + " held its changes back for too long",
+                 true);
+        return;
     case SnapshotStep::drained:
-        a.drained.insert(edge);
-        if (a.phase == Phase::draining)
-            a.waited.erase(edge);
+        run.drained.insert(edge);
+        if (run.phase == Phase::draining)
+            run.awaited.erase(edge);
         break;
     case SnapshotStep::moved:
-        if (a.phase == Phase::moving)
-            a.waited.erase(edge);
+        if (run.phase == Phase::resuming)
+            run.awaited.erase(edge);
         break;
     default:
         return;
     }
-    step(now, as, a);
+    advance(now, snapshot, run);
 }
-void SnapshotCoordinator::node_told(Time now, NodeId node, ShardId shard, VolumeId as,
-                                    SnapshotStep what, std::uint8_t how) {
-    constexpr std::uint8_t done = 0, exists = 1, full = 3;
-    if (what == SnapshotStep::dropped) {
-        auto u = undo_.find(as);
-        if (u == undo_.end() || how != done)
-            return;
-        u->second.erase(shard);
-        if (!u->second.empty())
-            return;
-        undo_.erase(u);
-        return orders_.undone(as);
+
+void SnapshotCoordinator::dropped(ShardId shard, VolumeId snapshot) {
+    auto it = taking_back_.find(snapshot);
+    if (it == taking_back_.end())
+        return;
+    it->second.erase(shard);
+    if (!it->second.empty())
+        return;
+    taking_back_.erase(it);
+    actions_.taken_back(snapshot);
+}
+
+bool SnapshotCoordinator::expects(Phase phase, SnapshotStep step) {
+    switch (step) {
+    case SnapshotStep::opened:
+        return phase == Phase::opening;
+    case SnapshotStep::sealed:
+        return phase == Phase::sealing;
+    case SnapshotStep::cloned:
+        return phase == Phase::cloning;
+    default:
+        return false;
     }
-    auto it = attempts_.find(as);
-    if (it == attempts_.end())
+}
+
+void SnapshotCoordinator::node_step(Time now, NodeId node, ShardId shard, VolumeId snapshot,
+                                    SnapshotStep step, SnapshotResult result) {
+    if (step == SnapshotStep::dropped) {
+        if (result == SnapshotResult::done)
+            dropped(shard, snapshot);
+        return;
+    }
+    auto it = running_.find(snapshot);
+    if (it == running_.end())
         return;
-    auto &a = it->second;
-    bool expected = what == SnapshotStep::opened ? a.phase == Phase::opening
-                    : what == SnapshotStep::sealed
-                        ? a.phase == Phase::sealing
-                        : what == SnapshotStep::cloned && a.phase == Phase::cloning;
-    if (!expected || !a.missing.contains(node))
+    auto &run = it->second;
+    if (!expects(run.phase, step) || !run.awaited_nodes.contains(node))
         return;
-    if (how != done && how != exists)
-        return fail(as,
+    if (result != SnapshotResult::done && result != SnapshotResult::exists)
+        return fail(snapshot,
                     "node " + std::to_string(node.value) +
-                        (how == full ? ": less than a tenth of its store is free"
-                                     : " could not do it; see its log"),
+                        (result == SnapshotResult::full ? ": less than a tenth of its store is free"
+                                                        : " could not do it; see its log"),
                     false);
-    a.missing.erase(node);
-    step(now, as, a);
+    run.awaited_nodes.erase(node);
+    advance(now, snapshot, run);
 }
 
-void SnapshotCoordinator::edge_gone(Time now, EdgeId edge) {
-    std::vector<VolumeId> of;
-    for (auto &[as, a] : attempts_)
-        if (a.asked.contains(edge))
-            of.push_back(as);
-    for (auto as : of) {
-        auto &a = attempts_.at(as);
-        a.asked.erase(edge);
-        if (a.phase == Phase::holding) {
+// ---- Lost connections.
+
+void SnapshotCoordinator::edge_disconnected(Time now, EdgeId edge) {
+    std::vector<VolumeId> affected;
+    for (const auto &[snapshot, run] : running_)
+        if (run.edges.contains(edge))
+            affected.push_back(snapshot);
+    for (auto snapshot : affected) {
+        auto &run = running_.at(snapshot);
+        run.edges.erase(edge);
+        if (run.phase == Phase::holding) {
             // It goes on by itself, and is left out.
-            a.waited.erase(edge), a.late.erase(edge);
-            step(now, as, a);
-        } else if (a.late.contains(edge) && !a.drained.contains(edge)) {
-            fail(as, "edge " + std::to_string(edge.value) + " was lost on the way", true);
+            run.awaited.erase(edge);
+            run.held.erase(edge);
+            advance(now, snapshot, run);
+        } else if (run.held.contains(edge) && !run.drained.contains(edge)) {
+            fail(snapshot, "edge " + std::to_string(edge.value) + " was lost on the way", true);
         }
     }
 }
-void SnapshotCoordinator::node_gone(Time, NodeId node) {
-    std::vector<VolumeId> of;
-    for (auto &[as, a] : attempts_)
-        if (a.nodes.contains(node))
-            of.push_back(as);
-    // Guards against a node that restarts in the middle: what it cut was not durable, and who is
-    // late it has forgotten.
-    for (auto as : of)
-        fail(as, "node " + std::to_string(node.value) + " was lost on the way", true);
+
+// Guards against a node that restarts in the middle: what it opened was not durable, and who the
+// late writers are it has forgotten.
+void SnapshotCoordinator::node_disconnected(NodeId node) {
+    std::vector<VolumeId> affected;
+    for (const auto &[snapshot, run] : running_)
+        if (run.nodes.contains(node))
+            affected.push_back(snapshot);
+    for (auto snapshot : affected)
+        fail(snapshot, "node " + std::to_string(node.value) + " was lost on the way", true);
 }
 
-void SnapshotCoordinator::undo(VolumeId as, std::set<ShardId> shards) {
-    undo_[as] = std::move(shards);
-    undo_again_ = 0; // at the next tick
+// ---- Taking back.
+
+void SnapshotCoordinator::take_back(VolumeId snapshot, std::set<ShardId> shards) {
+    taking_back_[snapshot] = std::move(shards);
+    drop_again_at_ = 0; // at the next tick
 }
-void SnapshotCoordinator::node_came(NodeId node, ShardId shard) {
-    for (auto &[as, left] : undo_)
-        if (left.contains(shard))
-            orders_.drop(node, as);
+
+void SnapshotCoordinator::node_connected(NodeId node, ShardId shard) {
+    for (const auto &[snapshot, shards_left] : taking_back_)
+        if (shards_left.contains(shard))
+            actions_.drop(node, snapshot);
 }
-void SnapshotCoordinator::shards(const std::set<ShardId> &all) {
-    for (auto it = undo_.begin(); it != undo_.end();) {
-        std::erase_if(it->second, [&](ShardId s) { return !all.contains(s); });
-        auto as = it->first;
-        bool over = it->second.empty();
-        it = over ? undo_.erase(it) : std::next(it);
-        if (over)
-            orders_.undone(as);
+
+void SnapshotCoordinator::set_shards(const std::set<ShardId> &shards) {
+    for (auto it = taking_back_.begin(); it != taking_back_.end();) {
+        std::erase_if(it->second, [&](ShardId shard) { return !shards.contains(shard); });
+        const auto snapshot = it->first;
+        const bool is_over = it->second.empty();
+        it = is_over ? taking_back_.erase(it) : std::next(it);
+        if (is_over)
+            actions_.taken_back(snapshot);
     }
 }
 
+// ---- Time.
+
 Time SnapshotCoordinator::next_due() const {
     Time due = std::numeric_limits<Time>::max();
-    for (auto &[as, a] : attempts_)
-        due = std::min(due, a.until);
-    return undo_.empty() ? due : std::min(due, undo_again_);
+    for (const auto &[snapshot, run] : running_)
+        due = std::min(due, run.deadline);
+    return taking_back_.empty() ? due : std::min(due, drop_again_at_);
+}
+
+void SnapshotCoordinator::time_out(Time now, VolumeId snapshot) {
+    auto &run = running_.at(snapshot);
+    if (run.phase == Phase::holding)
+        return open(now, snapshot, run);
+    std::string who;
+    if (!run.awaited_nodes.empty())
+        who = ": node " + list(run.awaited_nodes);
+    else if (!run.awaited.empty())
+        who = ": edge " + list(run.awaited);
+    fail(snapshot, std::string("waited too long for ") + awaited_action(run.phase) + who, true);
 }
+
 void SnapshotCoordinator::tick(Time now, const std::map<NodeId, ShardId> &connected) {
     std::vector<VolumeId> late;
-    for (auto &[as, a] : attempts_)
-        if (now >= a.until)
-            late.push_back(as);
-    for (auto as : late) {
-        auto &a = attempts_.at(as);
-        if (a.phase == Phase::holding)
-            open(now, as, a);
-        else
-            fail(as,
-                 std::string("waited too long for ") + name(static_cast<int>(a.phase)) +
-                     (a.missing.empty() ? a.waited.empty() ? "" : ": edge " + list(a.waited)
-                                        : ": node " + list(a.missing)),
-                 true);
-    }
-    if (undo_.empty() || now < undo_again_)
+    for (const auto &[snapshot, run] : running_)
+        if (now >= run.deadline)
+            late.push_back(snapshot);
+    for (auto snapshot : late)
+        time_out(now, snapshot);
+    if (taking_back_.empty() || now < drop_again_at_)
         return;
-    undo_again_ = now + undo_every;
-    for (auto &[node, shard] : connected)
-        node_came(node, shard);
+    drop_again_at_ = now + drop_interval;
+    for (const auto &[node, shard] : connected)
+        node_connected(node, shard);
 }
 
 std::map<VolumeId, std::string> SnapshotCoordinator::under_way() const {
     std::map<VolumeId, std::string> out;
-    for (auto &[as, a] : attempts_) {
-        auto waits = a.missing.empty() ? list(a.waited) : list(a.missing);
-        out[as] = std::string("waits for ") + name(static_cast<int>(a.phase)) +
-                  (waits.empty() ? "" : " (" + waits + ")");
+    for (const auto &[snapshot, run] : running_) {
+        auto awaited = run.awaited_nodes.empty() ? list(run.awaited) : list(run.awaited_nodes);
+        out[snapshot] = std::string("waits for ") + awaited_action(run.phase) +
+                        (awaited.empty() ? "" : " (" + awaited + ")");
     }
     return out;
 }
--- a/src/planner/snapshot_coordinator.hpp
+++ b/src/planner/snapshot_coordinator.hpp
@@ -1,95 +1,133 @@
-// Snapshots and clones over all edges and nodes: one cut's steps, what is late, what ends it, and
-// what has to be undone. No I/O, no clock. docs/design/snapshots.md says why a cut is exact.
-//
-// A cut: edges hold back new changes; nodes cut; edges go on in the next epoch; once all that began
-// before has ended, nodes seal what they cut. It is whole only then. Whatever goes wrong before
-// ends it, and it is undone at every node.
+/// \file
+/// The steps of snapshots and clones over all edges and nodes: what each waits for, what ends it,
+/// and what has to be taken back. No I/O, no clock. docs/design/snapshots.md says why a snapshot
+/// is exact.
+///
+/// A snapshot: edges hold back new writes; nodes open it; edges go on in the next epoch; once all
+/// writes of before have ended, nodes seal it. It is whole only then. Whatever goes wrong before
+/// ends it, and it is taken back at every node.
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <map>
-#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "common/time.hpp"
 #include "control/cluster_state.hpp"
 
 namespace knotvane::planner {
 
 using control::EdgeId;
+using control::SnapshotResult;
 using control::SnapshotStep;
 
+/// Runs any number of snapshots and clones at once, each known by the id of what is made.
 class SnapshotCoordinator {
 public:
-    // What is asked of edges and nodes, and how a cut ended. `whole`: sealed at every node, to be
-    // made durable. `failed`: why; it is to be undone. `again`: the reason may have passed.
-    struct Orders {
-        virtual ~Orders() = default;
-        virtual void hold(EdgeId, VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) = 0;
-        virtual void go(EdgeId, VolumeId of, VolumeId as, std::uint32_t epoch) = 0;
-        virtual void release(EdgeId, VolumeId of, VolumeId as) = 0;
-        virtual void open(NodeId, VolumeId of, VolumeId as, std::uint32_t epoch,
-                          const std::vector<control::EdgeIncarnation> &late) = 0;
-        virtual void seal(NodeId, VolumeId of, VolumeId as) = 0;
-        virtual void clone(NodeId, VolumeId of, VolumeId as) = 0;
-        virtual void drop(NodeId, VolumeId as) = 0;
-        virtual void whole(VolumeId as) = 0;
-        virtual void failed(VolumeId as, const std::string &why, bool again) = 0;
-        // Nothing of it is left at any node.
-        virtual void undone(VolumeId as) = 0;
+    /// Orders to edges and nodes, and how a snapshot or clone ended.
+    class Actions {
+    public:
+        virtual ~Actions() = default;
+        virtual void hold(EdgeId edge, VolumeId volume, VolumeId snapshot, std::uint32_t epoch,
+                          Time max_hold) = 0;
+        virtual void resume(EdgeId edge, VolumeId volume, VolumeId snapshot,
+                            std::uint32_t epoch) = 0;
+        virtual void release(EdgeId edge, VolumeId volume, VolumeId snapshot) = 0;
+        virtual void open(NodeId node, VolumeId volume, VolumeId snapshot, std::uint32_t epoch,
+                          const std::vector<control::EdgeIncarnation> &late_writers) = 0;
+        virtual void seal(NodeId node, VolumeId volume, VolumeId snapshot) = 0;
+        virtual void clone(NodeId node, VolumeId source, VolumeId clone) = 0;
+        virtual void drop(NodeId node, VolumeId snapshot) = 0;
+
+        /// It is sealed at every node, and has to be made durable.
+        virtual void completed(VolumeId snapshot) = 0;
+
+        /// It has to be taken back.
+        /// \param retry  the reason may have passed
+        virtual void failed(VolumeId snapshot, const std::string &why, bool retry) = 0;
+
+        /// Nothing of it is left at any node.
+        virtual void taken_back(VolumeId snapshot) = 0;
     };
-    explicit SnapshotCoordinator(Orders &orders) : orders_(orders) {}
-
-    // `edges`: all that are connected; `nodes`: one or more of each shard, connected. Durable
-    // before it is called: that `as` may have to be undone.
-    void begin_cut(Time now, VolumeId of, VolumeId as, std::uint32_t epoch, std::set<EdgeId> edges,
-                   std::set<NodeId> nodes);
-    void begin_clone(Time now, VolumeId of, VolumeId as, std::set<NodeId> nodes);
-    // Taken back at the nodes of these shards, for as long as it takes.
-    void undo(VolumeId as, std::set<ShardId> shards);
-
-    // `life`: of the edge's process, as nodes know it.
-    void edge_told(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId as,
+
+    explicit SnapshotCoordinator(Actions &actions) : actions_(actions) {}
+
+    /// That it may have to be taken back must be durable before.
+    /// \param epoch  of the writes after the snapshot
+    /// \param edges  all that are connected
+    /// \param nodes  connected, one or more of each shard
+    void begin_snapshot(Time now, VolumeId volume, VolumeId snapshot, std::uint32_t epoch,
+                        std::set<EdgeId> edges, std::set<NodeId> nodes);
+
+    /// As begin_snapshot, for a clone of `source`.
+    void begin_clone(Time now, VolumeId source, VolumeId clone, std::set<NodeId> nodes);
+
+    /// Has it dropped at the nodes of these shards, for as long as it takes.
+    void take_back(VolumeId snapshot, std::set<ShardId> shards);
+
+    void edge_step(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId snapshot,
                    SnapshotStep step);
-    void node_told(Time now, NodeId node, ShardId shard, VolumeId as, SnapshotStep step,
-                   std::uint8_t how);
-    // The connection went: what it was to do for a cut that is not whole may not have come about.
-    void edge_gone(Time now, EdgeId edge);
-    void node_gone(Time now, NodeId node);
-    // A node registered: it is told what it has to take back.
-    void node_came(NodeId node, ShardId shard);
-    // Shards that there are; of others nothing is left to undo.
-    void shards(const std::set<ShardId> &all);
+    void node_step(Time now, NodeId node, ShardId shard, VolumeId snapshot, SnapshotStep step,
+                   SnapshotResult result);
 
+    /// A connection was lost: what was ordered over it may not have been done.
+    void edge_disconnected(Time now, EdgeId edge);
+    void node_disconnected(NodeId node);
+
+    /// A node registered: it is told what it has to drop.
+    void node_connected(NodeId node, ShardId shard);
+
+    /// All shards that there are; of others nothing is left to take back.
+    void set_shards(const std::set<ShardId> &shards);
+
+    /// The maximum of Time where nothing is due.
     Time next_due() const;
     void tick(Time now, const std::map<NodeId, ShardId> &connected);
 
-    bool busy(VolumeId as) const { return attempts_.contains(as); }
-    // For operators: each cut under way and what it waits for; each undone one and its shards left.
+    bool is_running(VolumeId snapshot) const { return running_.contains(snapshot); }
+
+    /// For operators: each that is under way, and what it waits for.
     std::map<VolumeId, std::string> under_way() const;
-    const std::map<VolumeId, std::set<ShardId>> &undoing() const { return undo_; }
+
+    /// For operators: each that is being taken back, and the shards left.
+    const std::map<VolumeId, std::set<ShardId>> &being_taken_back() const { return taking_back_; }
 
 private:
-    enum class Phase { holding, opening, moving, draining, sealing, cloning };
-    struct Attempt {
-        VolumeId of;
+    enum class Phase { holding, opening, resuming, draining, sealing, cloning };
+
+    struct Run {
+        VolumeId source;
         std::uint32_t epoch = 0;
         Phase phase = Phase::holding;
-        Time began = 0, until = 0;
-        std::set<EdgeId> asked, waited, drained;
-        std::map<EdgeId, control::EdgeIncarnation> late; // those that have stopped
-        std::set<NodeId> nodes, missing;
+        Time began = 0;
+        Time deadline = 0;        // of the phase
+        std::set<EdgeId> edges;   // all that were told to hold
+        std::set<EdgeId> awaited; // edges that the phase waits for
+        std::set<EdgeId> drained; // edges whose writes of before have ended
+        // Edges that hold, or held; only their writes of before may still come.
+        std::map<EdgeId, control::EdgeIncarnation> held;
+        std::set<NodeId> nodes;
+        std::set<NodeId> awaited_nodes;
     };
-    void open(Time now, VolumeId as, Attempt &a);
-    void step(Time now, VolumeId as, Attempt &a);
-    void fail(VolumeId as, const std::string &why, bool again);
-
-    Orders &orders_;
-    std::map<VolumeId, Attempt> attempts_;
-    std::map<VolumeId, std::set<ShardId>> undo_;
-    Time undo_again_ = 0;
+
+    static const char *awaited_action(Phase phase);
+    static bool expects(Phase phase, SnapshotStep step);
+    void open(Time now, VolumeId snapshot, Run &run);
+    void advance(Time now, VolumeId snapshot, Run &run);
+    void enter_resuming(Time now, VolumeId snapshot, Run &run);
+    void enter_draining(Time now, Run &run);
+    void enter_sealing(Time now, VolumeId snapshot, Run &run);
+    bool edge_ready(EdgeId edge, control::EdgeIncarnation incarnation, VolumeId snapshot, Run &run);
+    void fail(VolumeId snapshot, const std::string &why, bool retry);
+    void time_out(Time now, VolumeId snapshot);
+    void dropped(ShardId shard, VolumeId snapshot);
+
+    Actions &actions_;
+    std::map<VolumeId, Run> running_;
+    std::map<VolumeId, std::set<ShardId>> taking_back_;
+    Time drop_again_at_ = 0;
 };
 
 } // namespace knotvane::planner
--- a/src/planner/sqlite_state_store.cpp
+++ b/src/planner/sqlite_state_store.cpp
@@ -2,7 +2,6 @@
 
 #include <cstring>
 #include <filesystem>
-#include <stdexcept>
 
 #include <sqlite3.h>
 #include <xxhash.h>
@@ -12,206 +11,257 @@
 
 // The format's number; a file with another is not touched.
 constexpr std::int64_t format = 1;
+// SQLite takes a file of fewer bytes than its smallest page for an empty one.
+constexpr std::uintmax_t min_file_bytes = 512;
 
-std::uint64_t sum_of(StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
-                     std::string_view body) {
-    std::uint64_t head[4] = {static_cast<std::uint64_t>(row), a, b, stamp.value};
+std::uint64_t checksum(StateStore::Row row, std::uint64_t first_id, std::uint64_t second_id,
+                       Version stamp, std::string_view body) {
+    const std::uint64_t head[4] = {static_cast<std::uint64_t>(row), first_id, second_id,
+                                   stamp.value};
     return XXH3_64bits_withSeed(body.data(), body.size(), XXH3_64bits(head, sizeof head));
 }
-std::uint64_t sum_of(Term term, std::uint64_t lineage, Version version, Version oldest,
-                     std::uint64_t settings, std::uint64_t all) {
-    std::uint64_t f[6] = {term.value, lineage, version.value, oldest.value, settings, all};
-    return XXH3_64bits(f, sizeof f);
+
+std::uint64_t checksum(const StorePosition &position, std::uint64_t all_rows) {
+    const std::uint64_t fields[6] = {position.term.value,       position.lineage,
+                                     position.version.value,    position.oldest_version.value,
+                                     position.settings_version, all_rows};
+    return XXH3_64bits(fields, sizeof fields);
 }
+
 // SQLite's integers have a sign; ours are carried bit by bit.
-void bind(sqlite3_stmt *s, int at, std::uint64_t v) {
-    sqlite3_bind_int64(s, at, static_cast<std::int64_t>(v));
+void bind(sqlite3_stmt *statement, int index, std::uint64_t value) {
+    sqlite3_bind_int64(statement, index, static_cast<std::int64_t>(value));
 }
-std::uint64_t column(sqlite3_stmt *s, int at) {
-    return static_cast<std::uint64_t>(sqlite3_column_int64(s, at));
+
+std::uint64_t column(sqlite3_stmt *statement, int index) {
+    return static_cast<std::uint64_t>(sqlite3_column_int64(statement, index));
 }
 
 } // namespace
 
-void SqliteStateStore::fail(const std::string &what) const {
-    throw std::runtime_error("planner's store " + path_ + ": " + what);
-}
-
-void SqliteStateStore::run(const char *sql) {
-    if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
-        throw std::runtime_error(sqlite3_errmsg(db_));
-}
-sqlite3_stmt *SqliteStateStore::prepare(const char *sql) {
-    sqlite3_stmt *s = nullptr;
-    if (sqlite3_prepare_v2(db_, sql, -1, &s, nullptr) != SQLITE_OK)
-        throw std::runtime_error(sqlite3_errmsg(db_));
-    statements_.push_back(s);
-    return s;
-}
+// ---- Opening.
 
 SqliteStateStore::SqliteStateStore(const std::string &path, const char *vfs) : path_(path) {
     try {
-        // SQLite takes a file of a few bytes for an empty one.
-        std::error_code none;
-        if (auto size = std::filesystem::file_size(path, none); !none && size > 0 && size < 512)
-            throw std::runtime_error("damaged: of " + std::to_string(size) +
-                                     " bytes, expected a whole store");
-        if (sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, vfs) !=
-            SQLITE_OK)
-            throw std::runtime_error(db_ ? sqlite3_errmsg(db_) : "no memory");
-        // One file besides a short-lived journal: a log beside it, cut short, would lose versions
-        // and not show it. The lock is kept for the process's life, so no two planners have one
-        // store; it goes with a kill.
-        run("PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=DELETE; PRAGMA synchronous=EXTRA;"
-            "BEGIN EXCLUSIVE;"
-            "CREATE TABLE IF NOT EXISTS meta(one INTEGER PRIMARY KEY CHECK(one=1), format INTEGER, "
-            "term INTEGER,"
-            " lineage INTEGER, version INTEGER, oldest INTEGER, settings INTEGER, all_sum INTEGER, "
-            "sum INTEGER);"
-            "CREATE TABLE IF NOT EXISTS rows(kind INTEGER, a INTEGER, b INTEGER, stamp INTEGER, "
-            "body BLOB,"
-            " sum INTEGER, PRIMARY KEY(kind, a, b)) WITHOUT ROWID;"
-            "COMMIT;");
-        load(path);
-        put_ = prepare("INSERT OR REPLACE INTO rows VALUES(?,?,?,?,?,?)");
-        erase_ = prepare("DELETE FROM rows WHERE kind=? AND a=? AND b=?");
-        meta_ = prepare("INSERT OR REPLACE INTO meta VALUES(1,?,?,?,?,?,?,?,?)");
-    } catch (const std::exception &e) {
-        std::string what = e.what();
-        int code = db_ ? sqlite3_errcode(db_) : 0;
-        for (auto *s : statements_)
-            sqlite3_finalize(s);
-        sqlite3_close_v2(db_);
+        open(vfs);
+    } catch (const std::exception &error) {
+        std::string what = error.what();
+        const int code = db_ ? sqlite3_errcode(db_) : SQLITE_OK;
+        close();
+        const auto where = "planner's store " + path_ + ": ";
         if (code == SQLITE_BUSY || code == SQLITE_LOCKED)
-            what = "in use by another planner";
+            throw StateStoreInUse(where + "in use by another planner");
         if (code == SQLITE_CORRUPT || code == SQLITE_NOTADB)
             what = "damaged: " + what + "; expected a whole store: bring it back, or --rebuild";
-        fail(what);
+        throw StateStoreError(where + what);
     }
 }
+
 SqliteStateStore::~SqliteStateStore() {
-    for (auto *s : statements_)
-        sqlite3_finalize(s);
+    close();
+}
+
+void SqliteStateStore::close() noexcept {
+    for (auto *statement : statements_)
+        sqlite3_finalize(statement);
     sqlite3_close_v2(db_);
 }
 
-void SqliteStateStore::load(const std::string &) {
+void SqliteStateStore::open(const char *vfs) {
+    std::error_code none;
+    const auto size = std::filesystem::file_size(path_, none);
+    if (!none && size > 0 && size < min_file_bytes)
+        throw StateStoreError("damaged: of " + std::to_string(size) +
+                              " bytes, expected a whole store");
+    if (sqlite3_open_v2(path_.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, vfs) !=
+        SQLITE_OK)
+        throw StateStoreError(db_ ? sqlite3_errmsg(db_) : "no memory");
+    // One file besides a short-lived journal: a log beside it, cut short, would lose versions and
+    // not show it. The lock is kept for the process's life, so no two planners have one store; it
+    // goes with a kill.
+    run("PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=DELETE; PRAGMA synchronous=EXTRA;"
+        "BEGIN EXCLUSIVE;"
+        "CREATE TABLE IF NOT EXISTS meta(one INTEGER PRIMARY KEY CHECK(one=1), format INTEGER, "
+        "term INTEGER,"
+        " lineage INTEGER, version INTEGER, oldest INTEGER, settings INTEGER, all_sum INTEGER, "
+        "sum INTEGER);"
+        "CREATE TABLE IF NOT EXISTS rows(kind INTEGER, a INTEGER, b INTEGER, stamp INTEGER, "
+        "body BLOB,"
+        " sum INTEGER, PRIMARY KEY(kind, a, b)) WITHOUT ROWID;"
+        "COMMIT;");
+    load();
+    keep_row_ = prepare("INSERT OR REPLACE INTO rows VALUES(?,?,?,?,?,?)");
+    drop_row_ = prepare("DELETE FROM rows WHERE kind=? AND a=? AND b=?");
+    set_position_ = prepare("INSERT OR REPLACE INTO meta VALUES(1,?,?,?,?,?,?,?,?)");
+}
+
+void SqliteStateStore::run(const char *sql) {
+    if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
+        throw StateStoreError(sqlite3_errmsg(db_));
+}
+
+sqlite3_stmt *SqliteStateStore::prepare(const char *sql) {
+    sqlite3_stmt *statement = nullptr;
+    if (sqlite3_prepare_v2(db_, sql, -1, &statement, nullptr) != SQLITE_OK)
+        throw StateStoreError(sqlite3_errmsg(db_));
+    statements_.push_back(statement);
+    return statement;
+}
+
+void SqliteStateStore::load() {
+    check_pages();
+    load_checksums();
+    load_position();
+}
+
+void SqliteStateStore::check_pages() {
     auto *check = prepare("PRAGMA quick_check(1)");
     if (sqlite3_step(check) != SQLITE_ROW ||
         std::strcmp(reinterpret_cast<const char *>(sqlite3_column_text(check, 0)), "ok") != 0)
-        throw std::runtime_error(
+        throw StateStoreError(
             "damaged: its pages don't hold together; expected a whole store: bring it back, "
             "or --rebuild");
     sqlite3_reset(check);
-    rows([&](Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string_view body) {
-        auto sum = sum_of(row, a, b, stamp, body);
-        sums_[{row, a, b}] = sum;
-        all_ ^= sum;
+}
+
+void SqliteStateStore::load_checksums() {
+    rows([this](Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+                std::string_view body) {
+        const auto sum = checksum(row, first_id, second_id, stamp, body);
+        checksums_[{row, first_id, second_id}] = sum;
+        all_rows_checksum_ ^= sum;
     });
-    auto *sums = prepare("SELECT kind, a, b, sum FROM rows");
-    while (sqlite3_step(sums) == SQLITE_ROW) {
-        Key key{static_cast<Row>(sqlite3_column_int(sums, 0)), column(sums, 1), column(sums, 2)};
-        if (!sums_.contains(key) || sums_.at(key) != column(sums, 3))
-            throw std::runtime_error("damaged: row " + std::to_string(sqlite3_column_int(sums, 0)) +
-                                     "/" + std::to_string(column(sums, 1)) + "/" +
-                                     std::to_string(column(sums, 2)) +
-                                     " does not match its checksum");
+    auto *stored = prepare("SELECT kind, a, b, sum FROM rows");
+    while (sqlite3_step(stored) == SQLITE_ROW) {
+        const int kind = sqlite3_column_int(stored, 0);
+        const Key key{static_cast<Row>(kind), column(stored, 1), column(stored, 2)};
+        if (!checksums_.contains(key) || checksums_.at(key) != column(stored, 3))
+            throw StateStoreError(
+                "damaged: row " + std::to_string(kind) + "/" + std::to_string(column(stored, 1)) +
+                "/" + std::to_string(column(stored, 2)) + " does not match its checksum");
     }
+}
+
+void SqliteStateStore::load_position() {
     auto *meta =
         prepare("SELECT format, term, lineage, version, oldest, settings, all_sum, sum FROM meta");
-    int got = sqlite3_step(meta);
-    if (got == SQLITE_DONE) {
-        if (!sums_.empty())
-            throw std::runtime_error("damaged: it has rows and does not say where it stands");
+    const int result = sqlite3_step(meta);
+    if (result == SQLITE_DONE) {
+        if (!checksums_.empty())
+            throw StateStoreError("damaged: it has rows and does not say where it stands");
         return;
     }
-    if (got != SQLITE_ROW)
-        throw std::runtime_error(sqlite3_errmsg(db_));
+    if (result != SQLITE_ROW)
+        throw StateStoreError(sqlite3_errmsg(db_));
     if (sqlite3_column_int64(meta, 0) != format)
-        throw std::runtime_error("format " + std::to_string(sqlite3_column_int64(meta, 0)) +
-                                 ", expected " + std::to_string(format));
-    term_ = Term{column(meta, 1)}, lineage_ = column(meta, 2), version_ = Version{column(meta, 3)};
-    oldest_ = Version{column(meta, 4)}, settings_ = column(meta, 5);
-    if (column(meta, 6) != all_ ||
-        column(meta, 7) != sum_of(term_, lineage_, version_, oldest_, settings_, all_))
-        throw std::runtime_error("damaged: its rows are not those that it was left with");
+        throw StateStoreError("format " + std::to_string(sqlite3_column_int64(meta, 0)) +
+                              ", expected " + std::to_string(format));
+    position_ = {Term{column(meta, 1)}, column(meta, 2), Version{column(meta, 3)},
+                 Version{column(meta, 4)}, column(meta, 5)};
+    if (column(meta, 6) != all_rows_checksum_ ||
+        column(meta, 7) != checksum(position_, all_rows_checksum_))
+        throw StateStoreError("damaged: its rows are not those that it was left with");
     sqlite3_reset(meta);
 }
 
+// ---- Rows.
+
 void SqliteStateStore::rows(const std::function<void(Row, std::uint64_t, std::uint64_t, Version,
                                                      std::string_view)> &call) const {
-    sqlite3_stmt *s = nullptr;
+    sqlite3_stmt *statement = nullptr;
     if (sqlite3_prepare_v2(db_, "SELECT kind, a, b, stamp, body FROM rows ORDER BY kind, a, b", -1,
-                           &s, nullptr) != SQLITE_OK)
-        throw std::runtime_error(sqlite3_errmsg(db_));
-    int got;
-    while ((got = sqlite3_step(s)) == SQLITE_ROW)
-        call(static_cast<Row>(sqlite3_column_int(s, 0)), column(s, 1), column(s, 2),
-             Version{column(s, 3)},
-             {static_cast<const char *>(sqlite3_column_blob(s, 4)),
-              static_cast<std::size_t>(sqlite3_column_bytes(s, 4))});
-    sqlite3_finalize(s);
-    if (got != SQLITE_DONE)
-        throw std::runtime_error(sqlite3_errmsg(db_));
-}
-
-void SqliteStateStore::keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp,
+                           &statement, nullptr) != SQLITE_OK)
+        throw StateStoreError(sqlite3_errmsg(db_));
+    int result = SQLITE_DONE;
+    while ((result = sqlite3_step(statement)) == SQLITE_ROW) {
+        const std::string_view body{static_cast<const char *>(sqlite3_column_blob(statement, 4)),
+                                    static_cast<std::size_t>(sqlite3_column_bytes(statement, 4))};
+        call(static_cast<Row>(sqlite3_column_int(statement, 0)), column(statement, 1),
+             column(statement, 2), Version{column(statement, 3)}, body);
+    }
+    sqlite3_finalize(statement);
+    if (result != SQLITE_DONE)
+        throw StateStoreError(sqlite3_errmsg(db_));
+}
+
+void SqliteStateStore::keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
                             std::string body) {
-    gathered_[{row, a, b}] = {true, stamp, std::move(body)};
-}
-void SqliteStateStore::drop(Row row, std::uint64_t a, std::uint64_t b) {
-    gathered_[{row, a, b}] = {false, {}, {}};
-}
-
-bool SqliteStateStore::commit(Term term, std::uint64_t lineage, Version version, Version oldest,
-                              std::uint64_t settings) {
-    std::map<Key, std::uint64_t>
-        fresh; // only what changes: a commit costs by that, not by all there is
-    auto all = all_;
-    auto step = [&](sqlite3_stmt *s) {
-        int got = sqlite3_step(s);
-        std::string what = got == SQLITE_DONE ? "" : sqlite3_errmsg(db_);
-        sqlite3_reset(s);
-        if (!what.empty())
-            throw std::runtime_error(what);
-    };
+    changes_[{row, first_id, second_id}] = {true, stamp, std::move(body)};
+}
+
+void SqliteStateStore::drop(Row row, std::uint64_t first_id, std::uint64_t second_id) {
+    changes_[{row, first_id, second_id}] = {};
+}
+
+// ---- Committing.
+
+void SqliteStateStore::step(sqlite3_stmt *statement) {
+    const int result = sqlite3_step(statement);
+    const std::string what = result == SQLITE_DONE ? "" : sqlite3_errmsg(db_);
+    sqlite3_reset(statement);
+    if (!what.empty())
+        throw StateStoreError(what);
+}
+
+// Costs by what changes, not by all there is. Gives the checksum of all rows as they are then.
+std::uint64_t SqliteStateStore::write_changes(Checksums &kept) {
+    auto all_rows = all_rows_checksum_;
+    for (const auto &[key, change] : changes_) {
+        const auto &[row, first_id, second_id] = key;
+        if (auto it = checksums_.find(key); it != checksums_.end())
+            all_rows ^= it->second;
+        auto *statement = change.kept ? keep_row_ : drop_row_;
+        sqlite3_bind_int(statement, 1, static_cast<int>(row));
+        bind(statement, 2, first_id);
+        bind(statement, 3, second_id);
+        if (change.kept) {
+            const auto sum = checksum(row, first_id, second_id, change.stamp, change.body);
+            kept[key] = sum;
+            all_rows ^= sum;
+            bind(statement, 4, change.stamp.value);
+            sqlite3_bind_blob(statement, 5, change.body.data(),
+                              static_cast<int>(change.body.size()), SQLITE_STATIC);
+            bind(statement, 6, sum);
+        }
+        step(statement);
+    }
+    return all_rows;
+}
+
+void SqliteStateStore::write_position(const StorePosition &position, std::uint64_t all_rows) {
+    sqlite3_bind_int64(set_position_, 1, format);
+    bind(set_position_, 2, position.term.value);
+    bind(set_position_, 3, position.lineage);
+    bind(set_position_, 4, position.version.value);
+    bind(set_position_, 5, position.oldest_version.value);
+    bind(set_position_, 6, position.settings_version);
+    bind(set_position_, 7, all_rows);
+    bind(set_position_, 8, checksum(position, all_rows));
+    step(set_position_);
+}
+
+bool SqliteStateStore::commit(const StorePosition &position) {
+    Checksums kept;
+    std::uint64_t all_rows = 0;
     try {
         run("BEGIN");
-        for (auto &[key, c] : gathered_) {
-            auto [row, a, b] = key;
-            if (auto it = sums_.find(key); it != sums_.end())
-                all ^= it->second;
-            auto *s = c.there ? put_ : erase_;
-            sqlite3_bind_int(s, 1, static_cast<int>(row));
-            bind(s, 2, a), bind(s, 3, b);
-            if (c.there) {
-                auto sum = sum_of(row, a, b, c.stamp, c.body);
-                fresh[key] = sum, all ^= sum;
-                bind(s, 4, c.stamp.value);
-                sqlite3_bind_blob(s, 5, c.body.data(), static_cast<int>(c.body.size()),
-                                  SQLITE_STATIC);
-                bind(s, 6, sum);
-            }
-            step(s);
-        }
-        sqlite3_bind_int64(meta_, 1, format);
-        bind(meta_, 2, term.value), bind(meta_, 3, lineage), bind(meta_, 4, version.value);
-        bind(meta_, 5, oldest.value), bind(meta_, 6, settings), bind(meta_, 7, all);
-        bind(meta_, 8, sum_of(term, lineage, version, oldest, settings, all));
-        step(meta_);
+        all_rows = write_changes(kept);
+        write_position(position, all_rows);
         run("COMMIT");
-    } catch (const std::exception &e) {
-        fault_ = e.what();
+    } catch (const std::exception &error) {
+        fault_ = error.what();
         sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
         return false;
     }
-    for (auto &[key, c] : gathered_)
-        if (c.there)
-            sums_[key] = fresh.at(key);
+    for (const auto &[key, change] : changes_) {
+        if (change.kept)
+            checksums_[key] = kept.at(key);
         else
-            sums_.erase(key);
-    all_ = all, gathered_.clear();
-    term_ = term, lineage_ = lineage, version_ = version, oldest_ = oldest, settings_ = settings;
+            checksums_.erase(key);
+    }
+    all_rows_checksum_ = all_rows;
+    changes_.clear();
+    position_ = position;
     return true;
 }
 
