--- a/src/planner/sqlite_state_store.hpp
+++ b/src/planner/sqlite_state_store.hpp
@@ -1,70 +1,98 @@
-// The planner's durable state: the one owner of its format, on SQLite. Every row has a checksum,
-// and all rows together one, so that a row that is missing is noticed like one that changed.
+/// \file
+/// The planner's durable state: the one owner of its format, on SQLite. Every row has a checksum,
+/// and all rows together one, so that a row that is missing is noticed like one that changed.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <map>
-#include <memory>
+#include <stdexcept>
 #include <string>
 #include <string_view>
+#include <tuple>
 #include <vector>
 
-#include "planner/core.hpp"
+#include "planner/state_store.hpp"
 
 struct sqlite3;
 struct sqlite3_stmt;
 
 namespace knotvane::planner {
 
+/// The store can't be used: one line says what is wrong, where, and what is expected.
+class StateStoreError : public std::runtime_error {
+public:
+    using std::runtime_error::runtime_error;
+};
+
+/// Another process has the store open.
+class StateStoreInUse final : public StateStoreError {
+public:
+    using StateStoreError::StateStoreError;
+};
+
+/// One file, open for as long as this lives; no other process can open it meanwhile.
 class SqliteStateStore final : public StateStore {
 public:
-    // Opens or makes the file. Throws std::runtime_error with one line: what is wrong, where, what
-    // is expected. A store that another process has open is that, and so is one that is damaged.
-    // `vfs`: SQLite's name of the file layer, for tests.
+    /// Opens or makes the file.
+    /// \param vfs  SQLite's name of the file layer, for tests; null: the usual one
+    /// \throws StateStoreInUse  another planner has it
+    /// \throws StateStoreError  it is damaged, of another format, or can't be opened
     explicit SqliteStateStore(const std::string &path, const char *vfs = nullptr);
     ~SqliteStateStore() override;
     SqliteStateStore(const SqliteStateStore &) = delete;
 
-    // Nothing was ever committed to it.
-    bool is_new() const { return term_ == Term{0}; }
-    Term term() const { return term_; }
-    Version version() const { return version_; }
-    Version oldest() const { return oldest_; }
-    std::uint64_t lineage() const { return lineage_; }
-    std::uint64_t settings() const { return settings_; }
-    // Every row, in order of kind and ids.
-    void rows(const std::function<void(Row row, std::uint64_t a, std::uint64_t b, Version stamp,
-                                       std::string_view body)> &call) const;
-
-    void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string body) override;
-    void drop(Row row, std::uint64_t a, std::uint64_t b) override;
-    bool commit(Term term, std::uint64_t lineage, Version version, Version oldest,
-                std::uint64_t settings) override;
-    // What the last commit that failed met.
+    /// Nothing was ever committed to it.
+    bool is_new() const { return position_.term == Term{0}; }
+
+    /// As committed last.
+    const StorePosition &position() const { return position_; }
+
+    /// Calls for every row, in order of kind and ids.
+    /// \throws StateStoreError  it can't be read
+    void rows(const std::function<void(Row row, std::uint64_t first_id, std::uint64_t second_id,
+                                       Version stamp, std::string_view body)> &call) const;
+
+    void keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+              std::string body) override;
+    void drop(Row row, std::uint64_t first_id, std::uint64_t second_id) override;
+    bool commit(const StorePosition &position) override;
+
+    /// What the last commit that failed met.
     const std::string &fault() const { return fault_; }
 
 private:
     struct Change {
-        bool there;
+        bool kept = false; // else dropped
         Version stamp;
         std::string body;
     };
     using Key = std::tuple<Row, std::uint64_t, std::uint64_t>;
+    using Checksums = std::map<Key, std::uint64_t>;
+
+    void open(const char *vfs);
+    void close() noexcept;
     void run(const char *sql);
     sqlite3_stmt *prepare(const char *sql);
-    void load(const std::string &path);
-    [[noreturn]] void fail(const std::string &what) const;
+    void load();
+    void check_pages();
+    void load_checksums();
+    void load_position();
+    std::uint64_t write_changes(Checksums &kept);
+    void write_position(const StorePosition &position, std::uint64_t all_rows);
+    void step(sqlite3_stmt *statement);
 
-    std::string path_, fault_;
+    std::string path_;
+    std::string fault_;
     sqlite3 *db_ = nullptr;
     std::vector<sqlite3_stmt *> statements_;
-    sqlite3_stmt *put_ = nullptr, *erase_ = nullptr, *meta_ = nullptr;
-    Term term_;
-    Version version_, oldest_;
-    std::uint64_t lineage_ = 0, settings_ = 0, all_ = 0; // all_: the rows' checksums, as one
-    std::map<Key, std::uint64_t> sums_;
-    std::map<Key, Change> gathered_;
+    sqlite3_stmt *keep_row_ = nullptr;
+    sqlite3_stmt *drop_row_ = nullptr;
+    sqlite3_stmt *set_position_ = nullptr;
+    StorePosition position_;
+    Checksums checksums_;
+    std::uint64_t all_rows_checksum_ = 0; // those of all rows, joined by exclusive or
+    std::map<Key, Change> changes_;
 };
 
 } // namespace knotvane::planner
--- a/src/planner/versioned_state.cpp
+++ b/src/planner/versioned_state.cpp
@@ -3,66 +3,72 @@
 #include <algorithm>
 #include <iterator>
 
-#include "control/messages.hpp"
+#include "control/encode.hpp"
 
 namespace knotvane::planner {
 namespace {
-// Past so many changes the oldest are forgotten, and who missed them gets the whole: a few times
-// what a fleet's bad hour brings, and a few megabytes.
-constexpr std::size_t most_changes = 1 << 16;
+
+// Past so many changes the oldest are forgotten, and who missed them gets the full state: a few
+// times what a cluster's bad hour brings, and a few megabytes.
+constexpr std::size_t max_changes = 1 << 16;
+
 } // namespace
 
 void VersionedState::stamp(const Key &key) {
-    auto &to = key.kind == Kind::part ? own_[EdgeId{key.edge}] : common_;
+    auto &changes = key.kind == Kind::quota_share ? per_edge_[EdgeId{key.edge}] : common_;
     auto at = next();
-    if (auto it = to.at.find(key); it != to.at.end())
-        to.order.erase({it->second, key});
-    to.at[key] = at;
-    to.order.insert({at, key});
+    if (auto it = changes.last.find(key); it != changes.last.end())
+        changes.order.erase({it->second, key});
+    changes.last[key] = at;
+    changes.order.insert({at, key});
     changed_.insert(key);
     if (!has(key))
-        dropped_ = at;
-    if (to.order.size() <= most_changes)
+        last_drop_ = at;
+    if (changes.order.size() <= max_changes)
         return;
-    auto first = to.order.begin();
+    auto first = changes.order.begin();
     oldest_ = std::max(oldest_, first->first);
-    to.at.erase(first->second);
-    to.order.erase(first);
+    changes.last.erase(first->second);
+    changes.order.erase(first);
 }
 
 void VersionedState::put_quota_share(EdgeId edge, VolumeId volume,
-                                     const control::QuotaShare &part) {
-    auto &mine = allocation_[edge];
-    auto it = mine.find(volume);
-    if (part == control::QuotaShare{}) {
-        if (it == mine.end())
+                                     const control::QuotaShare &share) {
+    auto &shares = quota_shares_[edge];
+    auto it = shares.find(volume);
+    if (share == control::QuotaShare{}) {
+        if (it == shares.end())
             return;
-        mine.erase(it);
+        shares.erase(it);
     } else {
-        if (it != mine.end() && it->second == part)
+        if (it != shares.end() && it->second == share)
             return;
-        mine[volume] = part;
+        shares[volume] = share;
     }
-    stamp({Kind::part, edge.value, volume.value});
+    stamp({Kind::quota_share, edge.value, volume.value});
 }
+
 void VersionedState::drop(NodeId id) {
     if (!cluster_state_.nodes.contains(id))
         return;
     cluster_state_.drop(id);
     stamp({Kind::node, 0, id.value});
 }
+
 void VersionedState::drop(PlanId id) {
     if (!cluster_state_.plans.contains(id))
         return;
     cluster_state_.drop(id);
     stamp({Kind::plan, 0, id.value});
 }
+
 void VersionedState::drop_volume(VolumeId id) {
     if (!cluster_state_.volumes.contains(id))
         return;
     cluster_state_.drop_volume(id);
     stamp({Kind::volume, 0, id.value});
 }
+
 bool VersionedState::close() {
     if (changed_.empty())
         return false;
@@ -71,13 +77,20 @@
     return true;
 }
 
-const control::QuotaShare *VersionedState::part(EdgeId edge, VolumeId volume) const {
-    auto e = allocation_.find(edge);
-    if (e == allocation_.end())
+void VersionedState::restore(Version version, Version oldest) {
+    version_ = version;
+    oldest_ = oldest;
+    changed_.clear();
+}
+
+const control::QuotaShare *VersionedState::quota_share(EdgeId edge, VolumeId volume) const {
+    auto shares = quota_shares_.find(edge);
+    if (shares == quota_shares_.end())
         return nullptr;
-    auto it = e->second.find(volume);
-    return it == e->second.end() ? nullptr : &it->second;
+    auto it = shares->second.find(volume);
+    return it == shares->second.end() ? nullptr : &it->second;
 }
+
 bool VersionedState::has(const Key &key) const {
     switch (key.kind) {
     case Kind::plan:
@@ -86,71 +99,84 @@
         return cluster_state_.volumes.contains(VolumeId{key.id});
     case Kind::node:
         return cluster_state_.nodes.contains(NodeId{key.id});
-    case Kind::part:
-        return part(EdgeId{key.edge}, VolumeId{key.id}) != nullptr;
+    case Kind::quota_share:
+        return quota_share(EdgeId{key.edge}, VolumeId{key.id}) != nullptr;
     }
     return false;
 }
 
-void VersionedState::tell(const Key &key, std::string &out) const {
-    bool there = has(key);
+std::string VersionedState::encode_entry(const Key &key) const {
+    using control::encode;
+    const bool exists = has(key);
+    const VolumeId volume{key.id};
     switch (key.kind) {
     case Kind::plan: {
-        PlanId id{static_cast<std::uint32_t>(key.id)};
-        out += there ? control::put(id, cluster_state_.plans.at(id)) : control::drop(id);
-        break;
-    }
-    case Kind::volume: {
-        VolumeId id{key.id};
-        out += there ? control::put(id, cluster_state_.volumes.at(id)) : control::drop_volume(id);
-        break;
+        const PlanId plan{static_cast<std::uint32_t>(key.id)};
+        return exists ? encode(control::PlanUpdate{plan, cluster_state_.plans.at(plan)})
+                      : encode(control::PlanRemoval{plan});
     }
+    case Kind::volume:
+        return exists ? encode(control::VolumeUpdate{volume, cluster_state_.volumes.at(volume)})
+                      : encode(control::VolumeRemoval{volume});
     case Kind::node: {
-        NodeId id{key.id};
-        out += there ? control::put(id, cluster_state_.nodes.at(id)) : control::drop(id);
-        break;
+        const NodeId node{key.id};
+        return exists ? encode(control::NodeUpdate{node, cluster_state_.nodes.at(node)})
+                      : encode(control::NodeRemoval{node});
     }
-    case Kind::part: {
-        VolumeId id{key.id};
-        out +=
-            there ? control::put(id, *part(EdgeId{key.edge}, id)) : control::drop_quota_share(id);
-        break;
+    case Kind::quota_share:
+        return exists ? encode(control::QuotaShareUpdate{volume,
+                                                         *quota_share(EdgeId{key.edge}, volume)})
+                      : encode(control::QuotaShareRemoval{volume});
     }
+    return {};
+}
+
+// Each entry once, however often it changed.
+std::vector<VersionedState::Key> VersionedState::changed_since(EdgeId edge, Version from) const {
+    std::vector<Key> out;
+    const std::pair first{Version{from.value + 1}, Key{Kind::plan, 0, 0}};
+    auto collect = [&](const Changes &changes) {
+        for (auto it = changes.order.lower_bound(first); it != changes.order.end(); ++it)
+            out.push_back(it->second);
+    };
+    collect(common_);
+    if (auto own = per_edge_.find(edge); own != per_edge_.end())
+        collect(own->second);
+    std::sort(out.begin(), out.end());
+    return out;
+}
+
+std::uint64_t VersionedState::encode_all(EdgeId edge, std::string &out) const {
+    std::uint64_t count =
+        cluster_state_.plans.size() + cluster_state_.volumes.size() + cluster_state_.nodes.size();
+    for (const auto &[id, plan] : cluster_state_.plans)
+        out += control::encode(control::PlanUpdate{id, plan});
+    for (const auto &[id, volume] : cluster_state_.volumes)
+        out += control::encode(control::VolumeUpdate{id, volume});
+    for (const auto &[id, node] : cluster_state_.nodes)
+        out += control::encode(control::NodeUpdate{id, node});
+    if (auto shares = quota_shares_.find(edge); shares != quota_shares_.end()) {
+        count += shares->second.size();
+        for (const auto &[id, share] : shares->second)
+            out += control::encode(control::QuotaShareUpdate{id, share});
     }
+    return count;
 }
 
-std::uint64_t VersionedState::news(EdgeId edge, Version &from, std::string &out) const {
-    auto own = own_.find(edge);
+std::uint64_t VersionedState::update_since(EdgeId edge, Version &from, std::string &out) const {
     if (from != Version{0} && from >= oldest_ && from <= version_) {
-        // What it missed, each fact once however often it changed; the whole, if that is shorter.
-        std::vector<Key> missed;
-        auto after = std::pair{Version{from.value + 1}, Key{Kind::plan, 0, 0}};
-        for (auto it = common_.order.lower_bound(after); it != common_.order.end(); ++it)
-            missed.push_back(it->second);
-        if (own != own_.end())
-            for (auto it = own->second.order.lower_bound(after); it != own->second.order.end();
-                 ++it)
-                missed.push_back(it->second);
-        std::sort(missed.begin(), missed.end());
-        if (missed.size() <= cluster_state_.nodes.size() + cluster_state_.plans.size() +
-                                 cluster_state_.volumes.size()) {
-            for (auto &key : missed)
-                tell(key, out);
-            return missed.size();
+        auto changed = changed_since(edge, from);
+        auto all = cluster_state_.nodes.size() + cluster_state_.plans.size() +
+                   cluster_state_.volumes.size();
+        if (changed.size() <= all) {
+            for (const auto &key : changed)
+                out += encode_entry(key);
+            return changed.size();
         }
     }
+    // The full state, also where that is shorter.
     from = Version{0};
-    std::uint64_t count = 0;
-    for (auto &[id, p] : cluster_state_.plans)
-        out += control::put(id, p), ++count;
-    for (auto &[id, v] : cluster_state_.volumes)
-        out += control::put(id, v), ++count;
-    for (auto &[id, n] : cluster_state_.nodes)
-        out += control::put(id, n), ++count;
-    if (auto mine = allocation_.find(edge); mine != allocation_.end())
-        for (auto &[id, p] : mine->second)
-            out += control::put(id, p), ++count;
-    return count;
+    return encode_all(edge, out);
 }
 
 } // namespace knotvane::planner
--- a/src/planner/versioned_state.hpp
+++ b/src/planner/versioned_state.hpp
@@ -1,13 +1,14 @@
-// The fleet's facts as the planner holds them, each stamped with the version that it last changed
-// in: what an edge has missed is found without a look at the rest. No I/O.
+/// \file
+/// The cluster state as the planner holds it, each entry stamped with the version that it last
+/// changed in: what an edge has missed is found without a look at the rest. No I/O.
 #pragma once
 
 #include <algorithm>
 #include <cstdint>
-#include <functional>
 #include <map>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "control/cluster_state.hpp"
@@ -17,84 +18,97 @@
 using control::EdgeId;
 using control::Version;
 
+/// Changes gather in an open version until `close`.
 class VersionedState {
 public:
-    // A fact's kind and id; of parts the edge, too. Its order is that in which facts are told: what
-    // others name comes first.
-    enum class Kind : std::uint8_t { plan, volume, node, part };
+    /// Kinds of entries, in the order in which they are told: what others name comes first.
+    enum class Kind : std::uint8_t { plan, volume, node, quota_share };
+
     struct Key {
         Kind kind;
-        std::uint64_t edge, id;
+        std::uint64_t edge; ///< of quota shares; else 0
+        std::uint64_t id;
         auto operator<=>(const Key &) const = default;
     };
 
     Version version() const { return version_; }
-    // The version that changes made now will have.
+
+    /// The version that changes made now will have.
     Version next() const { return Version{version_.value + 1}; }
-    // Changes nothing where the fact stands already.
-    template <class I, class F>
-    void put(I id, const F &fact) {
-        auto &to = map_of(id, fact);
-        if (auto it = to.find(id); it != to.end() && it->second == fact)
+
+    /// Changes nothing where the entry stands already.
+    template <class Id, class Entry>
+    void put(Id id, const Entry &entry) {
+        auto &entries = map_of(entry);
+        if (auto it = entries.find(id); it != entries.end() && it->second == entry)
             return;
-        cluster_state_.put(id, fact);
-        stamp(key_of(id, fact));
+        cluster_state_.put(id, entry);
+        stamp({kind_of(entry), 0, id.value});
     }
-    void put_quota_share(EdgeId edge, VolumeId volume, const control::QuotaShare &part);
+
+    /// An empty share is none.
+    void put_quota_share(EdgeId edge, VolumeId volume, const control::QuotaShare &share);
     void drop(NodeId id);
     void drop(PlanId id);
     void drop_volume(VolumeId id);
-    // Ends a version if anything changed in it. True if it did.
+
+    /// Ends a version if anything changed in it.
+    /// \return true if it did
     bool close();
 
-    // As the store has it: each fact after the version that it last changed in, then where all
-    // stand. `oldest`: the last version that dropped a fact, which edges from before it could not
-    // be told of.
+    /// Restoring: each entry is put after a call with the version that it last changed in...
     void restoring(Version stamp) { version_ = Version{stamp.value - 1}; }
-    void restore(Version version, Version oldest) {
-        version_ = version, oldest_ = oldest, changed_.clear();
-    }
-    Version oldest_told() const { return std::max(oldest_, dropped_); }
 
-    // What an edge that goes by `from` has missed, in messages; the count of them. Version 0 or one
-    // from before what is remembered: the whole, and `from` becomes 0.
-    std::uint64_t news(EdgeId edge, Version &from, std::string &out) const;
+    /// ...then this says where all stand.
+    /// \param oldest  the last version that dropped an entry: edges that hold an older one can't be
+    ///                told of that by changes
+    void restore(Version version, Version oldest);
+    Version oldest_told() const { return std::max(oldest_, last_drop_); }
+
+    /// What an edge that holds `from` has missed, as messages.
+    /// \param from  becomes 0 where the full state is told: it was 0, or from before what is
+    ///              remembered
+    /// \return how many messages
+    std::uint64_t update_since(EdgeId edge, Version &from, std::string &out) const;
 
+    /// Without quota shares, which are each edge's own.
     const control::ClusterState &cluster_state() const { return cluster_state_; }
-    const control::QuotaShare *part(EdgeId edge, VolumeId volume) const;
-    // Keys changed in the version that is open.
+
+    /// Null where the edge has none.
+    const control::QuotaShare *quota_share(EdgeId edge, VolumeId volume) const;
+
+    /// What changed in the version that is open.
     const std::set<Key> &changed() const { return changed_; }
     bool has(const Key &key) const;
 
 private:
-    std::map<NodeId, control::Node> &map_of(NodeId, const control::Node &) {
-        return cluster_state_.nodes;
-    }
-    std::map<PlanId, control::Plan> &map_of(PlanId, const control::Plan &) {
-        return cluster_state_.plans;
-    }
-    std::map<VolumeId, control::Volume> &map_of(VolumeId, const control::Volume &) {
+    // By version, each key once, with its last change.
+    struct Changes {
+        std::set<std::pair<Version, Key>> order;
+        std::map<Key, Version> last;
+    };
+
+    std::map<NodeId, control::Node> &map_of(const control::Node &) { return cluster_state_.nodes; }
+    std::map<PlanId, control::Plan> &map_of(const control::Plan &) { return cluster_state_.plans; }
+    std::map<VolumeId, control::Volume> &map_of(const control::Volume &) {
         return cluster_state_.volumes;
     }
-    static Key key_of(NodeId id, const control::Node &) { return {Kind::node, 0, id.value}; }
-    static Key key_of(PlanId id, const control::Plan &) { return {Kind::plan, 0, id.value}; }
-    static Key key_of(VolumeId id, const control::Volume &) { return {Kind::volume, 0, id.value}; }
+    static Kind kind_of(const control::Node &) { return Kind::node; }
+    static Kind kind_of(const control::Plan &) { return Kind::plan; }
+    static Kind kind_of(const control::Volume &) { return Kind::volume; }
     void stamp(const Key &key);
-    void tell(const Key &key, std::string &out) const;
+    std::vector<Key> changed_since(EdgeId edge, Version from) const;
+    std::string encode_entry(const Key &key) const;
+    std::uint64_t encode_all(EdgeId edge, std::string &out) const;
 
-    control::ClusterState cluster_state_; // parts are not in it
-    std::map<EdgeId, std::map<VolumeId, control::QuotaShare>> allocation_;
+    control::ClusterState cluster_state_;
+    std::map<EdgeId, std::map<VolumeId, control::QuotaShare>> quota_shares_;
     Version version_;
-    // For all edges, and for each: by version, a key once, with the last.
-    struct Changes {
-        std::set<std::pair<Version, Key>> order;
-        std::map<Key, Version> at;
-    };
-    Changes common_;
-    std::map<EdgeId, Changes> own_;
+    Changes common_;                     // for all edges
+    std::map<EdgeId, Changes> per_edge_; // quota shares
     std::set<Key> changed_;
-    Version oldest_;  // changes after this one are remembered
-    Version dropped_; // a fact went with this one
+    Version oldest_;    // changes after this one are remembered
+    Version last_drop_; // an entry was dropped with this one
 };
 
 } // namespace knotvane::planner
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -13,7 +13,7 @@
 #include "load/session.hpp"
 #include "nbd/wire.hpp"
 #include "node/disk.hpp"
-#include "node/registration.hpp"
+#include "node/planner_registration.hpp"
 #include "planner/core.hpp"
 #include "rules/history.hpp"
 #include "sim/keeper.hpp"
@@ -104,9 +104,9 @@
     void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
                                const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId v, double hosts) override;
-    void cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) override;
-    void cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) override;
-    void cut_release(VolumeId of, VolumeId as) override;
+    void snapshot_hold(const control::SnapshotHold &order) override;
+    void snapshot_resume(const control::SnapshotResume &order) override;
+    void snapshot_release(const control::SnapshotRelease &order) override;
     void planner_lost() override;
     std::uint64_t lists = 0;
 };
@@ -228,21 +228,27 @@
     }
     void planner_start() {
         state_store.lives_on();
-        core = std::make_unique<planner::Core>(*this, state_store, 3 * sec, 250 * ms, 20 * sec,
-                                               500 * ms, 200 * ms, 200 * ms, sec);
+        planner::PlannerConfig config;
+        config.lease = 3 * sec;
+        config.lease_margin = 250 * ms;
+        config.fade = 20 * sec;
+        config.node_silence = 500 * ms;
+        config.node_removal_delay = 200 * ms;
+        config.node_return_delay = 200 * ms;
+        config.drain_time = sec;
+        core = std::make_unique<planner::Core>(*this, state_store, config);
         for (auto &[key, row] : state_store.rows) {
             auto [kind, a, b] = key;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
                 broken("a row is not read back: " + fault);
         }
-        bool fresh = state_store.term == planner::Term{0};
-        if (!core->start(now, planner::Term{state_store.term.value + 1}, ++instances,
-                         fresh ? day.seed + 1 : state_store.lineage, state_store.version,
-                         state_store.oldest, state_store.settings, false))
+        planner::PlannerStart from{state_store.position, ++instances, false};
+        if (state_store.position.term == planner::Term{0})
+            from.position.lineage = day.seed + 1;
+        from.position.term = planner::Term{state_store.position.term.value + 1};
+        if (!core->start(now, from))
             return planner_die();
-        std::vector<std::pair<int, std::string>> faults;
-        core->apply_desired_state(now, wanted(), faults);
-        for (auto &[line, what] : faults)
+        for (auto &[line, what] : core->apply_desired_state(now, wanted()))
             broken("settings refused: " + what);
         planner_run();
     }
@@ -346,15 +352,16 @@
     VolumeId id_of(const std::string &name) const {
         struct Row final : control::MessageHandler {
             std::string name;
-            void volume(VolumeId, control::Volume v) override { name = v.name; }
-            void unexpected(const char *) override {}
+            using MessageHandler::handle;
+            void handle(const control::VolumeUpdate &m) override { name = m.volume.name; }
+            void unexpected(std::string_view) override {}
         };
         for (auto &[key, row] : state_store.rows) {
             auto [kind, id, b] = key;
             if (kind != planner::StateStore::Row::volume)
                 continue;
             Row r;
-            control::Reader().bytes(row.body, r);
+            control::MessageDecoder().decode(row.body, r);
             if (r.name == name)
                 return VolumeId{id};
         }
@@ -365,49 +372,56 @@
             return;
         struct Ear final : control::MessageHandler {
             std::function<void(bool)> heard;
-            void effect(bool, bool done, const std::string &) override {
+            using MessageHandler::handle;
+            void handle(const control::OperationResult &m) override {
                 if (heard)
-                    std::exchange(heard, nullptr)(done);
+                    std::exchange(heard, nullptr)(m.done);
             }
-            void unexpected(const char *) override {}
+            void unexpected(std::string_view) override {}
         };
         auto ear = std::make_shared<Ear>();
-        auto reader = std::make_shared<control::Reader>();
+        auto reader = std::make_shared<control::MessageDecoder>();
         ear->heard = std::move(heard);
         auto wire =
-            to_planner([ear, reader](std::string_view b) { reader->bytes(b, *ear); }, [] {});
+            to_planner([ear, reader](std::string_view b) { reader->decode(b, *ear); }, [] {});
         send(wire, 0, std::move(question));
     }
     void take() {
         auto name = std::to_string(++taken_names);
         Time called = now;
-        operate(control::ask_cut(0, "v", name, ""), [this, name, called](bool done) {
-            auto full = "v@" + name;
-            if (!done)
-                return void(++out.refused);
-            ++out.taken;
-            auto id = id_of(full);
-            snapshots[full] = {called, now, id, held(id)};
-            if (lot(0.3))
-                drop_or_clone(full);
-        });
+        operate(control::encode(
+                    control::SnapshotRequest{control::SnapshotOperation::take, "v", name, ""}),
+                [this, name, called](bool done) {
+                    auto full = "v@" + name;
+                    if (!done)
+                        return void(++out.refused);
+                    ++out.taken;
+                    auto id = id_of(full);
+                    snapshots[full] = {called, now, id, held(id)};
+                    if (lot(0.3))
+                        drop_or_clone(full);
+                });
     }
     void drop_or_clone(const std::string &full) {
         if (lot(0.5)) {
-            operate(control::ask_cut(1, full, "", ""), [this, full](bool done) {
-                if (done)
-                    judge(full), snapshots.erase(full);
-            });
+            operate(control::encode(
+                        control::SnapshotRequest{control::SnapshotOperation::drop, full, "", ""}),
+                    [this, full](bool done) {
+                        if (done)
+                            judge(full), snapshots.erase(full);
+                    });
             return;
         }
         auto as = "c" + std::to_string(++taken_names);
-        operate(control::ask_cut(2, full, as, ""), [this, full, as](bool done) {
-            if (!done || !snapshots.contains(full))
-                return;
-            ++out.clones;
-            if (held(id_of(as)) != snapshots.at(full).held)
-                broken("clone " + as + " does not hold what " + full + " does");
-        });
+        operate(control::encode(
+                    control::SnapshotRequest{control::SnapshotOperation::clone, full, as, ""}),
+                [this, full, as](bool done) {
+                    if (!done || !snapshots.contains(full))
+                        return;
+                    ++out.clones;
+                    if (held(id_of(as)) != snapshots.at(full).held)
+                        broken("clone " + as + " does not hold what " + full + " does");
+                });
     }
     // What stores hold of a volume, by block: which write's bytes.
     std::map<std::uint64_t, WriteNo> held(VolumeId id) {
@@ -456,7 +470,7 @@
     : w(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
     disk.set_speed(ms, 2, 4, 64);
     node::PlannerRegistration::Actions line;
-    line.dial = [this] {
+    line.connect = [this] {
         w.at(w.now + w.delay(), [this] {
             if (!listening)
                 return;
@@ -471,7 +485,7 @@
             w.stir(*this);
         });
     };
-    line.hang_up = [this] {
+    line.disconnect = [this] {
         if (auto p = std::exchange(planner, nullptr))
             w.close(p, 0);
     };
@@ -480,8 +494,8 @@
             w.send(planner, 0, std::move(b));
     };
     line.log_event = [](std::string) {};
-    line.open_cut = [this](VolumeId of, VolumeId as, std::uint32_t epoch,
-                           const std::vector<control::EdgeIncarnation> &late) {
+    line.open_snapshot = [this](VolumeId of, VolumeId as, std::uint32_t epoch,
+                                const std::vector<control::EdgeIncarnation> &late) {
         std::set<control::EdgeIncarnation> who(late.begin(), late.end());
         if (w.day.nodes_let_in)
             for (std::uint32_t e = 0; e < w.day.edges; ++e)
@@ -491,18 +505,19 @@
         if (w.day.nodes_cut_once) {
             // As a store that knows nothing of late changes: sealed at once.
             auto how = store.cut(of, as, true);
-            return static_cast<std::uint8_t>(how);
+            return static_cast<control::SnapshotResult>(how);
         }
-        return static_cast<std::uint8_t>(disk.open_cut(of, as, epoch, std::move(who)));
+        return static_cast<control::SnapshotResult>(disk.open_cut(of, as, epoch, std::move(who)));
     };
-    line.seal = [this](VolumeId of, VolumeId as) { return disk.seal(of, as); };
-    line.drop = [this](VolumeId as) { return disk.drop(as); };
-    line.clone = [this](VolumeId of, VolumeId as) {
-        return static_cast<std::uint8_t>(disk.clone(of, as));
+    line.seal_snapshot = [this](VolumeId of, VolumeId as) { return disk.seal(of, as); };
+    line.drop_snapshot = [this](VolumeId as) { return disk.drop(as); };
+    line.open_clone = [this](VolumeId of, VolumeId as) {
+        return static_cast<control::SnapshotResult>(disk.clone(of, as));
     };
     line.diff = [this](VolumeId a, VolumeId b) { return store.diff(a, b); };
     reg = std::make_unique<node::PlannerRegistration>(
-        line, id, shard, ZoneId{0}, std::to_string(id.value), seed + id.value, 100 * ms);
+        line, node::PlannerRegistrationConfig{id, shard, ZoneId{0}, std::to_string(id.value),
+                                              seed + id.value, 100 * ms});
     reg->start(now, 1, now - 3600 * sec);
 }
 void NodeHost::send(node::ConnId conn, std::string out) {
@@ -559,8 +574,9 @@
     core->set_links(2, 250 * ms, 300 * ms, 2 * sec, 1 << 20);
     core->set_door(16, 64 << 10, 256, 4 << 20);
     core->ready(w.now);
-    sub = std::make_unique<edge::PlannerClient>(*this, EdgeId{id}, "e",
-                                                w.day.seed + lives * 31 + id, 100 * ms, 3600 * sec);
+    sub = std::make_unique<edge::PlannerClient>(
+        *this, edge::PlannerClientConfig{EdgeId{id}, "e", w.day.seed + lives * 31 + id, 100 * ms,
+                                         3600 * sec});
     core->follow(sub->replica().cluster_state());
     lists = 0;
     sub->start(w.now, {});
@@ -716,7 +732,8 @@
 void EdgeHost::quota_share_changed(VolumeId v, double hosts) {
     core->quota_share_changed(w.now, v, hosts);
 }
-void EdgeHost::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
+void EdgeHost::snapshot_hold(const control::SnapshotHold &order) {
+    auto [of, as, epoch, longest] = order;
     if (w.day.edges_begin_on)
         return sub->report_snapshot_step(as, control::SnapshotStep::ready,
                                          control::EdgeIncarnation{core->incarnation()});
@@ -725,15 +742,16 @@
         sub->report_snapshot_step(as, control::SnapshotStep::drained,
                                   control::EdgeIncarnation{core->incarnation()});
 }
-void EdgeHost::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
+void EdgeHost::snapshot_resume(const control::SnapshotResume &order) {
+    auto [of, as, epoch] = order;
     if (w.day.edges_begin_on) {
         // Goes by the new epoch when it hears of it, and never held anything back.
         core->cut_hold(w.now, of, as, epoch, sec);
     }
     core->cut_go(w.now, of, as, epoch);
 }
-void EdgeHost::cut_release(VolumeId of, VolumeId as) {
-    core->cut_release(w.now, of, as);
+void EdgeHost::snapshot_release(const control::SnapshotRelease &order) {
+    core->cut_release(w.now, order.volume, order.snapshot);
 }
 void EdgeHost::planner_lost() {
     core->planner_lost(w.now);
@@ -971,7 +989,7 @@
             if (v.is_snapshot())
                 expected.insert(id);
         for (auto id : n->store.cuts())
-            if (!expected.contains(id) && !core->busy_with(id))
+            if (!expected.contains(id) && !core->is_incomplete(id))
                 broken("node " + std::to_string(n->id.value) + " holds a cut that was undone");
         for (auto id : expected)
             if (!n->store.has(id))
--- a/src/sim/keeper.hpp
+++ b/src/sim/keeper.hpp
@@ -8,7 +8,7 @@
 #include <tuple>
 #include <utility>
 
-#include "planner/core.hpp"
+#include "planner/state_store.hpp"
 
 namespace knotvane::sim {
 
@@ -20,9 +20,7 @@
     using Key = std::tuple<planner::StateStore::Row, std::uint64_t, std::uint64_t>;
     std::map<Key, std::optional<Row>> gathered;
     std::map<Key, Row> rows;
-    planner::Term term;
-    std::uint64_t lineage = 0, settings = 0;
-    planner::Version version, oldest;
+    planner::StorePosition position;
     int die_at = 0; // 1: the next commit does not come about, 2: it does and nobody hears of it
     bool died = false;
 
@@ -33,8 +31,7 @@
     void drop(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b) override {
         gathered[{r, a, b}] = {};
     }
-    bool commit(planner::Term t, std::uint64_t l, planner::Version v, planner::Version o,
-                std::uint64_t s) override {
+    bool commit(const planner::StorePosition &committed) override {
         if (die_at == 1) {
             died = true;
             return false;
@@ -45,7 +42,7 @@
             else
                 rows.erase(key);
         gathered.clear();
-        term = t, lineage = l, version = v, oldest = o, settings = s;
+        position = committed;
         died = die_at == 2;
         return !died;
     }
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -10,7 +10,7 @@
 #include <set>
 
 #include "edge/planner_client.hpp"
-#include "node/registration.hpp"
+#include "node/planner_registration.hpp"
 #include "planner/core.hpp"
 #include "sim/keeper.hpp"
 
@@ -242,36 +242,42 @@
     void planner_run() {
         if (!core || planner_paused)
             return;
-        auto before = disk.version;
+        auto before = disk.position.version;
         core->settle(now);
         if (disk.died)
             return planner_die();
-        if (before != disk.version)
-            durable_at[disk.version] = now, ++out.versions;
+        if (before != disk.position.version)
+            durable_at[disk.position.version] = now, ++out.versions;
         auto due = core->next_due();
         planner_wake = due == never ? never : std::max(now, due);
     }
     void planner_start() {
         // A store as it is on disk: what was gathered is lost with the process.
         disk.lives_on();
-        core = std::make_unique<planner::Core>(*this, disk, day.lease, day.lease / 20 + 100 * ms,
-                                               day.fade, 2 * sec, sec, sec, 2 * sec);
+        planner::PlannerConfig config;
+        config.lease = day.lease;
+        config.lease_margin = day.lease / 20 + 100 * ms;
+        config.fade = day.fade;
+        config.node_silence = 2 * sec;
+        config.node_removal_delay = sec;
+        config.node_return_delay = sec;
+        config.drain_time = 2 * sec;
+        core = std::make_unique<planner::Core>(*this, disk, config);
         for (auto &[key, row] : disk.rows) {
             auto [kind, a, b] = key;
-            if (day.planner_forgets && kind == planner::StateStore::Row::hold)
+            if (day.planner_forgets && kind == planner::StateStore::Row::quota_share)
                 continue;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
                 broken("a row is not read back: " + fault);
         }
         ++out.terms;
-        bool fresh = disk.term == planner::Term{0};
-        if (!core->start(now, planner::Term{disk.term.value + 1}, ++instances,
-                         fresh ? day.seed + 1 : disk.lineage, disk.version, disk.oldest,
-                         disk.settings, false))
+        planner::PlannerStart from{disk.position, ++instances, false};
+        if (disk.position.term == planner::Term{0})
+            from.position.lineage = day.seed + 1;
+        from.position.term = planner::Term{disk.position.term.value + 1};
+        if (!core->start(now, from))
             return planner_die();
-        std::vector<std::pair<int, std::string>> faults;
-        core->apply_desired_state(now, wanted, faults);
-        for (auto &[line, what] : faults)
+        for (auto &[line, what] : core->apply_desired_state(now, wanted))
             broken("settings refused: " + what);
         planner_run();
     }
@@ -324,8 +330,9 @@
         n.wake = std::max(now, n.reg->next_due());
     }
     void start(EdgeHost &e) {
-        e.sub = std::make_unique<edge::PlannerClient>(e, e.id, "e", day.seed + instances++,
-                                                      day.lease / 6, 24 * 3600 * sec);
+        e.sub = std::make_unique<edge::PlannerClient>(
+            e, edge::PlannerClientConfig{e.id, "e", day.seed + instances++, day.lease / 6,
+                                         24 * 3600 * sec});
         e.sub->start(e.clock(), e.disk);
         run(e);
     }
@@ -364,11 +371,11 @@
                    std::to_string(e.version.value) + " to " + std::to_string(copy.version().value));
         std::string all;
         for (auto &[id, n] : table.nodes)
-            all += control::put(id, n);
+            all += control::encode(control::NodeUpdate{id, n});
         for (auto &[id, p] : table.plans)
-            all += control::put(id, p);
+            all += control::encode(control::PlanUpdate{id, p});
         for (auto &[id, v] : table.volumes)
-            all += control::put(id, v);
+            all += control::encode(control::VolumeUpdate{id, v});
         auto [it, is_new] = content.try_emplace({copy.lineage(), copy.version()}, all);
         if (!is_new && it->second != all)
             broken("version " + std::to_string(copy.version().value) +
@@ -417,8 +424,11 @@
         planner_in([this, side] { core->connected(now, side); });
         if (!on)
             undrained[node].insert(core->state().next());
-        planner_in(
-            [this, side, node, on] { core->received(now, side, control::ask_drain(node, on, 2)); });
+        planner_in([this, side, node, on] {
+            core->received(
+                now, side,
+                control::encode(control::DrainRequest{node, on, control::DrainMode::force}));
+        });
         ++out.met[on ? "drains" : "undrains"];
     }
     void trouble() {
@@ -511,7 +521,7 @@
     }
 
     bool agreed() {
-        if (!core || planner_paused || disk.version != core->version())
+        if (!core || planner_paused || disk.position.version != core->version())
             return false;
         for (auto &e : edges) {
             if (!e->sub || e->paused)
@@ -576,8 +586,9 @@
                     [this, n] { hang_up(std::exchange(n->side, SessionId{0}), true); },
                     [this, n](std::string b) { to_planner(n->side, std::move(b)); },
                     [](std::string) {}},
-                n->id, ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, "n" + std::to_string(i),
-                day.seed + i, 500 * ms);
+                node::PlannerRegistrationConfig{n->id, ShardId{static_cast<std::int32_t>(i)},
+                                                ZoneId{0}, "n" + std::to_string(i), day.seed + i,
+                                                500 * ms});
             at(now + under(sec),
                [this, n] { n->reg->start(now, n->incarnation, now - 3600 * sec), run(*n); });
         }
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -34,7 +34,9 @@
         in.remove_prefix(1);
     planner::PlannerFixture p;
     // A snapshot is under way while the bytes come.
-    p.deliver(0, 60, control::ask_cut(0, "v", "first", ""));
+    p.deliver(0, 60,
+              control::encode(
+                  control::SnapshotRequest{control::SnapshotOperation::take, "v", "first", ""}));
     p.core.settle(0);
     auto lines = p.recorded.logged.size();
     for (std::size_t at = 0; at < in.size(); at += piece)
@@ -48,7 +50,8 @@
     if (p.core.allocation().bound(VolumeId{7}) > control::whole_limit)
         std::abort();
     CountingActions actions;
-    edge::PlannerClient s(actions, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
+    const edge::PlannerClientConfig config{control::EdgeId{1}, "e", 1, sec, 3600 * sec};
+    edge::PlannerClient s(actions, config);
     s.start(0, {});
     s.connected(0);
     auto before = s.replica().version();
@@ -61,7 +64,7 @@
     if (actions.hung_up > 1)
         std::abort();
     // The same bytes as a plan on disk.
-    edge::PlannerClient t(actions, control::EdgeId{1}, "e", 1, sec, 3600 * sec);
+    edge::PlannerClient t(actions, config);
     t.start(0, in);
     return 0;
 }
--- a/tests/fuzz/run_plan_fixed.cpp
+++ b/tests/fuzz/run_plan_fixed.cpp
@@ -15,30 +15,54 @@
     using namespace knotvane::control;
     // The id that the first cut of a planner's first life has.
     constexpr VolumeId first{std::uint64_t{1} << 63 | std::uint64_t{1} << 40 | 1};
+    EdgeHello hello;
+    hello.edge = EdgeId{1};
+    hello.listen_address = "e";
+    hello.term = Term{1};
+    hello.instance = 11;
+    hello.lineage = 5;
+    hello.version = Version{1};
+    auto serving_hello = hello;
+    serving_hello.draining = {NodeId{1}};
+    serving_hello.serving = {VolumeId{7}};
+    auto newer_hello = hello;
+    newer_hello.term = Term{9};
+    NodeHello node_hello;
+    node_hello.node = NodeId{1};
+    node_hello.address = "n";
+    node_hello.incarnation = 4;
+    node_hello.age = sec;
+    using Operation = SnapshotOperation;
+    constexpr auto done = SnapshotResult::done;
     std::vector<std::string> talks = {
-        edge_hello(EdgeId{1}, "e", Term{1}, 11, 5, Version{1}, {NodeId{1}}, {VolumeId{7}}) +
-            renew(5, Term{1}, Version{1}) + serve(VolumeId{7}, true) + witness(NodeId{2}, false) +
-            ask(),
-        node_hello(NodeId{1}, ShardId{0}, ZoneId{0}, "n", 4, sec) + node_renew(),
-        ask_drain(NodeId{1}, true, 2) + ask_status(),
-        begins(Term{2}, 1, 1, Version{4}, Version{0}, 9) +
-            put(PlanId{0}, control::Plan{"p", 1, 1, 0, 1, 5, 5}) +
-            put(VolumeId{7}, control::Volume{"v", 4096, 512, PlanId{0}}) +
-            put(NodeId{1}, control::Node{"a", ShardId{0}, ZoneId{0}, NodeState::ready, 3, 4}) +
-            put(VolumeId{7}, QuotaShare{500000, 2}) + ends(Version{4}, 4) +
-            renewed(1, Term{2}, sec, sec, Version{1}),
-        edge_hello(EdgeId{1}, "e", Term{9}, 11, 5, Version{1}, {}, {}) + superseded(Term{3}),
-        ask_cut(0, "v", "a", "") + ask_cut(2, "v@a", "c", "p") + ask_cut(3, "v", "v", "") +
-            ask_cut(1, "v@a", "", ""),
-        node_hello(NodeId{1}, ShardId{0}, ZoneId{0}, "n", 4, sec) +
-            tell_cut(first, SnapshotStep::opened, 0) + tell_cut(first, SnapshotStep::sealed, 4) +
-            tell_diff(1, {0, 4096, 8192, 512}, true),
-        edge_hello(EdgeId{1}, "e", Term{1}, 11, 5, Version{1}, {}, {}) +
-            tell_cut(first, SnapshotStep::ready, 0, EdgeIncarnation{3}) +
-            tell_cut(first, SnapshotStep::moved, 0, EdgeIncarnation{3}) +
-            tell_cut(first, SnapshotStep::lapsed, 0, EdgeIncarnation{3}),
-        cut_hold(VolumeId{7}, first, 3, sec) + cut_go(VolumeId{7}, first, 3) +
-            cut_release(VolumeId{7}, first)};
+        encode(serving_hello) + encode(LeaseRenewal{5, Term{1}, Version{1}}) +
+            encode(VolumeServed{VolumeId{7}, true}) + encode(ReachabilityReport{NodeId{2}, false}) +
+            encode(FullStateRequest{}),
+        encode(node_hello) + encode(NodeRenewal{}),
+        encode(DrainRequest{NodeId{1}, true, DrainMode::force}) + encode(StatusRequest{}),
+        encode(UpdateBegin{Term{2}, 1, 1, Version{4}, Version{0}, 9}) +
+            encode(PlanUpdate{PlanId{0}, control::Plan{"p", 1, 1, 0, 1, 5, 5}}) +
+            encode(VolumeUpdate{VolumeId{7}, control::Volume{"v", 4096, 512, PlanId{0}}}) +
+            encode(NodeUpdate{NodeId{1},
+                              control::Node{"a", ShardId{0}, ZoneId{0}, NodeState::ready, 3, 4}}) +
+            encode(QuotaShareUpdate{VolumeId{7}, QuotaShare{500000, 2}}) +
+            encode(UpdateEnd{Version{4}, 4}) +
+            encode(LeaseRenewed{1, Term{2}, sec, sec, Version{1}}),
+        encode(newer_hello) + encode(Superseded{Term{3}}),
+        encode(SnapshotRequest{Operation::take, "v", "a", ""}) +
+            encode(SnapshotRequest{Operation::clone, "v@a", "c", "p"}) +
+            encode(SnapshotRequest{Operation::compare, "v", "v", ""}) +
+            encode(SnapshotRequest{Operation::drop, "v@a", "", ""}),
+        encode(node_hello) + encode(SnapshotStepReport{first, SnapshotStep::opened, done, {}}) +
+            encode(SnapshotStepReport{first, SnapshotStep::sealed, SnapshotResult::failed, {}}) +
+            encode(DiffReport{1, {{0, 4096}, {8192, 512}}, true}),
+        encode(hello) +
+            encode(SnapshotStepReport{first, SnapshotStep::ready, done, EdgeIncarnation{3}}) +
+            encode(SnapshotStepReport{first, SnapshotStep::moved, done, EdgeIncarnation{3}}) +
+            encode(SnapshotStepReport{first, SnapshotStep::lapsed, done, EdgeIncarnation{3}}),
+        encode(SnapshotHold{VolumeId{7}, first, 3, sec}) +
+            encode(SnapshotResume{VolumeId{7}, first, 3}) +
+            encode(SnapshotRelease{VolumeId{7}, first})};
     std::ranlux24_base chance(1);
     int runs = 4000;
     for (int i = 0; i < runs; ++i) {
--- a/tests/gateway/planner_test.cpp
+++ b/tests/gateway/planner_test.cpp
@@ -65,7 +65,7 @@
     nlohmann::json status() const {
         for (int i = 0; i < 500; ++i) {
             try {
-                return nlohmann::json::parse(planner::ask_status(address, sec));
+                return nlohmann::json::parse(planner::AdminClient(address, sec).status());
             } catch (const std::exception &) {
                 pause(10 * ms);
             }
@@ -106,10 +106,9 @@
             });
             bool unsure = false;
             while (f.process->ended() < 0) {
-                bool allowed = false, done = false;
                 try {
-                    planner::ask_drain(f.address, NodeId{1}, !drains, 1, allowed, done, sec);
-                    if (done)
+                    const planner::AdminClient client(f.address, sec);
+                    if (client.drain({NodeId{1}, !drains, control::DrainMode::apply}).done)
                         drains = !drains;
                 } catch (const std::exception &) {
                     unsure = true; // it may have been made durable and not said
--- a/tests/gateway/snapshot_test.cpp
+++ b/tests/gateway/snapshot_test.cpp
@@ -17,6 +17,8 @@
 
 namespace {
 
+using Operation = control::SnapshotOperation;
+
 struct Planned {
     std::string dir;
     std::unique_ptr<fleet::Fleet> fleet;
@@ -35,14 +37,13 @@
     std::string uri(const std::string &volume, std::size_t edge = 0) const {
         return "nbd://" + fleet->edge_address(edge) + "/" + volume;
     }
-    bool ask(std::uint8_t what, const std::string &a, const std::string &b = "",
+    bool ask(Operation operation, const std::string &a, const std::string &b = "",
              std::string *text = nullptr) const {
-        bool allowed = false, done = false;
-        auto heard =
-            planner::ask_cut(fleet->planner_address(), what, a, b, "", allowed, done, 30 * sec);
+        const planner::AdminClient client(fleet->planner_address(), 30 * sec);
+        auto result = client.snapshot({operation, a, b, ""});
         if (text)
-            *text = heard;
-        return done;
+            *text = result.text;
+        return result.done;
     }
     // Once every edge knows of it, or no longer does.
     void know(const std::string &name, bool there = true) const {
@@ -68,7 +69,7 @@
         Client c(p.uri("members"));
         std::string before(1 << 20, 'b'), after(1 << 20, 'a');
         REQUIRE(c.write(0, before) == 0);
-        REQUIRE(p.ask(0, "members", "one"));
+        REQUIRE(p.ask(Operation::take, "members", "one"));
         CHECK(c.write(0, after) == 0);
         p.know("members@one");
         Client list;
@@ -106,10 +107,10 @@
             CHECK(runs == std::vector<std::uint32_t>{256 << 10, 3});
             // In use: refused, with who.
             std::string why;
-            CHECK(!p.ask(1, "members@one", "", &why));
+            CHECK(!p.ask(Operation::drop, "members@one", "", &why));
             CHECK(why == "members@one is in use by clients of edge 1");
         }
-        REQUIRE(p.ask(2, "members@one", "test"));
+        REQUIRE(p.ask(Operation::clone, "members@one", "test"));
         p.know("test");
         Client w(p.uri("test", 1));
         CHECK(w.read(0, before.size()) == before);
@@ -118,10 +119,10 @@
         CHECK(w.read(4096, 512) == std::string(512, 'c'));
         CHECK(c.read(4096, 512) == std::string(512, 'a'));
         std::string text;
-        CHECK(p.ask(3, "members@one", "test", &text));
+        CHECK(p.ask(Operation::compare, "members@one", "test", &text));
         CHECK(text == "8192 bytes in 1 ranges differ\n4096 8192");
         // Dropped once nobody has it open; the clone lives on.
-        for (int i = 0; i < 200 && !p.ask(1, "members@one"); ++i)
+        for (int i = 0; i < 200 && !p.ask(Operation::drop, "members@one"); ++i)
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
         p.know("members@one", false);
         CHECK(w.read(0, 512) == std::string(512, 'b'));
@@ -157,7 +158,7 @@
             auto &a = at_call.emplace_back();
             for (int i = 0; i < clients; ++i)
                 a[static_cast<std::size_t>(i)] = answered[i];
-            CHECK(p.ask(0, "members", std::to_string(s)));
+            CHECK(p.ask(Operation::take, "members", std::to_string(s)));
             auto &b = at_return.emplace_back();
             for (int i = 0; i < clients; ++i)
                 b[static_cast<std::size_t>(i)] = answered[i] + 1; // one may be under way
@@ -194,10 +195,10 @@
                 std::this_thread::sleep_for(std::chrono::milliseconds(wait));
                 p.fleet->kill_planner();
             });
-            bool allowed = false, done = false;
+            bool done = false;
             try {
-                planner::ask_cut(p.fleet->planner_address(), 0, "members", name, "", allowed, done,
-                                 5 * sec);
+                const planner::AdminClient client(p.fleet->planner_address(), 5 * sec);
+                done = client.snapshot({Operation::take, "members", name, ""}).done;
             } catch (const std::exception &) {
             }
             CHECK(c.write(0, std::string(4096, static_cast<char>('a' + i))) == 0);
@@ -207,7 +208,8 @@
             for (int t = 0; t < 500;
                  ++t, std::this_thread::sleep_for(std::chrono::milliseconds(10))) {
                 try {
-                    s = nlohmann::json::parse(planner::ask_status(p.fleet->planner_address(), sec));
+                    s = nlohmann::json::parse(
+                        planner::AdminClient(p.fleet->planner_address(), sec).status());
                     if (s["cuts_undone"].empty() && s["edges"].size() == 1 &&
                         s["edges"][0]["connected"] == true)
                         break;
@@ -229,7 +231,7 @@
         bool taken = false;
         for (int i = 0; i < 100 && !taken;
              ++i, std::this_thread::sleep_for(std::chrono::milliseconds(50)))
-            taken = p.ask(0, "members", "last");
+            taken = p.ask(Operation::take, "members", "last");
         CHECK(taken);
     }
 }
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -1,21 +1,28 @@
-// What the planner's tests share: a shell and a keeper written down, and an edge's side of a
-// connection.
+/// \file
+/// What the planner's tests share: a transport and a store that record, and the far ends of
+/// sessions.
 #pragma once
 
 #include <map>
+#include <set>
 #include <string>
+#include <tuple>
 #include <utility>
 #include <vector>
 
+#include "control/cluster_state_replica.hpp"
+#include "control/encode.hpp"
 #include "planner/core.hpp"
 
 namespace knotvane::planner {
 
+/// Records what the planner sends, logs and stores.
 struct RecordingTransport final : PlannerTransport, StateStore {
     std::map<SessionId, std::string> sent;
     std::vector<SessionId> closed;
     std::vector<std::string> logged;
-    bool is_retired = false, durable = true;
+    bool is_retired = false;
+    bool durable = true; // whether commits succeed
     int commits = 0;
     std::map<std::tuple<Row, std::uint64_t, std::uint64_t>, std::pair<Version, std::string>> rows;
     Version version;
@@ -24,106 +31,156 @@
     void close(SessionId session) override { closed.push_back(session); }
     void log_event(std::string text) override { logged.push_back(std::move(text)); }
     void retired() override { is_retired = true; }
-    void keep(Row row, std::uint64_t a, std::uint64_t b, Version stamp, std::string body) override {
-        rows[{row, a, b}] = {stamp, std::move(body)};
+    void keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+              std::string body) override {
+        rows[{row, first_id, second_id}] = {stamp, std::move(body)};
     }
-    void drop(Row row, std::uint64_t a, std::uint64_t b) override { rows.erase({row, a, b}); }
-    bool commit(Term, std::uint64_t, Version v, Version, std::uint64_t) override {
+    void drop(Row row, std::uint64_t first_id, std::uint64_t second_id) override {
+        rows.erase({row, first_id, second_id});
+    }
+    bool commit(const StorePosition &position) override {
         commits += durable;
         if (durable)
-            version = v;
+            version = position.version;
         return durable;
     }
 };
 
-// One plan with a limit, one volume (7), nodes 1 and 2 of shards 0 and 1.
+inline DesiredState::Volume desired_volume(const std::string &name, std::uint64_t size, int line) {
+    DesiredState::Volume out;
+    out.volume.name = name;
+    out.volume.size = size;
+    out.plan = "p";
+    out.line = line;
+    return out;
+}
+
+/// One plan with a limit, one volume (7), nodes 1 and 2 of shards 0 and 1.
 inline DesiredState desired(std::uint64_t version = 1) {
-    DesiredState w;
-    w.version = version;
-    w.plans["p"] = {"p", 1, 100, 0, 1, 100, 50};
-    w.volumes[VolumeId{7}] = {{"v", 1 << 20, 512, {}}, "p", 12};
-    w.nodes[NodeId{1}] = {ShardId{0}, ZoneId{0}, false, "", 20};
-    w.nodes[NodeId{2}] = {ShardId{1}, ZoneId{0}, false, "", 25};
-    return w;
+    DesiredState out;
+    out.version = version;
+    out.plans["p"] = {"p", 1, 100, 0, 1, 100, 50};
+    out.volumes[VolumeId{7}] = desired_volume("v", 1 << 20, 12);
+    out.nodes[NodeId{1}] = {ShardId{0}, ZoneId{0}, false, "", 20};
+    out.nodes[NodeId{2}] = {ShardId{1}, ZoneId{0}, false, "", 25};
+    return out;
 }
 
-// What an edge makes of what it is sent.
+/// What an edge makes of what it is sent; an operator's answers, too.
 struct FakeEdge final : control::MessageHandler {
-    control::Reader reader;
+    control::MessageDecoder decoder;
     control::ClusterStateReplica replica;
     control::UpdateResult last = control::UpdateResult::old;
-    std::vector<Version> renewals;
-    std::string status_text, effect_text;
-    bool allowed = false, done = false;
-    void begins(control::Term t, std::uint64_t i, std::uint64_t l, Version v, Version from,
-                Time) override {
-        replica.begins(t, i, l, v, from);
-    }
-    void node(NodeId id, control::Node n) override { replica.put(id, std::move(n)); }
-    void plan(PlanId id, control::Plan p) override { replica.put(id, std::move(p)); }
-    void volume(VolumeId id, control::Volume v) override { replica.put(id, std::move(v)); }
-    void part(VolumeId id, control::QuotaShare p) override { replica.put(id, p); }
-    void no_node(NodeId id) override { replica.drop(id); }
-    void no_volume(VolumeId id) override { replica.drop_volume(id); }
-    void no_part(VolumeId id) override { replica.drop_quota_share(id); }
-    void ends(Version v, std::uint64_t count) override { last = replica.ends(v, count); }
-    void renewed(Time, control::Term, Time, Time, Version least) override {
-        renewals.push_back(least);
-    }
-    void status(const std::string &json) override { status_text = json; }
-    void effect(bool may, bool was, const std::string &text) override {
-        allowed = may, done = was, effect_text = text;
+    std::vector<Version> renewals; // the versions that they were for
+    std::string status;
+    control::OperationResult result;
+
+    using MessageHandler::handle;
+    void handle(const control::UpdateBegin &message) override { replica.begin(message); }
+    void handle(const control::NodeUpdate &message) override { replica.apply(message); }
+    void handle(const control::PlanUpdate &message) override { replica.apply(message); }
+    void handle(const control::VolumeUpdate &message) override { replica.apply(message); }
+    void handle(const control::QuotaShareUpdate &message) override { replica.apply(message); }
+    void handle(const control::NodeRemoval &message) override { replica.apply(message); }
+    void handle(const control::VolumeRemoval &message) override { replica.apply(message); }
+    void handle(const control::QuotaShareRemoval &message) override { replica.apply(message); }
+    void handle(const control::UpdateEnd &message) override { last = replica.end(message); }
+    void handle(const control::LeaseRenewed &message) override {
+        renewals.push_back(message.min_version);
     }
-    void unexpected(const char *) override {}
+    void handle(const control::Status &message) override { status = message.json; }
+    void handle(const control::OperationResult &message) override { result = message; }
+    void unexpected(std::string_view) override {}
 };
 
-// A planner that has started, with nodes 1 and 2 registered; lease 1s, margin 100ms, fade 10s.
+/// Of an edge that follows a planner of this term and instance, with lineage 5.
+inline control::EdgeHello edge_hello(std::uint64_t edge, Term term, std::uint64_t instance,
+                                     Version version = {}) {
+    control::EdgeHello hello;
+    hello.edge = EdgeId{edge};
+    hello.listen_address = "e";
+    hello.term = term;
+    hello.instance = instance;
+    hello.lineage = 5;
+    hello.version = version;
+    return hello;
+}
+
+/// Lease 1s, margin 100ms, fade 10s.
+inline PlannerConfig test_config() {
+    PlannerConfig config;
+    config.lease = sec;
+    config.lease_margin = 100 * ms;
+    config.fade = 10 * sec;
+    config.node_silence = 500 * ms;
+    config.node_removal_delay = 200 * ms;
+    config.node_return_delay = 200 * ms;
+    config.drain_time = sec;
+    return config;
+}
+
+/// A planner that has started, with nodes 1 and 2 registered.
 struct PlannerFixture {
     RecordingTransport recorded;
-    Core core{recorded, recorded, sec, 100 * ms, 10 * sec, 500 * ms, 200 * ms, 200 * ms, sec};
+    Core core{recorded, recorded, test_config()};
     std::map<std::uint64_t, FakeEdge> edges;
+    std::set<std::uint64_t> seen; // sessions
 
     explicit PlannerFixture(Term term = Term{1}, bool rebuilt = false) {
-        core.start(0, term, 11, 5, Version{0}, Version{0}, 0, rebuilt);
-        std::vector<std::pair<int, std::string>> faults;
-        core.apply_desired_state(0, desired(), faults);
-        node(0, 1), node(0, 2);
+        core.start(0, {{term, 5, Version{0}, Version{0}, 0}, 11, rebuilt});
+        core.apply_desired_state(0, desired());
+        node(0, 1);
+        node(0, 2);
         core.settle(0);
     }
+    static std::uint64_t node_session(std::uint64_t id, std::uint64_t incarnation = 1) {
+        return 100 + id + 1000 * incarnation;
+    }
     void node(Time now, std::uint64_t id, std::uint64_t incarnation = 1, Time age = 3600 * sec) {
-        deliver(now, 100 + id + 1000 * incarnation,
-                control::node_hello(NodeId{id}, ShardId{static_cast<std::int32_t>(id) - 1},
-                                    ZoneId{0}, "n", incarnation, age));
+        control::NodeHello hello;
+        hello.node = NodeId{id};
+        hello.shard = ShardId{static_cast<std::int32_t>(id) - 1};
+        hello.address = "n";
+        hello.incarnation = incarnation;
+        hello.age = age;
+        deliver(now, node_session(id, incarnation), hello);
     }
     void deliver(Time now, std::uint64_t session, const std::string &bytes) {
         if (seen.insert(session).second)
             core.connected(now, SessionId{session});
         core.received(now, SessionId{session}, bytes);
     }
-    // An edge comes, with what it holds; its side has its own number.
+    template <class Message>
+    void deliver(Time now, std::uint64_t session,
+                 const Message &message) requires(!std::is_convertible_v<Message, std::string>) {
+        deliver(now, session, control::encode(message));
+    }
+    // An edge comes, with what it holds; its session has its own number.
     void hello(Time now, std::uint64_t edge, std::vector<VolumeId> serving = {}) {
-        auto &c = edges[edge].replica;
-        deliver(now, edge,
-                control::edge_hello(EdgeId{edge}, "e", c.term(), c.instance(), c.lineage(),
-                                    c.version(), {}, serving));
+        const auto &replica = edges[edge].replica;
+        auto hello = edge_hello(edge, replica.term(), replica.instance(), replica.version());
+        hello.lineage = replica.lineage();
+        hello.serving = std::move(serving);
+        deliver(now, edge, hello);
         core.settle(now);
         read(edge);
     }
     void renew(Time now, std::uint64_t edge) {
-        auto &c = edges[edge].replica;
-        deliver(now, edge, control::renew(now, c.term(), c.version()));
+        const auto &replica = edges[edge].replica;
+        deliver(now, edge, control::LeaseRenewal{now, replica.term(), replica.version()});
         core.settle(now);
         read(edge);
     }
-    void read(std::uint64_t edge) {
-        auto bytes = std::exchange(recorded.sent[SessionId{edge}], {});
-        edges[edge].reader.bytes(bytes, edges[edge]);
+    // The edge, or operator, takes what it was sent.
+    void read(std::uint64_t session) {
+        auto bytes = std::exchange(recorded.sent[SessionId{session}], {});
+        edges[session].decoder.decode(bytes, edges[session]);
     }
-    std::uint32_t part(std::uint64_t edge) {
-        auto &quota_shares = edges[edge].replica.cluster_state().quota_shares;
-        return quota_shares.contains(VolumeId{7}) ? quota_shares.at(VolumeId{7}).millionths : 0;
+    // The edge's millionths of volume 7.
+    std::uint32_t share(std::uint64_t edge) {
+        const auto &shares = edges[edge].replica.cluster_state().quota_shares;
+        return shares.contains(VolumeId{7}) ? shares.at(VolumeId{7}).millionths : 0;
     }
-    std::set<std::uint64_t> seen;
 };
 
 } // namespace knotvane::planner
--- a/tests/planner/sqlite_state_store_test.cpp
+++ b/tests/planner/sqlite_state_store_test.cpp
@@ -83,8 +83,8 @@
 };
 
 std::string all_rows(const SqliteStateStore &s) {
-    std::string out =
-        std::to_string(s.term().value) + "/" + std::to_string(s.version().value) + ":";
+    std::string out = std::to_string(s.position().term.value) + "/" +
+                      std::to_string(s.position().version.value) + ":";
     s.rows([&](StateStore::Row row, std::uint64_t a, std::uint64_t b, Version stamp,
                std::string_view body) {
         out += std::to_string(static_cast<int>(row)) + "," + std::to_string(a) + "," +
@@ -95,9 +95,9 @@
 }
 void change(SqliteStateStore &s, std::uint64_t version) {
     for (std::uint64_t i = 0; i < 40; ++i)
-        s.keep(StateStore::Row::hold, i, version % 7, Version{version},
+        s.keep(StateStore::Row::quota_share, i, version % 7, Version{version},
                std::string(200, static_cast<char>('a' + version % 26)));
-    s.drop(StateStore::Row::hold, version % 40, (version + 3) % 7);
+    s.drop(StateStore::Row::quota_share, version % 40, (version + 3) % 7);
 }
 std::string opened(const std::string &path) {
     try {
@@ -122,7 +122,7 @@
             {
                 SqliteStateStore s(path);
                 change(s, 1);
-                REQUIRE(s.commit(Term{1}, 5, Version{1}, Version{0}, 1));
+                REQUIRE(s.commit({Term{1}, 5, Version{1}, Version{0}, 1}));
                 before = all_rows(s);
             }
             {
@@ -130,7 +130,7 @@
                 SqliteStateStore s(path, Cutting::name());
                 Cutting::left = at, Cutting::calls = 0;
                 change(s, 2);
-                well = s.commit(Term{1}, 5, Version{2}, Version{0}, 1);
+                well = s.commit({Term{1}, 5, Version{2}, Version{0}, 1});
                 if (well)
                     after = all_rows(s);
                 // What would still be written when the process ends is not.
@@ -156,7 +156,7 @@
         {
             SqliteStateStore s(path);
             change(s, 1);
-            REQUIRE(s.commit(Term{4}, 5, Version{9}, Version{0}, 1));
+            REQUIRE(s.commit({Term{4}, 5, Version{9}, Version{0}, 1}));
         }
         auto good = opened(path);
         std::ifstream in(path, std::ios::binary);
@@ -192,7 +192,7 @@
         auto path = folder.file("s");
         {
             SqliteStateStore first(path);
-            REQUIRE(first.commit(Term{1}, 5, Version{1}, Version{0}, 1));
+            REQUIRE(first.commit({Term{1}, 5, Version{1}, Version{0}, 1}));
             CHECK(opened(path) == "! planner's store " + path + ": in use by another planner");
         }
         CHECK(opened(path) == "1/1:");
