--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -1,18 +1,65 @@
 find_package(doctest REQUIRED)
-add_executable(
-  decisions_tests
-  tests/main.cpp
-  tests/scheduling/scheduler_test.cpp
-  tests/simulator_adapter/adapter_test.cpp
-  src/simulator_adapter/adapter.cpp
-  src/scheduler_setup/setup.cpp)
-target_include_directories(decisions_tests PRIVATE src)
-target_link_libraries(decisions_tests PRIVATE doctest::doctest)
-add_test(NAME decisions COMMAND decisions_tests)
+# A package's tests: one binary, named after it.
+function(package_tests name)
+  cmake_parse_arguments(package "" "" "SOURCES;LIBS" ${ARGN})
+  add_executable(${name}_tests tests/main.cpp ${package_SOURCES})
+  target_link_libraries(${name}_tests PRIVATE ${package_LIBS} doctest::doctest)
+  if(KNOTVANE_PROGRAM)
+    target_link_libraries(${name}_tests PRIVATE rapidcheck)
+  endif()
+  add_test(NAME ${name} COMMAND ${name}_tests)
+  # One seed for the property tests: the same verdict every time.
+  set_tests_properties(${name} PROPERTIES TIMEOUT 240 ENVIRONMENT "RC_PARAMS=seed=20261201")
+endfunction()
+
+# The decisions, their set-up and the simulator's adapter need no package but the tests' framework.
+package_tests(
+  scheduling
+  SOURCES
+    tests/scheduling/attempt_outcome_test.cpp
+    tests/scheduling/budget_feedback_test.cpp
+    tests/scheduling/concurrency_window_test.cpp
+    tests/scheduling/early_disconnects_test.cpp
+    tests/scheduling/endpoint_list_poll_test.cpp
+    tests/scheduling/fair_queue_test.cpp
+    tests/scheduling/key_order_test.cpp
+    tests/scheduling/latency_estimate_test.cpp
+    tests/scheduling/load_shedding_test.cpp
+    tests/scheduling/node_health_test.cpp
+    tests/scheduling/node_table_test.cpp
+    tests/scheduling/overload_hold_test.cpp
+    tests/scheduling/placement_test.cpp
+    tests/scheduling/plan_table_test.cpp
+    tests/scheduling/quota_share_test.cpp
+    tests/scheduling/recent_samples_test.cpp
+    tests/scheduling/repeat_detector_test.cpp
+    tests/scheduling/request_table_test.cpp
+    tests/scheduling/retry_budget_test.cpp
+    tests/scheduling/retry_policy_test.cpp
+    tests/scheduling/scheduler_core_test.cpp
+    tests/scheduling/slow_start_test.cpp
+    tests/scheduling/waiting_index_test.cpp
+    tests/scheduling/windowed_sum_test.cpp
+  LIBS knotvane_scheduling)
+package_tests(
+  scheduler_setup
+  SOURCES tests/scheduler_setup/checked_input_test.cpp
+  LIBS knotvane_scheduler_setup)
+package_tests(
+  simulator_adapter
+  SOURCES tests/simulator_adapter/adapter_test.cpp
+  LIBS knotvane_simulator_adapter)
+find_package(Python3 3.11 REQUIRED COMPONENTS Interpreter)
+# Recorded runs of the decisions over the simulator's wire: the same bytes, whatever is refactored.
+add_test(
+  NAME recorded_run
+  COMMAND ${CMAKE_COMMAND} -E env KNOTVANE_DRILL=$<TARGET_FILE:knotvane_drill> ${Python3_EXECUTABLE} -B -m unittest -v
+          tests.recorded_run.recorded_run_test
+  WORKING_DIRECTORY ${CMAKE_SOURCE_DIR})
+set_tests_properties(recorded_run PROPERTIES TIMEOUT 120)
 add_test(NAME known_red COMMAND ${CMAKE_SOURCE_DIR}/tests/known_red_test)
 
 # The lists of packages and the check of the deploy build itself.
-find_package(Python3 3.11 REQUIRED COMPONENTS Interpreter)
 add_test(
   NAME deploy_lists
   COMMAND Python3::Interpreter -B -m unittest -v tests.deploy.package_lists_test tests.deploy.setup_test
@@ -47,16 +94,6 @@
 endif()
 pkg_check_modules(nbd REQUIRED IMPORTED_TARGET libnbd)
 
-# A package's tests: one binary, named after it.
-function(package_tests name)
-  cmake_parse_arguments(package "" "" "SOURCES;LIBS" ${ARGN})
-  add_executable(${name}_tests tests/main.cpp ${package_SOURCES})
-  target_link_libraries(${name}_tests PRIVATE ${package_LIBS} doctest::doctest rapidcheck)
-  add_test(NAME ${name} COMMAND ${name}_tests)
-  # One seed for the property tests: the same verdict every time.
-  set_tests_properties(${name} PROPERTIES TIMEOUT 240 ENVIRONMENT "RC_PARAMS=seed=20261201")
-endfunction()
-
 # A fuzz target run on a fixed set of inputs.
 function(fixed_fuzz name)
   cmake_parse_arguments(fuzz "" "" "SOURCES;LIBS" ${ARGN})
@@ -67,7 +104,7 @@
 
 package_tests(
   nbd
-  SOURCES tests/nbd/server_test.cpp
+  SOURCES tests/nbd/negotiation_test.cpp tests/nbd/session_test.cpp
   LIBS knotvane_nbd)
 package_tests(
   http
@@ -120,7 +157,7 @@
   SOURCES
     tests/gateway/libnbd_test.cpp
     tests/gateway/day_test.cpp
-    tests/gateway/door_test.cpp
+    tests/gateway/admission_test.cpp
     tests/gateway/planner_test.cpp
     tests/gateway/snapshot_test.cpp
   LIBS knotvane_day PkgConfig::nbd nlohmann_json::nlohmann_json)
@@ -131,10 +168,14 @@
 package_tests(
   edge
   SOURCES
-    tests/edge/core_test.cpp
+    tests/edge/core_snapshots_test.cpp
+    tests/edge/endpoint_file_test.cpp
+    tests/edge/layout_test.cpp
+    tests/edge/node_connections_test.cpp
     tests/edge/planner_client_test.cpp
+    tests/edge/settings_test.cpp
     tests/edge/snapshot_participant_test.cpp
-    tests/edge/core_snapshots_test.cpp
+    tests/edge/unflushed_writes_test.cpp
   LIBS knotvane_edge_settings knotvane_load)
 package_tests(
   rules
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -227,8 +227,8 @@
         host.address = host.server->address();
     });
     host.id = id;
-    list_.nodes.push_back(
-        {id, host.address, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age});
+    list_.entries.push_back(
+        {{id, host.shard, ZoneId{0}, NodeState::ready, loop::now() - age}, host.address});
 }
 
 std::string Fleet::list_path(std::size_t edge) const {
@@ -311,11 +311,11 @@
             must_be_good(first);
             host.server = std::make_unique<edge::Server>(host.worker->loop(), again, make_);
             host.address = host.server->address();
-            host.server->on_the_way = [this, i](NodeId node, const std::string &address) {
+            host.server->resolve_address = [this, i](NodeId node, const std::string &address) {
                 return planner_address_.empty() ? address : address_for(i, node, address);
             };
             if (!planner_address_.empty())
-                host.server->on_list = [this, i](const edge::NodeList &list) {
+                host.server->on_endpoint_list = [this, i](const edge::EndpointList &list) {
                     if (on_told)
                         on_told(i, list);
                 };
@@ -328,7 +328,7 @@
         std::size_t know = 0;
         for (std::size_t e = 0; e < edges_.size(); ++e)
             with_edge(e, [&](edge::Server &s) {
-                auto &copy = s.subscription()->replica();
+                auto &copy = s.planner_client()->replica();
                 know += copy.cluster_state().nodes.size() == nodes_.size();
             });
         if (know == edges_.size())
@@ -343,18 +343,20 @@
 }
 
 void Fleet::list_as(NodeId node, NodeState state, Time started) {
-    for (auto &n : list_.nodes)
-        if (n.id == node)
-            n.state = state, n.started = started;
+    for (auto &[endpoint, address] : list_.entries)
+        if (endpoint.node == node) {
+            endpoint.state = state;
+            endpoint.started_at = started;
+        }
 }
 void Fleet::tell(std::size_t edge) {
     ++list_.version;
     auto told = list_;
-    for (auto &n : told.nodes)
-        n.address = address_for(edge, n.id, n.address);
+    for (auto &[endpoint, address] : told.entries)
+        address = address_for(edge, endpoint.node, address);
     // Written beside and renamed: a reader finds the old list or the new one.
     auto path = list_path(edge), beside = path + ".new";
-    std::ofstream(beside) << write_nodes(told);
+    std::ofstream(beside) << format_endpoint_list(told);
     if (std::rename(beside.c_str(), path.c_str()) != 0)
         throw std::runtime_error(path + ": can't be written");
 }
@@ -368,7 +370,7 @@
         if (!nodes_[node]->server)
             return;
         call(*nodes_[node]->server);
-        nodes_[node]->server->stirred();
+        nodes_[node]->server->process_due();
     });
 }
 void Fleet::with_edge(std::size_t edge, const std::function<void(edge::Server &)> &call) {
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -12,8 +12,8 @@
 #include "edge/planner_client.hpp"
 #include "load/session.hpp"
 #include "nbd/wire.hpp"
-#include "node/disk.hpp"
 #include "node/planner_registration.hpp"
+#include "node/storage_node.hpp"
 #include "planner/core.hpp"
 #include "rules/history.hpp"
 #include "sim/keeper.hpp"
@@ -43,25 +43,25 @@
 
 struct World;
 
-struct NodeHost final : node::Shell {
+struct NodeHost final : node::Transport {
     World &w;
     NodeId id;
     ShardId shard;
     std::string bytes;
     std::unique_ptr<store::Medium> medium = store::memory_medium(bytes);
     store::Store store{*medium};
-    node::Disk disk;
+    node::StorageNode disk;
     std::unique_ptr<node::PlannerRegistration> reg;
     WirePtr planner;
-    std::map<node::ConnId, WirePtr> conns;
+    std::map<node::ConnectionId, WirePtr> conns;
     bool listening = true;
     Time wake = never;
 
     NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now);
-    void send(node::ConnId conn, std::string out) override;
-    void close(node::ConnId conn, bool reset) override;
+    void send(node::ConnectionId conn, std::string out) override;
+    void close(node::ConnectionId conn, bool reset) override;
     void listen(bool open) override;
-    void say(std::string) override {}
+    void log_event(std::string) override {}
 };
 
 struct EdgeHost final : edge::Shell, edge::PlannerClientActions {
@@ -71,7 +71,7 @@
     std::unique_ptr<edge::Core> core;
     std::unique_ptr<edge::PlannerClient> sub;
     WirePtr planner;
-    std::map<edge::LinkId, WirePtr> links;
+    std::map<edge::NodeConnectionId, WirePtr> links;
     std::map<edge::ClientId, WirePtr> clients;
     std::uint64_t next_client = 0;
     bool paused = false, cut_off = false;
@@ -84,19 +84,18 @@
     void stop();
     void in(const std::function<void()> &call);
     // ---- edge::Shell
-    void connect(edge::LinkId link, const std::string &address) override;
-    void send(edge::LinkId link, std::string bytes) override;
-    void close(edge::LinkId link) override;
+    void connect(edge::NodeConnectionId link, const std::string &address) override;
+    void send(edge::NodeConnectionId link, std::string bytes) override;
+    void close(edge::NodeConnectionId link) override;
     void send_client(edge::ClientId client, std::string bytes) override;
     void close_client(edge::ClientId client) override;
-    void hold_client(edge::ClientId, bool) override {}
-    void say(std::string) override {}
+    void pause_client(edge::ClientId, bool) override {}
     void log_event(std::string) override {}
     void attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) override;
     void volume_used(VolumeId v, bool on) override;
-    void cut_told(VolumeId as, control::SnapshotStep step,
-                  control::EdgeIncarnation incarnation) override;
-    // ---- edge::PlannerClientActions
+    void snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                            control::EdgeIncarnation incarnation) override;
+    // ---- edge::Line
     void connect_planner() override;
     void disconnect_planner() override;
     void send_planner(std::string bytes) override;
@@ -431,7 +430,7 @@
             auto shard = layout.shard_of(volume, b * block);
             auto &n = *nodes[static_cast<std::size_t>(shard.value)];
             std::string bytes;
-            if (!n.store.has(id)) {
+            if (!n.store.contains(id)) {
                 broken("snapshot " + std::to_string(id.value & 0xffff) + " is not at node " +
                        std::to_string(n.id.value));
                 return got;
@@ -468,7 +467,7 @@
 // ---- Nodes.
 NodeHost::NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now)
     : w(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
-    disk.set_speed(ms, 2, 4, 64);
+    disk.set_service_model({.unit_time = ms, .cores = 2, .slots = 4, .queue_capacity = 64});
     node::PlannerRegistration::Actions line;
     line.connect = [this] {
         w.at(w.now + w.delay(), [this] {
@@ -504,13 +503,14 @@
                                : control::EdgeIncarnation{});
         if (w.day.nodes_cut_once) {
             // As a store that knows nothing of late changes: sealed at once.
-            auto how = store.cut(of, as, true);
+            auto how = store.take_snapshot(of, as);
             return static_cast<control::SnapshotResult>(how);
         }
-        return static_cast<control::SnapshotResult>(disk.open_cut(of, as, epoch, std::move(who)));
+        return static_cast<control::SnapshotResult>(
+            disk.open_snapshot(of, as, epoch, std::move(who)));
     };
-    line.seal_snapshot = [this](VolumeId of, VolumeId as) { return disk.seal(of, as); };
-    line.drop_snapshot = [this](VolumeId as) { return disk.drop(as); };
+    line.seal_snapshot = [this](VolumeId of, VolumeId as) { return disk.seal_snapshot(of, as); };
+    line.drop_snapshot = [this](VolumeId as) { return disk.drop_snapshot(as); };
     line.open_clone = [this](VolumeId of, VolumeId as) {
         return static_cast<control::SnapshotResult>(disk.clone(of, as));
     };
@@ -520,11 +520,11 @@
                                               seed + id.value, 100 * ms});
     reg->start(now, 1, now - 3600 * sec);
 }
-void NodeHost::send(node::ConnId conn, std::string out) {
+void NodeHost::send(node::ConnectionId conn, std::string out) {
     if (auto it = conns.find(conn); it != conns.end())
         w.send(it->second, 1, std::move(out));
 }
-void NodeHost::close(node::ConnId conn, bool) {
+void NodeHost::close(node::ConnectionId conn, bool) {
     auto it = conns.find(conn);
     if (it == conns.end())
         return;
@@ -545,8 +545,8 @@
 void EdgeHost::start() {
     ++lives;
     core = std::make_unique<edge::Core>(
-        *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); }, id,
-        w.day.seed + lives * 1000, extent, span, unit, w.all_shards());
+        *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); },
+        edge::CoreConfig{id, w.day.seed + lives * 1000, extent, span, unit, w.all_shards()});
     auto &s = core->scheduler();
     SchedulerConfig config;
     config.self = PeerId{static_cast<std::uint32_t>(id)};
@@ -568,16 +568,16 @@
             workload.key_rest = key_rest;
         }
         s.set_workload(WorkloadId{i}, workload);
-        core->add_workload(WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
-                           writes ? window : 0);
+        core->add_workload({WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
+                            writes ? window : 0});
     }
-    core->set_links(2, 250 * ms, 300 * ms, 2 * sec, 1 << 20);
-    core->set_door(16, 64 << 10, 256, 4 << 20);
-    core->ready(w.now);
+    core->set_node_connections({2, 250 * ms, 300 * ms, 2 * sec, 1 << 20});
+    core->set_admission_limits({16, 64 << 10, 256, 4 << 20});
+    core->start(w.now);
     sub = std::make_unique<edge::PlannerClient>(
         *this, edge::PlannerClientConfig{EdgeId{id}, "e", w.day.seed + lives * 31 + id, 100 * ms,
                                          3600 * sec});
-    core->follow(sub->replica().cluster_state());
+    core->follow_cluster_state(sub->replica().cluster_state());
     lists = 0;
     sub->start(w.now, {});
     w.stir(*this);
@@ -592,20 +592,20 @@
     core.reset(), sub.reset();
     paused = false, while_paused.clear(), wake = never;
 }
-void EdgeHost::connect(edge::LinkId link, const std::string &address) {
+void EdgeHost::connect(edge::NodeConnectionId link, const std::string &address) {
     auto wire = w.wire();
     links[link] = wire;
     auto incarnation = lives;
     wire->hear[0] = [this, link, incarnation](std::string_view b) {
         in([this, link, incarnation, bytes = std::string(b)] {
             if (incarnation == lives && links.contains(link))
-                core->link_bytes(w.now, link, bytes);
+                core->node_received(w.now, link, bytes);
         });
     };
     wire->ended[0] = [this, link, incarnation] {
         in([this, link, incarnation] {
             if (incarnation == lives && links.erase(link))
-                core->link_gone(w.now, link);
+                core->node_disconnected(w.now, link);
         });
     };
     auto &n = *w.nodes[std::stoull(address) - 1];
@@ -616,23 +616,23 @@
             wire->open[0] = false;
             return in([this, link, incarnation] {
                 if (incarnation == lives && links.erase(link))
-                    core->link_failed(w.now, link);
+                    core->node_connect_failed(w.now, link);
             });
         }
-        node::ConnId conn{++w.next_conn};
+        node::ConnectionId conn{++w.next_conn};
         n.conns[conn] = wire;
         wire->hear[1] = [this, &n, conn](std::string_view b) {
-            n.disk.bytes(w.now, conn, b), w.stir(n);
+            n.disk.received(w.now, conn, b), w.stir(n);
         };
-        wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.gone(w.now, conn); };
-        n.disk.came(w.now, conn);
+        wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.disconnected(conn); };
+        n.disk.connected(w.now, conn);
         in([this, link, incarnation] {
             if (incarnation == lives && links.contains(link))
-                core->link_up(w.now, link);
+                core->node_connected(w.now, link);
         });
     });
 }
-void EdgeHost::send(edge::LinkId link, std::string bytes) {
+void EdgeHost::send(edge::NodeConnectionId link, std::string bytes) {
     auto it = links.find(link);
     if (it == links.end())
         return;
@@ -641,11 +641,11 @@
     w.at(w.now, [this, link, size, incarnation = lives] {
         in([this, link, size, incarnation] {
             if (incarnation == lives && links.contains(link))
-                core->link_written(w.now, link, size);
+                core->node_sent(w.now, link, size);
         });
     });
 }
-void EdgeHost::close(edge::LinkId link) {
+void EdgeHost::close(edge::NodeConnectionId link) {
     auto it = links.find(link);
     if (it == links.end())
         return;
@@ -662,7 +662,7 @@
     w.at(w.now, [this, client, size, incarnation = lives] {
         in([this, client, size, incarnation] {
             if (incarnation == lives && clients.contains(client))
-                core->client_written(w.now, client, size);
+                core->client_sent(w.now, client, size);
         });
     });
 }
@@ -680,7 +680,8 @@
 void EdgeHost::volume_used(VolumeId v, bool on) {
     sub->volume_used(w.now, v, on);
 }
-void EdgeHost::cut_told(VolumeId as, control::SnapshotStep step, control::EdgeIncarnation l) {
+void EdgeHost::snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                                  control::EdgeIncarnation l) {
     sub->report_snapshot_step(as, step, l);
 }
 void EdgeHost::connect_planner() {
@@ -721,12 +722,12 @@
                                      const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[pid, p] : table.plans)
-            core->plan_told(pid, p.weight, p.usual, p.reserve, p.price, p.rate, p.burst);
-    core->facts_changed(w.now);
+            core->set_plan(pid, edge::plan_config(p));
+    core->cluster_state_changed(w.now);
     if (!nodes || !core->endpoint_list_begin(w.now, ++lists))
         return;
     for (auto &[nid, n] : table.nodes)
-        core->endpoint_listed(nid, n.address, n.shard, n.zone, n.state, started.at(nid));
+        core->endpoint_listed({nid, n.shard, n.zone, n.state, started.at(nid)}, n.address);
     core->endpoint_list_end();
 }
 void EdgeHost::quota_share_changed(VolumeId v, double hosts) {
@@ -737,7 +738,7 @@
     if (w.day.edges_begin_on)
         return sub->report_snapshot_step(as, control::SnapshotStep::ready,
                                          control::EdgeIncarnation{core->incarnation()});
-    core->cut_hold(w.now, of, as, epoch, longest);
+    core->hold_snapshot(w.now, {of, as, epoch}, longest);
     if (w.day.nobody_waits)
         sub->report_snapshot_step(as, control::SnapshotStep::drained,
                                   control::EdgeIncarnation{core->incarnation()});
@@ -746,12 +747,12 @@
     auto [of, as, epoch] = order;
     if (w.day.edges_begin_on) {
         // Goes by the new epoch when it hears of it, and never held anything back.
-        core->cut_hold(w.now, of, as, epoch, sec);
+        core->hold_snapshot(w.now, {of, as, epoch}, sec);
     }
-    core->cut_go(w.now, of, as, epoch);
+    core->resume_snapshot(w.now, {of, as, epoch});
 }
 void EdgeHost::snapshot_release(const control::SnapshotRelease &order) {
-    core->cut_release(w.now, order.volume, order.snapshot);
+    core->release_snapshot(w.now, order.volume, order.snapshot);
 }
 void EdgeHost::planner_lost() {
     core->planner_lost(w.now);
@@ -786,16 +787,16 @@
     wire->hear[1] = [&e, id, incarnation, this](std::string_view b) {
         e.in([&e, id, incarnation, this, bytes = std::string(b)] {
             if (incarnation == e.lives && e.clients.contains(id))
-                e.core->client_bytes(w.now, id, bytes);
+                e.core->client_received(w.now, id, bytes);
         });
     };
     wire->ended[1] = [&e, id, incarnation, this] {
         e.in([&e, id, incarnation, this] {
             if (incarnation == e.lives && e.clients.erase(id))
-                e.core->client_gone(w.now, id);
+                e.core->client_disconnected(w.now, id);
         });
     };
-    e.in([&e, id, this] { e.core->client_came(w.now, id); });
+    e.in([&e, id, this] { e.core->client_connected(w.now, id); });
 }
 void ClientHost::pump() {
     while (session->is_open() && session->flying() < 4 && !w.quiet) {
@@ -933,12 +934,17 @@
         sever(e.links.begin()->second);
         break;
     default: {
-        static constexpr node::Fault kinds[] = {node::Fault::hang, node::Fault::slow,
-                                                node::Fault::late, node::Fault::mute,
-                                                node::Fault::full, node::Fault::cut};
+        static constexpr node::FaultKind kinds[] = {node::FaultKind::hang,
+                                                    node::FaultKind::slow,
+                                                    node::FaultKind::delay_answer,
+                                                    node::FaultKind::go_silent,
+                                                    node::FaultKind::reject_requests,
+                                                    node::FaultKind::truncate_answer};
         ++out.met["node faults"];
-        n.disk.fault(kinds[under(6)], now, now + 20 * ms + time_under(700 * ms), 0,
-                     lot(0.5) ? 0.2 : 6);
+        double magnitude = lot(0.5) ? 0.2 : 6;
+        Time until = now + 20 * ms + time_under(700 * ms);
+        n.disk.inject_fault(
+            {.kind = kinds[under(6)], .from = now, .until = until, .magnitude = magnitude});
         n.disk.tick(now);
         stir(n);
     }
@@ -988,11 +994,11 @@
         for (auto &[id, v] : core->state().cluster_state().volumes)
             if (v.is_snapshot())
                 expected.insert(id);
-        for (auto id : n->store.cuts())
+        for (auto id : n->store.snapshots())
             if (!expected.contains(id) && !core->is_incomplete(id))
                 broken("node " + std::to_string(n->id.value) + " holds a cut that was undone");
         for (auto id : expected)
-            if (!n->store.has(id))
+            if (!n->store.contains(id))
                 broken("node " + std::to_string(n->id.value) + " lacks a cut that is whole");
         for (auto &line : n->store.check())
             broken("node's store: " + line);
--- a/tests/gateway/snapshot_test.cpp
+++ b/tests/gateway/snapshot_test.cpp
@@ -51,7 +51,8 @@
             std::size_t n = 0;
             for (std::size_t e = 0; e < fleet->edges(); ++e)
                 fleet->with_edge(e, [&](edge::Server &s) {
-                    n += s.subscription()->replica().cluster_state().names.contains(name) == there;
+                    n +=
+                        s.planner_client()->replica().cluster_state().names.contains(name) == there;
                 });
             if (n == fleet->edges())
                 return;
@@ -224,7 +225,7 @@
                 CHECK(there);
             for (std::size_t n = 0; n < 3; ++n)
                 p.fleet->with_node(n, [&](node::Server &node) {
-                    CHECK(node.store().cuts().size() == s["cuts"].size());
+                    CHECK(node.store().snapshots().size() == s["cuts"].size());
                 });
         }
         // Nodes come back to a planner within two seconds.
