--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -14,16 +14,31 @@
 target_include_directories(knotvane_nbd PUBLIC src)
 add_library(knotvane_node_protocol src/node_protocol/frame.cpp)
 target_link_libraries(knotvane_node_protocol PUBLIC knotvane_scheduling PkgConfig::isal)
-add_library(knotvane_control src/control/cluster_state.cpp src/control/messages.cpp)
+add_library(
+  knotvane_control
+  src/control/cluster_state.cpp
+  src/control/cluster_state_replica.cpp
+  src/control/encode.cpp
+  src/control/decode.cpp)
 target_link_libraries(knotvane_control PUBLIC knotvane_node_protocol)
 add_library(
   knotvane_planner
-  src/planner/quota_allocation.cpp
-  src/planner/membership.cpp
-  src/planner/versioned_state.cpp
   src/planner/core.cpp
-  src/planner/core_snapshots.cpp
-  src/planner/snapshot_coordinator.cpp)
+  src/planner/desired_state_change.cpp
+  src/planner/diff_questions.cpp
+  src/planner/leadership.cpp
+  src/planner/lease_table.cpp
+  src/planner/node_liveness.cpp
+  src/planner/node_manager.cpp
+  src/planner/quota_allocation.cpp
+  src/planner/quota_manager.cpp
+  src/planner/receiver.cpp
+  src/planner/snapshot_coordinator.cpp
+  src/planner/snapshot_operations.cpp
+  src/planner/state_rows.cpp
+  src/planner/status_report.cpp
+  src/planner/update_sender.cpp
+  src/planner/versioned_state.cpp)
 target_link_libraries(knotvane_planner PUBLIC knotvane_control PRIVATE nlohmann_json::nlohmann_json)
 add_library(
   knotvane_store
@@ -43,7 +58,7 @@
   knotvane_node
   src/node/fault_injection.cpp
   src/node/pause_schedule.cpp
-  src/node/registration.cpp
+  src/node/planner_registration.cpp
   src/node/request_execution.cpp
   src/node/slow_start.cpp
   src/node/storage_node.cpp)
@@ -59,6 +74,7 @@
   src/edge/layout.cpp
   src/edge/node_connections.cpp
   src/edge/open_volumes.cpp
+  src/edge/node_reachability.cpp
   src/edge/planner_client.cpp
   src/edge/request_splitter.cpp
   src/edge/request_table.cpp
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -87,9 +87,9 @@
         return;
     plan_path_ = settings.plan_file;
     planner_ = std::make_unique<loop::Dialled>(loop_, settings.address);
-    planner_client_ =
-        std::make_unique<PlannerClient>(*this, control::EdgeId{id_}, listener_->address(), seed,
-                                        settings.renew_every, settings.max_plan_age);
+    planner_client_ = std::make_unique<PlannerClient>(
+        *this, PlannerClientConfig{control::EdgeId{id_}, listener_->address(), seed,
+                                   settings.renew_every, settings.max_plan_age});
     planner_->on_up = [this] { planner_client_->connected(loop::now()); };
     planner_->on_down = [this] { planner_client_->disconnected(loop::now()); };
     planner_->on_bytes = [this](std::string_view in) {
@@ -112,16 +112,16 @@
         planner_client_->report_snapshot_step(snapshot, step, incarnation);
 }
 
-void Server::cut_hold(VolumeId of, VolumeId as, std::uint32_t epoch, Time longest) {
-    core_->hold_snapshot(loop::now(), {of, as, epoch}, longest);
+void Server::snapshot_hold(const control::SnapshotHold &order) {
+    core_->hold_snapshot(loop::now(), {order.volume, order.snapshot, order.epoch}, order.max_hold);
 }
 
-void Server::cut_go(VolumeId of, VolumeId as, std::uint32_t epoch) {
-    core_->resume_snapshot(loop::now(), {of, as, epoch});
+void Server::snapshot_resume(const control::SnapshotResume &order) {
+    core_->resume_snapshot(loop::now(), {order.volume, order.snapshot, order.epoch});
 }
 
-void Server::cut_release(VolumeId of, VolumeId as) {
-    core_->release_snapshot(loop::now(), of, as);
+void Server::snapshot_release(const control::SnapshotRelease &order) {
+    core_->release_snapshot(loop::now(), order.volume, order.snapshot);
 }
 
 void Server::planner_lost() {
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -50,16 +50,17 @@
             [this](std::string text) { log_event(std::move(text)); },
             [this](VolumeId of, VolumeId as, std::uint32_t epoch,
                    const std::vector<control::EdgeIncarnation> &late) {
-                return static_cast<std::uint8_t>(
+                return static_cast<control::SnapshotResult>(
                     storage_node_->open_snapshot(of, as, epoch, {late.begin(), late.end()}));
             },
             [this](VolumeId of, VolumeId as) { return storage_node_->seal_snapshot(of, as); },
             [this](VolumeId as) { return storage_node_->drop_snapshot(as); },
             [this](VolumeId of, VolumeId as) {
-                return static_cast<std::uint8_t>(storage_node_->clone(of, as));
+                return static_cast<control::SnapshotResult>(storage_node_->clone(of, as));
             },
             [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
-        id_, shard_, settings.zone, address_, settings.random_seed + id_.value, heartbeat_interval);
+        PlannerRegistrationConfig{id_, shard_, settings.zone, address_,
+                                  settings.random_seed + id_.value, heartbeat_interval});
     planner_->on_up = [this] { registration_->connected(loop::now()); };
     planner_->on_down = [this] { registration_->disconnected(loop::now()); };
     planner_->on_bytes = [this](std::string_view in) { registration_->received(loop::now(), in); };
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -8,7 +8,7 @@
 #include "loop/dialled.hpp"
 #include "loop/loop.hpp"
 #include "loop/sockets.hpp"
-#include "node/registration.hpp"
+#include "node/planner_registration.hpp"
 #include "node/settings.hpp"
 #include "node/storage_node.hpp"
 
