--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -52,9 +52,9 @@
     std::vector<DesiredStateFault> apply_desired_state(Time now, const DesiredState &desired);
     std::uint64_t settings_version() const { return context_.desired.version; }
 
-    void connected(Time now, SessionId session);
-    void received(Time now, SessionId session, std::string_view bytes);
-    void disconnected(Time now, SessionId session);
+    void connected(Time now, SessionId id);
+    void received(Time now, SessionId id, std::string_view bytes);
+    void disconnected(Time now, SessionId id);
 
     /// The maximum of Time where nothing is due.
     Time next_due() const;
--- a/src/planner/server.cpp
+++ b/src/planner/server.cpp
@@ -90,7 +90,7 @@
 
 void Server::listen(const std::string &address) {
     listener_ = std::make_unique<loop::Listener>(
-        loop_, address, [this](std::shared_ptr<loop::Socket> socket) { accept(socket); });
+        loop_, address, [this](const std::shared_ptr<loop::Socket> &socket) { accept(socket); });
 }
 
 void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
--- a/src/planner/server.hpp
+++ b/src/planner/server.hpp
@@ -37,8 +37,8 @@
     /// Called once when another planner is followed.
     std::function<void()> on_retired;
 
-    void send(SessionId session, std::string bytes) override;
-    void close(SessionId session) override;
+    void send(SessionId id, std::string bytes) override;
+    void close(SessionId id) override;
     void log_event(std::string text) override;
     void retired() override;
 
--- a/src/planner/snapshot_operations.cpp
+++ b/src/planner/snapshot_operations.cpp
@@ -86,11 +86,12 @@
 
 // ---- Requests.
 
-void SnapshotOperations::reply(SessionId session, control::OperationResult result) {
+void SnapshotOperations::reply(SessionId session, const control::OperationResult &result) {
     context_.transport.send(session, control::encode(result));
 }
 
-void SnapshotOperations::reply_after_commit(SessionId session, control::OperationResult result) {
+void SnapshotOperations::reply_after_commit(SessionId session,
+                                            const control::OperationResult &result) {
     context_.replies_after_commit.emplace_back(session, control::encode(result));
 }
 
--- a/src/planner/snapshot_operations.hpp
+++ b/src/planner/snapshot_operations.hpp
@@ -99,8 +99,8 @@
     void create(SessionId session, const control::SnapshotRequest &request);
     void remove(SessionId session, const control::SnapshotRequest &request);
     void compare(SessionId session, const control::SnapshotRequest &request);
-    void reply(SessionId session, control::OperationResult result);
-    void reply_after_commit(SessionId session, control::OperationResult result);
+    void reply(SessionId session, const control::OperationResult &result);
+    void reply_after_commit(SessionId session, const control::OperationResult &result);
     std::string refusal(const control::SnapshotRequest &request, Pending &pending) const;
     std::string refusal_of_name(const std::string &name, const std::string &full_name) const;
     std::string choose_plan(const std::string &plan, control::Volume &clone) const;
