--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -79,7 +79,7 @@
     /// lost renewals and loads the planner more.
     Time renewal_interval = 2 * sec;
     /// How old a cluster state from the disk may be.
-    Time max_cache_age = 24 * 3600 * sec;
+    Time max_cache_age = 86'400 * sec;
 };
 
 /// Follows one planner. Its owner carries bytes and time, and calls `tick` when `next_due` says.
--- a/tests/edge/planner_client_test.cpp
+++ b/tests/edge/planner_client_test.cpp
@@ -41,11 +41,15 @@
         NodeId{1}, control::Node{"a", ShardId{0}, ZoneId{0}, state, started, incarnation}});
 }
 
+struct PlannerProcess {
+    std::uint64_t term = 1;
+    std::uint64_t instance = 1;
+};
+
 std::string update(std::uint64_t version, std::uint64_t from, const std::string &entries,
-                   std::uint64_t count, Time planner_time = 0, std::uint64_t term = 1,
-                   std::uint64_t instance = 1) {
-    return control::encode(control::UpdateBegin{Term{term}, instance, 1, Version{version},
-                                                Version{from}, planner_time}) +
+                   std::uint64_t count, Time planner_time = 0, PlannerProcess planner = {}) {
+    return control::encode(control::UpdateBegin{Term{planner.term}, planner.instance, 1,
+                                                Version{version}, Version{from}, planner_time}) +
            entries + control::encode(control::UpdateEnd{Version{version}, count});
 }
 
@@ -199,7 +203,7 @@
         for (auto [term, instance] : {std::pair{1u, 2u}, std::pair{0u, 1u}}) {
             Following f;
             f.actions.sent.clear();
-            f.client.received(ms, update(9, 0, node(NodeState::removed), 1, 0, term, instance));
+            f.client.received(ms, update(9, 0, node(NodeState::removed), 1, 0, {term, instance}));
             CHECK(f.actions.nodes.at(NodeId{1}) == NodeState::ready);
             CHECK(f.actions.disconnects == 1);
             CHECK(f.actions.sent == control::encode(control::Superseded{Term{1}}));
