--- a/src/control/cluster_state.hpp
+++ b/src/control/cluster_state.hpp
@@ -98,4 +98,9 @@
 /// \param fade        how long a quarter stays usable
 std::uint32_t usable_millionths(std::uint32_t millionths, Time past_lease, Time fade);
 
+/// What is left of a quota share while it fades.
+inline std::uint32_t faded_millionths(std::uint32_t millionths) {
+    return usable_millionths(millionths, 1, 1);
+}
+
 } // namespace knotvane::control
--- a/src/edge/admission_control.hpp
+++ b/src/edge/admission_control.hpp
@@ -28,9 +28,9 @@
         bool at_limit = scheduled_requests >= limits_.max_scheduled_requests ||
                         buffered_bytes_ >= limits_.max_buffered_bytes;
         // Goes on at three quarters, so that reading does not stop and start all the time.
-        bool has_room = scheduled_requests <= limits_.max_scheduled_requests / 4 * 3 &&
-                        buffered_bytes_ <= limits_.max_buffered_bytes / 4 * 3;
-        if (!(paused_ ? has_room : at_limit))
+        bool has_capacity = scheduled_requests <= limits_.max_scheduled_requests / 4 * 3 &&
+                            buffered_bytes_ <= limits_.max_buffered_bytes / 4 * 3;
+        if (!(paused_ ? has_capacity : at_limit))
             return false;
         paused_ = !paused_;
         return true;
--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -5,14 +5,15 @@
 /// What an edge goes by, by how old its word from the planner is:
 ///
 /// - within the lease: all of the cluster state;
-/// - past the lease: volumes, plans and nodes as last told, drains among them; a quarter of each
+/// - past the lease: volumes, plans and nodes as of the last update, drains among them; a quarter
+/// of each
 ///   quota share;
 /// - past lease and fade: the same, and no quota share: requests that need one wait, and are
 ///   rejected;
 /// - started from the disk: the same; a cached state older than `max_cache_age`, or from the
 ///   future, is not used at all.
 ///
-/// It never ends a drain, uses a node or gives itself a quota share that it was not told of.
+/// It never ends a drain, uses a node or gives itself a quota share that the planner has not sent.
 #pragma once
 
 #include <cstdint>
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -128,8 +128,8 @@
     core_->planner_lost(loop::now());
 }
 
-void Server::quota_share_changed(VolumeId volume, double hosts) {
-    core_->quota_share_changed(loop::now(), volume, hosts);
+void Server::quota_share_changed(VolumeId volume, double sharers) {
+    core_->quota_share_changed(loop::now(), volume, sharers);
 }
 
 void Server::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -61,7 +61,7 @@
     void store_plan(std::string bytes, bool anew) override;
     void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
                                const std::map<NodeId, Time> &started) override;
-    void quota_share_changed(VolumeId volume, double hosts) override;
+    void quota_share_changed(VolumeId volume, double sharers) override;
     void snapshot_hold(const control::SnapshotHold &order) override;
     void snapshot_resume(const control::SnapshotResume &order) override;
     void snapshot_release(const control::SnapshotRelease &order) override;
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -189,13 +189,13 @@
     auto requests_each = section.count("requests_each", 1, 4096, 128);
     auto largest_request = section.bytes("largest_request", 4 << 20);
     auto most_bytes = section.bytes("most_bytes", 512 << 20);
-    auto most_tasks = section.count("most_tasks", 16, 10000000, 16384);
+    auto max_scheduled_requests = section.count("most_tasks", 16, 10000000, 16384);
     if (largest_request < min_largest_request || largest_request > max_largest_request)
         section.fault("largest_request", "expected 64KiB to 32MiB");
     if (most_bytes < 2 * largest_request)
         section.fault("most_bytes", "expected at least twice the largest request");
     return {static_cast<std::uint32_t>(requests_each), static_cast<std::uint32_t>(largest_request),
-            most_tasks, most_bytes};
+            max_scheduled_requests, most_bytes};
 }
 
 } // namespace
--- a/src/node/planner_registration.cpp
+++ b/src/node/planner_registration.cpp
@@ -98,7 +98,7 @@
 // ---- Snapshots. A failure of the medium leaves the store as it was, and is reported.
 
 void PlannerRegistration::report(VolumeId snapshot, control::SnapshotStep step,
-                                 control::SnapshotResult result) {
+                                 control::SnapshotResult result) const {
     actions_.send(control::encode(control::SnapshotStepReport{snapshot, step, result, {}}));
 }
 
--- a/src/node/planner_registration.hpp
+++ b/src/node/planner_registration.hpp
@@ -86,7 +86,8 @@
     void handle(const control::CloneOpen &message) override;
     void handle(const control::DiffRequest &message) override;
     void unexpected(std::string_view message) override;
-    void report(VolumeId snapshot, control::SnapshotStep step, control::SnapshotResult result);
+    void report(VolumeId snapshot, control::SnapshotStep step,
+                control::SnapshotResult result) const;
 
     Actions actions_;
     PlannerRegistrationConfig config_;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -7,9 +7,21 @@
 namespace knotvane::node {
 namespace {
 
-// Between two heartbeats to the planner: four within the time after which it takes a node for
-// silent.
-constexpr Time heartbeat_interval = 500 * ms;
+// A quarter of the planner's default node_silent (2 s): a node may miss three renewals.
+constexpr Time renewal_interval = 500 * ms;
+
+// The store's results travel as the control protocol's.
+template <class Result>
+constexpr int number(Result result) {
+    return static_cast<int>(result);
+}
+static_assert(number(store::SnapshotResult::created) == number(control::SnapshotResult::done));
+static_assert(number(store::SnapshotResult::already_exists) ==
+              number(control::SnapshotResult::exists));
+static_assert(number(store::SnapshotResult::id_taken) == number(control::SnapshotResult::taken));
+static_assert(number(store::SnapshotResult::no_space) == number(control::SnapshotResult::full));
+static_assert(number(store::SnapshotResult::medium_failed) ==
+              number(control::SnapshotResult::failed));
 
 } // namespace
 
@@ -48,19 +60,21 @@
             [this] { planner_->dial(); }, [this] { planner_->hang_up(); },
             [this](std::string bytes) { planner_->send(std::move(bytes)); },
             [this](std::string text) { log_event(std::move(text)); },
-            [this](VolumeId of, VolumeId as, std::uint32_t epoch,
-                   const std::vector<control::EdgeIncarnation> &late) {
-                return static_cast<control::SnapshotResult>(
-                    storage_node_->open_snapshot(of, as, epoch, {late.begin(), late.end()}));
+            [this](VolumeId source, VolumeId snapshot, std::uint32_t epoch,
+                   const std::vector<control::EdgeIncarnation> &late_writers) {
+                return static_cast<control::SnapshotResult>(storage_node_->open_snapshot(
+                    source, snapshot, epoch, {late_writers.begin(), late_writers.end()}));
+            },
+            [this](VolumeId source, VolumeId snapshot) {
+                return storage_node_->seal_snapshot(source, snapshot);
             },
-            [this](VolumeId of, VolumeId as) { return storage_node_->seal_snapshot(of, as); },
-            [this](VolumeId as) { return storage_node_->drop_snapshot(as); },
-            [this](VolumeId of, VolumeId as) {
-                return static_cast<control::SnapshotResult>(storage_node_->clone(of, as));
+            [this](VolumeId snapshot) { return storage_node_->drop_snapshot(snapshot); },
+            [this](VolumeId source, VolumeId copy) {
+                return static_cast<control::SnapshotResult>(storage_node_->clone(source, copy));
             },
             [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
         PlannerRegistrationConfig{id_, shard_, settings.zone, address_,
-                                  settings.random_seed + id_.value, heartbeat_interval});
+                                  settings.random_seed + id_.value, renewal_interval});
     planner_->on_up = [this] { registration_->connected(loop::now()); };
     planner_->on_down = [this] { registration_->disconnected(loop::now()); };
     planner_->on_bytes = [this](std::string_view in) { registration_->received(loop::now(), in); };
@@ -69,6 +83,7 @@
 
 void Server::start_registration() {
     Time started_at = storage_node_->started_at();
+    // The start time in nanoseconds is another number at each start: it serves as the incarnation.
     registration_->start(loop::now(), static_cast<std::uint64_t>(started_at), started_at);
 }
 
--- a/src/node_protocol/frame.hpp
+++ b/src/node_protocol/frame.hpp
@@ -41,7 +41,7 @@
     expired = 3,      ///< Came to its turn after its `not_after` time.
     bad_checksum = 4, ///< A stored block does not match its checksum.
     misdirected = 5,  ///< Meant for another shard.
-    canceled = 6,     ///< Canceled while it was queued.
+    canceled = 6,     ///< Canceled while it was queued: not executed.
     stale_epoch = 7,  ///< A change of an epoch that a snapshot has ended; the answer's `epoch` is
                       ///< the one in force.
     no_space = 8,     ///< The store is full.
--- a/src/planner/context.hpp
+++ b/src/planner/context.hpp
@@ -23,7 +23,7 @@
 
     /// Where the planner stands now, for the store.
     StorePosition position() const {
-        return {term, lineage, state.version(), state.oldest_told(), desired.version};
+        return {term, lineage, state.version(), state.oldest_sent(), desired.version};
     }
 
     PlannerTransport &transport;
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -104,6 +104,7 @@
     restore_desired_volumes();
     nodes_.start();
     quotas_.start(position.version);
+    // Again: quotas_.start put each share under the version that last changed it.
     context_.state.restore(position.version, position.oldest_version);
     snapshots_.start();
     if (start.rebuilt)
@@ -211,7 +212,7 @@
 
 void Core::lease_renewal(Session &session, const control::LeaseRenewal &renewal) {
     if (renewal.term > context_.term)
-        leadership_.met_other(renewal.term, "edge " + text(session.edge));
+        leadership_.observe_other_planner(renewal.term, "edge " + text(session.edge));
     else
         quotas_.renew(session, renewal);
 }
--- a/src/planner/desired_state_change.cpp
+++ b/src/planner/desired_state_change.cpp
@@ -51,8 +51,7 @@
     }
 }
 
-void DesiredStateChange::check_left_out(VolumeId id, const std::string &name,
-                                        Faults &faults) const {
+void DesiredStateChange::check_omitted(VolumeId id, const std::string &name, Faults &faults) const {
     for (const auto &[other, volume] : context_.state.cluster_state().volumes)
         if (volume.is_snapshot() && volume.lies_as(other) == id)
             faults.push_back({0, "volume " + name + " is left out and has a snapshot or clone, " +
@@ -66,7 +65,7 @@
     for (const auto &[id, current] : context_.desired.volumes) {
         auto it = desired.volumes.find(id);
         if (it == desired.volumes.end())
-            check_left_out(id, current.volume.name, faults);
+            check_omitted(id, current.volume.name, faults);
         else if (it->second.volume.size < current.volume.size)
             faults.push_back({it->second.line, "volume " + current.volume.name +
                                                    " would shrink from " +
@@ -136,11 +135,11 @@
             volume.epoch = it->second.epoch;
         state.put(id, volume);
     }
-    std::vector<VolumeId> left_out;
+    std::vector<VolumeId> omitted;
     for (const auto &[id, volume] : cluster.volumes)
         if (!desired.volumes.contains(id) && !volume.is_snapshot())
-            left_out.push_back(id);
-    for (auto id : left_out)
+            omitted.push_back(id);
+    for (auto id : omitted)
         state.drop_volume(id);
     // After the volumes, which name plans.
     for (const auto &[name, id] : plan_ids)
--- a/src/planner/desired_state_change.hpp
+++ b/src/planner/desired_state_change.hpp
@@ -28,7 +28,7 @@
 
     void check_nodes(const DesiredState &desired, Faults &faults) const;
     void check_volumes(const DesiredState &desired, Faults &faults) const;
-    void check_left_out(VolumeId id, const std::string &name, Faults &faults) const;
+    void check_omitted(VolumeId id, const std::string &name, Faults &faults) const;
     void check_snapshots(const DesiredState &desired, Faults &faults) const;
     bool may_leave_out(NodeId node) const;
     void apply_nodes(const DesiredState &desired);
--- a/src/planner/diff_questions.cpp
+++ b/src/planner/diff_questions.cpp
@@ -11,8 +11,9 @@
 namespace {
 
 constexpr Time answer_timeout = 5 * sec;
-// Ranges told to an operator, in one message; the sum is of all.
-constexpr std::size_t max_ranges_told = 20000;
+// Ranges listed to an operator: at 42 bytes a line at most they stay below the 1 MiB of a message.
+// The sum is of all.
+constexpr std::size_t max_ranges_reported = 20000;
 
 // Ranges of two shards may touch.
 std::vector<control::ByteRange>
@@ -33,9 +34,9 @@
         sum += range.length;
     auto out =
         std::to_string(sum) + " bytes in " + std::to_string(ranges.size()) + " ranges differ";
-    if (ranges.size() > max_ranges_told)
-        out += ", the first " + std::to_string(max_ranges_told) + " are";
-    for (std::size_t i = 0; i < ranges.size() && i < max_ranges_told; ++i)
+    if (ranges.size() > max_ranges_reported)
+        out += ", the first " + std::to_string(max_ranges_reported) + " are";
+    for (std::size_t i = 0; i < ranges.size() && i < max_ranges_reported; ++i)
         out += "\n" + std::to_string(ranges[i].offset) + " " + std::to_string(ranges[i].length);
     return out;
 }
--- a/src/planner/leadership.cpp
+++ b/src/planner/leadership.cpp
@@ -8,7 +8,7 @@
     const auto who = "edge " + text(hello.edge);
     const bool other = hello.term > context_.term ||
                        (hello.term == context_.term && hello.instance != context_.instance);
-    if (other && !met_other(hello.term, who))
+    if (other && !observe_other_planner(hello.term, who))
         return false;
     if (hello.lineage == context_.lineage && hello.version > context_.state.version()) {
         retire(who + " goes by version " + text(hello.version) +
@@ -19,7 +19,7 @@
     return true;
 }
 
-bool Leadership::met_other(Term term, const std::string &who) {
+bool Leadership::observe_other_planner(Term term, const std::string &who) {
     if (!context_.recovering || term < context_.term) {
         retire(who + " follows another planner with term " + text(term));
         return false;
--- a/src/planner/leadership.hpp
+++ b/src/planner/leadership.hpp
@@ -22,7 +22,7 @@
     /// A term above this planner's, or another instance under it, was met.
     /// \param who  says so, for the log
     /// \return true where this planner goes on, above that term
-    bool met_other(Term term, const std::string &who);
+    bool observe_other_planner(Term term, const std::string &who);
 
 private:
     void retire(const std::string &why);
--- a/src/planner/node_liveness.cpp
+++ b/src/planner/node_liveness.cpp
@@ -7,19 +7,20 @@
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-// Times the usual silence for which a node that no edge says it reaches stays in: edges are asked
-// each second.
+// A node that no edge reports as reachable is removed after this many times the configured silence,
+// also without a majority that reports it as unreachable.
 constexpr Time silences_without_reports = 5;
+// Edges are asked again this often.
 constexpr Time report_interval = sec;
-// For how long a removal counts for how steady the node has to be to return.
+// Removals in this time lengthen the delay of the node's return.
 constexpr Time removal_memory = 60 * sec;
 
 } // namespace
 
 void NodeLiveness::registered(Time now, const std::string &address, std::uint64_t incarnation,
                               Time started) {
-    bool is_new = incarnation != incarnation_ || !was_heard();
-    last_heard_ = now;
+    bool is_new = incarnation != incarnation_ || !has_registered();
+    last_heartbeat_ = now;
     address_ = address;
     // Of one incarnation the first start told stays: told again it differs by what the message
     // took, and edges would take that for a restart.
@@ -37,7 +38,7 @@
 
 void NodeLiveness::restore(Time now, const std::string &address, std::uint64_t incarnation,
                            Time started) {
-    last_heard_ = now;
+    last_heartbeat_ = now;
     address_ = address;
     incarnation_ = incarnation;
     started_ = started;
@@ -55,7 +56,7 @@
 }
 
 bool NodeLiveness::is_lost(Time now, std::size_t edges) const {
-    auto silence = now - last_heard_;
+    auto silence = now - last_heartbeat_;
     if (silence <= silence_)
         return false;
     // Where no edge says that it reaches the node, long silence is enough.
@@ -70,9 +71,9 @@
 }
 
 bool NodeLiveness::update(Time now, std::size_t edges) {
-    if (!was_heard())
+    if (!has_registered())
         return false;
-    bool silent = now - last_heard_ > silence_;
+    bool silent = now - last_heartbeat_ > silence_;
     if (!silent)
         reachable_.clear(); // what edges say when asked counts for one silence
 
@@ -96,23 +97,24 @@
 }
 
 bool NodeLiveness::wants_reports(Time now) {
-    if (!in_ || steady_ || !was_heard() || now - last_asked_ < report_interval)
+    if (!in_ || steady_ || !has_registered() || now - last_report_request_ < report_interval)
         return false;
-    last_asked_ = now;
+    last_report_request_ = now;
     return true;
 }
 
 Time NodeLiveness::next_due() const {
-    if (!was_heard())
+    if (!has_registered())
         return never;
     if (!in_)
         return steady_ ? steady_since_ + required_steadiness() : never;
     if (lost_)
         return lost_since_ + removal_delay_;
     if (steady_)
-        return last_heard_ + silence_ + 1;
-    return std::min(std::max(last_asked_, last_heard_ + silences_without_reports * silence_ + 1),
-                    last_asked_ + report_interval);
+        return last_heartbeat_ + silence_ + 1;
+    return std::min(
+        std::max(last_report_request_, last_heartbeat_ + silences_without_reports * silence_ + 1),
+        last_report_request_ + report_interval);
 }
 
 } // namespace knotvane::planner
--- a/src/planner/node_liveness.hpp
+++ b/src/planner/node_liveness.hpp
@@ -29,7 +29,7 @@
     /// The node registered. A new incarnation is in at once.
     /// \param started  when its process did
     void registered(Time now, const std::string &address, std::uint64_t incarnation, Time started);
-    void renewed(Time now) { last_heard_ = now; }
+    void renewed(Time now) { last_heartbeat_ = now; }
 
     /// It was in when an earlier planner wrote last, and has as long as any to register again.
     void restore(Time now, const std::string &address, std::uint64_t incarnation, Time started);
@@ -46,11 +46,11 @@
 
     /// Whether edges are to be asked (again) if they reach it. To be called after update.
     bool wants_reports(Time now);
-    bool was_heard() const { return last_heard_ != never_heard; }
+    bool has_registered() const { return last_heartbeat_ != never_registered; }
     const std::string &address() const { return address_; }
     Time started() const { return started_; }
     std::uint64_t incarnation() const { return incarnation_; }
-    Time silent_for(Time now) const { return now - last_heard_; }
+    Time silent_for(Time now) const { return now - last_heartbeat_; }
 
     /// How many edges say that they can't reach it.
     std::size_t unreachable_reports() const { return unreachable_.size(); }
@@ -60,7 +60,7 @@
 
 private:
     // Longer ago than any patience.
-    static constexpr Time never_heard = -1'000'000 * sec;
+    static constexpr Time never_registered = -1'000'000 * sec;
 
     bool is_lost(Time now, std::size_t edges) const;
     Time required_steadiness() const;
@@ -71,8 +71,8 @@
     std::string address_;
     std::uint64_t incarnation_ = 0;
     Time started_ = 0;
-    Time last_heard_ = never_heard;
-    Time last_asked_ = never_heard;
+    Time last_heartbeat_ = never_registered;
+    Time last_report_request_ = never_registered;
     bool in_ = false;
     bool lost_ = false;
     Time lost_since_ = 0;
--- a/src/planner/node_manager.cpp
+++ b/src/planner/node_manager.cpp
@@ -134,7 +134,7 @@
         if (!desired.address.empty()) // it does not register
             liveness.registered(context_.now, desired.address, 1, 0);
         const bool in = liveness.update(context_.now, edges);
-        if (!liveness.was_heard())
+        if (!liveness.has_registered())
             continue;
         if (liveness.wants_reports(context_.now))
             for (const auto &[edge, session] : context_.sessions.edges)
--- a/src/planner/quota_allocation.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -61,7 +61,7 @@
     bool any_falls = false;
     for (auto volume : of_edge_[edge]) {
         auto &holding = volumes_.at(volume).at(edge);
-        holding.bound = control::usable_millionths(holding.bound, 1, 1);
+        holding.bound = control::faded_millionths(holding.bound);
         any_falls |= holding.share > holding.bound;
         changed_.insert(volume);
     }
@@ -151,14 +151,15 @@
 }
 
 void QuotaAllocation::forget(VolumeId volume, EdgeId edge) {
-    told_.erase({volume, edge});
+    last_sent_.erase({volume, edge});
     of_edge_[edge].erase(volume);
     if (auto it = unacknowledged_.find(edge); it != unacknowledged_.end())
         it->second.erase(volume);
 }
 
 void QuotaAllocation::allocate(
-    Version version, const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &tell,
+    Version version,
+    const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &on_share_changed,
     const std::function<void(VolumeId, EdgeId, const Holding *)> &keep) {
     for (auto volume : std::exchange(changed_, {})) {
         auto it = volumes_.find(volume);
@@ -172,10 +173,10 @@
             if (holding.bound > holding.share)
                 unacknowledged_[edge].insert(volume);
             control::QuotaShare share{holding.share, holding.serves ? count : 0};
-            auto &told = told_[{volume, edge}];
-            if (told != share) {
-                told = share;
-                tell(volume, edge, share);
+            auto &last_sent = last_sent_[{volume, edge}];
+            if (last_sent != share) {
+                last_sent = share;
+                on_share_changed(volume, edge, share);
             }
             if (holding.serves || holding.bound > 0) {
                 keep(volume, edge, &holding);
--- a/src/planner/quota_allocation.hpp
+++ b/src/planner/quota_allocation.hpp
@@ -59,9 +59,10 @@
     /// \param version  the version that tells the new shares
     /// \param tell     called for each share that changes
     /// \param keep     called for each holding to be stored, or with null to be dropped
-    void allocate(Version version,
-                  const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &tell,
-                  const std::function<void(VolumeId, EdgeId, const Holding *)> &keep);
+    void allocate(
+        Version version,
+        const std::function<void(VolumeId, EdgeId, const control::QuotaShare &)> &on_share_changed,
+        const std::function<void(VolumeId, EdgeId, const Holding *)> &keep);
 
     /// What all edges together may go by.
     std::uint64_t bound(VolumeId volume) const;
@@ -86,7 +87,7 @@
     std::map<EdgeId, std::set<VolumeId>> unacknowledged_; // holdings whose bound is past the share
     std::set<VolumeId> changed_;
     std::set<EdgeId> lapsed_;
-    std::map<std::pair<VolumeId, EdgeId>, control::QuotaShare> told_;
+    std::map<std::pair<VolumeId, EdgeId>, control::QuotaShare> last_sent_;
     std::uint32_t unknown_bound_ = 0;
 };
 
--- a/src/planner/quota_manager.cpp
+++ b/src/planner/quota_manager.cpp
@@ -103,7 +103,7 @@
     if (recovery_until_ == 0)
         return;
     if (context_.now > recovery_until_ && !std::exchange(recovery_faded_, true))
-        allocation_.set_unknown_bound(control::usable_millionths(control::whole_limit, 1, 1));
+        allocation_.set_unknown_bound(control::faded_millionths(control::whole_limit));
     if (context_.now > recovery_until_ + leases_.fade()) {
         allocation_.set_unknown_bound(0);
         recovery_until_ = 0;
--- a/src/planner/receiver.cpp
+++ b/src/planner/receiver.cpp
@@ -55,7 +55,7 @@
 
 void Core::Receiver::handle(const control::Superseded &message) {
     if (expect(Role::edge, "another planner's term"))
-        core_.leadership_.met_other(message.term, "edge " + text(session_.edge));
+        core_.leadership_.observe_other_planner(message.term, "edge " + text(session_.edge));
 }
 
 void Core::Receiver::handle(const control::NodeHello &message) {
--- a/src/planner/snapshot_coordinator.cpp
+++ b/src/planner/snapshot_coordinator.cpp
@@ -8,15 +8,16 @@
 namespace knotvane::planner {
 namespace {
 
-// The longest that an edge holds writes back, by its own clock from when it hears. Far below any
-// client's patience, some hundred times a round trip between halls.
+// How long an edge holds writes at most, by its own clock from the order's arrival. Far below any
+// client timeout, some hundred round trips between sites.
 constexpr Time max_hold = 500 * ms;
 // An edge that does not hold by then is left out: its writes wait at the nodes until the snapshot
 // is sealed.
 constexpr Time ready_timeout = 100 * ms;
-// After this nodes have opened the snapshot or it ends: edges must hear to go on before they go on
-// by themselves.
+// From its begin until all nodes have opened the snapshot. Below max_hold by more than a round
+// trip: edges must get the order to resume before they resume by themselves.
 constexpr Time open_timeout = 400 * ms;
+// Edges acknowledge the order to resume by then.
 constexpr Time resume_timeout = sec;
 // Writes that began before end by then: longer than any client timeout in use.
 constexpr Time drain_timeout = 15 * sec;
@@ -298,8 +299,8 @@
 }
 
 void SnapshotCoordinator::node_connected(NodeId node, ShardId shard) {
-    for (const auto &[snapshot, shards_left] : taking_back_)
-        if (shards_left.contains(shard))
+    for (const auto &[snapshot, remaining_shards] : taking_back_)
+        if (remaining_shards.contains(shard))
             actions_.drop(node, snapshot);
 }
 
@@ -307,9 +308,9 @@
     for (auto it = taking_back_.begin(); it != taking_back_.end();) {
         std::erase_if(it->second, [&](ShardId shard) { return !shards.contains(shard); });
         const auto snapshot = it->first;
-        const bool is_over = it->second.empty();
-        it = is_over ? taking_back_.erase(it) : std::next(it);
-        if (is_over)
+        const bool is_complete = it->second.empty();
+        it = is_complete ? taking_back_.erase(it) : std::next(it);
+        if (is_complete)
             actions_.taken_back(snapshot);
     }
 }
--- a/src/planner/snapshot_operations.cpp
+++ b/src/planner/snapshot_operations.cpp
@@ -284,11 +284,11 @@
 
 void SnapshotOperations::settle() {
     coordinator_.tick(context_.now, connected_nodes());
-    std::vector<VolumeId> over;
+    std::vector<VolumeId> ended;
     for (const auto &[id, pending] : pending_)
         if (pending.failed || pending.completed)
-            over.push_back(id);
-    for (auto id : over)
+            ended.push_back(id);
+    for (auto id : ended)
         finish(id);
     diffs_.expire();
 }
--- a/src/planner/sqlite_state_store.cpp
+++ b/src/planner/sqlite_state_store.cpp
@@ -204,19 +204,19 @@
 }
 
 // Costs by what changes, not by all there is. Gives the checksum of all rows as they are then.
-std::uint64_t SqliteStateStore::write_changes(Checksums &kept) {
+std::uint64_t SqliteStateStore::write_changes(Checksums &new_checksums) {
     auto all_rows = all_rows_checksum_;
     for (const auto &[key, change] : changes_) {
         const auto &[row, first_id, second_id] = key;
         if (auto it = checksums_.find(key); it != checksums_.end())
             all_rows ^= it->second;
-        auto *statement = change.kept ? keep_row_ : drop_row_;
+        auto *statement = change.is_put ? keep_row_ : drop_row_;
         sqlite3_bind_int(statement, 1, static_cast<int>(row));
         bind(statement, 2, first_id);
         bind(statement, 3, second_id);
-        if (change.kept) {
+        if (change.is_put) {
             const auto sum = checksum(row, first_id, second_id, change.stamp, change.body);
-            kept[key] = sum;
+            new_checksums[key] = sum;
             all_rows ^= sum;
             bind(statement, 4, change.stamp.value);
             sqlite3_bind_blob(statement, 5, change.body.data(),
@@ -241,11 +241,11 @@
 }
 
 bool SqliteStateStore::commit(const StorePosition &position) {
-    Checksums kept;
+    Checksums new_checksums;
     std::uint64_t all_rows = 0;
     try {
         run("BEGIN");
-        all_rows = write_changes(kept);
+        all_rows = write_changes(new_checksums);
         write_position(position, all_rows);
         run("COMMIT");
     } catch (const std::exception &error) {
@@ -254,8 +254,8 @@
         return false;
     }
     for (const auto &[key, change] : changes_) {
-        if (change.kept)
-            checksums_[key] = kept.at(key);
+        if (change.is_put)
+            checksums_[key] = new_checksums.at(key);
         else
             checksums_.erase(key);
     }
--- a/src/planner/sqlite_state_store.hpp
+++ b/src/planner/sqlite_state_store.hpp
@@ -63,7 +63,7 @@
 
 private:
     struct Change {
-        bool kept = false; // else dropped
+        bool is_put = false; // else dropped
         Version stamp;
         std::string body;
     };
@@ -78,7 +78,7 @@
     void check_pages();
     void load_checksums();
     void load_position();
-    std::uint64_t write_changes(Checksums &kept);
+    std::uint64_t write_changes(Checksums &new_checksums);
     void write_position(const StorePosition &position, std::uint64_t all_rows);
     void step(sqlite3_stmt *statement);
 
--- a/src/planner/state_store.hpp
+++ b/src/planner/state_store.hpp
@@ -17,7 +17,7 @@
     Term term;                          ///< of the last planner that wrote; 0: none ever did
     std::uint64_t lineage = 0;          ///< of the store; versions of another can't be compared
     Version version;                    ///< of the cluster state
-    Version oldest_version;             ///< later ones can be told as changes
+    Version oldest_version;             ///< changes since this one can be sent
     std::uint64_t settings_version = 0; ///< of the settings that are in use
 };
 
@@ -31,8 +31,10 @@
         node = 2,         ///< node, 0: an encoded NodeUpdate
         quota_share = 3,  ///< edge, volume: share, bound, since, serves, lapsed
         drained_node = 4, ///< node, 0: drained by an operator; no body
-        desired_node = 5, ///< node, 0: an encoded NodeHello
-        incomplete = 6,   ///< snapshot or clone, its source: not whole; the body is the epoch
+        desired_node = 5, ///< node, 0: an encoded NodeHello; its incarnation is 1 if the
+                          ///< settings drain the node
+        incomplete = 6,   ///< snapshot or clone, its source: not complete, or to be dropped
+                          ///< at nodes; the body is the epoch, 0 for none
     };
 
     virtual ~StateStore() = default;
--- a/src/planner/status_report.cpp
+++ b/src/planner/status_report.cpp
@@ -34,7 +34,7 @@
     else if (desired.draining)
         order = "drain (settings)";
     const bool has_start = known && it->second.started > 0;
-    const bool was_heard = liveness && liveness->was_heard();
+    const bool has_registered = liveness && liveness->has_registered();
     return {{"id", id.value},
             {"shard", desired.shard.value},
             {"zone", desired.zone.value},
@@ -42,7 +42,7 @@
             {"word", order},
             {"address", known ? it->second.address : desired.address},
             {"age_ms", has_start ? (now - it->second.started) / ms : 0},
-            {"silent_ms", was_heard ? liveness->silent_for(now) / ms : -1},
+            {"silent_ms", has_registered ? liveness->silent_for(now) / ms : -1},
             {"out_of_reach_for", liveness ? liveness->unreachable_reports() : 0}};
 }
 
--- a/src/planner/update_sender.cpp
+++ b/src/planner/update_sender.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 // An update that is not acknowledged in this time is taken for lost. Well above a round trip
-// between halls.
+// between sites.
 constexpr Time acknowledgement_timeout = sec;
-// Updates past this count as long, and so many are under way at once: with 280 edges that ask for
-// all of 10,000 volumes together, the planner holds some megabytes, not hundreds.
+// Larger updates count as long; only max_long_updates of them may be unacknowledged at once. Bounds
+// the send buffers when all edges ask for the full state together.
 constexpr std::size_t long_update_bytes = 64 << 10;
 constexpr std::size_t max_long_updates = 8;
 
--- a/src/planner/versioned_state.hpp
+++ b/src/planner/versioned_state.hpp
@@ -60,10 +60,10 @@
     void restoring(Version stamp) { version_ = Version{stamp.value - 1}; }
 
     /// ...then this says where all stand.
-    /// \param oldest  the last version that dropped an entry: edges that hold an older one can't be
+    /// \param oldest  changes are known from this version on: edges that hold an older one can't be
     ///                told of that by changes
     void restore(Version version, Version oldest);
-    Version oldest_told() const { return std::max(oldest_, last_drop_); }
+    Version oldest_sent() const { return std::max(oldest_, last_drop_); }
 
     /// What an edge that holds `from` has missed, as messages.
     /// \param from  becomes 0 where the full state is told: it was 0, or from before what is
--- a/src/scheduling/budget_feedback.hpp
+++ b/src/scheduling/budget_feedback.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Budgets of a node's volumes: how the paper's feedback sets the next one from how the last was
+/// Budgets of a node's volumes: how the paper's (fair_queue.hpp) feedback sets the next one from how the last was
 /// used, and the service rate that bounds them.
 #pragma once
 
--- a/src/scheduling/config.hpp
+++ b/src/scheduling/config.hpp
@@ -69,7 +69,8 @@
 /// Attempts of one request.
 struct AttemptConfig {
     std::uint32_t max_attempts = 1;
-    /// Several attempts of one request may be in flight at once.
+    /// Several attempts of one request may be in flight at once. This scheduler makes no use of
+    /// it: a retry starts only after the last attempt completed.
     bool allow_parallel = false;
     /// Attempts of a request that has ended are canceled.
     bool cancel_abandoned = false;
--- a/src/scheduling/endpoint_list_poll.hpp
+++ b/src/scheduling/endpoint_list_poll.hpp
@@ -23,8 +23,8 @@
         retry_at_ = never;
     }
 
-    /// It couldn't be asked for: it is again in half a second to one and a half, not in step with
-    /// other schedulers, so that failing calls don't keep its source busy.
+    /// The request for the list failed. It is retried after a delay with jitter, so that schedulers
+    /// don't retry in step and keep the list's source busy.
     void failed(Time now, RandomGenerator &random);
 
     /// @return whether to ask for the list now.
--- a/src/scheduling/events.hpp
+++ b/src/scheduling/events.hpp
@@ -25,14 +25,14 @@
 
 /// How an attempt ended. Only overloaded, unreachable and not_sent prove that it was not executed.
 enum class AttemptOutcome {
-    answered,
-    error,
-    overloaded,
-    timed_out,
-    unreachable,
-    reset,
-    canceled,
-    not_sent
+    answered,    ///< The node executed it and answered.
+    error,       ///< The node or its response failed; it may have been executed.
+    overloaded,  ///< The node rejected it: not executed.
+    timed_out,   ///< No answer in time; it may still run.
+    unreachable, ///< No connection came up: not executed.
+    reset,       ///< The connection was lost after sending; it may still run.
+    canceled,    ///< The scheduler canceled it after sending; it may still run.
+    not_sent     ///< Nothing went out, or the node proved that it will never run.
 };
 
 /// A client's request.
--- a/src/scheduling/fair_queue.hpp
+++ b/src/scheduling/fair_queue.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The order of requests at one node: B-WF2Q+ over the budgets of its volumes (docs/design.md).
+/// The order of requests at one node: B-WF2Q+ over the budgets of its volumes, after "Improving
+/// Application Responsiveness with the BFQ Disk I/O Scheduler" (here: the paper; docs/design.md).
 #pragma once
 
 #include <compare>
--- a/src/scheduling/node_health.cpp
+++ b/src/scheduling/node_health.cpp
@@ -14,7 +14,7 @@
 // All schedulers have their slot within what a client waits.
 constexpr Time longest_trial_round = 2 * sec;
 
-// No process was seen back sooner.
+// A shorter silence is a pause, not a restart.
 constexpr Time shortest_restart = 2 * sec;
 
 // One lost connection is no sign: where the network drops some, most nodes would pass for new.
--- a/src/scheduling/overload_hold.hpp
+++ b/src/scheduling/overload_hold.hpp
@@ -9,13 +9,13 @@
 
 namespace knotvane::scheduling {
 
-/// A place at an overloaded node is free when something was done there: it gets nothing for the
-/// time that one request takes, and for twice as long each further time without an answer between,
-/// until all schedulers together send one in that time. Guards against a node that stays full of
+/// Exponential backoff of one node: after an overload it gets nothing for one request's expected
+/// time, doubled with each further overload until it answers, at most times the number of
+/// schedulers (then all together send one in that time). Guards against a node that stays full of
 /// work which is too late.
 class OverloadHold {
 public:
-    /// @param expected_duration of the request that was turned away.
+    /// @param expected_duration of the request that was rejected.
     void overloaded(Time now, Time expected_duration, std::uint32_t schedulers) {
         until_ = now + expected_duration * multiplier_;
         multiplier_ = std::min(multiplier_ * 2, schedulers);
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -20,7 +20,7 @@
     /// of these calls.
     /// @param timeout from now on; 0 leaves it to the owner.
     virtual void start_attempt(RequestId request, NodeId node, Time timeout) = 0;
-    /// Ends an attempt in flight; it completes as canceled or with what came before that.
+    /// Ends an attempt in flight. It completes as canceled, or with its outcome if that came first.
     virtual void cancel_attempt(RequestId request, AttemptId attempt) = 0;
     /// Answers the client that nothing was done and that it may ask again.
     virtual void reject(RequestId request, Time retry_after) = 0;
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -17,9 +17,9 @@
 // Nodes with attempts in flight and nothing waiting are looked at this often.
 constexpr Time in_flight_interval = 50 * ms;
 
-// What a volume requests is averaged over this time. Surges last longer; a volume with one request
-// in ten seconds shows in it at times.
-constexpr Time demand_window = 5 * sec;
+// Rates that weigh a volume against others are averaged over this: short enough to follow a surge
+// while it lasts.
+constexpr Time value_window = 5 * sec;
 
 SchedulerConfig with_defaults(SchedulerConfig config) {
     config.time_step = std::max(config.time_step, ms);
@@ -172,7 +172,7 @@
         SlowStart::request_enqueued(node.slow_start, now_, request.units);
         WindowedSum &requested = requested_[request.volume];
         requested.add(now_, request.units);
-        requested.since(now_ - demand_window);
+        requested.since(now_ - value_window);
     }
     QueueRank place = rank(request);
     node.queue.enqueue(request.volume, plans_.queue_weight(plans_.get(request.plan)), place);
@@ -256,7 +256,7 @@
         if (volume.requests.empty())
             continue;
         const Request &request = requests_.at(volume.requests.begin()->request);
-        double rate = requested_[id].since(now_ - demand_window) / seconds(demand_window);
+        double rate = requested_[id].since(now_ - value_window) / seconds(value_window);
         waiting_value += plans_.unit_value(plans_.get(request.plan),
                                            std::max(rate * request.sharers, least_rate));
     }
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -33,8 +33,8 @@
 ///                               units of its volume's limit     (quota_share)
 ///                               a node that is ready            (node_table, placement)
 ///                               enqueue
-///     settle -> dispatch        is the node alive?              (node_health)
-///                               what can't be in time goes      (load_shedding)
+///     settle -> dispatch        is the node responsive?         (node_health)
+///                               what can't be in time is shed   (load_shedding)
 ///                               the next of the node's volumes  (fair_queue, budget_feedback)
 ///                               may it be executed again?       (retry_policy, retry_budget)
 ///                               capacity at the node            (concurrency_window,
--- a/src/scheduling/slow_start.cpp
+++ b/src/scheduling/slow_start.cpp
@@ -6,8 +6,8 @@
 namespace knotvane::scheduling {
 namespace {
 
-// The time over which requested units are averaged. A volume with one request in ten seconds shows
-// in it; surges come and go.
+// The time over which requested units are averaged: long enough that a volume with one request in
+// ten seconds always shows.
 constexpr Time demand_window = 20 * sec;
 
 // The part of its share that a scheduler deals out by lot. The sum of lots swings: of N it leaves
@@ -39,7 +39,8 @@
 
 bool SlowStart::admits(NodeSlowStart &node, Time now, bool unresponsive, double units,
                        double lot) const {
-    // What an earlier process of this scheduler sent is forgotten: it is waited out.
+    // What an earlier process of this scheduler sent isn't known: nothing is sent until its window
+    // has passed. Nothing of this process could arrive a step later yet.
     if (now < started_at_ + config_.slow_start.window)
         return false;
     Time averaged = std::min(demand_window, now - started_at_);
