--- a/src/scheduling/budget_feedback.hpp
+++ b/src/scheduling/budget_feedback.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Budgets of a node's volumes: how the paper's (fair_queue.hpp) feedback sets the next one from how the last was
-/// used, and the service rate that bounds them.
+/// Budgets of a node's volumes: how the paper's (fair_queue.hpp) feedback sets the next one from
+/// how the last was used, and the service rate that bounds them.
 #pragma once
 
 #include "common/time.hpp"
