--- a/src/http_gateway/client_connections.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -317,7 +317,7 @@
     send(now, id, 502, "", "");
 }
 
-void ClientConnections::on_time(Time now) {
+void ClientConnections::handle_timeouts(Time now) {
     while (!due_.empty() && due_.begin()->first <= now) {
         auto id = due_.begin()->second;
         Client &client = clients_.at(id);
--- a/src/http_gateway/client_connections.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -86,12 +86,12 @@
     /// All connections.
     std::size_t count() const { return clients_.size(); }
 
-    /// When on_time is due next; the largest Time if nothing is.
+    /// When handle_timeouts is due next; the largest Time if nothing is.
     Time next_due() const {
         return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
     }
     /// Closes connections whose time is over.
-    void on_time(Time now);
+    void handle_timeouts(Time now);
 
 private:
     // Heads here are some hundred bytes; bodies 64 KiB at most, by the protocol.
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -211,11 +211,11 @@
                          .field("node", attempt.node.value)
                          .field("conn", attempt.connection.value)
                          .field("how", static_cast<int>(outcome))
-                         .span("at", attempt.started_at)
-                         .span("connected", since_start(attempt.connected_at))
-                         .span("written", since_start(attempt.sent_at))
-                         .span("first", since_start(attempt.first_byte_at))
-                         .span("over", now - attempt.started_at)
+                         .microseconds("at", attempt.started_at)
+                         .microseconds("connected", since_start(attempt.connected_at))
+                         .microseconds("written", since_start(attempt.sent_at))
+                         .microseconds("first", since_start(attempt.first_byte_at))
+                         .microseconds("over", now - attempt.started_at)
                          .text());
 }
 
@@ -318,7 +318,7 @@
         if (transport_.tracing())
             transport_.trace(TraceLine("stray")
                                  .field("conn", id.value)
-                                 .span("after", now - connection.idle_since)
+                                 .microseconds("after", now - connection.idle_since)
                                  .text());
         return close(id);
     }
@@ -357,7 +357,7 @@
     complete(now, key, outcome, std::move(body));
 }
 
-void ConnectionPool::on_time(Time now) {
+void ConnectionPool::handle_timeouts(Time now) {
     while (!due_.empty() && due_.begin()->first <= now) {
         auto id = due_.begin()->second;
         const Connection &connection = connections_.at(id);
--- a/src/http_gateway/connection_pool.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -100,12 +100,12 @@
     void disconnected(Time now, ConnectionId id, CloseReason reason);
     void sent(Time now, ConnectionId id, std::size_t bytes);
 
-    /// When on_time is due next; the largest Time if nothing is.
+    /// When handle_timeouts is due next; the largest Time if nothing is.
     Time next_due() const {
         return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
     }
     /// Ends connections and attempts whose time is over.
-    void on_time(Time now);
+    void handle_timeouts(Time now);
 
     std::size_t connection_count() const { return connections_.size(); }
     std::size_t attempts_in_flight() const { return attempts_.size(); }
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -129,9 +129,9 @@
     now_ = now;
     if (transport_.tracing())
         trace_counts(now);
-    clients_.on_time(now);
-    pool_.on_time(now);
-    discovery_.on_time(now);
+    clients_.handle_timeouts(now);
+    pool_.handle_timeouts(now);
+    discovery_.handle_timeouts(now);
 
     // A decision may end an attempt at once, of which the scheduler learns like of any other end; a
     // few rounds do.
@@ -162,12 +162,12 @@
 }
 
 void Core::shut_down(Time now) {
-    if (shutdown_.answers_end_connections(now))
+    if (shutdown_.closes_after_responses(now))
         clients_.close_after_responses();
-    if (shutdown_.idle_connections_end(now))
+    if (shutdown_.closes_idle_connections(now))
         clients_.close_idle(now);
-    stopped_ = shutdown_.answers_end_connections(now) && requests_by_client_.empty() &&
-               (clients_.count() == 0 || shutdown_.time_is_up(now));
+    stopped_ = shutdown_.closes_after_responses(now) && requests_by_client_.empty() &&
+               (clients_.count() == 0 || shutdown_.past_deadline(now));
 }
 
 /// Writes how late the loop came to what was due, and ten times a second the attempts that the
@@ -176,7 +176,7 @@
     constexpr Time min_lateness = 2 * ms;
     constexpr Time interval = 100 * ms;
     if (due_ != never && now - due_ > min_lateness)
-        transport_.trace(TraceLine("late").span("us", now - due_).text());
+        transport_.trace(TraceLine("late").microseconds("us", now - due_).text());
     if (now - counts_traced_at_ < interval)
         return;
     counts_traced_at_ = now;
@@ -205,7 +205,7 @@
         transport_.trace(TraceLine("told")
                              .field("request", id.value)
                              .field("attempt", attempt.key.attempt.value)
-                             .span("late", now - attempt.completed_at)
+                             .microseconds("late", now - attempt.completed_at)
                              .text());
     }
 
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -57,7 +57,9 @@
     /// @return why the list was refused; empty if it was not.
     std::string start(Time now, const std::string &known_endpoints, const std::string &discovery);
     /// Discovery is at this address from now on.
-    void discovery_at(Time now, const std::string &address) { discovery_.watch(now, address); }
+    void set_discovery_address(Time now, const std::string &address) {
+        discovery_.watch(now, address);
+    }
     /// Starts the graceful shutdown.
     void stop(Time now);
     /// Whether the shutdown is complete, as of the last call of settle.
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -307,7 +307,7 @@
     return due;
 }
 
-void Discovery::on_time(Time now) {
+void Discovery::handle_timeouts(Time now) {
     if (now >= known_list_due_)
         publish_known(now);
     if (current_ && current_->connected && current_->has_answered && now >= silent_at(*current_) &&
--- a/src/http_gateway/discovery.hpp
+++ b/src/http_gateway/discovery.hpp
@@ -63,9 +63,9 @@
     void received(Time now, ConnectionId id, std::string_view bytes);
     void disconnected(Time now, ConnectionId id);
 
-    /// When on_time is due next; the largest Time if nothing is.
+    /// When handle_timeouts is due next; the largest Time if nothing is.
     Time next_due() const;
-    void on_time(Time now);
+    void handle_timeouts(Time now);
 
     /// Whether any list was passed on.
     bool listed() const { return listed_; }
--- a/src/http_gateway/graceful_shutdown.cpp
+++ b/src/http_gateway/graceful_shutdown.cpp
@@ -32,18 +32,18 @@
     if (started_)
         return;
     started_ = true;
-    ends_at_ = now + std::min(max_client_timeout, max_counted_timeout) + kill_grace - kill_margin;
-    answers_end_at_ = std::max(ends_at_ - draining_time, now + connections_arrive);
-    ends_at_ = std::max(ends_at_, answers_end_at_ + draining_time);
-    idle_end_at_ = ends_at_ - idle_end_margin;
+    deadline_ = now + std::min(max_client_timeout, max_counted_timeout) + kill_grace - kill_margin;
+    closes_after_responses_at_ = std::max(deadline_ - draining_time, now + connections_arrive);
+    deadline_ = std::max(deadline_, closes_after_responses_at_ + draining_time);
+    closes_idle_at_ = deadline_ - idle_end_margin;
 }
 
 Time GracefulShutdown::limit_timeout(Time client_timeout) const {
-    return std::min(client_timeout, ends_at_);
+    return std::min(client_timeout, deadline_);
 }
 
 Time GracefulShutdown::next_due(Time now) const {
-    return started_ ? std::max(answers_end_at_, now + poll_interval) : never;
+    return started_ ? std::max(closes_after_responses_at_, now + poll_interval) : never;
 }
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/graceful_shutdown.hpp
+++ b/src/http_gateway/graceful_shutdown.hpp
@@ -22,14 +22,16 @@
     bool started() const { return started_; }
 
     /// Whether an answer is its connection's last from now on.
-    bool answers_end_connections(Time now) const { return started_ && now >= answers_end_at_; }
+    bool closes_after_responses(Time now) const {
+        return started_ && now >= closes_after_responses_at_;
+    }
 
     /// Whether connections without a request are to end. A client that sends a request across the
     /// end isn't reset: the request is read and not taken.
-    bool idle_connections_end(Time now) const { return started_ && now >= idle_end_at_; }
+    bool closes_idle_connections(Time now) const { return started_ && now >= closes_idle_at_; }
 
     /// Whether the process may end with connections still open.
-    bool time_is_up(Time now) const { return started_ && now >= ends_at_; }
+    bool past_deadline(Time now) const { return started_ && now >= deadline_; }
 
     /// Returns a client's timeout, cut to the time in which this process still answers.
     Time limit_timeout(Time client_timeout) const;
@@ -41,9 +43,9 @@
     static constexpr Time never = std::numeric_limits<Time>::max();
 
     bool started_ = false;
-    Time answers_end_at_ = never;
-    Time idle_end_at_ = never;
-    Time ends_at_ = never;
+    Time closes_after_responses_at_ = never;
+    Time closes_idle_at_ = never;
+    Time deadline_ = never;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -105,7 +105,7 @@
         if (!error.empty())
             throw scheduler_setup::MalformedInput(error);
         Config config(text);
-        core_->discovery_at(loop::now(), config.discovery_address());
+        core_->set_discovery_address(loop::now(), config.discovery_address());
         log::line(log::info, "configuration read again",
                   {{"discovery", config.discovery_address()}});
     } catch (const scheduler_setup::MalformedInput &malformed) {
--- a/src/http_gateway/trace_line.hpp
+++ b/src/http_gateway/trace_line.hpp
@@ -30,10 +30,10 @@
     }
 
     /// Appends a span in whole microseconds.
-    TraceLine &span(std::string_view name, Time span) { return field(name, span / us); }
+    TraceLine &microseconds(std::string_view name, Time span) { return field(name, span / us); }
 
     /// Appends a span in whole microseconds, or a dash.
-    TraceLine &span(std::string_view name, std::optional<Time> span) {
+    TraceLine &microseconds(std::string_view name, std::optional<Time> span) {
         return span ? field(name, *span / us) : field(name, "-");
     }
 
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -15,11 +15,11 @@
     std::string_view in(reinterpret_cast<const char *>(data + 2), size - 2);
     TestGateway gateway;
     auto from = data[1] % 3 == 0 ? *gateway.core.client_connected(gateway.now) : ConnectionId{};
-    auto asked = gateway.client(read_of("good"));
+    auto asked = gateway.connect_client(read_request("good"));
     if (data[1] % 3 == 1)
-        from = gateway.node();
+        from = gateway.connect_node();
     if (data[1] % 3 == 2)
-        gateway.core.connected(gateway.now, from = gateway.transport.to("d1"));
+        gateway.core.connected(gateway.now, from = gateway.transport.connection_to("d1"));
     for (std::size_t at = 0; at < in.size() && !gateway.transport.closed.contains(from);
          at += piece) {
         gateway.core.received(gateway.now, from, in.substr(at, piece));
--- a/tests/fuzz/run_http_fixed.cpp
+++ b/tests/fuzz/run_http_fixed.cpp
@@ -11,14 +11,14 @@
 int main() {
     using namespace knotvane::http_gateway;
     const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    auto list = list_of(42, node_entry("s1", "n1", 5)) + "\n";
+    auto list = endpoint_list_json(42, endpoint_json("s1", "n1", 5)) + "\n";
     char length[16];
     std::snprintf(length, sizeof length, "%zx\r\n", list.size());
     std::string seeds[3][2] = {
-        {read_of("t1") + write_of("t2", "body"),
+        {read_request("t1") + write_request("t2", "body"),
          "PUT /write HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"},
-        {reply(200, "the body"), chunked + "3\r\nabc\r\n0\r\n\r\n"},
-        {chunked + length + list + "\r\n1\r\n\n\r\n", reply(200, list)}};
+        {http_response(200, "the body"), chunked + "3\r\nabc\r\n0\r\n\r\n"},
+        {chunked + length + list + "\r\n1\r\n\n\r\n", http_response(200, list)}};
     std::ranlux24_base chance(1);
     int runs = 4000;
     for (int i = 0; i < runs; ++i) {
--- a/tests/http_gateway/discovery_test.cpp
+++ b/tests/http_gateway/discovery_test.cpp
@@ -11,18 +11,18 @@
 
 // Whether a request goes to that address now.
 bool goes_to(TestGateway &gateway, const std::string &trace, const std::string &address) {
-    gateway.client(read_of(trace));
-    return gateway.transport.to(address).value != 0;
+    gateway.connect_client(read_request(trace));
+    return gateway.transport.connection_to(address).value != 0;
 }
 std::string leaving() {
-    return node_entry("s1", "n1", 5, "leaving");
+    return endpoint_json("s1", "n1", 5, "leaving");
 }
 std::string moved() {
-    return list_of(42, node_entry("s1", "n9", 5), false);
+    return endpoint_list_json(42, endpoint_json("s1", "n9", 5), false);
 }
 // An agent that answers on the connection made last.
 void speaks(TestGateway &gateway, const std::string &address, const std::string &bytes) {
-    auto d = gateway.transport.to(address);
+    auto d = gateway.transport.connection_to(address);
     gateway.core.connected(gateway.now, d);
     gateway.settle();
     gateway.core.received(gateway.now, d, bytes);
@@ -30,8 +30,8 @@
 }
 // Steps on as the loop does; the watch made last never comes up. Tells when one more was made.
 Time until_dialled(TestGateway &gateway, Time most) {
-    auto begun = gateway.now, d = static_cast<Time>(gateway.transport.connected.size());
-    while (gateway.transport.connected.size() == static_cast<std::size_t>(d) &&
+    auto begun = gateway.now, d = static_cast<Time>(gateway.transport.connect_calls.size());
+    while (gateway.transport.connect_calls.size() == static_cast<std::size_t>(d) &&
            gateway.now < begun + most)
         gateway.settle(5 * ms);
     return gateway.now - begun;
@@ -48,16 +48,15 @@
             "\"instanceId\": "
             "\"s1\",\n \"hostPort\": \"n\\u0039\", \"zone\": \"a\", \"cell\": 5,\n \"lifecycle\": "
             "\"active\", \"startedAtMs\": 0\n    }\n  ]\n}\n";
-        const std::string in =
-            TestGateway::chunk(list.substr(0, 18)) + TestGateway::chunk(list.substr(18));
+        const std::string in = http_chunk(list.substr(0, 18)) + http_chunk(list.substr(18));
         for (std::size_t cut = 1; cut < in.size(); cut += 3) {
             TestGateway gateway;
-            auto d = gateway.transport.to("d1");
+            auto d = gateway.transport.connection_to("d1");
             gateway.core.received(gateway.now, d, in.substr(0, cut));
             gateway.settle();
             gateway.core.received(gateway.now, d, in.substr(cut));
             gateway.settle();
-            REQUIRE(gateway.transport.said.empty());
+            REQUIRE(gateway.transport.logged_events.empty());
             REQUIRE(goes_to(gateway, "t1", "n9"));
         }
     }
@@ -65,25 +64,26 @@
               "opened again") {
         for (bool length : {true, false}) {
             TestGateway gateway;
-            gateway.core.disconnected(gateway.now, gateway.transport.to("d1"), CloseReason::reset);
+            gateway.core.disconnected(gateway.now, gateway.transport.connection_to("d1"),
+                                      CloseReason::reset);
             gateway.settle(60 * ms);
             gateway.settle();
             speaks(gateway, "d1",
-                   length ? reply(200, moved()) : "HTTP/1.1 200 OK\r\n\r\n" + moved());
+                   length ? http_response(200, moved()) : "HTTP/1.1 200 OK\r\n\r\n" + moved());
             if (!length)
-                gateway.gone(gateway.transport.to("d1"));
+                gateway.disconnect(gateway.transport.connection_to("d1"));
             CHECK(goes_to(gateway, "t1", "n9"));
         }
     }
     TEST_CASE("a node that a late whole list leaves out is gone; one of an older generation "
               "changes nothing") {
         TestGateway gateway;
-        gateway.list(list_of(42, node_entry("s2", "n2", 6)));
-        auto client = gateway.client(read_of("t1"));
+        gateway.send_endpoint_list(endpoint_list_json(42, endpoint_json("s2", "n2", 6)));
+        auto client = gateway.connect_client(read_request("t1"));
         gateway.settle(200 * ms);
-        CHECK(gateway.transport.to("n1").value == 0);
+        CHECK(gateway.transport.connection_to("n1").value == 0);
         CHECK(gateway.transport.sent[client].starts_with("HTTP/1.1 503 "));
-        gateway.list(list_of(41, node_entry("s1", "n1", 5)));
+        gateway.send_endpoint_list(endpoint_list_json(41, endpoint_json("s1", "n1", 5)));
         CHECK(!goes_to(gateway, "t2", "n1"));
     }
 }
@@ -101,25 +101,26 @@
             CHECK(gateway.now - silent <= 3005 * ms);
             for (int fails = 0; fails < 3; ++fails) {
                 if (up)
-                    gateway.core.connected(gateway.now, gateway.transport.to("d1"));
+                    gateway.core.connected(gateway.now, gateway.transport.connection_to("d1"));
                 until_dialled(gateway, 10 * sec);
             }
             CHECK(gateway.now - silent < 5500 * ms);
             speaks(gateway, "d1",
-                   watch_head + TestGateway::chunk(list_of(42, leaving(), false) + "\n"));
-            auto node = gateway.client(read_of("t1"));
+                   watch_response_head +
+                       http_chunk(endpoint_list_json(42, leaving(), false) + "\n"));
+            auto node = gateway.connect_client(read_request("t1"));
             gateway.settle(200 * ms);
-            CHECK(gateway.transport.to("n1").value == 0);
+            CHECK(gateway.transport.connection_to("n1").value == 0);
             CHECK(gateway.transport.sent[node].starts_with("HTTP/1.1 503 "));
         }
     }
     TEST_CASE(
         "silent, then it speaks before the new one does: it tells on, and the new one is let go") {
         TestGateway gateway;
-        auto first = gateway.transport.to("d1");
+        auto first = gateway.transport.connection_to("d1");
         until_dialled(gateway, 10 * sec);
-        auto beside = gateway.transport.to("d1");
-        gateway.core.received(gateway.now, first, TestGateway::chunk(moved() + "\n"));
+        auto beside = gateway.transport.connection_to("d1");
+        gateway.core.received(gateway.now, first, http_chunk(moved() + "\n"));
         CHECK(gateway.transport.closed.contains(beside));
         CHECK(!gateway.transport.closed.contains(first));
         CHECK(goes_to(gateway, "t1", "n9"));
@@ -131,18 +132,18 @@
     TEST_CASE("bytes that bring nothing to an end are no life: an object that trickles, or a head "
               "without a body") {
         TestGateway gateway;
-        auto d = gateway.transport.to("d1"), begun = d;
+        auto d = gateway.transport.connection_to("d1"), begun = d;
         Time since = gateway.now;
-        gateway.core.received(gateway.now, d, TestGateway::chunk("{\"generation\":4"));
-        while (gateway.transport.to("d1") == begun && gateway.now < since + 10 * sec) {
+        gateway.core.received(gateway.now, d, http_chunk("{\"generation\":4"));
+        while (gateway.transport.connection_to("d1") == begun && gateway.now < since + 10 * sec) {
             gateway.settle(100 * ms);
-            gateway.core.received(gateway.now, d, TestGateway::chunk("2"));
+            gateway.core.received(gateway.now, d, http_chunk("2"));
         }
         CHECK(gateway.now - since <= 3200 * ms);
     }
     // Ends the call that was made last in the way that `how` names.
     void fail_call(TestGateway & gateway, const std::string &how) {
-        auto call = gateway.transport.to("d1");
+        auto call = gateway.transport.connection_to("d1");
         auto &core = gateway.core;
         if (how == "refused")
             return core.connect_failed(gateway.now, call);
@@ -155,9 +156,9 @@
         if (how == "noise")
             bytes = "\x01\x02\r\n\r\n";
         else if (how == "endless")
-            bytes = watch_head + TestGateway::chunk("{\"a\":\"" + std::string(5 << 20, 'a'));
+            bytes = watch_response_head + http_chunk("{\"a\":\"" + std::string(5 << 20, 'a'));
         else
-            bytes = reply(std::stoi(how), "");
+            bytes = http_response(std::stoi(how), "");
         core.received(gateway.now, call, bytes);
     }
     TEST_CASE(
@@ -165,7 +166,7 @@
         for (std::string how : {"reset", "ended", "refused", "429", "302", "noise", "endless"}) {
             CAPTURE(how);
             TestGateway gateway;
-            auto d = gateway.transport.to("d1");
+            auto d = gateway.transport.connection_to("d1");
             gateway.core.disconnected(
                 gateway.now, d, how == "ended" ? CloseReason::end_of_stream : CloseReason::reset);
             Time since = gateway.now;
@@ -184,31 +185,32 @@
               "spread, waits are borne") {
         const std::string shared = "RegistryMode=on_request\nRules.AskWithinS=10\n";
         TestGateway gateway(shared);
-        auto d = gateway.transport.to("d1");
+        auto d = gateway.transport.connection_to("d1");
         gateway.core.disconnected(gateway.now, d, CloseReason::reset);
         Time since = gateway.now;
         int calls = 0;
         while (gateway.now < since + 20 * sec) {
             until_dialled(gateway, 10 * sec);
             ++calls;
-            gateway.core.connected(gateway.now, gateway.transport.to("d1"));
-            gateway.core.received(gateway.now, gateway.transport.to("d1"), reply(429, ""));
+            gateway.core.connected(gateway.now, gateway.transport.connection_to("d1"));
+            gateway.core.received(gateway.now, gateway.transport.connection_to("d1"),
+                                  http_response(429, ""));
         }
         CHECK(calls <= 20); // 4 s apart at most, 2 s in the mean
         CHECK(calls >= 5);
         until_dialled(gateway, 10 * sec);
-        auto waits = gateway.transport.to("d1");
+        auto waits = gateway.transport.connection_to("d1");
         gateway.core.connected(gateway.now, waits);
         gateway.settle(2400 * ms); // it waits in turn there: asking again would cost one more call
-        CHECK(gateway.transport.to("d1") == waits);
+        CHECK(gateway.transport.connection_to("d1") == waits);
         std::set<Time> firsts;
         for (std::uint64_t seed = 0; seed < 8; ++seed) {
             RecordingTransport transport;
             Core core(
                 transport, [](SchedulerActions &a) { return make_scheduler(a, 7); },
                 core_config(settings_text() + shared, seed));
-            core.start(1000 * sec, list_of(41, node_entry("s1", "n1", 5)), "d1");
-            CHECK(transport.connected.empty());
+            core.start(1000 * sec, endpoint_list_json(41, endpoint_json("s1", "n1", 5)), "d1");
+            CHECK(transport.connect_calls.empty());
             firsts.insert(core.next_due());
         }
         CHECK(firsts.size() == 8);
@@ -221,27 +223,28 @@
     TEST_CASE("while a list is half read: the old watch's rest counts, the new one takes over once "
               "it speaks") {
         TestGateway gateway;
-        auto old = gateway.transport.to("d1");
+        auto old = gateway.transport.connection_to("d1");
         auto list = moved() + "\n";
-        gateway.core.received(gateway.now, old, TestGateway::chunk(list.substr(0, 40)));
-        gateway.core.discovery_at(gateway.now, "d2");
-        gateway.core.received(gateway.now, old, TestGateway::chunk(list.substr(40)));
+        gateway.core.received(gateway.now, old, http_chunk(list.substr(0, 40)));
+        gateway.core.set_discovery_address(gateway.now, "d2");
+        gateway.core.received(gateway.now, old, http_chunk(list.substr(40)));
         gateway.settle();
         CHECK(goes_to(gateway, "t1", "n9"));
-        speaks(gateway, "d2", watch_head + TestGateway::chunk("\n"));
-        CHECK(has(gateway.transport.sent[gateway.transport.to("d2")], "index=42 "));
+        speaks(gateway, "d2", watch_response_head + http_chunk("\n"));
+        CHECK(contains(gateway.transport.sent[gateway.transport.connection_to("d2")], "index=42 "));
         CHECK(gateway.transport.closed.contains(old));
     }
     TEST_CASE("a drain told by both, in either order, counts once and stays") {
         for (bool old_first : {true, false}) {
             TestGateway gateway;
-            auto old = gateway.transport.to("d1");
-            gateway.core.discovery_at(gateway.now, "d2");
-            gateway.core.connected(gateway.now, gateway.transport.to("d2"));
-            auto drain = TestGateway::chunk(list_of(42, leaving(), false) + "\n");
+            auto old = gateway.transport.connection_to("d1");
+            gateway.core.set_discovery_address(gateway.now, "d2");
+            gateway.core.connected(gateway.now, gateway.transport.connection_to("d2"));
+            auto drain = http_chunk(endpoint_list_json(42, leaving(), false) + "\n");
             if (old_first)
                 gateway.core.received(gateway.now, old, drain);
-            gateway.core.received(gateway.now, gateway.transport.to("d2"), watch_head + drain);
+            gateway.core.received(gateway.now, gateway.transport.connection_to("d2"),
+                                  watch_response_head + drain);
             if (!old_first)
                 gateway.core.received(gateway.now, old, drain); // it is let go already
             gateway.settle();
@@ -251,51 +254,51 @@
     TEST_CASE("the same address, twice, back again, one that is not up: the standing watch tells "
               "until another speaks") {
         TestGateway gateway;
-        auto d = gateway.transport.to("d1");
-        gateway.core.discovery_at(gateway.now, "d1");
-        CHECK(gateway.transport.to("d1") == d);
-        gateway.core.discovery_at(gateway.now, "d2");
-        gateway.core.discovery_at(gateway.now, "d3");
-        CHECK(gateway.transport.closed.contains(gateway.transport.to("d2")));
+        auto d = gateway.transport.connection_to("d1");
+        gateway.core.set_discovery_address(gateway.now, "d1");
+        CHECK(gateway.transport.connection_to("d1") == d);
+        gateway.core.set_discovery_address(gateway.now, "d2");
+        gateway.core.set_discovery_address(gateway.now, "d3");
+        CHECK(gateway.transport.closed.contains(gateway.transport.connection_to("d2")));
         for (int i = 0; i < 5; ++i) {
-            gateway.core.connect_failed(gateway.now, gateway.transport.to("d3"));
+            gateway.core.connect_failed(gateway.now, gateway.transport.connection_to("d3"));
             gateway.settle(200 * ms);
         }
         CHECK(!gateway.transport.closed.contains(d));
-        gateway.list(list_of(42, node_entry("s1", "n9", 5), false));
+        gateway.send_endpoint_list(endpoint_list_json(42, endpoint_json("s1", "n9", 5), false));
         CHECK(goes_to(gateway, "t1", "n9"));
-        gateway.core.discovery_at(gateway.now, "d1");
-        CHECK(gateway.transport.closed.contains(gateway.transport.to("d3")));
-        CHECK(gateway.transport.to("d1") == d);
+        gateway.core.set_discovery_address(gateway.now, "d1");
+        CHECK(gateway.transport.closed.contains(gateway.transport.connection_to("d3")));
+        CHECK(gateway.transport.connection_to("d1") == d);
     }
     TEST_CASE("the old one ends before the new one is up: only the new one is asked, until it is") {
         TestGateway gateway;
-        gateway.core.discovery_at(gateway.now, "d2");
-        gateway.core.disconnected(gateway.now, gateway.transport.to("d1"),
+        gateway.core.set_discovery_address(gateway.now, "d2");
+        gateway.core.disconnected(gateway.now, gateway.transport.connection_to("d1"),
                                   CloseReason::end_of_stream);
-        auto dials = gateway.transport.connected.size();
-        gateway.core.connect_failed(gateway.now, gateway.transport.to("d2"));
+        auto dials = gateway.transport.connect_calls.size();
+        gateway.core.connect_failed(gateway.now, gateway.transport.connection_to("d2"));
         gateway.settle(200 * ms);
-        CHECK(gateway.transport.connected.size() == dials + 1);
-        speaks(gateway, "d2", watch_head + TestGateway::chunk(moved() + "\n"));
+        CHECK(gateway.transport.connect_calls.size() == dials + 1);
+        speaks(gateway, "d2", watch_response_head + http_chunk(moved() + "\n"));
         CHECK(goes_to(gateway, "t1", "n9"));
     }
     TEST_CASE("an agent that is behind is passed over; one that stays behind for 12 s was made "
               "anew and counts") {
         TestGateway gateway;
-        gateway.list(list_of(42, leaving(), false));
-        gateway.core.discovery_at(gateway.now, "d2");
-        auto behind = TestGateway::chunk(list_of(3, node_entry("s1", "n1", 5)) + "\n");
-        speaks(gateway, "d2", watch_head + behind);
+        gateway.send_endpoint_list(endpoint_list_json(42, leaving(), false));
+        gateway.core.set_discovery_address(gateway.now, "d2");
+        auto behind = http_chunk(endpoint_list_json(3, endpoint_json("s1", "n1", 5)) + "\n");
+        speaks(gateway, "d2", watch_response_head + behind);
         CHECK(!goes_to(gateway, "t1", "n1"));
         for (int i = 0; i < 13; ++i) {
             gateway.settle(sec);
-            gateway.core.received(gateway.now, gateway.transport.to("d2"), behind);
+            gateway.core.received(gateway.now, gateway.transport.connection_to("d2"), behind);
         }
         gateway.settle(200 * ms);
         gateway.settle();
-        speaks(gateway, "d2", watch_head + behind);
-        CHECK(has(gateway.transport.sent[gateway.transport.to("d2")], "index=0 "));
+        speaks(gateway, "d2", watch_response_head + behind);
+        CHECK(contains(gateway.transport.sent[gateway.transport.connection_to("d2")], "index=0 "));
         CHECK(goes_to(gateway, "t2", "n1"));
     }
 }
@@ -319,38 +322,39 @@
             return transport.sent[client].starts_with("HTTP/1.1 200 ");
         }
         void hears(const std::string &list) {
-            core.connected(now, transport.to("d1"));
-            core.received(now, transport.to("d1"), watch_head + TestGateway::chunk(list + "\n"));
+            core.connected(now, transport.connection_to("d1"));
+            core.received(now, transport.connection_to("d1"),
+                          watch_response_head + http_chunk(list + "\n"));
             core.settle(now);
         }
     };
-    const std::string known = list_of(41, node_entry("s1", "n1", 5));
+    const std::string known = endpoint_list_json(41, endpoint_json("s1", "n1", 5));
     // What the agent has counts as told from the first moment; the list that was given may be old.
     TEST_CASE("it goes by no list before the agent's first word, which counts together with the "
               "list it was given") {
         Fresh gateway(known);
         CHECK(!gateway.ready());
         auto client = *gateway.core.client_connected(gateway.now);
-        gateway.core.received(gateway.now, client, read_of("t1"));
+        gateway.core.received(gateway.now, client, read_request("t1"));
         gateway.core.settle(gateway.now);
-        CHECK(gateway.transport.to("n1").value == 0);
-        gateway.hears(list_of(42, leaving(), false));
+        CHECK(gateway.transport.connection_to("n1").value == 0);
+        gateway.hears(endpoint_list_json(42, leaving(), false));
         CHECK(gateway.ready());
-        CHECK(gateway.transport.to("n1").value == 0);
+        CHECK(gateway.transport.connection_to("n1").value == 0);
         Fresh other_gateway(known);
-        other_gateway.hears(list_of(41, "", false)); // nothing has changed
+        other_gateway.hears(endpoint_list_json(41, "", false)); // nothing has changed
         CHECK(other_gateway.ready());
         client = *other_gateway.core.client_connected(other_gateway.now);
-        other_gateway.core.received(other_gateway.now, client, read_of("t1"));
+        other_gateway.core.received(other_gateway.now, client, read_request("t1"));
         other_gateway.core.settle(other_gateway.now);
-        CHECK(other_gateway.transport.to("n1").value != 0);
+        CHECK(other_gateway.transport.connection_to("n1").value != 0);
         Fresh h(known);
-        h.hears(list_of(50, node_entry("s2", "n2", 5)));
+        h.hears(endpoint_list_json(50, endpoint_json("s2", "n2", 5)));
         client = *h.core.client_connected(h.now);
-        h.core.received(h.now, client, read_of("t1"));
+        h.core.received(h.now, client, read_request("t1"));
         h.core.settle(h.now);
-        CHECK(h.transport.to("n1").value == 0);
-        CHECK(h.transport.to("n2").value != 0);
+        CHECK(h.transport.connection_to("n1").value == 0);
+        CHECK(h.transport.connection_to("n2").value != 0);
     }
     TEST_CASE(
         "while discovery is down it is ready after 2 s, by the list it was given, and asks on") {
@@ -360,20 +364,20 @@
         CHECK(!gateway.ready());
         gateway.core.settle(gateway.now += 5 * ms);
         CHECK(gateway.ready());
-        CHECK(gateway.transport.connected.size() > 5);
-        for (auto calls = gateway.transport.connected.size();
-             gateway.transport.connected.size() == calls;)
+        CHECK(gateway.transport.connect_calls.size() > 5);
+        for (auto calls = gateway.transport.connect_calls.size();
+             gateway.transport.connect_calls.size() == calls;)
             gateway.core.settle(gateway.now += 5 * ms);
-        gateway.hears(list_of(42, node_entry("s1", "n9", 5), false));
+        gateway.hears(endpoint_list_json(42, endpoint_json("s1", "n9", 5), false));
         auto client = *gateway.core.client_connected(gateway.now);
-        gateway.core.received(gateway.now, client, read_of("t1"));
+        gateway.core.received(gateway.now, client, read_request("t1"));
         gateway.core.settle(gateway.now);
-        CHECK(gateway.transport.to("n9").value != 0);
+        CHECK(gateway.transport.connection_to("n9").value != 0);
     }
     TEST_CASE("a list given at the start that can't be read is told and passed over") {
         Fresh gateway("{\"generation\":1}");
         CHECK(!gateway.ready());
-        gateway.hears(list_of(7, node_entry("s1", "n1", 5)));
+        gateway.hears(endpoint_list_json(7, endpoint_json("s1", "n1", 5)));
         CHECK(gateway.ready());
     }
 }
--- a/tests/http_gateway/graceful_shutdown_test.cpp
+++ b/tests/http_gateway/graceful_shutdown_test.cpp
@@ -16,9 +16,9 @@
 TEST_CASE("before a stop nothing ends and no timeout is cut") {
     GracefulShutdown shutdown;
     CHECK(!shutdown.started());
-    CHECK(!shutdown.answers_end_connections(stop));
-    CHECK(!shutdown.idle_connections_end(stop));
-    CHECK(!shutdown.time_is_up(stop));
+    CHECK(!shutdown.closes_after_responses(stop));
+    CHECK(!shutdown.closes_idle_connections(stop));
+    CHECK(!shutdown.past_deadline(stop));
     CHECK(shutdown.limit_timeout(stop) == stop);
     CHECK(shutdown.next_due(stop) == std::numeric_limits<Time>::max());
 }
@@ -29,12 +29,12 @@
     "answers end connections, then idle ones end, then the process, before it may be killed") {
     GracefulShutdown shutdown;
     shutdown.start(stop, 1500 * ms);
-    CHECK(!shutdown.answers_end_connections(stop + 1399 * ms));
-    CHECK(shutdown.answers_end_connections(stop + 1400 * ms));
-    CHECK(!shutdown.idle_connections_end(stop + 1699 * ms));
-    CHECK(shutdown.idle_connections_end(stop + 1700 * ms));
-    CHECK(!shutdown.time_is_up(stop + 1899 * ms));
-    CHECK(shutdown.time_is_up(stop + 1900 * ms));
+    CHECK(!shutdown.closes_after_responses(stop + 1399 * ms));
+    CHECK(shutdown.closes_after_responses(stop + 1400 * ms));
+    CHECK(!shutdown.closes_idle_connections(stop + 1699 * ms));
+    CHECK(shutdown.closes_idle_connections(stop + 1700 * ms));
+    CHECK(!shutdown.past_deadline(stop + 1899 * ms));
+    CHECK(shutdown.past_deadline(stop + 1900 * ms));
     CHECK(shutdown.limit_timeout(stop + 5 * sec) == stop + 1900 * ms);
     CHECK(shutdown.next_due(stop) == stop + 1400 * ms);
     CHECK(shutdown.next_due(stop + 1400 * ms) == stop + 1420 * ms);
@@ -44,19 +44,19 @@
     GracefulShutdown shutdown;
     shutdown.start(stop, 1500 * ms);
     shutdown.start(stop + 400 * ms, 1500 * ms);
-    CHECK(shutdown.time_is_up(stop + 1900 * ms));
+    CHECK(shutdown.past_deadline(stop + 1900 * ms));
 }
 
 TEST_CASE(
     "of the longest client timeout 3 s count; connections that still arrive have their time") {
     GracefulShutdown longest;
     longest.start(stop, 60 * sec);
-    CHECK(!longest.time_is_up(stop + 3399 * ms));
-    CHECK(longest.time_is_up(stop + 3400 * ms));
+    CHECK(!longest.past_deadline(stop + 3399 * ms));
+    CHECK(longest.past_deadline(stop + 3400 * ms));
     GracefulShutdown shortest;
     shortest.start(stop, 100 * ms);
-    CHECK(!shortest.answers_end_connections(stop + 499 * ms));
-    CHECK(shortest.answers_end_connections(stop + 500 * ms));
-    CHECK(!shortest.time_is_up(stop + 999 * ms));
-    CHECK(shortest.time_is_up(stop + 1000 * ms));
+    CHECK(!shortest.closes_after_responses(stop + 499 * ms));
+    CHECK(shortest.closes_after_responses(stop + 500 * ms));
+    CHECK(!shortest.past_deadline(stop + 999 * ms));
+    CHECK(shortest.past_deadline(stop + 1000 * ms));
 }
--- a/tests/http_gateway/helpers.hpp
+++ b/tests/http_gateway/helpers.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// What the gateway's tests share: a transport that records, requests and responses as text, a
-/// gateway whose events are made by hand, and one on loopback sockets between scripted peers.
+/// Shared by the gateway's tests: a transport that records the core's calls, requests and responses
+/// as text, a gateway whose events the test makes by hand, and a gateway on loopback sockets
+/// between scripted peers.
 #pragma once
 
 #include <arpa/inet.h>
@@ -29,73 +30,77 @@
 
 namespace knotvane::http_gateway {
 
-inline bool has(const std::string &text, const std::string &part) {
+inline bool contains(const std::string &text, const std::string &part) {
     return text.find(part) != std::string::npos;
 }
 
-/// A transport that records what it is asked for.
+/// A transport that records the core's calls and does nothing else.
 struct RecordingTransport final : Transport {
-    std::vector<std::pair<ConnectionId, std::string>> connected;
+    /// The calls of connect, in order: the connection and the address.
+    std::vector<std::pair<ConnectionId, std::string>> connect_calls;
+    /// All bytes sent on each connection.
     std::map<ConnectionId, std::string> sent;
-    /// Bytes sent that the core wasn't told of as written.
-    std::map<ConnectionId, std::size_t> unwritten;
-    /// Our side has ended, whether or not the other one may still be read.
+    /// Sent bytes that were not yet reported to the core as written.
+    std::map<ConnectionId, std::size_t> unwritten_bytes;
+    /// Connections that the core has closed, fully or only for sending.
     std::set<ConnectionId> closed;
-    /// Of these, those whose other side may still be read.
-    std::set<ConnectionId> shutting;
-    std::vector<std::string> said;
-    /// The connection to a node that was sent something last.
-    ConnectionId asked{};
+    /// Those of `closed` that are closed only for sending: the peer's bytes are still received.
+    std::set<ConnectionId> half_closed;
+    std::vector<std::string> logged_events;
+    /// The connection to a node on which the core sent something last.
+    ConnectionId last_request_connection{};
 
     void connect(ConnectionId id, const std::string &address) override {
-        connected.emplace_back(id, address);
+        connect_calls.emplace_back(id, address);
     }
     void send(ConnectionId id, std::string bytes) override {
-        unwritten[id] += bytes.size();
+        unwritten_bytes[id] += bytes.size();
         sent[id] += bytes;
         if (address_of(id).starts_with('n'))
-            asked = id;
+            last_request_connection = id;
     }
     void close(ConnectionId id) override {
         closed.insert(id);
-        shutting.erase(id);
+        half_closed.erase(id);
     }
     void finish_sending(ConnectionId id) override {
         closed.insert(id);
-        shutting.insert(id);
+        half_closed.insert(id);
     }
-    void log_event(const std::string &text) override { said.push_back(text); }
+    void log_event(const std::string &text) override { logged_events.push_back(text); }
 
-    /// Returns where a connection goes to; empty for a client's.
+    /// Returns the address that a connection was made to; empty for a client's connection.
     std::string address_of(ConnectionId id) const {
-        for (const auto &[connection, address] : connected)
+        for (const auto &[connection, address] : connect_calls)
             if (connection == id)
                 return address;
         return "";
     }
-    /// Returns the connection made last to an address; id 0 for none.
-    ConnectionId to(const std::string &wanted) const {
+    /// Returns the latest connection to an address; id 0 if there is none.
+    ConnectionId connection_to(const std::string &wanted_address) const {
         ConnectionId last{};
-        for (const auto &[id, address] : connected)
-            if (address == wanted)
+        for (const auto &[id, address] : connect_calls)
+            if (address == wanted_address)
                 last = id;
         return last;
     }
 };
 
-inline std::string reply(int status, const std::string &body, const std::string &headers = "") {
+inline std::string http_response(int status, const std::string &body,
+                                 const std::string &headers = "") {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-inline std::string read_of(const std::string &trace, const std::string &headers = "",
-                           const std::string &wait = "1.000") {
-    return "GET /read/x?y=1 HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace +
+/// @param timeout the client's timeout in seconds.
+inline std::string read_request(const std::string &trace_id, const std::string &headers = "",
+                                const std::string &timeout = "1.000") {
+    return "GET /read/x?y=1 HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace_id +
            "\r\nX-Storage-Class: gold\r\n" +
-           "Cookie: object=7f3a9c21e0b4d655\r\nX-Expires-In: " + wait +
+           "Cookie: object=7f3a9c21e0b4d655\r\nX-Expires-In: " + timeout +
            "\r\nX-Extent: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n" + headers + "\r\n";
 }
-inline std::string write_of(const std::string &trace, const std::string &body) {
-    return "PUT /write HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace +
+inline std::string write_request(const std::string &trace_id, const std::string &body) {
+    return "PUT /write HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace_id +
            "\r\nX-Storage-Class: gold\r\nX-Expires-In: 1.5\r\n" +
            "Idempotency-Key: k1\r\nX-Extent: "
            "volume=00000003b4d60021,units=2,shard=5,hosts=3\r\nContent-Length: " +
@@ -117,182 +122,202 @@
            "25\nRules.FallS=2\n"
            "Rules.WarmAfterS=18\nRules.StartCapacity=0.24\n";
 }
-/// What the tests' gateways are set up with.
+/// The configuration of the tests' gateways.
 inline CoreConfig core_config(const std::string &settings, std::uint64_t seed = 1) {
     return {scheduler_setup::Options(settings), {"read", "write"}, {"gold"}, {"a", "b"}, seed, 256};
 }
-inline std::string node_entry(const std::string &id, const std::string &address, int shard,
-                              const std::string &state = "active") {
+/// Returns a node's entry in an endpoint list.
+inline std::string endpoint_json(const std::string &id, const std::string &address, int shard,
+                                 const std::string &state = "active") {
     return R"({"instanceId":")" + id + R"(","hostPort":")" + address +
            R"(","zone":"a","machineType":"m","cell":)" + std::to_string(shard) +
            R"(,"lifecycle":")" + state + R"(","weight":1.0,"startedAtMs":0})";
 }
-inline std::string list_of(int generation, const std::string &entries, bool whole = true) {
+/// @param full whether the list names all nodes; else it names only those that changed.
+inline std::string endpoint_list_json(int generation, const std::string &entries,
+                                      bool full = true) {
     return R"({"generation":)" + std::to_string(generation) + R"(,"reset":)" +
-           (whole ? "true" : "false") + R"(,"instances":[)" + entries + "]}";
+           (full ? "true" : "false") + R"(,"instances":[)" + entries + "]}";
+}
+/// Returns the text as one chunk of a chunked HTTP body.
+inline std::string http_chunk(const std::string &text) {
+    char size[16];
+    std::snprintf(size, sizeof size, "%zx\r\n", text.size());
+    return size + text + "\r\n";
 }
 
-inline const std::string watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// The head of discovery's response to a watch; chunks follow.
+inline const std::string watch_response_head =
+    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A gateway with one node at n1 that holds shard 5, driven by hand; the decisions are the real
-/// ones.
+/// A gateway core with the real scheduler and one node at address n1 that holds shard 5. The test
+/// makes all events and moves the clock. Discovery is at d1.
 struct TestGateway {
     RecordingTransport transport;
     Time now = 1000 * sec;
     Core core;
-    // `more`: lines of settings, which count over the usual ones.
-    explicit TestGateway(const std::string &more = "", const std::string &usual = settings_text())
+    /// @param extra_settings lines of settings that override those of `base_settings`.
+    explicit TestGateway(const std::string &extra_settings = "",
+                         const std::string &base_settings = settings_text())
         : core(
-              transport, [](SchedulerActions &a) { return make_scheduler(a, 7); },
-              core_config(usual + more, 1)) {
-        core.start(now, list_of(41, node_entry("s1", "n1", 5)), "d1");
-        if (transport.to("d1").value == 0)
-            settle(
-                sec); // where lists are asked for, the first call comes by chance within a second
-        core.connected(now, transport.to("d1"));
-        core.received(now, transport.to("d1"), watch_head + chunk("\n"));
-        for (int i = 0; i < 3; ++i) { // past the time in which a new scheduler spares cold nodes
+              transport, [](SchedulerActions &actions) { return make_scheduler(actions, 7); },
+              core_config(base_settings + extra_settings, 1)) {
+        core.start(now, endpoint_list_json(41, endpoint_json("s1", "n1", 5)), "d1");
+        // With RegistryMode=on_request the first call to discovery starts at a random time within
+        // the first second.
+        if (transport.connection_to("d1").value == 0)
+            settle(sec);
+        core.connected(now, transport.connection_to("d1"));
+        core.received(now, transport.connection_to("d1"), watch_response_head + http_chunk("\n"));
+        // A new scheduler spares nodes that may be cold; let that time pass.
+        for (int i = 0; i < 3; ++i) {
             settle(sec);
-            blank();
+            send_heartbeat();
         }
     }
-    static std::string chunk(const std::string &s) {
-        char size[16];
-        std::snprintf(size, sizeof size, "%zx\r\n", s.size());
-        return size + s + "\r\n";
-    }
-    // The watch lives: a blank line comes each 2 s.
-    void blank() { core.received(now, transport.to("d1"), chunk("\n")); }
-    void list(const std::string &json) {
-        core.received(now, transport.to("d1"), chunk(json + "\n"));
+    /// Sends the blank line by which discovery shows every 2 s that the watch is alive.
+    void send_heartbeat() { core.received(now, transport.connection_to("d1"), http_chunk("\n")); }
+    void send_endpoint_list(const std::string &json) {
+        core.received(now, transport.connection_to("d1"), http_chunk(json + "\n"));
     }
-    // Writes what was sent, as the shell does at a moment's end.
-    void settle(Time later = 0) {
-        now += later;
+    /// Moves the clock forward and ends the moment as the server does: reports what was sent as
+    /// written, then settles again.
+    void settle(Time delay = 0) {
+        now += delay;
         core.settle(now);
-        for (auto &[c, n] : std::exchange(transport.unwritten, {}))
-            core.sent(now, c, n);
+        for (auto &[id, byte_count] : std::exchange(transport.unwritten_bytes, {}))
+            core.sent(now, id, byte_count);
         core.settle(now);
     }
-    ConnectionId client(const std::string &request) {
-        auto c = *core.client_connected(now);
-        core.received(now, c, request);
+    /// Connects a client that sends these bytes at once; returns its connection.
+    ConnectionId connect_client(const std::string &request) {
+        auto client = *core.client_connected(now);
+        core.received(now, client, request);
         settle();
-        return c;
+        return client;
     }
-    void gone(ConnectionId c, CloseReason how = CloseReason::end_of_stream) {
-        core.disconnected(now, c, how);
+    void disconnect(ConnectionId id, CloseReason reason = CloseReason::end_of_stream) {
+        core.disconnected(now, id, reason);
         settle();
     }
-    // The connection to the node, up.
-    ConnectionId node(Time later = 0) {
-        auto c = up_last = transport.to("n1");
-        now += later;
-        core.connected(now, c);
+    /// Completes the latest connection attempt to the node; returns the connection.
+    ConnectionId connect_node(Time delay = 0) {
+        auto connection = last_connected = transport.connection_to("n1");
+        now += delay;
+        core.connected(now, connection);
         settle();
-        return c;
-    }
-    // Answers the attempt that is out, wherever it is: a connection that has just answered is not
-    // used for a moment.
-    void serve(const std::string &body, Time later = 5 * ms) {
-        if (auto made = transport.to("n1"); made != up_last) {
-            up_last = made;
-            core.connected(now, made);
+        return connection;
+    }
+    /// Answers the attempt in flight on whichever connection it was sent: a connection that has
+    /// just answered isn't reused for a moment, so it may be a new one.
+    void respond_to_attempt(const std::string &body, Time delay = 5 * ms) {
+        if (auto latest = transport.connection_to("n1"); latest != last_connected) {
+            last_connected = latest;
+            core.connected(now, latest);
             settle();
         }
-        answer(transport.asked, reply(200, body), later);
+        receive_from_node(transport.last_request_connection, http_response(200, body), delay);
     }
-    ConnectionId up_last{};
-    void answer(ConnectionId node, const std::string &bytes, Time later = 5 * ms) {
-        now += later;
+    /// The latest connection to the node that the test has completed.
+    ConnectionId last_connected{};
+    void receive_from_node(ConnectionId node, const std::string &bytes, Time delay = 5 * ms) {
+        now += delay;
         core.received(now, node, bytes);
         settle();
     }
 };
 
-// A socket of a scripted peer: a client, a node or discovery. Every wait ends by itself.
+/// A socket of a scripted peer: a client, a node or discovery. Every wait has a timeout.
 class Peer {
 public:
-    enum class End { none, ended, broken };
+    /// How the other side has closed the connection, if it has.
+    enum class CloseKind { open, end_of_stream, reset };
+
     explicit Peer(int fd = -1) : fd_(fd) {}
     ~Peer() { close(); }
-    Peer(Peer &&o) noexcept : fd_(std::exchange(o.fd_, -1)) {}
-    Peer &operator=(Peer &&o) noexcept {
+    Peer(Peer &&other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+    Peer &operator=(Peer &&other) noexcept {
         close();
-        fd_ = std::exchange(o.fd_, -1);
+        fd_ = std::exchange(other.fd_, -1);
         return *this;
     }
-    static Peer listens(const std::string &at = "127.0.0.1:0") {
-        auto p = unconnected();
+    static Peer listen_on(const std::string &address = "127.0.0.1:0") {
+        auto peer = unconnected();
         int on = 1;
-        ::setsockopt(p.fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-        auto a = parse(at);
-        if (::bind(p.fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0 ||
-            ::listen(p.fd_, 64) != 0)
-            throw std::runtime_error("a scripted peer can't listen");
-        return p;
+        ::setsockopt(peer.fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+        auto parsed = parse(address);
+        if (::bind(peer.fd_, reinterpret_cast<sockaddr *>(&parsed), sizeof parsed) != 0 ||
+            ::listen(peer.fd_, 64) != 0)
+            throw std::runtime_error("scripted peer can't listen on " + address);
+        return peer;
     }
     static Peer unconnected() { return Peer(::socket(AF_INET, SOCK_STREAM, 0)); }
-    static Peer to(const std::string &address) {
-        auto p = unconnected();
-        p.connect(address);
-        return p;
+    static Peer connect_to(const std::string &address) {
+        auto peer = unconnected();
+        peer.connect(address);
+        return peer;
     }
     void connect(const std::string &address) const {
-        auto a = parse(address);
+        auto parsed = parse(address);
         int on = 1;
-        if (::connect(fd_, reinterpret_cast<sockaddr *>(&a), sizeof a) != 0)
-            throw std::runtime_error("can't connect");
+        if (::connect(fd_, reinterpret_cast<sockaddr *>(&parsed), sizeof parsed) != 0)
+            throw std::runtime_error("scripted peer can't connect to " + address);
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
+    /// Returns the socket's own address, "host:port".
     std::string address() const {
-        sockaddr_in a{};
-        socklen_t n = sizeof a;
-        ::getsockname(fd_, reinterpret_cast<sockaddr *>(&a), &n);
-        return "127.0.0.1:" + std::to_string(ntohs(a.sin_port));
-    }
-    bool comes(int wait_ms) const {
-        pollfd p{fd_, POLLIN, 0};
-        return ::poll(&p, 1, wait_ms) == 1;
-    }
-    Peer accept(int wait_ms = 3000) const {
-        if (!comes(wait_ms))
-            throw std::runtime_error("nobody came");
+        sockaddr_in own{};
+        socklen_t size = sizeof own;
+        ::getsockname(fd_, reinterpret_cast<sockaddr *>(&own), &size);
+        return "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
+    }
+    /// Waits for bytes, a close, or a connection to accept; returns false on a timeout.
+    bool wait_readable(int timeout_ms) const {
+        pollfd polled{fd_, POLLIN, 0};
+        return ::poll(&polled, 1, timeout_ms) == 1;
+    }
+    Peer accept(int timeout_ms = 3000) const {
+        if (!wait_readable(timeout_ms))
+            throw std::runtime_error("no connection arrived within " + std::to_string(timeout_ms) +
+                                     " ms");
         return Peer(::accept(fd_, nullptr, nullptr));
     }
-    // False where the other side has broken the connection.
+    /// Returns false if the other side has reset the connection.
     bool send(std::string_view bytes) const {
         while (!bytes.empty()) {
-            auto n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-            if (n <= 0)
+            auto count = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+            if (count <= 0)
                 return false;
-            bytes.remove_prefix(static_cast<std::size_t>(n));
+            bytes.remove_prefix(static_cast<std::size_t>(count));
         }
         return true;
     }
-    // What came, up to and with `last`; less if nothing more comes for a while or the connection
-    // ends.
-    std::string until(const std::string &last, int wait_ms = 3000) {
-        while (got_.find(last) == std::string::npos && read_some(wait_ms) == End::none && !idle_) {
+    /// Returns the received bytes up to and including `delimiter`; fewer if nothing more arrives
+    /// within the timeout or the connection ends.
+    std::string read_until(const std::string &delimiter, int timeout_ms = 3000) {
+        while (received_.find(delimiter) == std::string::npos &&
+               read_some(timeout_ms) == CloseKind::open && !timed_out_) {
         }
-        auto end = got_.find(last);
-        auto out = got_.substr(0, end == std::string::npos ? end : end + last.size());
-        got_.erase(0, out.size());
-        return out;
-    }
-    // Reads on to its end and tells which; what came is in `rest`.
-    End end(std::string &rest, int wait_ms = 3000) {
-        End how = End::none;
-        while ((how = read_some(wait_ms)) == End::none && !idle_) {
+        auto end = received_.find(delimiter);
+        auto bytes = received_.substr(0, end == std::string::npos ? end : end + delimiter.size());
+        received_.erase(0, bytes.size());
+        return bytes;
+    }
+    /// Reads until the other side closes, or nothing arrives within the timeout.
+    /// @param received set to the bytes that were read and not yet returned.
+    /// @return how the connection was closed; open after a timeout.
+    CloseKind read_to_end(std::string &received, int timeout_ms = 3000) {
+        CloseKind close_kind = CloseKind::open;
+        while ((close_kind = read_some(timeout_ms)) == CloseKind::open && !timed_out_) {
         }
-        rest = std::exchange(got_, {});
-        return how;
+        received = std::exchange(received_, {});
+        return close_kind;
     }
-    End end(int wait_ms = 3000) {
-        std::string rest;
-        return end(rest, wait_ms);
+    CloseKind read_to_end(int timeout_ms = 3000) {
+        std::string received;
+        return read_to_end(received, timeout_ms);
     }
-    void shut() const { ::shutdown(fd_, SHUT_WR); }
+    void finish_sending() const { ::shutdown(fd_, SHUT_WR); }
     void close() {
         if (fd_ >= 0)
             ::close(std::exchange(fd_, -1));
@@ -305,118 +330,131 @@
 
 private:
     static sockaddr_in parse(const std::string &address) {
-        sockaddr_in a{};
-        a.sin_family = AF_INET;
+        sockaddr_in parsed{};
+        parsed.sin_family = AF_INET;
         auto colon = address.find(':');
-        ::inet_pton(AF_INET, address.substr(0, colon).c_str(), &a.sin_addr);
-        a.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1))));
-        return a;
-    }
-    End read_some(int wait_ms) {
-        idle_ = !comes(wait_ms);
-        if (idle_)
-            return End::none;
+        ::inet_pton(AF_INET, address.substr(0, colon).c_str(), &parsed.sin_addr);
+        parsed.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1))));
+        return parsed;
+    }
+    CloseKind read_some(int timeout_ms) {
+        timed_out_ = !wait_readable(timeout_ms);
+        if (timed_out_)
+            return CloseKind::open;
         char buffer[16384];
-        auto n = ::recv(fd_, buffer, sizeof buffer, 0);
-        if (n > 0)
-            got_.append(buffer, static_cast<std::size_t>(n));
-        return n > 0 ? End::none : n == 0 ? End::ended : End::broken;
+        auto count = ::recv(fd_, buffer, sizeof buffer, 0);
+        if (count > 0)
+            received_.append(buffer, static_cast<std::size_t>(count));
+        return count > 0    ? CloseKind::open
+               : count == 0 ? CloseKind::end_of_stream
+                            : CloseKind::reset;
     }
     int fd_;
-    bool idle_ = false;
-    std::string got_;
+    /// Whether the last wait for bytes ran into its timeout.
+    bool timed_out_ = false;
+    /// Bytes read from the socket that the test hasn't taken yet.
+    std::string received_;
 };
 
-// The usual settings as the platform lays them down: nested JSON, with names.
-inline nlohmann::json settings_json(const std::string &more = "") {
-    nlohmann::json out;
-    std::istringstream lines(settings_text() + more);
+/// Returns the settings in the platform's form: nested JSON, with names of classes, contracts and
+/// zones.
+inline nlohmann::json settings_json(const std::string &extra_settings = "") {
+    nlohmann::json settings;
+    std::istringstream lines(settings_text() + extra_settings);
     for (std::string line; std::getline(lines, line);) {
-        auto eq = line.find('=');
-        auto path = line.substr(0, eq), value = line.substr(eq + 1);
+        auto equals_sign = line.find('=');
+        auto path = line.substr(0, equals_sign), value = line.substr(equals_sign + 1);
         if (path.ends_with(".count"))
             continue;
-        for (auto &c : path)
-            if (c == '.')
-                c = '/';
+        for (auto &character : path)
+            if (character == '.')
+                character = '/';
         auto parsed = nlohmann::json::parse(value, nullptr, false);
-        out[nlohmann::json::json_pointer("/" + path)] =
+        settings[nlohmann::json::json_pointer("/" + path)] =
             parsed.is_discarded() ? nlohmann::json(value) : parsed;
     }
-    out["Classes"][0]["Name"] = "read", out["Classes"][1]["Name"] = "write";
-    out["Contracts"][0]["Name"] = "gold", out["Zones"] = {"a", "b"};
-    return out;
+    settings["Classes"][0]["Name"] = "read", settings["Classes"][1]["Name"] = "write";
+    settings["Contracts"][0]["Name"] = "gold", settings["Zones"] = {"a", "b"};
+    return settings;
 }
-// A file of this test's own.
-inline std::string own_file(const std::string &name) {
+/// Returns the path of a temporary file that no other test process uses.
+inline std::string test_file_path(const std::string &name) {
     return "/tmp/knotvane-platform-test-" + std::to_string(::getpid()) + "-" + name;
 }
 
-/// A gateway on loopback, with one node that holds shard 5, its watch open.
+/// A gateway on loopback sockets with its loop on a thread, one node that holds shard 5, and an
+/// open watch at discovery.
 struct LoopbackGateway {
-    Peer discovery = Peer::listens();
-    Peer node = Peer::listens();
+    Peer discovery_listener = Peer::listen_on();
+    Peer node_listener = Peer::listen_on();
+    /// The gateway's first connection to discovery.
     Peer watch;
-    std::string path = own_file("config.json");
+    std::string config_path = test_file_path("config.json");
     loop::Loop loop;
     std::unique_ptr<Server> server;
     std::thread thread;
-    std::atomic<bool> over = false;
+    std::atomic<bool> loop_ended = false;
 
-    explicit LoopbackGateway(const std::string &more = "",
-                             const std::string &listen = "127.0.0.1:0") {
-        write(discovery.address(), more, listen);
-        std::ifstream in(path);
-        Config config(std::string(std::istreambuf_iterator<char>(in), {}));
+    explicit LoopbackGateway(const std::string &extra_settings = "",
+                             const std::string &listen_address = "127.0.0.1:0") {
+        write_config(discovery_listener.address(), extra_settings, listen_address);
+        std::ifstream file(config_path);
+        Config config(std::string(std::istreambuf_iterator<char>(file), {}));
         server = std::make_unique<Server>(
-            loop, path, config,
-            [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, false);
+            loop, config_path, config,
+            [](SchedulerActions &actions, std::uint64_t seed) {
+                return make_scheduler(actions, seed);
+            },
+            false);
         thread = std::thread([this] {
             loop.run();
-            over = true;
+            loop_ended = true;
         });
-        watch = discovery.accept();
-        watch.until("\r\n\r\n");
-        watch.send(watch_head + TestGateway::chunk(list_of(41, "", false) + "\n"));
+        watch = discovery_listener.accept();
+        watch.read_until("\r\n\r\n");
+        watch.send(watch_response_head + http_chunk(endpoint_list_json(41, "", false) + "\n"));
     }
-    ~LoopbackGateway() { end(); }
-    // As a kill does: at once, with whatever is open.
-    void end() {
+    ~LoopbackGateway() { stop_at_once(); }
+    /// Ends the gateway as a kill does: without a graceful shutdown, whatever connections are open.
+    void stop_at_once() {
         if (!thread.joinable())
             return;
         loop.stop();
         thread.join();
         server.reset();
-        std::remove(path.c_str());
-    }
-    void write(const std::string &discovery_at, const std::string &more = "",
-               const std::string &listen = "127.0.0.1:0") const {
-        nlohmann::json config{
-            {"name", "n0"},
-            {"listen", listen},
-            {"discovery", discovery_at},
-            {"seed", "1"},
-            {"limits", {{"sockets", 256}}},
-            {"settings", settings_json(more)},
-            {"known", nlohmann::json::parse(list_of(41, node_entry("s1", node.address(), 5)))}};
-        std::ofstream(path) << config.dump();
-    }
+        std::remove(config_path.c_str());
+    }
+    void write_config(const std::string &discovery_address, const std::string &extra_settings = "",
+                      const std::string &listen_address = "127.0.0.1:0") const {
+        nlohmann::json config{{"name", "n0"},
+                              {"listen", listen_address},
+                              {"discovery", discovery_address},
+                              {"seed", "1"},
+                              {"limits", {{"sockets", 256}}},
+                              {"settings", settings_json(extra_settings)},
+                              {"known", nlohmann::json::parse(endpoint_list_json(
+                                            41, endpoint_json("s1", node_listener.address(), 5)))}};
+        std::ofstream(config_path) << config.dump();
+    }
+    /// Starts the graceful shutdown, on the loop's thread.
     void stop() {
         loop.post([this] { server->stop(); });
     }
+    /// Reads the configuration file again, on the loop's thread.
     void reload() {
         loop.post([this] { server->reload(); });
     }
-    // Stops by itself within so long.
-    bool stops(int within_ms = 4000) const {
-        for (int i = 0; i < within_ms / 10 && !over; ++i)
+    /// Waits for the end of a graceful shutdown; returns false on a timeout.
+    bool wait_until_stopped(int timeout_ms = 4000) const {
+        for (int i = 0; i < timeout_ms / 10 && !loop_ended; ++i)
             ::usleep(10'000);
-        return over;
+        return loop_ended;
     }
-    Peer client(const std::string &request = "") const {
-        auto c = Peer::to(server->address());
-        c.send(request);
-        return c;
+    /// Connects a client that sends these bytes at once.
+    Peer connect_client(const std::string &request = "") const {
+        auto client = Peer::connect_to(server->address());
+        client.send(request);
+        return client;
     }
 };
 
--- a/tests/http_gateway/loopback_test.cpp
+++ b/tests/http_gateway/loopback_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using End = Peer::End;
+using CloseKind = Peer::CloseKind;
 // The longest client timeout is 0.3 s there: a stop ends resting connections after 0.8 s, and
 // itself after 1 s.
 const std::string brief = "Classes.0.DeadlineS=0.3\nClasses.1.DeadlineS=0.3\n";
@@ -28,51 +28,52 @@
     // on is lost.
     TEST_CASE("a request on a resting connection that crosses its end: not reset, not sent on") {
         LoopbackGateway gateway(brief);
-        auto rests = gateway.client("GET /healthz HTTP/1.1\r\n\r\n");
-        rests.until("\r\n\r\n");
+        auto rests = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\n");
+        rests.read_until("\r\n\r\n");
         gateway.stop();
         std::string got;
-        CHECK(rests.end(got) == End::ended);
+        CHECK(rests.read_to_end(got) == CloseKind::end_of_stream);
         CHECK(got.empty());
-        rests.send(read_of("t1"));
-        CHECK(!gateway.node.comes(100));
+        rests.send(read_request("t1"));
+        CHECK(!gateway.node_listener.wait_readable(100));
         rests.send("x"); // a reset would show here
-        CHECK(rests.end(20) != End::broken);
+        CHECK(rests.read_to_end(20) != CloseKind::reset);
         rests.close();
-        CHECK(gateway.stops());
+        CHECK(gateway.wait_until_stopped());
     }
     TEST_CASE("stopped twice and reloaded meanwhile, a request in pieces around it and a node that "
               "hangs: all answered") {
         LoopbackGateway gateway(brief);
-        auto request = read_of("t1", "", "0.300");
-        auto client = gateway.client(request.substr(0, 50)), hung = gateway.client();
+        auto request = read_request("t1", "", "0.300");
+        auto client = gateway.connect_client(request.substr(0, 50)),
+             hung = gateway.connect_client();
         gateway.stop();
         gateway.reload();
         gateway.stop();
         ::usleep(50'000);
         client.send(request.substr(50));
-        auto node = gateway.node.accept();
-        node.until("\r\n\r\n");
-        node.send(reply(200, "one"));
-        CHECK(client.until("one").starts_with("HTTP/1.1 200 "));
-        hung.send(read_of("t2", "", "0.300"));
-        CHECK(hung.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
-        CHECK(gateway.stops());
+        auto node = gateway.node_listener.accept();
+        node.read_until("\r\n\r\n");
+        node.send(http_response(200, "one"));
+        CHECK(client.read_until("one").starts_with("HTTP/1.1 200 "));
+        hung.send(read_request("t2", "", "0.300"));
+        CHECK(hung.read_until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
+        CHECK(gateway.wait_until_stopped());
     }
     TEST_CASE("an answer half sent to a slow client when it stops arrives whole") {
         LoopbackGateway gateway(brief);
-        auto client = gateway.client(read_of("t1"));
-        auto node = gateway.node.accept();
-        node.until("\r\n\r\n");
+        auto client = gateway.connect_client(read_request("t1"));
+        auto node = gateway.node_listener.accept();
+        node.read_until("\r\n\r\n");
         const std::string body(1'000'000, 'b');
-        node.send(reply(200, body));
+        node.send(http_response(200, body));
         ::usleep(50'000);
         gateway.stop();
         ::usleep(200'000);
         std::string got;
-        CHECK(client.end(got) == End::ended);
+        CHECK(client.read_to_end(got) == CloseKind::end_of_stream);
         CHECK(got.ends_with(body));
-        CHECK(gateway.stops());
+        CHECK(gateway.wait_until_stopped());
     }
     TEST_CASE("killed just after it accepted, started again at once on its address: who comes "
               "again is served") {
@@ -81,16 +82,17 @@
         {
             LoopbackGateway gateway;
             address = gateway.server->address();
-            crossed = gateway.client(read_of("t1"));
-            gateway.end();
+            crossed = gateway.connect_client(read_request("t1"));
+            gateway.stop_at_once();
         }
-        CHECK(crossed.end() != End::none);
+        CHECK(crossed.read_to_end() != CloseKind::open);
         LoopbackGateway again("", address);
-        auto client = again.client(read_of("t1")); // the same id: this process has not seen it
-        auto node = again.node.accept();
-        node.until("\r\n\r\n");
-        node.send(reply(200, "one"));
-        CHECK(client.until("one").starts_with("HTTP/1.1 200 "));
+        auto client =
+            again.connect_client(read_request("t1")); // the same id: this process has not seen it
+        auto node = again.node_listener.accept();
+        node.read_until("\r\n\r\n");
+        node.send(http_response(200, "one"));
+        CHECK(client.read_until("one").starts_with("HTTP/1.1 200 "));
     }
 }
 
@@ -99,28 +101,28 @@
     // along.
     TEST_CASE("a client that sends on behind its mistake reads its error whole") {
         LoopbackGateway gateway;
-        auto client =
-            gateway.client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n" + std::string(300'000, 'x'));
+        auto client = gateway.connect_client("GET /none HTTP/1.1\r\nHost: s\r\n\r\n" +
+                                             std::string(300'000, 'x'));
         ::usleep(100'000);
         client.send(std::string(100'000, 'y'));
         std::string got;
-        client.shut();
-        CHECK(client.end(got) == End::ended);
+        client.finish_sending();
+        CHECK(client.read_to_end(got) == CloseKind::end_of_stream);
         CHECK(got.starts_with("HTTP/1.1 404 "));
         CHECK(got.ends_with("the path names no class\n"));
     }
     TEST_CASE("a node's answer without a length: its end makes it whole, a reset does not") {
         for (bool resets : {false, true}) {
             LoopbackGateway gateway;
-            auto client = gateway.client(write_of("t1", "x"));
-            auto node = gateway.node.accept();
-            node.until("x");
+            auto client = gateway.connect_client(write_request("t1", "x"));
+            auto node = gateway.node_listener.accept();
+            node.read_until("x");
             node.send("HTTP/1.1 200 OK\r\n\r\nhalf ");
             ::usleep(30'000); // read before the reset, which takes along what was not
             node.send("and half");
             ::usleep(30'000);
             resets ? node.reset() : node.close();
-            auto got = client.until(resets ? "\r\n\r\n" : "and half", 2500);
+            auto got = client.read_until(resets ? "\r\n\r\n" : "and half", 2500);
             if (resets)
                 CHECK(got.find("half") == got.npos);
             else
@@ -130,28 +132,28 @@
     TEST_CASE("a client that leaves while its attempt is out: the node's connection ends, nothing "
               "more is sent") {
         LoopbackGateway gateway;
-        auto client = gateway.client(read_of("t1"));
-        auto node = gateway.node.accept();
-        node.until("\r\n\r\n");
+        auto client = gateway.connect_client(read_request("t1"));
+        auto node = gateway.node_listener.accept();
+        node.read_until("\r\n\r\n");
         client.close();
-        CHECK(node.end() != End::none);
-        CHECK(!gateway.node.comes(300));
+        CHECK(node.read_to_end() != CloseKind::open);
+        CHECK(!gateway.node_listener.wait_readable(300));
     }
     TEST_CASE("a client that sends far ahead and leaves: its leaving shows, and nothing of it is "
               "sent on") {
         LoopbackGateway gateway;
         std::string ahead;
         for (int i = 0; i < 400; ++i)
-            ahead += read_of("a" + std::to_string(i));
-        auto client = gateway.client(ahead);
-        auto node = gateway.node.accept();
-        node.until("\r\n\r\n");
+            ahead += read_request("a" + std::to_string(i));
+        auto client = gateway.connect_client(ahead);
+        auto node = gateway.node_listener.accept();
+        node.read_until("\r\n\r\n");
         ::usleep(50'000);
         client.close();
         std::string got;
-        CHECK(node.end(got) != End::none);
+        CHECK(node.read_to_end(got) != CloseKind::open);
         CHECK(got.empty());
-        CHECK(!gateway.node.comes(300));
+        CHECK(!gateway.node_listener.wait_readable(300));
     }
 }
 
@@ -159,50 +161,55 @@
     TEST_CASE("a watch that is reset is open again at once, and what changed meanwhile keeps "
               "attempts away") {
         LoopbackGateway gateway;
-        auto client = gateway.client(read_of("t1"));
-        auto node = gateway.node.accept();
-        node.until("\r\n\r\n");
-        node.send(reply(200, "one"));
-        client.until("one");
+        auto client = gateway.connect_client(read_request("t1"));
+        auto node = gateway.node_listener.accept();
+        node.read_until("\r\n\r\n");
+        node.send(http_response(200, "one"));
+        client.read_until("one");
         gateway.watch.reset();
-        auto again = gateway.discovery.accept(500);
-        CHECK(again.until("\r\n\r\n").find("index=41 ") != std::string::npos);
+        auto again = gateway.discovery_listener.accept(500);
+        CHECK(again.read_until("\r\n\r\n").find("index=41 ") != std::string::npos);
         again.send(
-            watch_head +
-            TestGateway::chunk(
-                list_of(42, node_entry("s1", gateway.node.address(), 5, "leaving"), false) + "\n"));
-        CHECK(node.end(500) != End::none); // resting connections to a node that drains end
-        client.send(read_of("t2"));
-        CHECK(!gateway.node.comes(200));
-        CHECK(client.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
+            watch_response_head +
+            http_chunk(
+                endpoint_list_json(
+                    42, endpoint_json("s1", gateway.node_listener.address(), 5, "leaving"), false) +
+                "\n"));
+        CHECK(node.read_to_end(500) !=
+              CloseKind::open); // resting connections to a node that drains end
+        client.send(read_request("t2"));
+        CHECK(!gateway.node_listener.wait_readable(200));
+        CHECK(client.read_until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
     }
     TEST_CASE("reloaded with a file that has a fault nothing changes; with a good one the watch "
               "moves, twice in a row too") {
         LoopbackGateway gateway;
-        auto second = Peer::listens(), third = Peer::listens();
-        std::ofstream(gateway.path) << "{\"name\":";
+        auto second = Peer::listen_on(), third = Peer::listen_on();
+        std::ofstream(gateway.config_path) << "{\"name\":";
         gateway.reload();
-        CHECK(!second.comes(100));
-        gateway.write(second.address());
+        CHECK(!second.wait_readable(100));
+        gateway.write_config(second.address());
         gateway.reload();
         gateway.reload();
         auto w2 = second.accept();
-        w2.until("\r\n\r\n");
-        gateway.write(third.address());
+        w2.read_until("\r\n\r\n");
+        gateway.write_config(third.address());
         gateway.reload();
         auto w3 = third.accept();
-        CHECK(w2.end() != End::none);
-        CHECK(gateway.watch.end(50) == End::none); // it tells until the new one speaks
-        w3.until("\r\n\r\n");
-        w3.send(watch_head + TestGateway::chunk(list_of(42, "", false) + "\n"));
-        CHECK(gateway.watch.end() != End::none);
+        CHECK(w2.read_to_end() != CloseKind::open);
+        CHECK(gateway.watch.read_to_end(50) ==
+              CloseKind::open); // it tells until the new one speaks
+        w3.read_until("\r\n\r\n");
+        w3.send(watch_response_head + http_chunk(endpoint_list_json(42, "", false) + "\n"));
+        CHECK(gateway.watch.read_to_end() != CloseKind::open);
     }
     // Nothing may spin on a descriptor that it can't have, and all is back with the first free
     // ones.
     TEST_CASE("every descriptor used up x accept, the watch's reset, an attempt's connect") {
         LoopbackGateway gateway;
-        auto client = gateway.client("GET /healthz HTTP/1.1\r\n\r\n"), late = Peer::unconnected();
-        client.until("\r\n\r\n");
+        auto client = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\n"),
+             late = Peer::unconnected();
+        client.read_until("\r\n\r\n");
         rlimit was{};
         getrlimit(RLIMIT_NOFILE, &was);
         rlimit few{128, was.rlim_max};
@@ -215,10 +222,11 @@
         fill();
         double cpu = cpu_seconds();
         late.connect(gateway.server->address());
-        CHECK(late.end() != End::none); // no descriptor for it: closed, not left to wait
-        client.send(
-            read_of("t1")); // nor for a connection to the node: turned away, with when to come back
-        CHECK(client.until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
+        CHECK(late.read_to_end() !=
+              CloseKind::open); // no descriptor for it: closed, not left to wait
+        client.send(read_request(
+            "t1")); // nor for a connection to the node: turned away, with when to come back
+        CHECK(client.read_until("\r\n\r\n").starts_with("HTTP/1.1 503 "));
         gateway.watch.reset();
         for (int i = 0; i < 10; ++i) {
             fill();
@@ -229,12 +237,12 @@
             ::close(fd);
         setrlimit(RLIMIT_NOFILE, &was);
         CHECK(cpu < 0.3);
-        auto again = gateway.discovery.accept(1000);
-        CHECK(again.until("\r\n\r\n").starts_with("GET /v1/servers"));
-        auto next_client = gateway.client(read_of("t2"));
-        auto node = gateway.node.accept();
-        node.until("\r\n\r\n");
-        node.send(reply(200, "two"));
-        CHECK(next_client.until("two").ends_with("two"));
+        auto again = gateway.discovery_listener.accept(1000);
+        CHECK(again.read_until("\r\n\r\n").starts_with("GET /v1/servers"));
+        auto next_client = gateway.connect_client(read_request("t2"));
+        auto node = gateway.node_listener.accept();
+        node.read_until("\r\n\r\n");
+        node.send(http_response(200, "two"));
+        CHECK(next_client.read_until("two").ends_with("two"));
     }
 }
--- a/tests/http_gateway/trace_test.cpp
+++ b/tests/http_gateway/trace_test.cpp
@@ -23,7 +23,7 @@
           "reset: 1, us 70", "new connections: 1, us 100", "looks at a node: 2",
           "less open connections 2: 1", "could not be read: 2"}) {
         CAPTURE(part);
-        CHECK(has(report, part));
+        CHECK(contains(report, part));
     }
 }
 
@@ -32,9 +32,9 @@
     CHECK(TraceLine("attempt")
               .field("request", std::uint64_t{7})
               .field("how", 0)
-              .span("at", 1'234'567)
-              .span("first", std::nullopt)
-              .span("over", std::optional<Time>(2 * ms))
+              .microseconds("at", 1'234'567)
+              .microseconds("first", std::nullopt)
+              .microseconds("over", std::optional<Time>(2 * ms))
               .field("fault", "-")
               .text() == "attempt request=7 how=0 at=1234 first=- over=2000 fault=-");
 }
