--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -25,7 +25,7 @@
   knotvane_planner
   src/planner/core.cpp
   src/planner/desired_state_change.cpp
-  src/planner/diff_questions.cpp
+  src/planner/diff_queries.cpp
   src/planner/leadership.cpp
   src/planner/lease_table.cpp
   src/planner/node_liveness.cpp
--- a/src/control/cluster_state.hpp
+++ b/src/control/cluster_state.hpp
@@ -15,9 +15,9 @@
 
 namespace knotvane::control {
 
-/// A volume's whole limit in millionths. Shares are whole numbers of them, so that what is handed
-/// out adds up without rounding.
-inline constexpr std::uint32_t whole_limit = 1'000'000;
+/// The full rate limit of a volume, in millionths. Quota shares are integer millionths so that the
+/// shares of all edges add up exactly, without rounding.
+inline constexpr std::uint32_t full_limit_millionths = 1'000'000;
 
 /// A storage node.
 struct Node {
@@ -33,37 +33,42 @@
 /// What a tenant has booked. Rates are in units per second, `burst` in units.
 struct Plan {
     std::string name;
-    double weight = 1;  ///< of its unreserved work against other plans'
-    double usual = 0;   ///< rate that is expected of it
-    double reserve = 0; ///< rate that it has before all others
-    double price = 1;   ///< value of one unit served
-    double rate = 0;    ///< limit; 0: none
-    double burst = 0;   ///< units that may come at once, above the limit
+    double weight = 1;        ///< of its unreserved work, relative to other plans
+    double expected_rate = 0; ///< rate expected in normal operation
+    double reserved_rate = 0; ///< rate guaranteed ahead of all other plans
+    double price = 1;         ///< value of one unit served
+    double rate_limit = 0;    ///< 0: unlimited
+    double burst = 0;         ///< units that may arrive at once in excess of the limit
     bool operator==(const Plan &) const = default;
 };
 
 /// A volume, a snapshot or a clone.
 struct Volume {
     std::string name;
-    std::uint64_t size = 0;    ///< bytes
-    std::uint32_t least = 512; ///< bytes that requests are aligned to
+    std::uint64_t size = 0;              ///< bytes
+    std::uint32_t alignment_bytes = 512; ///< requests start and end at multiples of it
     PlanId plan;
-    VolumeId place{};        ///< whose layout it is stored by; 0: its own
-    VolumeId charge{};       ///< whose quota share its requests count against; 0: its own
-    VolumeId of{};           ///< what a snapshot or clone was taken from; 0: it is neither
-    std::uint32_t epoch = 0; ///< goes up with every snapshot of it
-    bool frozen = false;     ///< read-only: a snapshot
-    Time taken = 0;          ///< when a snapshot or clone was taken, by the planner's clock
+    VolumeId layout_volume{}; ///< the volume whose data layout it uses; 0: itself
+    VolumeId quota_volume{};  ///< the volume whose quota its requests count against; 0: itself
+    VolumeId source{};        ///< of a snapshot or clone; 0: it is neither
+    std::uint32_t epoch = 0;  ///< increases with every snapshot of it
+    bool frozen = false;      ///< read-only, as every snapshot is
+    Time created_at = 0;      ///< of a snapshot or clone, by the planner's clock
     bool operator==(const Volume &) const = default;
 
-    /// The volume by whose layout this one, of id `self`, is stored.
-    VolumeId lies_as(VolumeId self) const { return place.value ? place : self; }
+    /// The volume whose data layout this one uses.
+    /// \param self  the id of this volume
+    VolumeId resolve_layout_volume(VolumeId self) const {
+        return layout_volume.value ? layout_volume : self;
+    }
 
-    /// The volume whose quota share this one, of id `self`, uses.
-    VolumeId charged_to(VolumeId self) const { return charge.value ? charge : self; }
+    /// The volume whose quota share requests of this one use.
+    /// \param self  the id of this volume
+    VolumeId resolve_quota_volume(VolumeId self) const {
+        return quota_volume.value ? quota_volume : self;
+    }
 
-    /// True for snapshots and for clones.
-    bool is_snapshot() const { return of.value != 0; }
+    bool is_snapshot_or_clone() const { return source.value != 0; }
 };
 
 /// One edge's share of a volume's limit.
--- a/src/control/cluster_state_replica.cpp
+++ b/src/control/cluster_state_replica.cpp
@@ -52,30 +52,30 @@
 UpdateResult ClusterStateReplica::judge(const UpdateEnd &update) const {
     const auto &next = next_update_;
     if (update.version != next.version || update.entries != received_entries_)
-        return UpdateResult::broken;
+        return UpdateResult::malformed;
     if (next.term < update_.term ||
         (next.term == update_.term && next.instance != update_.instance))
-        return UpdateResult::foreign;
+        return UpdateResult::wrong_planner;
 
     // Versions go on counting from one term to the next; only another store's begin anew.
     bool comparable = update_.term != Term{0} && next.lineage == update_.lineage;
     if (comparable && next.version < update_.version)
-        return UpdateResult::old;
+        return UpdateResult::outdated;
     if (comparable && next.term == update_.term && next.version == update_.version)
-        return UpdateResult::old;
+        return UpdateResult::outdated;
     if (is_full())
-        return UpdateResult::whole;
-    return comparable && next.from_version == update_.version ? UpdateResult::changes
-                                                              : UpdateResult::gap;
+        return UpdateResult::full_state_applied;
+    return comparable && next.from_version == update_.version ? UpdateResult::changes_applied
+                                                              : UpdateResult::version_gap;
 }
 
 UpdateResult ClusterStateReplica::end(const UpdateEnd &update) {
     if (!std::exchange(open_, false))
-        return UpdateResult::broken;
+        return UpdateResult::malformed;
     auto result = judge(update);
-    if (result == UpdateResult::whole)
+    if (result == UpdateResult::full_state_applied)
         replace_state();
-    else if (result == UpdateResult::changes)
+    else if (result == UpdateResult::changes_applied)
         apply_changes();
     else
         return result;
--- a/src/control/cluster_state_replica.hpp
+++ b/src/control/cluster_state_replica.hpp
@@ -11,14 +11,14 @@
 
 namespace knotvane::control {
 
-/// What became of an update.
+/// The result of an update. Unless it was applied, the replica is unchanged.
 enum class UpdateResult {
-    whole,   ///< taken; it replaced everything
-    changes, ///< taken; it changed some entries
-    old,     ///< ignored: this version, or a later one, is held
-    foreign, ///< ignored: of an older term, or of a second planner under the same term
-    gap,     ///< ignored: changes to a version that is not held; the full state is needed
-    broken,  ///< ignored: the end does not fit the beginning; the full state is needed
+    full_state_applied, ///< it replaced the whole state
+    changes_applied,    ///< it changed some entries
+    outdated,           ///< the replica has this version or a later one
+    wrong_planner,      ///< sent under an older term, or by a second planner with the same term
+    version_gap,        ///< changes to a version the replica does not have; needs the full state
+    malformed,          ///< its end does not match its begin or entries; needs the full state
 };
 
 /// Follows a planner by its updates: a beginning, entries, an end. Nothing of an update shows
--- a/src/control/decode.cpp
+++ b/src/control/decode.cpp
@@ -125,7 +125,7 @@
 }
 
 void validate(const QuotaShareUpdate &update) {
-    if (update.share.millionths > whole_limit)
+    if (update.share.millionths > full_limit_millionths)
         throw ProtocolError("a quota share of more than the whole limit");
 }
 
--- a/src/control/decode.hpp
+++ b/src/control/decode.hpp
@@ -18,47 +18,47 @@
 public:
     virtual ~MessageHandler() = default;
 
-    virtual void handle(const EdgeHello &) { unexpected("edge hello"); }
-    virtual void handle(const LeaseRenewal &) { unexpected("lease renewal"); }
-    virtual void handle(const FullStateRequest &) { unexpected("full state request"); }
-    virtual void handle(const VolumeServed &) { unexpected("volume served"); }
-    virtual void handle(const ReachabilityReport &) { unexpected("reachability report"); }
-    virtual void handle(const Superseded &) { unexpected("superseded"); }
-    virtual void handle(const NodeHello &) { unexpected("node hello"); }
-    virtual void handle(const NodeRenewal &) { unexpected("node renewal"); }
-    virtual void handle(const StatusRequest &) { unexpected("status request"); }
-    virtual void handle(const DrainRequest &) { unexpected("drain request"); }
-    virtual void handle(const SnapshotRequest &) { unexpected("snapshot request"); }
-    virtual void handle(const SnapshotStepReport &) { unexpected("snapshot step report"); }
-    virtual void handle(const DiffReport &) { unexpected("diff report"); }
-    virtual void handle(const UpdateBegin &) { unexpected("update begin"); }
-    virtual void handle(const NodeUpdate &) { unexpected("node update"); }
-    virtual void handle(const PlanUpdate &) { unexpected("plan update"); }
-    virtual void handle(const VolumeUpdate &) { unexpected("volume update"); }
-    virtual void handle(const QuotaShareUpdate &) { unexpected("quota share update"); }
-    virtual void handle(const NodeRemoval &) { unexpected("node removal"); }
-    virtual void handle(const PlanRemoval &) { unexpected("plan removal"); }
-    virtual void handle(const VolumeRemoval &) { unexpected("volume removal"); }
-    virtual void handle(const QuotaShareRemoval &) { unexpected("quota share removal"); }
-    virtual void handle(const UpdateEnd &) { unexpected("update end"); }
-    virtual void handle(const LeaseRenewed &) { unexpected("lease renewed"); }
-    virtual void handle(const NodeStateNotice &) { unexpected("node state notice"); }
-    virtual void handle(const Status &) { unexpected("status"); }
-    virtual void handle(const OperationResult &) { unexpected("operation result"); }
-    virtual void handle(const ReachabilityRequest &) { unexpected("reachability request"); }
-    virtual void handle(const SnapshotHold &) { unexpected("snapshot hold"); }
-    virtual void handle(const SnapshotResume &) { unexpected("snapshot resume"); }
-    virtual void handle(const SnapshotRelease &) { unexpected("snapshot release"); }
-    virtual void handle(const SnapshotOpen &) { unexpected("snapshot open"); }
-    virtual void handle(const SnapshotSeal &) { unexpected("snapshot seal"); }
-    virtual void handle(const SnapshotDrop &) { unexpected("snapshot drop"); }
-    virtual void handle(const CloneOpen &) { unexpected("clone open"); }
-    virtual void handle(const DiffRequest &) { unexpected("diff request"); }
+    virtual void handle(const EdgeHello &) { handle_unexpected("edge hello"); }
+    virtual void handle(const LeaseRenewal &) { handle_unexpected("lease renewal"); }
+    virtual void handle(const FullStateRequest &) { handle_unexpected("full state request"); }
+    virtual void handle(const VolumeServed &) { handle_unexpected("volume served"); }
+    virtual void handle(const ReachabilityReport &) { handle_unexpected("reachability report"); }
+    virtual void handle(const Superseded &) { handle_unexpected("superseded"); }
+    virtual void handle(const NodeHello &) { handle_unexpected("node hello"); }
+    virtual void handle(const NodeRenewal &) { handle_unexpected("node renewal"); }
+    virtual void handle(const StatusRequest &) { handle_unexpected("status request"); }
+    virtual void handle(const DrainRequest &) { handle_unexpected("drain request"); }
+    virtual void handle(const SnapshotRequest &) { handle_unexpected("snapshot request"); }
+    virtual void handle(const SnapshotStepReport &) { handle_unexpected("snapshot step report"); }
+    virtual void handle(const DiffReport &) { handle_unexpected("diff report"); }
+    virtual void handle(const UpdateBegin &) { handle_unexpected("update begin"); }
+    virtual void handle(const NodeUpdate &) { handle_unexpected("node update"); }
+    virtual void handle(const PlanUpdate &) { handle_unexpected("plan update"); }
+    virtual void handle(const VolumeUpdate &) { handle_unexpected("volume update"); }
+    virtual void handle(const QuotaShareUpdate &) { handle_unexpected("quota share update"); }
+    virtual void handle(const NodeRemoval &) { handle_unexpected("node removal"); }
+    virtual void handle(const PlanRemoval &) { handle_unexpected("plan removal"); }
+    virtual void handle(const VolumeRemoval &) { handle_unexpected("volume removal"); }
+    virtual void handle(const QuotaShareRemoval &) { handle_unexpected("quota share removal"); }
+    virtual void handle(const UpdateEnd &) { handle_unexpected("update end"); }
+    virtual void handle(const LeaseRenewed &) { handle_unexpected("lease renewed"); }
+    virtual void handle(const NodeStateNotice &) { handle_unexpected("node state notice"); }
+    virtual void handle(const Status &) { handle_unexpected("status"); }
+    virtual void handle(const OperationResult &) { handle_unexpected("operation result"); }
+    virtual void handle(const ReachabilityRequest &) { handle_unexpected("reachability request"); }
+    virtual void handle(const SnapshotHold &) { handle_unexpected("snapshot hold"); }
+    virtual void handle(const SnapshotResume &) { handle_unexpected("snapshot resume"); }
+    virtual void handle(const SnapshotRelease &) { handle_unexpected("snapshot release"); }
+    virtual void handle(const SnapshotOpen &) { handle_unexpected("snapshot open"); }
+    virtual void handle(const SnapshotSeal &) { handle_unexpected("snapshot seal"); }
+    virtual void handle(const SnapshotDrop &) { handle_unexpected("snapshot drop"); }
+    virtual void handle(const CloneOpen &) { handle_unexpected("clone open"); }
+    virtual void handle(const DiffRequest &) { handle_unexpected("diff request"); }
 
 protected:
     /// A message came that this side does not expect. Later messages of the same bytes still come.
     /// \param message  its name, for the log
-    virtual void unexpected(std::string_view message) = 0;
+    virtual void handle_unexpected(std::string_view message) = 0;
 };
 
 /// Cuts a byte stream into messages. Bytes of a message that is not complete yet are kept.
--- a/src/control/message_layout.hpp
+++ b/src/control/message_layout.hpp
@@ -59,7 +59,7 @@
     static constexpr auto type = MessageType::edge_hello;
     static auto fields(auto &m) {
         return std::tie(m.protocol, m.edge, m.listen_address, m.term, m.instance, m.lineage,
-                        m.version, m.draining, m.serving);
+                        m.version, m.draining_nodes, m.served_volumes);
     }
 };
 
@@ -134,7 +134,7 @@
 template <>
 struct MessageLayout<DiffReport> {
     static constexpr auto type = MessageType::diff_report;
-    static auto fields(auto &m) { return std::tie(m.question, m.ranges, m.more); }
+    static auto fields(auto &m) { return std::tie(m.query_id, m.ranges, m.more); }
 };
 
 template <>
@@ -158,8 +158,8 @@
 struct MessageLayout<PlanUpdate> {
     static constexpr auto type = MessageType::plan_update;
     static auto fields(auto &m) {
-        return std::tie(m.id, m.plan.name, m.plan.weight, m.plan.usual, m.plan.reserve,
-                        m.plan.price, m.plan.rate, m.plan.burst);
+        return std::tie(m.id, m.plan.name, m.plan.weight, m.plan.expected_rate,
+                        m.plan.reserved_rate, m.plan.price, m.plan.rate_limit, m.plan.burst);
     }
 };
 
@@ -167,9 +167,9 @@
 struct MessageLayout<VolumeUpdate> {
     static constexpr auto type = MessageType::volume_update;
     static auto fields(auto &m) {
-        return std::tie(m.id, m.volume.name, m.volume.size, m.volume.least, m.volume.plan,
-                        m.volume.place, m.volume.charge, m.volume.of, m.volume.epoch,
-                        m.volume.frozen, m.volume.taken);
+        return std::tie(m.id, m.volume.name, m.volume.size, m.volume.alignment_bytes, m.volume.plan,
+                        m.volume.layout_volume, m.volume.quota_volume, m.volume.source,
+                        m.volume.epoch, m.volume.frozen, m.volume.created_at);
     }
 };
 
@@ -286,7 +286,7 @@
 template <>
 struct MessageLayout<DiffRequest> {
     static constexpr auto type = MessageType::diff_request;
-    static auto fields(auto &m) { return std::tie(m.question, m.first, m.second, m.from_offset); }
+    static auto fields(auto &m) { return std::tie(m.query_id, m.first, m.second, m.from_offset); }
 };
 
 /// Every message.
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -26,13 +26,13 @@
 struct EdgeHello {
     ProtocolVersion protocol{};
     EdgeId edge;
-    std::string listen_address;    ///< where clients reach it
-    Term term;                     ///< of the update that it holds; 0: none
-    std::uint64_t instance = 0;    ///< of the planner that it follows
-    std::uint64_t lineage = 0;     ///< of the store that its version belongs to
-    Version version;               ///< of the update that it holds
-    std::vector<NodeId> draining;  ///< nodes that it knows as draining
-    std::vector<VolumeId> serving; ///< volumes with a client at it
+    std::string listen_address;           ///< where clients reach it
+    Term term;                            ///< of the update that it holds; 0: none
+    std::uint64_t instance = 0;           ///< of the planner that it follows
+    std::uint64_t lineage = 0;            ///< of the store that its version belongs to
+    Version version;                      ///< of the update that it holds
+    std::vector<NodeId> draining_nodes;   ///< nodes that are draining as far as it knows
+    std::vector<VolumeId> served_volumes; ///< volumes with a client at this edge
 };
 
 /// An edge asks to prolong the lease on its quota shares, and acknowledges the version it holds.
@@ -104,7 +104,7 @@
 /// An edge or a node has done its step of a snapshot or clone.
 struct SnapshotStepReport {
     VolumeId snapshot;
-    SnapshotStep step = SnapshotStep::ready;
+    SnapshotStep step = SnapshotStep::holding;
     SnapshotResult result = SnapshotResult::done; ///< of a node's step
     EdgeIncarnation incarnation{};                ///< of an edge's step
 };
@@ -117,7 +117,7 @@
 
 /// A node's answer to a DiffRequest.
 struct DiffReport {
-    std::uint64_t question = 0;
+    std::uint64_t query_id = 0;
     std::vector<ByteRange> ranges; ///< in order of their offsets
     bool more = false;             ///< further ranges follow the last
 };
@@ -241,7 +241,7 @@
 
 /// Which ranges of two volumes differ; answered by DiffReport.
 struct DiffRequest {
-    std::uint64_t question = 0; ///< comes back in the answer
+    std::uint64_t query_id = 0; ///< comes back in the answer
     VolumeId first;
     VolumeId second;
     std::uint64_t from_offset = 0; ///< ranges before it are not wanted
--- a/src/control/snapshot_types.hpp
+++ b/src/control/snapshot_types.hpp
@@ -15,25 +15,25 @@
     compare = 3, ///< the ranges in which two volumes of one origin differ
 };
 
-/// A step that an edge or a node has done.
+/// A step of a snapshot or clone that an edge or a node reports.
 enum class SnapshotStep : std::uint8_t {
-    ready = 0,   ///< edge: holds back new writes of the volume
-    moved = 1,   ///< edge: goes on in the new epoch
-    drained = 2, ///< edge: all writes of the epochs before have ended
-    lapsed = 3,  ///< edge: held back for too long and went on by itself, in the old epoch
-    opened = 4,  ///< node: the snapshot is there; late writes may still come in
-    sealed = 5,  ///< node: the snapshot is whole and durable
-    dropped = 6, ///< node: nothing is left of the snapshot or clone
-    cloned = 7,  ///< node: the clone is there
+    holding = 0,      ///< edge: it delays new writes of the volume
+    resumed = 1,      ///< edge: it issues writes again, in the new epoch
+    drained = 2,      ///< edge: all its writes of earlier epochs have completed
+    hold_expired = 3, ///< edge: the hold took too long; it issues writes again, in the old epoch
+    opened = 4,       ///< node: the snapshot exists; late writes may still be added to it
+    sealed = 5,       ///< node: the snapshot is complete and durable
+    dropped = 6,      ///< node: it stores nothing of the snapshot or clone any more
+    cloned = 7,       ///< node: the clone exists
 };
 
-/// How a node's step went.
+/// The result of a node's step.
 enum class SnapshotResult : std::uint8_t {
     done = 0,
-    exists = 1, ///< it was done before: a repeated order
-    taken = 2,  ///< the id belongs to something else
-    full = 3,   ///< too little of the store is free
-    failed = 4, ///< the medium failed, or the node knows nothing of what is asked
+    already_done = 1, ///< the request was a repeat
+    id_taken = 2,     ///< the id belongs to another volume, snapshot or clone
+    no_space = 3,     ///< too little free space in the node's store
+    failed = 4,       ///< the storage medium failed, or the node does not know the volume
 };
 
 } // namespace knotvane::control
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -6,7 +6,8 @@
 namespace knotvane::edge {
 
 PlanConfig plan_config(const control::Plan &plan) {
-    return {plan.weight, plan.usual, plan.reserve, plan.price, plan.rate, plan.burst};
+    return {plan.weight, plan.expected_rate, plan.reserved_rate,
+            plan.price,  plan.rate_limit,    plan.burst};
 }
 
 Core::Core(Shell &shell, const MakeScheduler &make_scheduler, const CoreConfig &config)
--- a/src/edge/open_volumes.cpp
+++ b/src/edge/open_volumes.cpp
@@ -25,10 +25,11 @@
     control::Volume volume;
     volume.name = config.name;
     volume.size = config.size_bytes;
-    volume.least = config.alignment_bytes;
+    volume.alignment_bytes = config.alignment_bytes;
     volume.plan = config.plan;
     configured_.put(id, std::move(volume));
-    configured_.put(id, control::QuotaShare{control::whole_limit / config.sharers, config.sharers});
+    configured_.put(
+        id, control::QuotaShare{control::full_limit_millionths / config.sharers, config.sharers});
 }
 
 void OpenVolumes::update() {
@@ -45,9 +46,9 @@
     if (it != state_->volumes.end()) {
         const auto &known = it->second;
         volume.plan = known.plan;
-        volume.placed_as = known.lies_as(volume.id);
-        volume.charged_to = known.charged_to(volume.id);
-        volume.is_snapshot = known.is_snapshot();
+        volume.placed_as = known.resolve_layout_volume(volume.id);
+        volume.charged_to = known.resolve_quota_volume(volume.id);
+        volume.is_snapshot = known.is_snapshot_or_clone();
         volume.dropped = false;
         // One that is charged to its source goes by the source's plan as it is now.
         if (auto payer = state_->volumes.find(volume.charged_to); payer != state_->volumes.end())
@@ -75,7 +76,7 @@
     auto it = names.find(name);
     if (name.empty())
         it = std::find_if(names.begin(), names.end(), [&](const auto &entry) {
-            return !state_->volumes.at(entry.second).is_snapshot();
+            return !state_->volumes.at(entry.second).is_snapshot_or_clone();
         });
     if (it == names.end())
         return std::nullopt;
@@ -99,7 +100,7 @@
     if (volume.frozen)
         flags = nbd::flag_read_only | nbd::flag_send_flush | nbd::flag_send_df |
                 nbd::flag_send_cache | nbd::flag_can_multi_conn;
-    return {volume.size, flags, {volume.least, preferred_block_bytes, max_request_bytes}};
+    return {volume.size, flags, {volume.alignment_bytes, preferred_block_bytes, max_request_bytes}};
 }
 
 OpenVolume &OpenVolumes::open(VolumeId id) {
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -114,8 +114,8 @@
     hello.version = replica_.version();
     for (const auto &[id, node] : replica_.cluster_state().nodes)
         if (node.state == NodeState::draining)
-            hello.draining.push_back(id);
-    hello.serving = {used_.begin(), used_.end()};
+            hello.draining_nodes.push_back(id);
+    hello.served_volumes = {used_.begin(), used_.end()};
     send(control::encode(hello));
     for (auto node : reachability_.unreachable())
         report_reachability(node, false);
@@ -186,7 +186,7 @@
         leave(why);
 }
 
-void PlannerClient::unexpected(std::string_view message) {
+void PlannerClient::handle_unexpected(std::string_view message) {
     if (error_.empty())
         error_ = std::string(message) + " is not expected from a planner";
 }
@@ -206,20 +206,20 @@
     if (restoring_)
         return;
     switch (result) {
-    case control::UpdateResult::old:
+    case control::UpdateResult::outdated:
         break;
-    case control::UpdateResult::foreign:
+    case control::UpdateResult::wrong_planner:
         send(control::encode(control::Superseded{replica_.term()}));
         if (error_.empty())
             error_ = "it plans with an older term, or twice under one; term " +
                      std::to_string(replica_.term().value) + " is followed";
         return;
-    case control::UpdateResult::gap:
-    case control::UpdateResult::broken:
+    case control::UpdateResult::version_gap:
+    case control::UpdateResult::malformed:
         send(control::encode(control::FullStateRequest{}));
         return;
-    case control::UpdateResult::whole:
-    case control::UpdateResult::changes:
+    case control::UpdateResult::full_state_applied:
+    case control::UpdateResult::changes_applied:
         update_taken(result, std::move(bytes));
         break;
     }
@@ -227,7 +227,7 @@
 }
 
 void PlannerClient::update_taken(control::UpdateResult result, std::string bytes) {
-    bool whole = result == control::UpdateResult::whole;
+    bool whole = result == control::UpdateResult::full_state_applied;
     stored_bytes_ = bytes.size() + (whole ? 0 : stored_bytes_);
     actions_.store_plan(std::move(bytes), whole);
     if (!whole && stored_bytes_ >= max_stored_bytes) {
@@ -286,7 +286,7 @@
             continue;
         actions_.quota_share_changed(
             volume, usable == 0 ? std::numeric_limits<double>::infinity()
-                                : static_cast<double>(control::whole_limit) / usable);
+                                : static_cast<double>(control::full_limit_millionths) / usable);
     }
 }
 
--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -144,7 +144,7 @@
     void handle(const control::SnapshotHold &message) override;
     void handle(const control::SnapshotResume &message) override;
     void handle(const control::SnapshotRelease &message) override;
-    void unexpected(std::string_view message) override;
+    void handle_unexpected(std::string_view message) override;
 
     template <class Entry>
     void apply(const Entry &entry) {
--- a/src/edge/snapshot_participant.cpp
+++ b/src/edge/snapshot_participant.cpp
@@ -10,12 +10,12 @@
 void SnapshotParticipant::hold(Time now, const SnapshotTarget &target, Time max_hold) {
     auto &volume = volumes_[target.volume];
     if (volume.lapsed == target.snapshot)
-        return step_done_(target.snapshot, SnapshotStep::lapsed);
+        return step_done_(target.snapshot, SnapshotStep::hold_expired);
     if (target.epoch <= volume.epoch)
-        return step_done_(target.snapshot, SnapshotStep::moved); // a repeated message
+        return step_done_(target.snapshot, SnapshotStep::resumed); // a repeated message
     volume.hold = Hold{target.snapshot, target.epoch, now + max_hold};
     holding_.insert(target.volume);
-    step_done_(target.snapshot, SnapshotStep::ready);
+    step_done_(target.snapshot, SnapshotStep::holding);
 }
 
 void SnapshotParticipant::resume(Time now, const SnapshotTarget &target) {
@@ -24,14 +24,14 @@
         volume.hold && volume.hold->snapshot == target.snapshot && now < volume.hold->expires_at;
     if (!held && (volume.lapsed == target.snapshot || target.epoch > volume.epoch)) {
         lapse(target.volume, volume, target.snapshot);
-        return step_done_(target.snapshot, SnapshotStep::lapsed);
+        return step_done_(target.snapshot, SnapshotStep::hold_expired);
     }
     if (held) {
         end_hold(target.volume, volume);
         volume.epoch = target.epoch;
         volume.draining = target.snapshot;
     }
-    step_done_(target.snapshot, SnapshotStep::moved);
+    step_done_(target.snapshot, SnapshotStep::resumed);
     if (!held && volume.draining != target.snapshot)
         return step_done_(target.snapshot, SnapshotStep::drained);
     report_if_drained(volume);
@@ -91,7 +91,7 @@
             continue;
         auto snapshot = volume.hold->snapshot;
         lapse(id, volume, snapshot);
-        step_done_(snapshot, SnapshotStep::lapsed);
+        step_done_(snapshot, SnapshotStep::hold_expired);
     }
 }
 
--- a/src/node/planner_registration.cpp
+++ b/src/node/planner_registration.cpp
@@ -86,7 +86,7 @@
     disconnected(now);
 }
 
-void PlannerRegistration::unexpected(std::string_view message) {
+void PlannerRegistration::handle_unexpected(std::string_view message) {
     error_ = message;
 }
 
@@ -128,7 +128,7 @@
 
 void PlannerRegistration::handle(const control::DiffRequest &message) {
     control::DiffReport answer;
-    answer.question = message.question;
+    answer.query_id = message.query_id;
     if (actions_.diff)
         for (auto [offset, length] : actions_.diff(message.first, message.second)) {
             if (offset < message.from_offset)
--- a/src/node/planner_registration.hpp
+++ b/src/node/planner_registration.hpp
@@ -85,7 +85,7 @@
     void handle(const control::SnapshotDrop &message) override;
     void handle(const control::CloneOpen &message) override;
     void handle(const control::DiffRequest &message) override;
-    void unexpected(std::string_view message) override;
+    void handle_unexpected(std::string_view message) override;
     void report(VolumeId snapshot, control::SnapshotStep step,
                 control::SnapshotResult result) const;
 
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -17,9 +17,9 @@
 }
 static_assert(number(store::SnapshotResult::created) == number(control::SnapshotResult::done));
 static_assert(number(store::SnapshotResult::already_exists) ==
-              number(control::SnapshotResult::exists));
-static_assert(number(store::SnapshotResult::id_taken) == number(control::SnapshotResult::taken));
-static_assert(number(store::SnapshotResult::no_space) == number(control::SnapshotResult::full));
+              number(control::SnapshotResult::already_done));
+static_assert(number(store::SnapshotResult::id_taken) == number(control::SnapshotResult::id_taken));
+static_assert(number(store::SnapshotResult::no_space) == number(control::SnapshotResult::no_space));
 static_assert(number(store::SnapshotResult::medium_failed) ==
               number(control::SnapshotResult::failed));
 
--- a/src/planner/admin_client.cpp
+++ b/src/planner/admin_client.cpp
@@ -24,7 +24,7 @@
         result = message;
         received = true;
     }
-    void unexpected(std::string_view message) override { error = message; }
+    void handle_unexpected(std::string_view message) override { error = message; }
 };
 
 Answer ask(const std::string &address, const std::string &request, Time timeout) {
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -84,7 +84,7 @@
 void Core::restore_desired_volumes() {
     const auto &state = context_.state.cluster_state();
     for (const auto &[id, volume] : state.volumes) {
-        if (volume.is_snapshot())
+        if (volume.is_snapshot_or_clone())
             continue; // an operator's, not the settings'
         auto plan = state.plans.find(volume.plan);
         context_.desired.volumes[id] = {volume, plan == state.plans.end() ? "" : plan->second.name,
@@ -127,7 +127,7 @@
     if (!faults.empty())
         return faults;
     desired_state_change_.apply(desired);
-    snapshots_.shards_changed();
+    snapshots_.update_shards();
     return {};
 }
 
@@ -205,9 +205,9 @@
     view.acknowledged = hello.lineage == context_.lineage ? hello.version : Version{0};
     view.sent = view.acknowledged;
     edges[hello.edge] = session.id;
-    quotas_.edge_connected(session, hello.serving);
+    quotas_.edge_connected(session, hello.served_volumes);
     if (context_.recovering)
-        nodes_.adopt_drains(hello.draining);
+        nodes_.adopt_drains(hello.draining_nodes);
 }
 
 void Core::lease_renewal(Session &session, const control::LeaseRenewal &renewal) {
@@ -296,12 +296,12 @@
     if (context_.commit_due && !commit())
         return;
     context_.commit_due = false;
-    snapshots_.take_back_dropped();
+    snapshots_.drop_from_nodes();
     for (auto &[session, bytes] : std::exchange(context_.replies_after_commit, {}))
         if (context_.sessions.all.contains(session))
             context_.transport.send(session, std::move(bytes));
     updates_.send();
-    snapshots_.begin_prepared();
+    snapshots_.begin_committed();
 }
 
 Time Core::next_due() const {
@@ -313,7 +313,7 @@
 }
 
 std::string Core::status_json(Time now) const {
-    return status_report({context_, nodes_, quotas_, snapshots_, started_}, now);
+    return build_status_report({context_, nodes_, quotas_, snapshots_, started_}, now);
 }
 
 } // namespace knotvane::planner
--- a/src/planner/desired_state_change.cpp
+++ b/src/planner/desired_state_change.cpp
@@ -53,7 +53,7 @@
 
 void DesiredStateChange::check_omitted(VolumeId id, const std::string &name, Faults &faults) const {
     for (const auto &[other, volume] : context_.state.cluster_state().volumes)
-        if (volume.is_snapshot() && volume.lies_as(other) == id)
+        if (volume.is_snapshot_or_clone() && volume.resolve_layout_volume(other) == id)
             faults.push_back({0, "volume " + name + " is left out and has a snapshot or clone, " +
                                      volume.name + ": drop it first"});
     if (const auto sharers = quotas_.allocation().sharers(id); sharers > 0)
@@ -77,10 +77,10 @@
 void DesiredStateChange::check_snapshots(const DesiredState &desired, Faults &faults) const {
     const auto &state = context_.state.cluster_state();
     for (const auto &[id, snapshot] : state.volumes) {
-        if (!snapshot.is_snapshot())
+        if (!snapshot.is_snapshot_or_clone())
             continue;
         auto plan = state.plans.find(snapshot.plan);
-        if (snapshot.charged_to(id) == id && plan != state.plans.end() &&
+        if (snapshot.resolve_quota_volume(id) == id && plan != state.plans.end() &&
             !desired.plans.contains(plan->second.name))
             faults.push_back({0, "plan " + plan->second.name + " is left out and " + snapshot.name +
                                      " is of it"});
@@ -137,7 +137,7 @@
     }
     std::vector<VolumeId> omitted;
     for (const auto &[id, volume] : cluster.volumes)
-        if (!desired.volumes.contains(id) && !volume.is_snapshot())
+        if (!desired.volumes.contains(id) && !volume.is_snapshot_or_clone())
             omitted.push_back(id);
     for (auto id : omitted)
         state.drop_volume(id);
--- a/src/planner/desired_state_files.cpp
+++ b/src/planner/desired_state_files.cpp
@@ -65,7 +65,7 @@
                                DesiredState::Volume volume;
                                volume.volume.name = name;
                                volume.volume.size = size;
-                               volume.volume.least = alignment;
+                               volume.volume.alignment_bytes = alignment;
                                volume.plan = plan;
                                volume.line = line;
                                desired.volumes[id] = std::move(volume);
@@ -138,14 +138,15 @@
     out << "[fleet]\nversion = " << desired.version << "\nnodes = " << desired.nodes.size()
         << "\nplans = " << desired.plans.size() << "\nvolumes = " << desired.volumes.size() << "\n";
     for (const auto &[name, plan] : desired.plans) {
-        out << "\n[plan " << name << "]\nweight = " << plan.weight << "\nusual = " << plan.usual
-            << "\nreserve = " << plan.reserve << "\nprice = " << plan.price << "\n";
-        if (plan.rate > 0)
-            out << "limit = " << plan.rate << "\nburst = " << plan.burst << "\n";
+        out << "\n[plan " << name << "]\nweight = " << plan.weight
+            << "\nusual = " << plan.expected_rate << "\nreserve = " << plan.reserved_rate
+            << "\nprice = " << plan.price << "\n";
+        if (plan.rate_limit > 0)
+            out << "limit = " << plan.rate_limit << "\nburst = " << plan.burst << "\n";
     }
     for (const auto &[id, entry] : desired.volumes)
         out << "\n[volume " << entry.volume.name << "]\nid = " << id.value
-            << "\nsize = " << entry.volume.size << "\nalign = " << entry.volume.least
+            << "\nsize = " << entry.volume.size << "\nalign = " << entry.volume.alignment_bytes
             << "\nplan = " << entry.plan << "\n";
     for (const auto &[id, node] : desired.nodes) {
         out << "\n[node " << id.value << "]\nshard = " << node.shard.value
--- a/src/planner/diff_questions.cpp
+++ b/src/planner/diff_queries.cpp
@@ -1,4 +1,4 @@
-#include "planner/diff_questions.hpp"
+#include "planner/diff_queries.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -43,63 +43,62 @@
 
 } // namespace
 
-void DiffQuestions::ask(SessionId session, VolumeId first, VolumeId second,
-                        const std::set<NodeId> &nodes) {
-    const auto number = ++last_number_;
-    auto &question = questions_[number];
-    question = {session, first, second, nodes, {}, context_.now + answer_timeout};
+void DiffQueries::ask(SessionId session, VolumeId first, VolumeId second,
+                      const std::set<NodeId> &nodes) {
+    const auto number = ++last_id_;
+    auto &query = queries_[number];
+    query = {session, first, second, nodes, {}, context_.now + answer_timeout};
     for (auto node : nodes)
-        send_request(node, number, question, 0);
+        send_request(node, number, query, 0);
 }
 
-void DiffQuestions::send_request(NodeId node, std::uint64_t number, const Question &question,
-                                 std::uint64_t from_offset) {
+void DiffQueries::send_request(NodeId node, std::uint64_t number, const Query &query,
+                               std::uint64_t from_offset) {
     const auto &nodes = context_.sessions.nodes;
     if (auto it = nodes.find(node); it != nodes.end())
-        context_.transport.send(
-            it->second, control::encode(control::DiffRequest{number, question.first,
-                                                             question.second, from_offset}));
+        context_.transport.send(it->second, control::encode(control::DiffRequest{
+                                                number, query.first, query.second, from_offset}));
 }
 
-void DiffQuestions::answered(NodeId node, const control::DiffReport &report) {
-    auto it = questions_.find(report.question);
-    if (it == questions_.end() || !it->second.waits_for.contains(node))
+void DiffQueries::handle_report(NodeId node, const control::DiffReport &report) {
+    auto it = queries_.find(report.query_id);
+    if (it == queries_.end() || !it->second.waits_for.contains(node))
         return;
-    auto &question = it->second;
+    auto &query = it->second;
     for (const auto &range : report.ranges)
-        question.ranges[range.offset] = range.length;
+        query.ranges[range.offset] = range.length;
     if (report.more && !report.ranges.empty()) {
-        send_request(node, report.question, question, report.ranges.back().offset + 1);
+        send_request(node, report.query_id, query, report.ranges.back().offset + 1);
         return;
     }
-    question.waits_for.erase(node);
-    if (question.waits_for.empty())
-        finish(report.question, {});
+    query.waits_for.erase(node);
+    if (query.waits_for.empty())
+        finish(report.query_id, {});
 }
 
-void DiffQuestions::finish(std::uint64_t number, const std::string &error) {
-    const auto question = std::move(questions_.extract(number).mapped());
-    if (!context_.sessions.all.contains(question.session))
+void DiffQueries::finish(std::uint64_t number, const std::string &error) {
+    const auto query = std::move(queries_.extract(number).mapped());
+    if (!context_.sessions.all.contains(query.session))
         return;
     control::OperationResult result{true, error.empty(), error};
     if (error.empty())
-        result.text = describe(merge_touching(question.ranges));
-    context_.transport.send(question.session, control::encode(result));
+        result.text = describe(merge_touching(query.ranges));
+    context_.transport.send(query.session, control::encode(result));
 }
 
-void DiffQuestions::expire() {
+void DiffQueries::expire() {
     std::vector<std::uint64_t> late;
-    for (const auto &[number, question] : questions_)
-        if (context_.now >= question.deadline)
+    for (const auto &[number, query] : queries_)
+        if (context_.now >= query.deadline)
             late.push_back(number);
     for (auto number : late)
         finish(number, "a node did not answer in time");
 }
 
-Time DiffQuestions::next_due() const {
+Time DiffQueries::next_due() const {
     Time due = std::numeric_limits<Time>::max();
-    for (const auto &[number, question] : questions_)
-        due = std::min(due, question.deadline);
+    for (const auto &[number, query] : queries_)
+        due = std::min(due, query.deadline);
     return due;
 }
 
--- a/src/planner/diff_questions.hpp
+++ b/src/planner/diff_queries.hpp
@@ -12,14 +12,14 @@
 namespace knotvane::planner {
 
 /// Asks one or more nodes of each shard and puts their answers together.
-class DiffQuestions {
+class DiffQueries {
 public:
-    explicit DiffQuestions(PlannerContext &context) : context_(context) {}
+    explicit DiffQueries(PlannerContext &context) : context_(context) {}
 
     /// \param session  of the operator, who gets an OperationResult in any case
     /// \param nodes    connected, and at least one of each shard
     void ask(SessionId session, VolumeId first, VolumeId second, const std::set<NodeId> &nodes);
-    void answered(NodeId node, const control::DiffReport &report);
+    void handle_report(NodeId node, const control::DiffReport &report);
 
     /// Ends questions that a node did not answer in time.
     void expire();
@@ -28,7 +28,7 @@
     Time next_due() const;
 
 private:
-    struct Question {
+    struct Query {
         SessionId session;
         VolumeId first;
         VolumeId second;
@@ -37,13 +37,13 @@
         Time deadline = 0;
     };
 
-    void send_request(NodeId node, std::uint64_t number, const Question &question,
+    void send_request(NodeId node, std::uint64_t number, const Query &query,
                       std::uint64_t from_offset);
     void finish(std::uint64_t number, const std::string &error);
 
     PlannerContext &context_;
-    std::map<std::uint64_t, Question> questions_;
-    std::uint64_t last_number_ = 0;
+    std::map<std::uint64_t, Query> queries_;
+    std::uint64_t last_id_ = 0;
 };
 
 } // namespace knotvane::planner
--- a/src/planner/quota_allocation.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -117,7 +117,8 @@
         }
         reserved += holding.bound;
     }
-    auto available = control::whole_limit - std::min(reserved, control::whole_limit);
+    auto available =
+        control::full_limit_millionths - std::min(reserved, control::full_limit_millionths);
     auto even_share = sharers == 0 ? 0 : available / sharers;
     for (auto &[edge, holding] : holdings)
         if (shares(edge, holding) && holding.share > even_share) {
@@ -131,7 +132,8 @@
     std::uint64_t used = unknown_bound_;
     for (const auto &[edge, holding] : holdings)
         used += holding.bound;
-    std::uint64_t free = control::whole_limit - std::min<std::uint64_t>(used, control::whole_limit);
+    std::uint64_t free = control::full_limit_millionths -
+                         std::min<std::uint64_t>(used, control::full_limit_millionths);
     for (auto &[edge, holding] : holdings) {
         if (!shares(edge, holding) || holding.share >= even_share)
             continue;
--- a/src/planner/quota_manager.cpp
+++ b/src/planner/quota_manager.cpp
@@ -30,7 +30,7 @@
 }
 
 void QuotaManager::start_recovery() {
-    allocation_.set_unknown_bound(control::whole_limit);
+    allocation_.set_unknown_bound(control::full_limit_millionths);
     recovery_until_ = context_.now + leases_.lease() + leases_.lease() / 10 + recovery_slack;
     context_.recovering = true;
 }
@@ -103,7 +103,7 @@
     if (recovery_until_ == 0)
         return;
     if (context_.now > recovery_until_ && !std::exchange(recovery_faded_, true))
-        allocation_.set_unknown_bound(control::faded_millionths(control::whole_limit));
+        allocation_.set_unknown_bound(control::faded_millionths(control::full_limit_millionths));
     if (context_.now > recovery_until_ + leases_.fade()) {
         allocation_.set_unknown_bound(0);
         recovery_until_ = 0;
--- a/src/planner/receiver.cpp
+++ b/src/planner/receiver.cpp
@@ -9,7 +9,7 @@
 bool Core::Receiver::expect(Role role, std::string_view message) {
     if (session_.role == role)
         return true;
-    unexpected(message);
+    handle_unexpected(message);
     return false;
 }
 
@@ -20,7 +20,7 @@
     return expect(Role::operator_client, message);
 }
 
-void Core::Receiver::unexpected(std::string_view message) {
+void Core::Receiver::handle_unexpected(std::string_view message) {
     if (session_.error.empty())
         session_.error = std::string(message) + " is not expected here";
 }
@@ -86,14 +86,14 @@
 
 void Core::Receiver::handle(const control::SnapshotStepReport &message) {
     if (session_.role == Role::edge)
-        core_.snapshots_.edge_step(session_.edge, message);
+        core_.snapshots_.handle_edge_step(session_.edge, message);
     else if (expect(Role::node, "a step of a snapshot"))
-        core_.snapshots_.node_step(session_.node, message);
+        core_.snapshots_.handle_node_step(session_.node, message);
 }
 
 void Core::Receiver::handle(const control::DiffReport &message) {
     if (expect(Role::node, "a diff report"))
-        core_.snapshots_.diff_answered(session_.node, message);
+        core_.snapshots_.handle_diff_report(session_.node, message);
 }
 
 } // namespace knotvane::planner
--- a/src/planner/receiver.hpp
+++ b/src/planner/receiver.hpp
@@ -30,7 +30,7 @@
     void handle(const control::DiffReport &message) override;
 
 private:
-    void unexpected(std::string_view message) override;
+    void handle_unexpected(std::string_view message) override;
     bool expect(Session::Role role, std::string_view message);
     bool expect_operator(std::string_view message);
 
--- a/src/planner/snapshot_coordinator.cpp
+++ b/src/planner/snapshot_coordinator.cpp
@@ -178,18 +178,19 @@
     return true;
 }
 
-void SnapshotCoordinator::edge_step(Time now, EdgeId edge, control::EdgeIncarnation incarnation,
-                                    VolumeId snapshot, SnapshotStep step) {
+void SnapshotCoordinator::handle_edge_step(Time now, EdgeId edge,
+                                           control::EdgeIncarnation incarnation, VolumeId snapshot,
+                                           SnapshotStep step) {
     auto it = running_.find(snapshot);
     if (it == running_.end() || !it->second.edges.contains(edge))
         return;
     auto &run = it->second;
     switch (step) {
-    case SnapshotStep::ready:
+    case SnapshotStep::holding:
         if (!edge_ready(edge, incarnation, snapshot, run))
             return;
         break;
-    case SnapshotStep::lapsed:
+    case SnapshotStep::hold_expired:
         // Guards against an edge that went on by itself, in the epoch before, while others are in
         // the new one.
         if (run.held.contains(edge))
@@ -202,7 +203,7 @@
         if (run.phase == Phase::draining)
             run.awaited.erase(edge);
         break;
-    case SnapshotStep::moved:
+    case SnapshotStep::resumed:
         if (run.phase == Phase::resuming)
             run.awaited.erase(edge);
         break;
@@ -213,14 +214,14 @@
 }
 
 void SnapshotCoordinator::dropped(ShardId shard, VolumeId snapshot) {
-    auto it = taking_back_.find(snapshot);
-    if (it == taking_back_.end())
+    auto it = pending_drops_.find(snapshot);
+    if (it == pending_drops_.end())
         return;
     it->second.erase(shard);
     if (!it->second.empty())
         return;
-    taking_back_.erase(it);
-    actions_.taken_back(snapshot);
+    pending_drops_.erase(it);
+    actions_.dropped_everywhere(snapshot);
 }
 
 bool SnapshotCoordinator::expects(Phase phase, SnapshotStep step) {
@@ -236,8 +237,8 @@
     }
 }
 
-void SnapshotCoordinator::node_step(Time now, NodeId node, ShardId shard, VolumeId snapshot,
-                                    SnapshotStep step, SnapshotResult result) {
+void SnapshotCoordinator::handle_node_step(Time now, NodeId node, ShardId shard, VolumeId snapshot,
+                                           SnapshotStep step, SnapshotResult result) {
     if (step == SnapshotStep::dropped) {
         if (result == SnapshotResult::done)
             dropped(shard, snapshot);
@@ -249,11 +250,12 @@
     auto &run = it->second;
     if (!expects(run.phase, step) || !run.awaited_nodes.contains(node))
         return;
-    if (result != SnapshotResult::done && result != SnapshotResult::exists)
+    if (result != SnapshotResult::done && result != SnapshotResult::already_done)
         return fail(snapshot,
                     "node " + std::to_string(node.value) +
-                        (result == SnapshotResult::full ? ": less than a tenth of its store is free"
-                                                        : " could not do it; see its log"),
+                        (result == SnapshotResult::no_space
+                             ? ": less than a tenth of its store is free"
+                             : " could not do it; see its log"),
                     false);
     run.awaited_nodes.erase(node);
     advance(now, snapshot, run);
@@ -293,25 +295,25 @@
 
 // ---- Taking back.
 
-void SnapshotCoordinator::take_back(VolumeId snapshot, std::set<ShardId> shards) {
-    taking_back_[snapshot] = std::move(shards);
-    drop_again_at_ = 0; // at the next tick
+void SnapshotCoordinator::drop_everywhere(VolumeId snapshot, std::set<ShardId> shards) {
+    pending_drops_[snapshot] = std::move(shards);
+    next_drop_at_ = 0; // at the next tick
 }
 
 void SnapshotCoordinator::node_connected(NodeId node, ShardId shard) {
-    for (const auto &[snapshot, remaining_shards] : taking_back_)
+    for (const auto &[snapshot, remaining_shards] : pending_drops_)
         if (remaining_shards.contains(shard))
             actions_.drop(node, snapshot);
 }
 
 void SnapshotCoordinator::set_shards(const std::set<ShardId> &shards) {
-    for (auto it = taking_back_.begin(); it != taking_back_.end();) {
+    for (auto it = pending_drops_.begin(); it != pending_drops_.end();) {
         std::erase_if(it->second, [&](ShardId shard) { return !shards.contains(shard); });
         const auto snapshot = it->first;
         const bool is_complete = it->second.empty();
-        it = is_complete ? taking_back_.erase(it) : std::next(it);
+        it = is_complete ? pending_drops_.erase(it) : std::next(it);
         if (is_complete)
-            actions_.taken_back(snapshot);
+            actions_.dropped_everywhere(snapshot);
     }
 }
 
@@ -321,7 +323,7 @@
     Time due = std::numeric_limits<Time>::max();
     for (const auto &[snapshot, run] : running_)
         due = std::min(due, run.deadline);
-    return taking_back_.empty() ? due : std::min(due, drop_again_at_);
+    return pending_drops_.empty() ? due : std::min(due, next_drop_at_);
 }
 
 void SnapshotCoordinator::time_out(Time now, VolumeId snapshot) {
@@ -343,14 +345,14 @@
             late.push_back(snapshot);
     for (auto snapshot : late)
         time_out(now, snapshot);
-    if (taking_back_.empty() || now < drop_again_at_)
+    if (pending_drops_.empty() || now < next_drop_at_)
         return;
-    drop_again_at_ = now + drop_interval;
+    next_drop_at_ = now + drop_interval;
     for (const auto &[node, shard] : connected)
         node_connected(node, shard);
 }
 
-std::map<VolumeId, std::string> SnapshotCoordinator::under_way() const {
+std::map<VolumeId, std::string> SnapshotCoordinator::describe_running() const {
     std::map<VolumeId, std::string> out;
     for (const auto &[snapshot, run] : running_) {
         auto awaited = run.awaited_nodes.empty() ? list(run.awaited) : list(run.awaited_nodes);
--- a/src/planner/snapshot_coordinator.hpp
+++ b/src/planner/snapshot_coordinator.hpp
@@ -49,7 +49,7 @@
         virtual void failed(VolumeId snapshot, const std::string &why, bool retry) = 0;
 
         /// Nothing of it is left at any node.
-        virtual void taken_back(VolumeId snapshot) = 0;
+        virtual void dropped_everywhere(VolumeId snapshot) = 0;
     };
 
     explicit SnapshotCoordinator(Actions &actions) : actions_(actions) {}
@@ -65,12 +65,12 @@
     void begin_clone(Time now, VolumeId source, VolumeId clone, std::set<NodeId> nodes);
 
     /// Has it dropped at the nodes of these shards, for as long as it takes.
-    void take_back(VolumeId snapshot, std::set<ShardId> shards);
+    void drop_everywhere(VolumeId snapshot, std::set<ShardId> shards);
 
-    void edge_step(Time now, EdgeId edge, control::EdgeIncarnation incarnation, VolumeId snapshot,
-                   SnapshotStep step);
-    void node_step(Time now, NodeId node, ShardId shard, VolumeId snapshot, SnapshotStep step,
-                   SnapshotResult result);
+    void handle_edge_step(Time now, EdgeId edge, control::EdgeIncarnation incarnation,
+                          VolumeId snapshot, SnapshotStep step);
+    void handle_node_step(Time now, NodeId node, ShardId shard, VolumeId snapshot,
+                          SnapshotStep step, SnapshotResult result);
 
     /// A connection was lost: what was ordered over it may not have been done.
     void edge_disconnected(Time now, EdgeId edge);
@@ -89,10 +89,10 @@
     bool is_running(VolumeId snapshot) const { return running_.contains(snapshot); }
 
     /// For operators: each that is under way, and what it waits for.
-    std::map<VolumeId, std::string> under_way() const;
+    std::map<VolumeId, std::string> describe_running() const;
 
     /// For operators: each that is being taken back, and the shards left.
-    const std::map<VolumeId, std::set<ShardId>> &being_taken_back() const { return taking_back_; }
+    const std::map<VolumeId, std::set<ShardId>> &pending_drops() const { return pending_drops_; }
 
 private:
     enum class Phase { holding, opening, resuming, draining, sealing, cloning };
@@ -126,8 +126,8 @@
 
     Actions &actions_;
     std::map<VolumeId, Run> running_;
-    std::map<VolumeId, std::set<ShardId>> taking_back_;
-    Time drop_again_at_ = 0;
+    std::map<VolumeId, std::set<ShardId>> pending_drops_;
+    Time next_drop_at_ = 0;
 };
 
 } // namespace knotvane::planner
--- a/src/planner/snapshot_operations.cpp
+++ b/src/planner/snapshot_operations.cpp
@@ -23,7 +23,7 @@
 void SnapshotOperations::start() {
     const auto &volumes = context_.state.cluster_state().volumes;
     for (const auto &[snapshot, incomplete] : incomplete_) {
-        coordinator_.take_back(snapshot, all_shards());
+        coordinator_.drop_everywhere(snapshot, all_shards());
         // Some edges may go by its epoch, which must not be given twice.
         auto it = volumes.find(incomplete.source);
         if (it == volumes.end() || it->second.epoch >= incomplete.epoch)
@@ -75,7 +75,7 @@
     return it == names.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::vector<std::uint64_t> SnapshotOperations::users(VolumeId volume) const {
+std::vector<std::uint64_t> SnapshotOperations::edges_using(VolumeId volume) const {
     std::vector<std::uint64_t> out;
     if (auto it = allocation_.all().find(volume); it != allocation_.all().end())
         for (const auto &[edge, holding] : it->second)
@@ -129,9 +129,9 @@
                std::to_string(max_name_bytes) + " bytes at most with the volume's";
     if (auto id = find(full_name)) {
         const auto &volume = context_.state.cluster_state().volumes.at(*id);
-        auto age = std::to_string((context_.now - volume.taken) / sec);
+        auto age = std::to_string((context_.now - volume.created_at) / sec);
         return full_name + " is there already" +
-               (volume.is_snapshot() ? ", taken " + age + "s ago" : "");
+               (volume.is_snapshot_or_clone() ? ", taken " + age + "s ago" : "");
     }
     for (const auto &[id, other] : pending_)
         if (other.volume.name == full_name)
@@ -159,12 +159,12 @@
     pending.is_clone = !take;
     pending.volume = source;
     pending.volume.name = full_name;
-    pending.volume.of = *source_id;
-    pending.volume.place = source.lies_as(*source_id);
+    pending.volume.source = *source_id;
+    pending.volume.layout_volume = source.resolve_layout_volume(*source_id);
     pending.volume.frozen = take;
     pending.volume.epoch = 0;
     // It uses its source's quota, so that no reserve and no limit is there twice.
-    pending.volume.charge = source.charged_to(*source_id);
+    pending.volume.quota_volume = source.resolve_quota_volume(*source_id);
     if (!take && !request.plan.empty())
         if (auto why = choose_plan(request.plan, pending.volume); !why.empty())
             return why;
@@ -180,21 +180,21 @@
                            [&](const auto &entry) { return entry.second.name == plan; });
     if (it == plans.end())
         return "there is no plan " + plan;
-    if (it->second.reserve > 0)
+    if (it->second.reserved_rate > 0)
         return "plan " + plan +
                " has a reserve, which a clone would have again: choose one without, or none to " +
                "pay from the source's part";
     clone.plan = it->first;
-    clone.charge = {};
+    clone.quota_volume = {};
     return {};
 }
 
 void SnapshotOperations::remove(SessionId session, const control::SnapshotRequest &request) {
     const auto id = find(request.name);
-    if (!id || !context_.state.cluster_state().volumes.at(*id).is_snapshot())
+    if (!id || !context_.state.cluster_state().volumes.at(*id).is_snapshot_or_clone())
         return reply(session, {false, false, "there is no snapshot or clone " + request.name});
     const auto volume = context_.state.cluster_state().volumes.at(*id);
-    if (auto edges = users(*id); !edges.empty()) {
+    if (auto edges = edges_using(*id); !edges.empty()) {
         std::string list;
         for (auto edge : edges)
             list += (list.empty() ? "" : ", ") + std::to_string(edge);
@@ -205,8 +205,9 @@
             return reply(session,
                          {true, false, volume.name + " is being cloned to " + pending.volume.name});
     context_.state.drop_volume(*id);
-    incomplete_[*id] = {volume.of, 0};
-    context_.store.keep(StateStore::Row::incomplete, id->value, volume.of.value, Version{1}, "0");
+    incomplete_[*id] = {volume.source, 0};
+    context_.store.keep(StateStore::Row::incomplete, id->value, volume.source.value, Version{1},
+                        "0");
     // Guards against nodes that drop it before that is durable: a planner that died in between came
     // back to a snapshot whose bytes were gone.
     dropped_.push_back(*id);
@@ -224,7 +225,8 @@
                                "there is no volume or snapshot " +
                                    (first ? request.other_name : request.name)});
     const auto &volumes = context_.state.cluster_state().volumes;
-    if (volumes.at(*first).lies_as(*first) != volumes.at(*second).lies_as(*second))
+    if (volumes.at(*first).resolve_layout_volume(*first) !=
+        volumes.at(*second).resolve_layout_volume(*second))
         return reply(session, {false, false,
                                request.name + " and " + request.other_name +
                                    " do not come from one volume"});
@@ -232,7 +234,7 @@
     const auto nodes = participating_nodes(why);
     if (nodes.empty())
         return reply(session, {false, false, why});
-    diffs_.ask(session, *first, *second, nodes);
+    diff_queries_.ask(session, *first, *second, nodes);
 }
 
 // ---- From request to result.
@@ -262,7 +264,7 @@
     pending_[id] = std::move(pending);
 }
 
-void SnapshotOperations::begin_prepared() {
+void SnapshotOperations::begin_committed() {
     for (auto &[id, pending] : pending_) {
         if (std::exchange(pending.begun, true))
             continue;
@@ -290,7 +292,7 @@
             ended.push_back(id);
     for (auto id : ended)
         finish(id);
-    diffs_.expire();
+    diff_queries_.expire();
 }
 
 void SnapshotOperations::finish(VolumeId snapshot) {
@@ -317,7 +319,7 @@
 void SnapshotOperations::finish_completed(VolumeId snapshot, Pending pending) {
     incomplete_.erase(snapshot);
     context_.store.drop(StateStore::Row::incomplete, snapshot.value, pending.source.value);
-    pending.volume.taken = pending.began;
+    pending.volume.created_at = pending.began;
     context_.state.put(snapshot, pending.volume);
     context_.transport.log_event(pending.volume.name + " is whole");
     reply_after_commit(pending.session,
@@ -327,7 +329,7 @@
 }
 
 void SnapshotOperations::finish_failed(VolumeId snapshot, Pending pending) {
-    coordinator_.take_back(snapshot, all_shards());
+    coordinator_.drop_everywhere(snapshot, all_shards());
     context_.transport.log_event(pending.volume.name + " is taken back: " + pending.why);
     if (pending.retry && ++pending.attempts < max_attempts) {
         pending.failed = false;
@@ -341,13 +343,13 @@
         {true, false, pending.volume.name + ": " + pending.why + "; nothing is left of it"});
 }
 
-void SnapshotOperations::take_back_dropped() {
+void SnapshotOperations::drop_from_nodes() {
     for (auto id : std::exchange(dropped_, {}))
-        coordinator_.take_back(id, all_shards());
+        coordinator_.drop_everywhere(id, all_shards());
 }
 
 Time SnapshotOperations::next_due() const {
-    auto due = std::min(coordinator_.next_due(), diffs_.next_due());
+    auto due = std::min(coordinator_.next_due(), diff_queries_.next_due());
     for (const auto &[id, pending] : pending_)
         if (pending.failed || pending.completed)
             due = std::min(due, context_.now);
@@ -356,14 +358,15 @@
 
 // ---- Steps.
 
-void SnapshotOperations::edge_step(EdgeId edge, const control::SnapshotStepReport &report) {
-    coordinator_.edge_step(context_.now, edge, report.incarnation, report.snapshot, report.step);
+void SnapshotOperations::handle_edge_step(EdgeId edge, const control::SnapshotStepReport &report) {
+    coordinator_.handle_edge_step(context_.now, edge, report.incarnation, report.snapshot,
+                                  report.step);
 }
 
-void SnapshotOperations::node_step(NodeId node, const control::SnapshotStepReport &report) {
+void SnapshotOperations::handle_node_step(NodeId node, const control::SnapshotStepReport &report) {
     if (auto it = context_.desired.nodes.find(node); it != context_.desired.nodes.end())
-        coordinator_.node_step(context_.now, node, it->second.shard, report.snapshot, report.step,
-                               report.result);
+        coordinator_.handle_node_step(context_.now, node, it->second.shard, report.snapshot,
+                                      report.step, report.result);
 }
 
 void SnapshotOperations::completed(VolumeId snapshot) {
@@ -377,7 +380,7 @@
     pending.why = why;
 }
 
-void SnapshotOperations::taken_back(VolumeId snapshot) {
+void SnapshotOperations::dropped_everywhere(VolumeId snapshot) {
     auto it = incomplete_.find(snapshot);
     if (it == incomplete_.end())
         return;
--- a/src/planner/snapshot_operations.hpp
+++ b/src/planner/snapshot_operations.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "planner/context.hpp"
-#include "planner/diff_questions.hpp"
+#include "planner/diff_queries.hpp"
 #include "planner/quota_allocation.hpp"
 #include "planner/snapshot_coordinator.hpp"
 
@@ -38,7 +38,7 @@
     };
 
     SnapshotOperations(PlannerContext &context, const QuotaAllocation &allocation)
-        : context_(context), allocation_(allocation), diffs_(context) {}
+        : context_(context), allocation_(allocation), diff_queries_(context) {}
 
     void restore_incomplete(VolumeId snapshot, VolumeId source, std::uint32_t epoch) {
         incomplete_[snapshot] = {source, epoch};
@@ -47,33 +47,33 @@
     /// After all rows: what the last planner did not complete is taken back.
     void start();
     void request(SessionId session, const control::SnapshotRequest &request);
-    void edge_step(EdgeId edge, const control::SnapshotStepReport &report);
-    void node_step(NodeId node, const control::SnapshotStepReport &report);
-    void diff_answered(NodeId node, const control::DiffReport &report) {
-        diffs_.answered(node, report);
+    void handle_edge_step(EdgeId edge, const control::SnapshotStepReport &report);
+    void handle_node_step(NodeId node, const control::SnapshotStepReport &report);
+    void handle_diff_report(NodeId node, const control::DiffReport &report) {
+        diff_queries_.handle_report(node, report);
     }
     void edge_disconnected(EdgeId edge) { coordinator_.edge_disconnected(context_.now, edge); }
     void node_disconnected(NodeId node) { coordinator_.node_disconnected(node); }
     void node_connected(NodeId node, ShardId shard) { coordinator_.node_connected(node, shard); }
 
     /// The settings changed.
-    void shards_changed() { coordinator_.set_shards(all_shards()); }
+    void update_shards() { coordinator_.set_shards(all_shards()); }
 
     /// Before a commit: what came of snapshots in this moment.
     void settle();
 
     /// After a commit: drops what is durably gone.
-    void take_back_dropped();
+    void drop_from_nodes();
 
     /// After a commit: begins what may durably have to be taken back.
-    void begin_prepared();
+    void begin_committed();
     Time next_due() const;
 
     /// It is under way, or being taken back.
     bool is_incomplete(VolumeId snapshot) const { return incomplete_.contains(snapshot); }
 
     /// Edges with a client of the volume.
-    std::vector<std::uint64_t> users(VolumeId volume) const;
+    std::vector<std::uint64_t> edges_using(VolumeId volume) const;
     const std::map<VolumeId, Pending> &pending() const { return pending_; }
     const SnapshotCoordinator &coordinator() const { return coordinator_; }
 
@@ -94,7 +94,7 @@
     void drop(NodeId node, VolumeId snapshot) override;
     void completed(VolumeId snapshot) override;
     void failed(VolumeId snapshot, const std::string &why, bool retry) override;
-    void taken_back(VolumeId snapshot) override;
+    void dropped_everywhere(VolumeId snapshot) override;
 
     void create(SessionId session, const control::SnapshotRequest &request);
     void remove(SessionId session, const control::SnapshotRequest &request);
@@ -118,7 +118,7 @@
     PlannerContext &context_;
     const QuotaAllocation &allocation_;
     SnapshotCoordinator coordinator_{*this};
-    DiffQuestions diffs_;
+    DiffQueries diff_queries_;
     std::map<VolumeId, Pending> pending_;
     std::map<VolumeId, Incomplete> incomplete_; // as in the store
     std::vector<VolumeId> dropped_;             // to be taken back once that is durable
--- a/src/planner/state_rows.cpp
+++ b/src/planner/state_rows.cpp
@@ -26,7 +26,7 @@
     void handle(const Message &message) override { message_ = message; }
 
 private:
-    void unexpected(std::string_view message) override {
+    void handle_unexpected(std::string_view message) override {
         throw control::ProtocolError(std::string(message) + " is not expected in this row");
     }
 
@@ -55,7 +55,7 @@
         begin = end == std::string_view::npos ? body.size() : end + 1;
     }
     auto [share, bound, since, serves, lapsed] = fields;
-    if (share > control::whole_limit || bound > control::whole_limit)
+    if (share > control::full_limit_millionths || bound > control::full_limit_millionths)
         throw control::ProtocolError("a quota share's row is past the whole limit");
     return {{static_cast<std::uint32_t>(share), static_cast<std::uint32_t>(bound), Version{since},
              serves != 0},
--- a/src/planner/status_report.cpp
+++ b/src/planner/status_report.cpp
@@ -49,20 +49,20 @@
 json snapshot_report(const StatusSources &sources, VolumeId id, const control::Volume &volume,
                      Time now) {
     const auto &volumes = sources.context.state.cluster_state().volumes;
-    auto source = volumes.find(volume.of);
+    auto source = volumes.find(volume.source);
     return {{"id", id.value},
             {"name", volume.name},
             {"kind", volume.frozen ? "snapshot" : "clone"},
             {"of", source == volumes.end() ? "(dropped)" : source->second.name},
             {"size", volume.size},
-            {"age_ms", (now - volume.taken) / ms},
-            {"pays", volume.charge.value ? "its source" : "itself"},
-            {"used_by", sources.snapshots.users(id)}};
+            {"age_ms", (now - volume.created_at) / ms},
+            {"pays", volume.quota_volume.value ? "its source" : "itself"},
+            {"used_by", sources.snapshots.edges_using(id)}};
 }
 
 json pending_report(const SnapshotOperations &snapshots, Time now) {
     auto out = json::array();
-    for (const auto &[id, awaited] : snapshots.coordinator().under_way())
+    for (const auto &[id, awaited] : snapshots.coordinator().describe_running())
         if (auto it = snapshots.pending().find(id); it != snapshots.pending().end())
             out.push_back({{"name", it->second.volume.name},
                            {"since_ms", (now - it->second.began) / ms},
@@ -70,9 +70,9 @@
     return out;
 }
 
-json taking_back_report(const SnapshotCoordinator &coordinator) {
+json pending_drops_report(const SnapshotCoordinator &coordinator) {
     auto out = json::array();
-    for (const auto &[id, shards] : coordinator.being_taken_back()) {
+    for (const auto &[id, shards] : coordinator.pending_drops()) {
         auto left = json::array();
         for (auto shard : shards)
             left.push_back(shard.value);
@@ -115,7 +115,7 @@
 
 } // namespace
 
-std::string status_report(const StatusSources &sources, Time now) {
+std::string build_status_report(const StatusSources &sources, Time now) {
     const auto &context = sources.context;
     const auto &state = context.state;
     json out{{"term", context.term.value},
@@ -130,10 +130,10 @@
         out["nodes"].push_back(node_report(sources, id, desired, now));
     out["cuts"] = json::array();
     for (const auto &[id, volume] : state.cluster_state().volumes)
-        if (volume.is_snapshot())
+        if (volume.is_snapshot_or_clone())
             out["cuts"].push_back(snapshot_report(sources, id, volume, now));
     out["cuts_under_way"] = pending_report(sources.snapshots, now);
-    out["cuts_undone"] = taking_back_report(sources.snapshots.coordinator());
+    out["cuts_undone"] = pending_drops_report(sources.snapshots.coordinator());
     out["edges"] = edges_report(sources, now);
     return out.dump();
 }
--- a/src/planner/status_report.hpp
+++ b/src/planner/status_report.hpp
@@ -21,6 +21,6 @@
 };
 
 /// As JSON; the keys are part of the interface.
-std::string status_report(const StatusSources &sources, Time now);
+std::string build_status_report(const StatusSources &sources, Time now);
 
 } // namespace knotvane::planner
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -218,7 +218,7 @@
         p.version = 1;
         p.plans["p"] = {"p", 1, 1000, 0, 1, 0, 0};
         control::Volume v;
-        v.name = "v", v.size = volume_size, v.least = 512;
+        v.name = "v", v.size = volume_size, v.alignment_bytes = 512;
         p.volumes[volume] = {v, "p", 0};
         for (std::uint32_t i = 0; i < day.nodes; ++i)
             p.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
@@ -353,7 +353,7 @@
             std::string name;
             using MessageHandler::handle;
             void handle(const control::VolumeUpdate &m) override { name = m.volume.name; }
-            void unexpected(std::string_view) override {}
+            void handle_unexpected(std::string_view) override {}
         };
         for (auto &[key, row] : state_store.rows) {
             auto [kind, id, b] = key;
@@ -376,7 +376,7 @@
                 if (heard)
                     std::exchange(heard, nullptr)(m.done);
             }
-            void unexpected(std::string_view) override {}
+            void handle_unexpected(std::string_view) override {}
         };
         auto ear = std::make_shared<Ear>();
         auto reader = std::make_shared<control::MessageDecoder>();
@@ -736,7 +736,7 @@
 void EdgeHost::snapshot_hold(const control::SnapshotHold &order) {
     auto [of, as, epoch, longest] = order;
     if (w.day.edges_begin_on)
-        return sub->report_snapshot_step(as, control::SnapshotStep::ready,
+        return sub->report_snapshot_step(as, control::SnapshotStep::holding,
                                          control::EdgeIncarnation{core->incarnation()});
     core->hold_snapshot(w.now, {of, as, epoch}, longest);
     if (w.day.nobody_waits)
@@ -992,7 +992,7 @@
     for (auto &n : nodes) {
         std::set<VolumeId> expected;
         for (auto &[id, v] : core->state().cluster_state().volumes)
-            if (v.is_snapshot())
+            if (v.is_snapshot_or_clone())
                 expected.insert(id);
         for (auto id : n->store.snapshots())
             if (!expected.contains(id) && !core->is_incomplete(id))
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -60,9 +60,10 @@
             w.taken(*this, table, started);
         }
         void quota_share_changed(VolumeId v, double hosts) override {
-            auto is = std::isinf(hosts)
-                          ? 0
-                          : std::llround(static_cast<double>(control::whole_limit) / hosts);
+            auto is =
+                std::isinf(hosts)
+                    ? 0
+                    : std::llround(static_cast<double>(control::full_limit_millionths) / hosts);
             if (!paused)
                 w.usable[v] += is - usable[v];
             usable[v] = is;
@@ -397,7 +398,7 @@
     }
     void check() {
         for (auto &[v, sum] : usable)
-            if (sum > static_cast<std::int64_t>(control::whole_limit))
+            if (sum > static_cast<std::int64_t>(control::full_limit_millionths))
                 broken("edges use " + std::to_string(sum) + " millionths of volume " +
                        std::to_string(v.value) + "'s limit");
     }
@@ -539,7 +540,7 @@
                 parts[v].push_back(e->usable[v]);
         for (auto &[v, all] : parts)
             for (auto p : all)
-                if (p != static_cast<std::int64_t>(control::whole_limit / all.size()))
+                if (p != static_cast<std::int64_t>(control::full_limit_millionths / all.size()))
                     return false;
         return true;
     }
@@ -660,7 +661,7 @@
             auto part = e.sub->replica().cluster_state().quota_shares.find(v);
             if (part == e.sub->replica().cluster_state().quota_shares.end())
                 continue;
-            e.quota_share_changed(v, static_cast<double>(control::whole_limit) /
+            e.quota_share_changed(v, static_cast<double>(control::full_limit_millionths) /
                                          std::max(1u, part->second.millionths));
         }
     }
--- a/tests/control/cluster_state_replica_test.cpp
+++ b/tests/control/cluster_state_replica_test.cpp
@@ -21,16 +21,16 @@
             c.apply(control::VolumeUpdate{VolumeId{version}, volume});
             return c.end({Version{version}, count});
         };
-        CHECK(news(2, 1, 5, 0) == control::UpdateResult::whole);
-        CHECK(news(2, 1, 7, 6) == control::UpdateResult::gap);
-        CHECK(news(2, 1, 6, 5, 2) == control::UpdateResult::broken);
-        CHECK(news(2, 1, 5, 0) == control::UpdateResult::old);
-        CHECK(news(1, 1, 9, 0) == control::UpdateResult::foreign);
-        CHECK(news(2, 2, 9, 0) == control::UpdateResult::foreign);
+        CHECK(news(2, 1, 5, 0) == control::UpdateResult::full_state_applied);
+        CHECK(news(2, 1, 7, 6) == control::UpdateResult::version_gap);
+        CHECK(news(2, 1, 6, 5, 2) == control::UpdateResult::malformed);
+        CHECK(news(2, 1, 5, 0) == control::UpdateResult::outdated);
+        CHECK(news(1, 1, 9, 0) == control::UpdateResult::wrong_planner);
+        CHECK(news(2, 2, 9, 0) == control::UpdateResult::wrong_planner);
         CHECK(c.cluster_state().names.size() == 1);
-        CHECK(news(2, 1, 6, 5) == control::UpdateResult::changes);
-        CHECK(news(3, 9, 8, 6) == control::UpdateResult::changes);
+        CHECK(news(2, 1, 6, 5) == control::UpdateResult::changes_applied);
+        CHECK(news(3, 9, 8, 6) == control::UpdateResult::changes_applied);
         CHECK(c.cluster_state().names.size() == 3);
-        CHECK(c.end({Version{8}, 0}) == control::UpdateResult::broken);
+        CHECK(c.end({Version{8}, 0}) == control::UpdateResult::malformed);
     }
 }
--- a/tests/control/messages_test.cpp
+++ b/tests/control/messages_test.cpp
@@ -28,14 +28,14 @@
     Volume out;
     out.name = "v@a";
     out.size = 1 << 30;
-    out.least = 4096;
+    out.alignment_bytes = 4096;
     out.plan = PlanId{1};
-    out.place = volume;
-    out.charge = volume;
-    out.of = volume;
+    out.layout_volume = volume;
+    out.quota_volume = volume;
+    out.source = volume;
     out.epoch = 41;
     out.frozen = true;
-    out.taken = 123;
+    out.created_at = 123;
     return out;
 }
 
@@ -94,7 +94,7 @@
     void handle(const SnapshotDrop &message) override { received.push_back(encode(message)); }
     void handle(const CloneOpen &message) override { received.push_back(encode(message)); }
     void handle(const DiffRequest &message) override { received.push_back(encode(message)); }
-    void unexpected(std::string_view message) override {
+    void handle_unexpected(std::string_view message) override {
         unexpected_messages.emplace_back(message);
     }
 };
@@ -102,7 +102,7 @@
 // A side that expects nothing.
 struct Silent final : MessageHandler {
     std::vector<std::string> unexpected_messages;
-    void unexpected(std::string_view message) override {
+    void handle_unexpected(std::string_view message) override {
         unexpected_messages.emplace_back(message);
     }
 };
@@ -250,12 +250,12 @@
         NodeHello new_protocol;
         new_protocol.protocol.value = 3;
         CHECK(has(error_of(encode(new_protocol)), "protocol 3, expected 2"));
-        CHECK(has(error_of(encode(QuotaShareUpdate{volume, {whole_limit + 1, 1}})),
+        CHECK(has(error_of(encode(QuotaShareUpdate{volume, {full_limit_millionths + 1, 1}})),
                   "a quota share of more than the whole limit"));
-        CHECK(error_of(encode(QuotaShareUpdate{volume, {whole_limit, 1}})).empty());
+        CHECK(error_of(encode(QuotaShareUpdate{volume, {full_limit_millionths, 1}})).empty());
         for (double number : {std::numeric_limits<double>::infinity(), std::nan("")}) {
             Plan plan;
-            plan.reserve = number;
+            plan.reserved_rate = number;
             CHECK(has(error_of(encode(PlanUpdate{PlanId{1}, plan})), "expected a finite number"));
         }
     }
--- a/tests/edge/core_snapshots_test.cpp
+++ b/tests/edge/core_snapshots_test.cpp
@@ -224,7 +224,7 @@
     TEST_CASE("a snapshot that is dropped is said to be, and never read as something else") {
         Rig r;
         control::Volume s = r.table.volumes.at(v);
-        s.name = "v@a", s.of = s.place = s.charge = v, s.frozen = true;
+        s.name = "v@a", s.source = s.layout_volume = s.quota_volume = v, s.frozen = true;
         r.table.put(as, s);
         r.core.cluster_state_changed(r.now);
         r.client = std::make_unique<load::Session>(r, "v@a", true);
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -47,7 +47,7 @@
         std::count(p.recorded.closed.begin(), p.recorded.closed.end(), planner::SessionId{70});
     if (closed > 1 || (closed == 1 && p.recorded.logged.size() == lines))
         std::abort();
-    if (p.core.allocation().bound(VolumeId{7}) > control::whole_limit)
+    if (p.core.allocation().bound(VolumeId{7}) > control::full_limit_millionths)
         std::abort();
     CountingActions actions;
     const edge::PlannerClientConfig config{control::EdgeId{1}, "e", 1, sec, 3600 * sec};
--- a/tests/fuzz/run_plan_fixed.cpp
+++ b/tests/fuzz/run_plan_fixed.cpp
@@ -38,8 +38,8 @@
 // What an edge, a node, an operator and the planner say.
 std::vector<std::string> conversations() {
     auto serving_hello = edge_hello();
-    serving_hello.draining = {NodeId{1}};
-    serving_hello.serving = {VolumeId{7}};
+    serving_hello.draining_nodes = {NodeId{1}};
+    serving_hello.served_volumes = {VolumeId{7}};
     auto newer_hello = edge_hello();
     newer_hello.term = Term{9};
     return {encode(serving_hello) + encode(LeaseRenewal{5, Term{1}, Version{1}}) +
@@ -73,9 +73,9 @@
             encode(SnapshotStepReport{first, SnapshotStep::sealed, SnapshotResult::failed, {}}) +
             encode(DiffReport{1, {{0, 4096}, {8192, 512}}, true}),
         encode(edge_hello()) +
-            encode(SnapshotStepReport{first, SnapshotStep::ready, done, EdgeIncarnation{3}}) +
-            encode(SnapshotStepReport{first, SnapshotStep::moved, done, EdgeIncarnation{3}}) +
-            encode(SnapshotStepReport{first, SnapshotStep::lapsed, done, EdgeIncarnation{3}}),
+            encode(SnapshotStepReport{first, SnapshotStep::holding, done, EdgeIncarnation{3}}) +
+            encode(SnapshotStepReport{first, SnapshotStep::resumed, done, EdgeIncarnation{3}}) +
+            encode(SnapshotStepReport{first, SnapshotStep::hold_expired, done, EdgeIncarnation{3}}),
         encode(SnapshotHold{VolumeId{7}, first, 3, sec}) +
             encode(SnapshotResume{VolumeId{7}, first, 3}) +
             encode(SnapshotRelease{VolumeId{7}, first})};
--- a/tests/planner/core_test.cpp
+++ b/tests/planner/core_test.cpp
@@ -31,7 +31,7 @@
         PlannerFixture p(Term{1}, true);
         auto hello = edge_hello(1, Term{8}, 9, Version{30});
         hello.lineage = 77;
-        hello.draining = {NodeId{2}};
+        hello.draining_nodes = {NodeId{2}};
         p.deliver(0, 1, hello);
         p.core.settle(0);
         CHECK_FALSE(p.recorded.is_retired);
@@ -44,13 +44,13 @@
         PlannerFixture p;
         p.hello(0, 1);
         p.renew(0, 1);
-        CHECK(p.edges[1].last == control::UpdateResult::whole);
+        CHECK(p.edges[1].last == control::UpdateResult::full_state_applied);
         for (std::uint64_t incarnation = 2; incarnation < 9; ++incarnation)
             p.node(ms, 1, incarnation, 0), p.core.settle(ms);
         p.read(1);
         CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).incarnation == 2);
         p.renew(2 * ms, 1);
-        CHECK(p.edges[1].last == control::UpdateResult::changes);
+        CHECK(p.edges[1].last == control::UpdateResult::changes_applied);
         CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).incarnation == 8);
         CHECK(p.edges[1].replica.version() == p.core.version());
         p.renew(2 * ms, 1);
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -70,7 +70,7 @@
 struct FakeEdge final : control::MessageHandler {
     control::MessageDecoder decoder;
     control::ClusterStateReplica replica;
-    control::UpdateResult last = control::UpdateResult::old;
+    control::UpdateResult last = control::UpdateResult::outdated;
     std::vector<Version> renewals; // the versions that they were for
     std::string status;
     control::OperationResult result;
@@ -90,7 +90,7 @@
     }
     void handle(const control::Status &message) override { status = message.json; }
     void handle(const control::OperationResult &message) override { result = message; }
-    void unexpected(std::string_view) override {}
+    void handle_unexpected(std::string_view) override {}
 };
 
 /// Of an edge that follows a planner of this term and instance, with lineage 5.
@@ -160,7 +160,7 @@
         const auto &replica = edges[edge].replica;
         auto hello = edge_hello(edge, replica.term(), replica.instance(), replica.version());
         hello.lineage = replica.lineage();
-        hello.serving = std::move(serving);
+        hello.served_volumes = std::move(serving);
         deliver(now, edge, hello);
         core.settle(now);
         read(edge);
--- a/tests/planner/quota_manager_test.cpp
+++ b/tests/planner/quota_manager_test.cpp
@@ -125,8 +125,8 @@
                 std::uint64_t sum = 0;
                 for (auto &[_, x] : edges)
                     sum += x.stage == 0 ? x.part : control::usable_millionths(x.part, 1, 1);
-                RC_ASSERT(sum <= control::whole_limit);
-                RC_ASSERT(allocation.bound(v) <= control::whole_limit);
+                RC_ASSERT(sum <= control::full_limit_millionths);
+                RC_ASSERT(allocation.bound(v) <= control::full_limit_millionths);
             }
         }));
     }
--- a/tests/planner/snapshot_operations_test.cpp
+++ b/tests/planner/snapshot_operations_test.cpp
@@ -35,7 +35,7 @@
             heard.push_back("drop");
             answer(m.snapshot, SnapshotStep::dropped);
         }
-        void unexpected(std::string_view) override {}
+        void handle_unexpected(std::string_view) override {}
     };
     std::map<std::uint64_t, FakeNode> nodes;
     std::uint64_t visitors = 50;
@@ -77,8 +77,8 @@
         auto &t = p.core.state().cluster_state();
         auto &f = t.volumes.at(t.names.at("v@a"));
         CHECK(f.frozen);
-        CHECK(f.place == VolumeId{7});
-        CHECK(f.charge == VolumeId{7});
+        CHECK(f.layout_volume == VolumeId{7});
+        CHECK(f.quota_volume == VolumeId{7});
         CHECK(t.volumes.at(VolumeId{7}).epoch == 1);
         CHECK(p.ask(2 * sec, SnapshotOperation::take, "v", "a").text ==
               "v@a is there already, taken 1s ago");
@@ -115,9 +115,9 @@
         CHECK(p.ask(sec, SnapshotOperation::clone, "v@a", "e", "test").done);
         auto &t = p.core.state().cluster_state();
         auto &c = t.volumes.at(t.names.at("c")), &e = t.volumes.at(t.names.at("e"));
-        CHECK(c.charge == VolumeId{7});
-        CHECK(e.charged_to(t.names.at("e")) == t.names.at("e"));
-        CHECK(e.place == VolumeId{7});
+        CHECK(c.quota_volume == VolumeId{7});
+        CHECK(e.resolve_quota_volume(t.names.at("e")) == t.names.at("e"));
+        CHECK(e.layout_volume == VolumeId{7});
         CHECK(!c.frozen);
         // Settings that would take its plan, its origin or its name are refused.
         w.version = 3, w.plans.erase("test"), w.volumes.clear();
@@ -130,7 +130,7 @@
     // why.
     TEST_CASE("a failed snapshot leaves nothing, and the operator hears why") {
         SnapshotFixture p;
-        p.nodes[2].open_result = SnapshotResult::full;
+        p.nodes[2].open_result = SnapshotResult::no_space;
         auto heard = p.ask(sec, SnapshotOperation::take, "v", "a");
         CHECK(!heard.done);
         CHECK(heard.text ==
