--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -70,11 +70,11 @@
     bool writes = is_change(rule.command);
     Time window = workload.deduplication_window;
     Time may_run_for = window > 0 ? window : rule.client_timeout;
-    if (writes && workload.key_rest < may_run_for)
+    if (writes && workload.key_cooldown < may_run_for)
         section.fault("key_rest", "expected at least how long a shot may still run, " +
                                       std::to_string(may_run_for / ms) +
                                       "ms (window, or client_timeout without one)");
-    if (!writes && workload.key_rest > 0)
+    if (!writes && workload.key_cooldown > 0)
         section.fault("key_rest", "only writes and zeroes go by turns");
 }
 
@@ -109,7 +109,7 @@
     workload.deduplication_scope = DeduplicationScope::shard;
     workload.deduplication_window = section.time("window", 0);
     workload.ordered_by_key = is_change(rule.command);
-    workload.key_rest = section.time("key_rest", 0);
+    workload.key_cooldown = section.time("key_rest", 0);
     if (workload.idempotency == Idempotency::deduplicated)
         rule.deduplication_window = workload.deduplication_window;
     return {workload, rule};
@@ -142,8 +142,8 @@
     auto &section = file.one("units", false);
     auto &units = settings.scheduler.units;
     units.mean = section.number("mean", 0, unbounded, 2);
-    units.share_value = section.number("share_worth", 0, 1, 0.35);
-    units.spare_value = section.number("spare_worth", 0, 1, 0.08);
+    units.usual_unit_value = section.number("share_worth", 0, 1, 0.35);
+    units.excess_unit_value = section.number("spare_worth", 0, 1, 0.08);
     settings.copy_on_write_units = section.number("copy", 0, unbounded, 0);
     units.largest = largest + settings.copy_on_write_units;
 }
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -66,7 +66,7 @@
       discovery_(transport, *this, connection_ids_, config.zones,
                  {config.settings.text("RegistryMode") == "on_request", config.seed}),
       scheduler_(scheduler_factory(*this)) {
-    scheduler_setup::set_up(*scheduler_, config.settings);
+    scheduler_setup::configure_scheduler(*scheduler_, config.settings);
     max_client_timeout_ = longest_client_timeout(config.settings);
 }
 
--- a/src/scheduler_setup/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -43,7 +43,7 @@
     workload.deduplication_window = options.time(prefix + "RepeatWindowS");
     workload.ordered_by_key = options.flag(prefix + "InTurn");
     if (workload.ordered_by_key)
-        workload.key_rest = options.time("Rules.KeyRestS");
+        workload.key_cooldown = options.time("Rules.KeyRestS");
     return workload;
 }
 
@@ -90,8 +90,8 @@
     config.clients_mark_repeats = options.flag("Clients.MarksRetry");
     config.units.mean = options.number("Extra.UnitMean");
     config.units.largest = options.number("Extra.UnitsTop");
-    config.units.share_value = options.number("Extra.ShareWorth");
-    config.units.spare_value = options.number("Extra.SpareWorth");
+    config.units.usual_unit_value = options.number("Extra.ShareWorth");
+    config.units.excess_unit_value = options.number("Extra.SpareWorth");
     config.attempts.max_attempts = options.count("Permissions.MaxAttempts", 1);
     config.attempts.allow_parallel = options.flag("Permissions.ParallelTries");
     config.attempts.cancel_abandoned = options.flag("Permissions.Cancel");
@@ -104,7 +104,7 @@
 
 } // namespace
 
-void set_up(Scheduler &scheduler, const Options &options) {
+void configure_scheduler(Scheduler &scheduler, const Options &options) {
     scheduler.configure(scheduler_config(options));
     for (std::uint32_t i = 0; i < options.count("Classes.count"); ++i)
         scheduler.set_workload(WorkloadId{i}, workload_config(options, i));
--- a/src/scheduler_setup/setup.hpp
+++ b/src/scheduler_setup/setup.hpp
@@ -10,6 +10,6 @@
 /// Makes all calls that configure a scheduler: configure, set_workload and set_plan. The settings'
 /// paths are those of the simulator's boot record.
 /// @throws MalformedInput with the path of a setting that is wrong.
-void set_up(Scheduler &scheduler, const Options &options);
+void configure_scheduler(Scheduler &scheduler, const Options &options);
 
 } // namespace knotvane::scheduler_setup
--- a/src/scheduling/config.hpp
+++ b/src/scheduling/config.hpp
@@ -35,7 +35,7 @@
     /// Requests with one key run one at a time, in the order of receipt.
     bool ordered_by_key = false;
     /// How long a key rests after an attempt that may still run. Read if ordered_by_key.
-    Time key_rest = 0;
+    Time key_cooldown = 0;
 };
 
 /// What a tenant has booked. Rates are units per second over all schedulers.
@@ -61,9 +61,9 @@
     /// Units of the largest request; at least 1.
     double largest = 1;
     /// Value of a unit within the usual rate, against 1 for a reserved one; 0 reads as 1.
-    double share_value = 1;
+    double usual_unit_value = 1;
     /// Value of a unit beyond the usual rate, against 1 for a reserved one.
-    double spare_value = 0;
+    double excess_unit_value = 0;
 };
 
 /// Attempts of one request.
--- a/src/scheduling/fair_queue.cpp
+++ b/src/scheduling/fair_queue.cpp
@@ -45,11 +45,11 @@
     return writes ? write_charge * units : units;
 }
 
-bool FairQueue::fits(double charge) const {
+bool FairQueue::fits_budget(double charge) const {
     return charged_ == 0 || charged_ + charge <= volumes_.at(*in_service_).budget;
 }
 
-void FairQueue::sent(const QueueRank &request, double units, double charge) {
+void FairQueue::request_sent(const QueueRank &request, double units, double charge) {
     if (waiting_weight_ == 0) {
         for (const auto &[id, volume] : volumes_)
             waiting_weight_ += volume.requests.empty() ? 0 : volume.weight;
--- a/src/scheduling/fair_queue.hpp
+++ b/src/scheduling/fair_queue.hpp
@@ -64,13 +64,13 @@
 
     /// @return whether the budget of the volume in service holds the charge. The first request of
     ///     a service always goes, whatever its charge.
-    bool fits(double charge) const;
+    bool fits_budget(double charge) const;
 
     /// Ends the service of a volume whose next request doesn't fit.
-    void exhaust(Time now) { end_service(now, ServiceEnd::exhausted); }
+    void end_exhausted_service(Time now) { end_service(now, ServiceEnd::exhausted); }
 
     /// A request of the volume in service was sent.
-    void sent(const QueueRank &request, double units, double charge);
+    void request_sent(const QueueRank &request, double units, double charge);
 
     /// An attempt of the volume's ended.
     void attempt_ended(VolumeId id) { --volumes_[id].attempts_in_flight; }
--- a/src/scheduling/key_order.cpp
+++ b/src/scheduling/key_order.cpp
@@ -11,12 +11,12 @@
 bool KeyOrder::may_run(KeyId key, RequestId request, Time now) const {
     auto it = keys_.find(key);
     return it == keys_.end() ||
-           (it->second.requests.front() == request && now >= it->second.rests_until);
+           (it->second.requests.front() == request && now >= it->second.blocked_until);
 }
 
-void KeyOrder::rest(KeyId key, Time until) {
+void KeyOrder::block_until(KeyId key, Time until) {
     Key &entry = keys_[key];
-    entry.rests_until = std::max(entry.rests_until, until);
+    entry.blocked_until = std::max(entry.blocked_until, until);
 }
 
 void KeyOrder::remove(KeyId key, RequestId request) {
@@ -25,7 +25,7 @@
 
 void KeyOrder::prune(Time now) {
     std::erase_if(keys_, [&](const auto &entry) {
-        return entry.second.requests.empty() && now >= entry.second.rests_until;
+        return entry.second.requests.empty() && now >= entry.second.blocked_until;
     });
 }
 
--- a/src/scheduling/key_order.hpp
+++ b/src/scheduling/key_order.hpp
@@ -21,7 +21,7 @@
 
     /// No request of the key starts before `until`. Guards against a successor that overtakes an
     /// attempt which was given up and may still run at its node.
-    void rest(KeyId key, Time until);
+    void block_until(KeyId key, Time until);
 
     void remove(KeyId key, RequestId request);
 
@@ -31,7 +31,7 @@
 private:
     struct Key {
         std::deque<RequestId> requests;
-        Time rests_until = 0;
+        Time blocked_until = 0;
     };
 
     std::map<KeyId, Key> keys_;
--- a/src/scheduling/load_shedding.cpp
+++ b/src/scheduling/load_shedding.cpp
@@ -27,7 +27,7 @@
 std::vector<RequestId> requests_to_shed(const NodeRecord &node, const RequestTable &requests,
                                         const EarlyDisconnects &disconnects, Time now) {
     auto expected = [&](double units) { return node.latency.expected(units); };
-    Positions late = node.waiting.late(now, expected);
+    Positions late = node.waiting.find_late(now, expected);
     if (disconnects.many(now))
         add_soon_disconnected(late, node, requests, disconnects, now);
 
@@ -40,7 +40,7 @@
             ++late_first_requests;
     }
 
-    bool first_requests_wait = node.waiting.first_requests() > late_first_requests;
+    bool first_requests_wait = node.waiting.first_request_count() > late_first_requests;
     if (!first_requests_wait || !node.window.full(node.health.counted_in_flight()))
         return result;
     for (const QueuePosition &position : repeats)
--- a/src/scheduling/plan_table.cpp
+++ b/src/scheduling/plan_table.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 // Keeps a division by the usual rates defined where none was set.
-constexpr double least_total_rate = 1e-9;
+constexpr double min_total_rate = 1e-9;
 
 } // namespace
 
 void PlanTable::set(PlanId id, const PlanConfig &config) {
     PlanConfig &changed = plans_[id];
     changed = config;
-    changed.weight = std::max(config.weight, least_weight);
+    changed.weight = std::max(config.weight, min_weight);
     total_weight_ = 0;
     total_usual_rate_ = 0;
     for (const auto &[_, plan] : plans_) {
@@ -23,22 +23,23 @@
 }
 
 double PlanTable::queue_weight(const PlanConfig &plan) const {
-    return plan.weight + plan.reserved_rate / units_.share_value * total_weight_ /
-                             std::max(total_usual_rate_, least_total_rate);
+    return plan.weight + plan.reserved_rate / units_.usual_unit_value * total_weight_ /
+                             std::max(total_usual_rate_, min_total_rate);
 }
 
 double PlanTable::unit_value(const PlanConfig &plan, double requested) const {
     double reserve = std::min(requested, plan.reserved_rate);
     double share = std::min(requested, std::max(plan.usual_rate, plan.reserved_rate)) - reserve;
     double spare = requested - reserve - share;
-    return plan.price * (reserve + units_.share_value * share + units_.spare_value * spare) /
+    return plan.price *
+           (reserve + units_.usual_unit_value * share + units_.excess_unit_value * spare) /
            requested;
 }
 
 double PlanTable::total_usual_value() const {
     double total = 0;
     for (const auto &[_, plan] : plans_)
-        total += unit_value(plan, std::max(plan.usual_rate, least_rate));
+        total += unit_value(plan, std::max(plan.usual_rate, min_rate));
     return total;
 }
 
--- a/src/scheduling/plan_table.hpp
+++ b/src/scheduling/plan_table.hpp
@@ -10,8 +10,8 @@
 namespace knotvane::scheduling {
 
 /// The least weight of a plan and the least rate of a volume: they are divided by.
-inline constexpr double least_weight = 1e-6;
-inline constexpr double least_rate = 1e-6;
+inline constexpr double min_weight = 1e-6;
+inline constexpr double min_rate = 1e-6;
 
 /// Plans by id. Values are relative to a reserved unit of a plan with the price 1.
 class PlanTable {
--- a/src/scheduling/quota_share.cpp
+++ b/src/scheduling/quota_share.cpp
@@ -8,7 +8,7 @@
 QuotaShare::QuotaShare(double rate, double burst, Time now)
     : rate_(rate), burst_(burst), refilled_at_(now) {}
 
-QuotaDecision QuotaShare::take(Time now, double units, double sharers) {
+QuotaDecision QuotaShare::try_take(Time now, double units, double sharers) {
     refill(now, granted_ ? sharers_ : std::max(sharers_, sharers));
     if (units > level_) {
         // A share that isn't granted yet is waited for.
@@ -20,11 +20,11 @@
     return QuotaDecision::admitted;
 }
 
-void QuotaShare::sent(double units) {
+void QuotaShare::units_sent(double units) {
     reserved_ -= units;
 }
 
-void QuotaShare::give_back(double units) {
+void QuotaShare::return_units(double units) {
     reserved_ -= units;
     level_ += units;
 }
--- a/src/scheduling/quota_share.hpp
+++ b/src/scheduling/quota_share.hpp
@@ -32,13 +32,13 @@
     /// @param sharers schedulers that share the limit, as far as the client knows. Until a planner
     ///     grants shares the most that were ever named count: another scheduler may still go by
     ///     them.
-    QuotaDecision take(Time now, double units, double sharers);
+    QuotaDecision try_take(Time now, double units, double sharers);
 
     /// Units that were taken are sent: they are no longer reserved.
-    void sent(double units);
+    void units_sent(double units);
 
     /// Units that were taken won't be sent: they are there again.
-    void give_back(double units);
+    void return_units(double units);
 
     /// From now on a planner grants the share, and sees to it that shares never add past the whole:
     /// so it may grow again, too.
--- a/src/scheduling/request.hpp
+++ b/src/scheduling/request.hpp
@@ -48,7 +48,7 @@
     /// Schedulers that share its volume's limit, as far as the client knows.
     double sharers = 1;
     /// Drawn for it, 0 to 1: the chance of admission to a node in slow start that lets it in.
-    double admission_lot = 0;
+    double admission_draw = 0;
     bool writes = false;
     /// It repeats a request whose answer was due already.
     bool repeated = false;
@@ -65,7 +65,7 @@
     /// It has its answer, or needs none any more.
     bool ended = false;
     /// Its volume's quota has been charged.
-    bool quota_taken = false;
+    bool quota_charged = false;
     std::vector<Attempt> attempts;
 
     bool any_in_flight() const {
--- a/src/scheduling/retry_policy.cpp
+++ b/src/scheduling/retry_policy.cpp
@@ -13,8 +13,8 @@
             workload.deduplication_scope == DeduplicationScope::all);
 }
 
-bool repeat_is_harmless(const Request &request, std::size_t previous_attempts,
-                        const WorkloadConfig &workload, const RepeatTarget &target) {
+bool is_repeat_safe(const Request &request, std::size_t previous_attempts,
+                    const WorkloadConfig &workload, const RepeatTarget &target) {
     if (workload.idempotency == Idempotency::idempotent)
         return true;
     for (std::size_t i = 0; i < previous_attempts; ++i) {
@@ -41,7 +41,7 @@
         return false;
     if (!limits.allow_parallel && request.any_in_flight())
         return false;
-    return repeat_is_harmless(request, request.attempts.size(), workload, target);
+    return is_repeat_safe(request, request.attempts.size(), workload, target);
 }
 
 } // namespace knotvane::scheduling
--- a/src/scheduling/retry_policy.hpp
+++ b/src/scheduling/retry_policy.hpp
@@ -30,8 +30,8 @@
 /// @param previous_attempts how many of the request's attempts come before the repeat.
 /// @return whether an execution at the target can do no harm after those. Guards against effects
 ///     that happen twice.
-bool repeat_is_harmless(const Request &request, std::size_t previous_attempts,
-                        const WorkloadConfig &workload, const RepeatTarget &target);
+bool is_repeat_safe(const Request &request, std::size_t previous_attempts,
+                    const WorkloadConfig &workload, const RepeatTarget &target);
 
 /// @return whether the request may have one more attempt, by its number of attempts and by what a
 ///     repeat at the target may do.
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -9,7 +9,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-constexpr TimerId only_timer{1};
+constexpr TimerId scheduler_timer{1};
 
 // Waiting requests are looked at this often: the finest time that any rule here tells apart.
 constexpr Time waiting_interval = 5 * ms;
@@ -26,8 +26,8 @@
     if (!(config.units.mean > 0))
         config.units.mean = 1;
     config.units.largest = std::max(1.0, config.units.largest);
-    if (!(config.units.share_value > 0))
-        config.units.share_value = 1;
+    if (!(config.units.usual_unit_value > 0))
+        config.units.usual_unit_value = 1;
     if (!(config.slow_start.initial_capacity > 0))
         config.slow_start.initial_capacity = 1;
     return config;
@@ -66,7 +66,7 @@
     if (endpoint_list_poll_.due(now))
         watch_endpoints(now);
 
-    give_up_late();
+    give_up_overdue();
     for (RequestId id : requests_.unplaced())
         advance(requests_.at(id));
     for (auto it = busy_nodes_.begin(); it != busy_nodes_.end();) {
@@ -97,7 +97,7 @@
     request.writes = info.writes;
     request.repeated = info.repeated;
     request.received_at = now;
-    request.admission_lot =
+    request.admission_draw =
         static_cast<double>(random_()) / static_cast<double>(RandomGenerator::max());
 
     request.answer_deadline = info.client_timeout - delivery_margin();
@@ -120,7 +120,7 @@
         early_disconnects_.client_disconnected(now, request->volume, now - request->received_at);
     repeat_detector_.ended_unanswered(*request);
     finish(*request);
-    forget_if_done(*request);
+    erase_if_done(*request);
 }
 
 void RequestScheduler::advance(Request &request) {
@@ -141,19 +141,19 @@
         enqueue(*node, request);
     else if (now_ >= request.latency_deadline || quota == QuotaDecision::never_fits)
         give_up(request, config_.max_retry_after);
-    forget_if_done(request);
+    erase_if_done(request);
 }
 
 QuotaDecision RequestScheduler::take_quota(Request &request) {
     const PlanConfig &plan = plans_.get(request.plan);
-    if (plan.limit_rate <= 0 || request.quota_taken)
+    if (plan.limit_rate <= 0 || request.quota_charged)
         return QuotaDecision::admitted;
     QuotaShare &share =
         quota_shares_.try_emplace(request.volume, plan.limit_rate, plan.limit_burst, started_at_)
             .first->second;
     share.set_limit(now_, plan.limit_rate, plan.limit_burst);
-    QuotaDecision decision = share.take(now_, request.units, request.sharers);
-    request.quota_taken = decision == QuotaDecision::admitted;
+    QuotaDecision decision = share.try_take(now_, request.units, request.sharers);
+    request.quota_charged = decision == QuotaDecision::admitted;
     return decision;
 }
 
@@ -207,17 +207,17 @@
         Request &request = requests_.at(place.request);
         if (!request.attempts.empty() && !may_retry(request, node)) {
             give_up(request, config_.max_retry_after);
-            forget_if_done(request);
+            erase_if_done(request);
             continue;
         }
         double charge = FairQueue::charge_of(request.units, request.writes);
-        if (!node.queue.fits(charge)) {
-            node.queue.exhaust(now_);
+        if (!node.queue.fits_budget(charge)) {
+            node.queue.end_exhausted_service(now_);
             continue;
         }
         if (!has_capacity(node, request))
             return;
-        node.queue.sent(place, request.units, charge);
+        node.queue.request_sent(place, request.units, charge);
         node.waiting.remove(request.units, {*volume, place});
         start_attempt(node, request);
     }
@@ -227,7 +227,7 @@
     for (RequestId id : requests_to_shed(node, requests_, early_disconnects_, now_)) {
         Request &request = requests_.at(id);
         give_up(request, config_.max_retry_after);
-        forget_if_done(request);
+        erase_if_done(request);
     }
 }
 
@@ -245,7 +245,7 @@
     if (!unresponsive && !node.slow_start.active(now_))
         return true;
     return slow_start_.admits(node.slow_start, now_, unresponsive, request.units,
-                              request.admission_lot);
+                              request.admission_draw);
 }
 
 // What all volumes that wait at the node are worth, against the mean of the plans.
@@ -257,8 +257,8 @@
             continue;
         const Request &request = requests_.at(volume.requests.begin()->request);
         double rate = requested_[id].since(now_ - value_window) / seconds(value_window);
-        waiting_value += plans_.unit_value(plans_.get(request.plan),
-                                           std::max(rate * request.sharers, least_rate));
+        waiting_value +=
+            plans_.unit_value(plans_.get(request.plan), std::max(rate * request.sharers, min_rate));
     }
     return waiting_value * plans_.size() / plans_value;
 }
@@ -266,8 +266,8 @@
 void RequestScheduler::start_attempt(NodeRecord &node, Request &request) {
     if (!request.attempts.empty())
         retry_budget_.retry_started(now_);
-    else if (request.quota_taken)
-        quota_shares_.at(request.volume).sent(request.units);
+    else if (request.quota_charged)
+        quota_shares_.at(request.volume).units_sent(request.units);
     slow_start_.attempt_started(node.slow_start, now_, request.units);
     node.units_waiting -= request.units;
     node.units_in_flight += request.units;
@@ -303,7 +303,7 @@
                          result.outcome == AttemptOutcome::reset ||
                          result.outcome == AttemptOutcome::canceled;
     if (may_still_run && ordered(*request))
-        key_order_.rest(request->key, now + workloads_[request->workload].key_rest);
+        key_order_.block_until(request->key, now + workloads_[request->workload].key_cooldown);
 
     if (result.client_answered && !request->ended) {
         early_disconnects_.client_answered(request->volume, now - request->received_at);
@@ -311,7 +311,7 @@
     } else if (!request->ended && !request->any_in_flight()) {
         retry(*request);
     }
-    forget_if_done(*request);
+    erase_if_done(*request);
 }
 
 // An attempt ended without an answer: another one if it is harmless and may be in time.
@@ -349,16 +349,16 @@
         return false;
     const NodeRecord &node = nodes_.at(request->attempts[attempt.value].location.node);
     return node.state == NodeState::ready &&
-           repeat_is_harmless(*request, attempt.value, workloads_.at(request->workload),
-                              repeat_target(node, now));
+           is_repeat_safe(*request, attempt.value, workloads_.at(request->workload),
+                          repeat_target(node, now));
 }
 
-void RequestScheduler::give_up_late() {
+void RequestScheduler::give_up_overdue() {
     while (auto id = requests_.past_answer_deadline(now_)) {
         Request &request = requests_.at(*id);
         // The client is about to leave anyway.
         give_up(request, 0);
-        forget_if_done(request);
+        erase_if_done(request);
     }
 }
 
@@ -373,8 +373,8 @@
 
 void RequestScheduler::finish(Request &request) {
     leave_queue(request);
-    if (request.quota_taken && request.attempts.empty())
-        quota_shares_.at(request.volume).give_back(request.units);
+    if (request.quota_charged && request.attempts.empty())
+        quota_shares_.at(request.volume).return_units(request.units);
     requests_.clear_unanswered(request);
     request.ended = true;
     if (!config_.attempts.cancel_abandoned)
@@ -396,7 +396,7 @@
 }
 
 // Only when no attempt of a request is in flight the next one of its key may go.
-void RequestScheduler::forget_if_done(Request &request) {
+void RequestScheduler::erase_if_done(Request &request) {
     if (!request.ended || request.any_in_flight())
         return;
     if (ordered(request))
@@ -418,7 +418,7 @@
 
 void RequestScheduler::endpoint_list_end() {
     for (NodeRecord *node : nodes_.end_list())
-        requeue_elsewhere(*node);
+        requeue_waiting_requests(*node);
 }
 
 void RequestScheduler::endpoint_list_failed(Time now) {
@@ -426,7 +426,7 @@
 }
 
 // What waits at a node that drains or is removed goes back to placement.
-void RequestScheduler::requeue_elsewhere(const NodeRecord &node) {
+void RequestScheduler::requeue_waiting_requests(const NodeRecord &node) {
     for (auto &[id, request] : requests_.all()) {
         if (request.stage != RequestStage::queue || request.node != node.location.node ||
             request.ended)
@@ -457,7 +457,7 @@
     }
     if (due >= timer_due_)
         return;
-    actions_.set_timer(only_timer, std::max<Time>(due - now_, 0));
+    actions_.set_timer(scheduler_timer, std::max<Time>(due - now_, 0));
     timer_due_ = due;
 }
 
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -86,10 +86,10 @@
     void retry(Request &request);
     bool may_retry(const Request &request, const NodeRecord &node);
     void give_up(Request &request, Time retry_after);
-    void give_up_late();
+    void give_up_overdue();
     void finish(Request &request);
     void leave_queue(Request &request);
-    void forget_if_done(Request &request);
+    void erase_if_done(Request &request);
 
     // What the stages ask.
     bool ordered(const Request &request);
@@ -98,7 +98,7 @@
     RepeatTarget repeat_target(const NodeRecord &node, Time now) const;
     Time delivery_margin() const;
 
-    void requeue_elsewhere(const NodeRecord &node);
+    void requeue_waiting_requests(const NodeRecord &node);
     void watch_endpoints(Time now);
     void set_timer();
 
--- a/src/scheduling/waiting_index.hpp
+++ b/src/scheduling/waiting_index.hpp
@@ -34,7 +34,7 @@
     /// @param expected what a request of so many units takes from now on: Time(double units).
     /// @return those that would be answered past their latency deadline.
     template <class ExpectedDuration>
-    std::set<QueuePosition> late(Time now, ExpectedDuration expected) const {
+    std::set<QueuePosition> find_late(Time now, ExpectedDuration expected) const {
         std::set<QueuePosition> result;
         for (const auto &[units, requests] : by_units_) {
             auto it = requests.begin();
@@ -49,7 +49,7 @@
     const std::set<QueuePosition> &repeats() const { return repeats_; }
 
     /// @return the number of requests that repeat none.
-    std::size_t first_requests() const { return size_ - repeats_.size(); }
+    std::size_t first_request_count() const { return size_ - repeats_.size(); }
 
 private:
     // Within one number of units the earliest deadline is the first that is missed.
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -565,7 +565,7 @@
             workload.idempotency = Idempotency::deduplicated;
             workload.deduplication_window = window;
             workload.ordered_by_key = true;
-            workload.key_rest = key_rest;
+            workload.key_cooldown = key_rest;
         }
         s.set_workload(WorkloadId{i}, workload);
         core->add_workload({WorkloadId{i}, static_cast<edge::Command>(i), ~0u, "", client_timeout,
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -234,7 +234,7 @@
                     day.at_most_once ? Idempotency::at_most_once : Idempotency::deduplicated;
                 workload.deduplication_window = window;
                 workload.ordered_by_key = !day.without_turns;
-                workload.key_rest = day.at_most_once ? client_timeout + 100 * ms : key_rest;
+                workload.key_cooldown = day.at_most_once ? client_timeout + 100 * ms : key_rest;
             }
             WorkloadId id{i};
             s.set_workload(id, workload);
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -208,7 +208,7 @@
     scheduler_setup::Options options(fields.bytes(settings_size, "settings"));
     auto instance = std::make_unique<Instance>();
     instance->scheduler = make_scheduler(instance->actions, seed);
-    scheduler_setup::set_up(*instance->scheduler, options);
+    scheduler_setup::configure_scheduler(*instance->scheduler, options);
     instance->scheduler->start(now_);
     instances_[*target_] = std::move(instance);
 }
--- a/tests/scheduling/attempt_outcome_test.cpp
+++ b/tests/scheduling/attempt_outcome_test.cpp
@@ -22,7 +22,7 @@
         QueueRank rank = {0, request.latency_deadline, request.id};
         node.queue.enqueue(request.volume, 1, rank);
         node.queue.select(0);
-        node.queue.sent(rank, request.units, request.units);
+        node.queue.request_sent(rank, request.units, request.units);
         node.units_in_flight = request.units;
         node.health.attempt_started({0, request.id, AttemptId{0}});
     }
--- a/tests/scheduling/fair_queue_test.cpp
+++ b/tests/scheduling/fair_queue_test.cpp
@@ -29,7 +29,7 @@
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(second_volume, 3, rank(2));
     queue.select(0);
-    queue.sent(rank(2), 4, 4);
+    queue.request_sent(rank(2), 4, 4);
     CHECK(queue.virtual_time() == doctest::Approx(1));
 }
 
@@ -38,8 +38,8 @@
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
     queue.select(0);
-    queue.sent(rank(1), 4, 40);
-    queue.exhaust(0);
+    queue.request_sent(rank(1), 4, 40);
+    queue.end_exhausted_service(0);
     queue.select(0);
     CHECK(queue.virtual_time() == doctest::Approx(40));
 }
@@ -49,7 +49,7 @@
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
     queue.select(0);
-    queue.sent(rank(1), 2, 2);
+    queue.request_sent(rank(1), 2, 2);
     queue.select(125 * ms);
     CHECK(queue.volumes().at(first_volume).start_tag == doctest::Approx(8));
 }
@@ -58,7 +58,7 @@
     FairQueue queue(8);
     queue.enqueue(first_volume, 1, rank(1));
     queue.select(0);
-    queue.sent(rank(1), 2, 2);
+    queue.request_sent(rank(1), 2, 2);
     queue.select(1);
     CHECK(queue.volumes().at(first_volume).finish_tag == doctest::Approx(2));
 }
@@ -68,9 +68,9 @@
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
     queue.select(0);
-    CHECK(queue.fits(80));
-    queue.sent(rank(1), 6, 6);
-    CHECK_FALSE(queue.fits(3));
+    CHECK(queue.fits_budget(80));
+    queue.request_sent(rank(1), 6, 6);
+    CHECK_FALSE(queue.fits_budget(3));
 }
 
 TEST_CASE("exhaustion quadruples a budget, a time-out and attempts in flight double it") {
@@ -78,15 +78,15 @@
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
     queue.select(0);
-    queue.sent(rank(1), 100, 1);
-    queue.exhaust(50 * ms); // 100 units in 50 ms: 2000 a second, 250 in a slice
+    queue.request_sent(rank(1), 100, 1);
+    queue.end_exhausted_service(50 * ms); // 100 units in 50 ms: 2000 a second, 250 in a slice
     CHECK(queue.max_budget() == doctest::Approx(250));
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(4));
     queue.select(50 * ms);
     queue.select(175 * ms); // cut off by the slice
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(8));
     CHECK(queue.rate() == doctest::Approx(1750)); // seven eighths: nothing was sent in that service
-    queue.sent(rank(2), 1, 1);
+    queue.request_sent(rank(2), 1, 1);
     queue.select(180 * ms); // emptied with attempts in flight
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(16));
     queue.attempt_ended(first_volume);
@@ -102,8 +102,8 @@
     queue.enqueue(first_volume, 1, rank(2));
     queue.enqueue(second_volume, 0.1, rank(3)); // finish tag 8 / 0.1
     REQUIRE(*queue.select(0) == first_volume);
-    queue.sent(rank(1), 4, 40); // virtual time 40 / 1.1
-    queue.exhaust(0);
+    queue.request_sent(rank(1), 4, 40); // virtual time 40 / 1.1
+    queue.end_exhausted_service(0);
     REQUIRE(queue.volumes().at(first_volume).start_tag == doctest::Approx(40));
     REQUIRE(queue.volumes().at(first_volume).finish_tag < 80);
     CHECK(*queue.select(0) == second_volume);
--- a/tests/scheduling/key_order_test.cpp
+++ b/tests/scheduling/key_order_test.cpp
@@ -13,7 +13,7 @@
     SchedulerFixture fixture;
     WorkloadConfig ordered = SchedulerFixture::workload();
     ordered.ordered_by_key = true;
-    ordered.key_rest = 100 * ms;
+    ordered.key_cooldown = 100 * ms;
     fixture.scheduler->set_workload(WorkloadId{0}, ordered);
     fixture.list_endpoints(0);
     fixture.receive(0, 1, 1, 42);
@@ -44,8 +44,8 @@
     constexpr KeyId key{42};
     KeyOrder order;
     order.enqueue(key, RequestId{1});
-    order.rest(key, 100 * ms);
-    order.rest(key, 50 * ms);
+    order.block_until(key, 100 * ms);
+    order.block_until(key, 50 * ms);
     order.remove(key, RequestId{1});
     order.prune(99 * ms);
     order.enqueue(key, RequestId{2});
--- a/tests/scheduling/plan_table_test.cpp
+++ b/tests/scheduling/plan_table_test.cpp
@@ -7,8 +7,8 @@
 
 PlanTable table_with_spare_value() {
     UnitConfig units;
-    units.share_value = 0.5;
-    units.spare_value = 0.1;
+    units.usual_unit_value = 0.5;
+    units.excess_unit_value = 0.1;
     PlanTable plans;
     plans.configure(units);
     return plans;
@@ -45,7 +45,7 @@
     PlanConfig empty;
     empty.weight = 0;
     plans.set(PlanId{0}, empty);
-    CHECK(plans.queue_weight(plans.get(PlanId{0})) == least_weight);
+    CHECK(plans.queue_weight(plans.get(PlanId{0})) == min_weight);
     CHECK(plans.total_usual_value() == doctest::Approx(0.1));
 }
 
--- a/tests/scheduling/retry_policy_test.cpp
+++ b/tests/scheduling/retry_policy_test.cpp
@@ -69,18 +69,17 @@
     Request request = request_with({location, 0, false, false});
     WorkloadConfig workload = workload_of(Idempotency::at_most_once);
     workload.deduplication_window = sec; // not read
-    CHECK_FALSE(repeat_is_harmless(request, 1, workload, {location, 0, 0}));
+    CHECK_FALSE(is_repeat_safe(request, 1, workload, {location, 0, 0}));
     request.attempts[0].not_executed = true;
-    CHECK(repeat_is_harmless(request, 1, workload, {location, 0, 0}));
+    CHECK(is_repeat_safe(request, 1, workload, {location, 0, 0}));
 }
 
 TEST_CASE("a scope of one zone drops repeats at other shards, not in other zones") {
     Request request = request_with({{NodeId{1}, ShardId{1}, ZoneId{0}}, 0, false, false});
     WorkloadConfig workload = workload_of(Idempotency::deduplicated, DeduplicationScope::zone);
     workload.deduplication_window = sec;
-    CHECK(repeat_is_harmless(request, 1, workload, {{NodeId{2}, ShardId{2}, ZoneId{0}}, 0, 0}));
-    CHECK_FALSE(
-        repeat_is_harmless(request, 1, workload, {{NodeId{2}, ShardId{1}, ZoneId{1}}, 0, 0}));
+    CHECK(is_repeat_safe(request, 1, workload, {{NodeId{2}, ShardId{2}, ZoneId{0}}, 0, 0}));
+    CHECK_FALSE(is_repeat_safe(request, 1, workload, {{NodeId{2}, ShardId{1}, ZoneId{1}}, 0, 0}));
 }
 
 } // namespace
--- a/tests/scheduling/scheduler_core_test.cpp
+++ b/tests/scheduling/scheduler_core_test.cpp
@@ -176,7 +176,7 @@
     fixture.scheduler->configure(fixture.config);
     WorkloadConfig ordered = SchedulerFixture::workload();
     ordered.ordered_by_key = true;
-    ordered.key_rest = 100 * ms;
+    ordered.key_cooldown = 100 * ms;
     fixture.scheduler->set_workload(WorkloadId{0}, ordered);
     fixture.list_endpoints(0);
     fixture.receive(0, 1, 1, 42);
--- a/tests/scheduling/waiting_index_test.cpp
+++ b/tests/scheduling/waiting_index_test.cpp
@@ -22,12 +22,12 @@
     waiting.add(8, false, large);
     waiting.add(8, false, large_later);
     auto expected = [](double units) { return static_cast<Time>(units) * 10 * ms; };
-    CHECK(waiting.late(20 * ms, expected).empty());
-    CHECK(waiting.late(20 * ms + 1, expected) == std::set<QueuePosition>{large});
-    CHECK(waiting.late(90 * ms + 1, expected) ==
+    CHECK(waiting.find_late(20 * ms, expected).empty());
+    CHECK(waiting.find_late(20 * ms + 1, expected) == std::set<QueuePosition>{large});
+    CHECK(waiting.find_late(90 * ms + 1, expected) ==
           std::set<QueuePosition>{small, large_later, large});
     waiting.remove(8, large);
-    CHECK(waiting.late(20 * ms + 1, expected).empty());
+    CHECK(waiting.find_late(20 * ms + 1, expected).empty());
 }
 
 TEST_CASE("repeats are known apart from first requests") {
@@ -36,11 +36,11 @@
     QueuePosition repeat = position(1, 2, 100 * ms);
     waiting.add(1, false, first);
     waiting.add(1, true, repeat);
-    CHECK(waiting.first_requests() == 1);
+    CHECK(waiting.first_request_count() == 1);
     CHECK(waiting.repeats() == std::set<QueuePosition>{repeat});
     waiting.remove(1, repeat);
     CHECK(waiting.repeats().empty());
-    CHECK(waiting.first_requests() == 1);
+    CHECK(waiting.first_request_count() == 1);
 }
 
 } // namespace
