--- a/src/common/ids.hpp
+++ b/src/common/ids.hpp
@@ -34,7 +34,7 @@
 /// What a tenant has booked.
 using PlanId = Id<struct PlanKind, std::uint32_t>;
 /// A scheduler among those that share the nodes.
-using PeerId = Id<struct PeerKind, std::uint32_t>;
+using SchedulerId = Id<struct SchedulerKind, std::uint32_t>;
 /// An attempt of one request, from 0.
 using AttemptId = Id<struct AttemptKind, std::uint32_t>;
 /// A timer, numbered by the scheduler that sets it.
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -37,7 +37,7 @@
 
 void PlannerClient::start(Time now, std::string_view stored_plan) {
     now_ = now;
-    reconnect_backoff_.at_once(now);
+    reconnect_backoff_.retry_now(now);
     if (stored_plan.empty())
         return;
     restoring_ = true;
@@ -99,7 +99,7 @@
     now_ = now;
     last_received_ = now;
     connected_ = true;
-    reconnect_backoff_.up();
+    reconnect_backoff_.connect_succeeded();
     decoder_ = {};
     unread_.clear();
     read_bytes_ = 0;
@@ -126,7 +126,7 @@
     now_ = now;
     connected_ = false;
     renew_at_ = never;
-    reconnect_backoff_.lost(now);
+    reconnect_backoff_.failed(now);
     actions_.planner_lost();
 }
 
@@ -135,7 +135,7 @@
     actions_.disconnect_planner();
     connected_ = false;
     renew_at_ = never;
-    reconnect_backoff_.lost(now_, failures_of_bad_planner);
+    reconnect_backoff_.failed(now_, failures_of_bad_planner);
     actions_.planner_lost();
 }
 
@@ -350,7 +350,7 @@
 Time PlannerClient::next_due() const {
     Time due = connected_ ? std::min(renew_at_,
                                      last_received_ + silent_renewals * config_.renewal_interval)
-                          : reconnect_backoff_.due();
+                          : reconnect_backoff_.deadline();
     due = std::min(due, lease_.next_change(announced_stage_));
     if (has_replaced_state_ || read_bytes_ < unread_.size())
         due = std::min(due, now_);
@@ -375,11 +375,11 @@
         return leave("it has answered nothing for long");
     if (connected_ && now >= renew_at_)
         send_renewal();
-    if (connected_ || now < reconnect_backoff_.due())
+    if (connected_ || now < reconnect_backoff_.deadline())
         return;
-    if (reconnect_backoff_.trying())
+    if (reconnect_backoff_.connecting())
         actions_.disconnect_planner();
-    reconnect_backoff_.trying(now, connect_timeout);
+    reconnect_backoff_.connect_started(now, connect_timeout);
     actions_.connect_planner();
 }
 
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -258,7 +258,8 @@
 ServiceSettings read_service(settings::File &file) {
     ServiceSettings settings;
     auto &edge = file.one("edge", true);
-    settings.scheduler.self = PeerId{static_cast<std::uint32_t>(edge.count("id", 0, max_edges))};
+    settings.scheduler.self =
+        SchedulerId{static_cast<std::uint32_t>(edge.count("id", 0, max_edges))};
     settings.scheduler.scheduler_count =
         static_cast<std::uint32_t>(edge.count("edges", 1, max_edges, 1));
     edge.count("zone", 0, max_zone, 0); // only checked
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -141,7 +141,7 @@
     // All schedulers may start, or be sent elsewhere, in one moment: a shared service isn't called
     // by all of them at once.
     if (options_.on_request)
-        watch.reconnect_backoff.lost(now);
+        watch.reconnect_backoff.failed(now);
     else
         connect(now, watch);
 }
@@ -154,7 +154,7 @@
     watch.stale_since = 0;
     watch.decoder.next();
     watch.objects = JsonStream(max_object_bytes);
-    watch.reconnect_backoff.trying(now, connect_timeout);
+    watch.reconnect_backoff.connect_started(now, connect_timeout);
     transport_.connect(watch.connection, watch.address);
 }
 
@@ -174,7 +174,7 @@
     }
     watch.connection = {};
     watch.connected = false;
-    watch.reconnect_backoff.lost(now);
+    watch.reconnect_backoff.failed(now);
 }
 
 Discovery::Watch &Discovery::take_over(Watch &watch) {
@@ -254,7 +254,7 @@
         publish_known(now);
         watch.last_received_at = now;
         watch.has_answered = true;
-        watch.reconnect_backoff.up();
+        watch.reconnect_backoff.connect_succeeded();
         if (next_ && (&watch == &*next_ || next_->address == current_->address))
             take_over(watch);
     }
@@ -302,7 +302,8 @@
         // One that has answered and is silent stays, beside the one that is to take over.
         bool waits_for_next = slot == &current_ && watch.has_answered && next_;
         if (!waits_for_next)
-            due = std::min(due, watch.connected ? silent_at(watch) : watch.reconnect_backoff.due());
+            due = std::min(due,
+                           watch.connected ? silent_at(watch) : watch.reconnect_backoff.deadline());
     }
     return due;
 }
@@ -322,8 +323,8 @@
         Watch &watch = **slot;
         if (watch.connected && !watch.has_answered && now >= silent_at(watch)) {
             close_connection(now, watch, "");
-        } else if (!watch.connected && now >= watch.reconnect_backoff.due()) {
-            if (watch.reconnect_backoff.trying())
+        } else if (!watch.connected && now >= watch.reconnect_backoff.deadline()) {
+            if (watch.reconnect_backoff.connecting())
                 close_connection(now, watch, "");
             else
                 connect(now, watch);
--- a/src/node/planner_registration.cpp
+++ b/src/node/planner_registration.cpp
@@ -40,21 +40,21 @@
     incarnation_ = incarnation;
     started_ = started;
     running_ = true;
-    reconnect_backoff_.at_once(now);
+    reconnect_backoff_.retry_now(now);
 }
 
 void PlannerRegistration::stop(Time now) {
     running_ = false;
-    if (std::exchange(connected_, false) || reconnect_backoff_.trying())
+    if (std::exchange(connected_, false) || reconnect_backoff_.connecting())
         actions_.disconnect();
-    reconnect_backoff_.lost(now);
+    reconnect_backoff_.failed(now);
 }
 
 void PlannerRegistration::connected(Time now) {
     connected_ = true;
     decoder_ = {};
     error_.clear();
-    reconnect_backoff_.up();
+    reconnect_backoff_.connect_succeeded();
     control::NodeHello hello;
     hello.node = config_.node;
     hello.shard = config_.shard;
@@ -68,7 +68,7 @@
 
 void PlannerRegistration::disconnected(Time now) {
     connected_ = false;
-    reconnect_backoff_.lost(now);
+    reconnect_backoff_.failed(now);
 }
 
 void PlannerRegistration::received(Time now, std::string_view bytes) {
@@ -146,7 +146,7 @@
 Time PlannerRegistration::next_due() const {
     if (!running_)
         return std::numeric_limits<Time>::max();
-    return connected_ ? renew_at_ : reconnect_backoff_.due();
+    return connected_ ? renew_at_ : reconnect_backoff_.deadline();
 }
 
 void PlannerRegistration::tick(Time now) {
@@ -157,9 +157,9 @@
         renew_at_ = now + config_.renewal_interval;
         return;
     }
-    if (reconnect_backoff_.trying())
+    if (reconnect_backoff_.connecting())
         actions_.disconnect();
-    reconnect_backoff_.trying(now, connect_timeout);
+    reconnect_backoff_.connect_started(now, connect_timeout);
     actions_.connect();
 }
 
--- a/src/scheduler_setup/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -82,7 +82,7 @@
 
 SchedulerConfig scheduler_config(const Options &options) {
     SchedulerConfig config;
-    config.self = PeerId{options.count("Index")};
+    config.self = SchedulerId{options.count("Index")};
     config.scheduler_count = std::max(1u, options.count("Balancers", 1));
     config.time_step = options.time("StepS");
     if (options.flag("Permissions.RetryAfter"))
--- a/src/scheduling/attempt_outcome.cpp
+++ b/src/scheduling/attempt_outcome.cpp
@@ -8,27 +8,28 @@
 void record_abandoned(NodeRecord &node, const Request &request, const AttemptResult &result,
                       Time now, bool slow) {
     Time started_at = request.attempts[result.attempt.value].started_at;
-    double units = units_of_work(request);
+    double units = effective_units(request);
     // It took this long at least: without it the window would see the quick answers only, and grow.
-    node.window.answered(now, units, result.duration, slow);
+    node.window.record_duration(now, units, result.duration, slow);
     if (!node.health.overtaken(started_at))
-        node.latency.abandoned(now, units, result.duration);
-    node.health.abandoned(now, started_at, result.duration, node.latency.response_timeout());
+        node.latency.add_abandoned(now, units, result.duration);
+    node.health.attempt_abandoned(now, started_at, result.duration,
+                                  node.latency.response_timeout());
 }
 
 void record_answer(NodeRecord &node, const Request &request, const AttemptResult &result, Time now,
                    bool slow) {
-    double units = units_of_work(request);
-    node.health.answered(request.attempts[result.attempt.value].started_at);
-    node.overload_hold.answered();
-    node.latency.answered(now, units, result.duration);
-    node.window.answered(now, units, result.duration, slow);
+    double units = effective_units(request);
+    node.health.attempt_answered(request.attempts[result.attempt.value].started_at);
+    node.overload_backoff.reset();
+    node.latency.add_answer(now, units, result.duration);
+    node.window.record_duration(now, units, result.duration, slow);
 }
 
 } // namespace
 
 bool record_outcome(NodeRecord &node, const Request &request, const AttemptResult &result, Time now,
-                    std::uint32_t schedulers) {
+                    std::uint32_t scheduler_count) {
     Time started_at = request.attempts[result.attempt.value].started_at;
     // It took half of its latency objective or longer.
     bool slow = 2 * result.duration > request.latency_deadline - request.received_at;
@@ -43,18 +44,19 @@
         record_abandoned(node, request, result, now, slow);
         break;
     case AttemptOutcome::answered:
-        may_have_restarted = node.health.responded(now);
+        may_have_restarted = node.health.node_responded(now);
         record_answer(node, request, result, now, slow);
         break;
     case AttemptOutcome::error:
-        may_have_restarted = node.health.responded(now);
+        may_have_restarted = node.health.node_responded(now);
         break;
     case AttemptOutcome::overloaded:
         node.window.halve(now, node.latency.median_duration());
-        node.overload_hold.overloaded(now, node.latency.expected(request.units), schedulers);
+        node.overload_backoff.node_overloaded(now, node.latency.expected_duration(request.units),
+                                              scheduler_count);
         break;
     case AttemptOutcome::unreachable:
-        node.health.unreachable(started_at);
+        node.health.attempt_unreachable(started_at);
         break;
     case AttemptOutcome::reset:
     case AttemptOutcome::not_sent:
@@ -63,7 +65,7 @@
     return may_have_restarted;
 }
 
-double units_of_work(const Request &request) {
+double effective_units(const Request &request) {
     return std::max(request.units, 1.0);
 }
 
--- a/src/scheduling/concurrency_window.cpp
+++ b/src/scheduling/concurrency_window.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-ConcurrencyWindow::ConcurrencyWindow(std::uint32_t schedulers)
-    : floor_(node_floor / schedulers), size_(std::max(1.0, floor_)) {}
+ConcurrencyWindow::ConcurrencyWindow(std::uint32_t scheduler_count)
+    : floor_(node_floor / scheduler_count), size_(std::max(1.0, floor_)) {}
 
 bool ConcurrencyWindow::has_capacity(std::size_t in_flight, Time since_last, Time expected_duration,
                                      double relative_value) const {
@@ -29,7 +29,7 @@
                                  seconds(expected_duration);
 }
 
-void ConcurrencyWindow::answered(Time now, double units, Time duration, bool slow) {
+void ConcurrencyWindow::record_duration(Time now, double units, Time duration, bool slow) {
     answers_.add({now, units, seconds(duration)});
     double all_units = 0;
     double all_seconds = 0;
--- a/src/scheduling/concurrency_window.hpp
+++ b/src/scheduling/concurrency_window.hpp
@@ -24,22 +24,22 @@
     /// costs.
     static constexpr std::size_t answers_per_reading = 8;
 
-    /// @param schedulers that share the node.
-    explicit ConcurrencyWindow(std::uint32_t schedulers);
+    /// @param scheduler_count the number of schedulers that share the node.
+    explicit ConcurrencyWindow(std::uint32_t scheduler_count);
 
     /// @param since_last time since the last attempt started.
     /// @param expected_duration of the next attempt.
     /// @param relative_value of what waits, against the mean of the plans: the rest below a window
     ///     of one is the shorter the more that is, so that schedulers which meet at a node keep
-    ///     weights among each other, too. Read if paces().
+    ///     weights among each other, too. Read if pacing().
     /// @return whether one more attempt may start.
     bool has_capacity(std::size_t in_flight, Time since_last, Time expected_duration,
                       double relative_value) const;
 
     /// @return whether the window is of at least one attempt and holds no more of them.
-    bool full(std::size_t in_flight) const { return !has_capacity(in_flight, 0, 1, 1); }
+    bool is_full(std::size_t in_flight) const { return !has_capacity(in_flight, 0, 1, 1); }
 
-    bool paces() const { return size_ < 1; }
+    bool pacing() const { return size_ < 1; }
 
     /// In attempts; below 1 it is the part of the time in which one is in flight.
     double size() const { return size_; }
@@ -48,7 +48,7 @@
     /// @param units of the request, at least 1.
     /// @param slow it took half of its latency objective or longer. Decides while there is no
     ///     reading yet, and with a window of one or below.
-    void answered(Time now, double units, Time duration, bool slow);
+    void record_duration(Time now, double units, Time duration, bool slow);
 
     /// Halves the window, but once in a round trip: all answers of one jam show the same jam.
     void halve(Time now, Time round_trip);
--- a/src/scheduling/config.hpp
+++ b/src/scheduling/config.hpp
@@ -108,7 +108,7 @@
 /// All of a scheduler's settings but workloads and plans.
 struct SchedulerConfig {
     /// This scheduler's number, from 0.
-    PeerId self;
+    SchedulerId self;
     /// Schedulers that share the nodes and the limits.
     std::uint32_t scheduler_count = 1;
     /// Longest time between two calls of settle while something is due; at least 1 ms is assumed.
--- a/src/scheduling/early_disconnects.cpp
+++ b/src/scheduling/early_disconnects.cpp
@@ -23,7 +23,7 @@
     disconnects_.add({now, volume, waited});
 }
 
-bool EarlyDisconnects::many(Time now) const {
+bool EarlyDisconnects::many_recent(Time now) const {
     if (disconnects_.size() < many_disconnects)
         return false;
     const Disconnect &first_of_many = *(disconnects_.end() - many_disconnects);
--- a/src/scheduling/early_disconnects.hpp
+++ b/src/scheduling/early_disconnects.hpp
@@ -22,7 +22,7 @@
     void client_answered(VolumeId volume, Time waited) { answered_.add({volume, waited}); }
 
     /// @return whether there may be any volume with a limit.
-    bool many(Time now) const;
+    bool many_recent(Time now) const;
 
     /// @return how long the volume's clients wait now: the quick quarter of those that disconnected
     ///     early; unlimited_wait if that isn't known.
--- a/src/scheduling/endpoint_list_poll.cpp
+++ b/src/scheduling/endpoint_list_poll.cpp
@@ -11,12 +11,12 @@
 
 } // namespace
 
-void EndpointListPoll::failed(Time now, RandomGenerator &random) {
+void EndpointListPoll::request_failed(Time now, RandomGenerator &random) {
     retry_at_ = now + shortest_retry_delay +
                 static_cast<Time>(random() % retry_jitter_steps) * retry_jitter_step;
 }
 
-bool EndpointListPoll::due(Time now) const {
+bool EndpointListPoll::request_due(Time now) const {
     return config_.on_request && (now >= retry_at_ || now - updated_at_ > config_.max_age);
 }
 
--- a/src/scheduling/endpoint_list_poll.hpp
+++ b/src/scheduling/endpoint_list_poll.hpp
@@ -18,19 +18,19 @@
     bool on_request() const { return config_.on_request; }
 
     /// The list was asked for, or came.
-    void updated(Time now) {
+    void reset_age(Time now) {
         updated_at_ = now;
         retry_at_ = never;
     }
 
     /// The request for the list failed. It is retried after a delay with jitter, so that schedulers
     /// don't retry in step and keep the list's source busy.
-    void failed(Time now, RandomGenerator &random);
+    void request_failed(Time now, RandomGenerator &random);
 
     /// @return whether to ask for the list now.
-    bool due(Time now) const;
+    bool request_due(Time now) const;
 
-    /// @return when due() may next be true.
+    /// @return when request_due() may next be true.
     Time next_check() const;
 
 private:
--- a/src/scheduling/latency_estimate.cpp
+++ b/src/scheduling/latency_estimate.cpp
@@ -26,13 +26,13 @@
     quick_quarter_ = seconds_per_unit_.quantile(quick_quarter);
 }
 
-void LatencyEstimate::answered(Time now, double units, Time duration) {
+void LatencyEstimate::add_answer(Time now, double units, Time duration) {
     durations_.add(duration);
     add({now, units, seconds(duration)});
 }
 
-void LatencyEstimate::abandoned(Time now, double units, Time duration) {
-    if (duration > expected(units))
+void LatencyEstimate::add_abandoned(Time now, double units, Time duration) {
+    if (duration > expected_duration(units))
         add({now, units, seconds(duration)});
 }
 
--- a/src/scheduling/latency_estimate.hpp
+++ b/src/scheduling/latency_estimate.hpp
@@ -34,23 +34,23 @@
 class LatencyEstimate {
 public:
     /// @param units of the request, at least 1.
-    void answered(Time now, double units, Time duration);
+    void add_answer(Time now, double units, Time duration);
 
     /// An attempt that was given up: it took that long at least, which counts if it was more than
     /// expected.
-    void abandoned(Time now, double units, Time duration);
+    void add_abandoned(Time now, double units, Time duration);
 
     /// Works the estimate out again where an answer came, one grew old, or `typical` changed.
     /// @param typical seconds per unit, of all nodes.
     void update(Time now, double typical);
 
     /// @return what a request of so many units takes, by the last update.
-    Time expected(double units) const {
+    Time expected_duration(double units) const {
         return static_cast<Time>((wait_ + seconds_per_unit_ * units) * nanoseconds);
     }
 
     /// Seconds, by the last update.
-    double wait() const { return wait_; }
+    double wait_seconds() const { return wait_; }
 
     double seconds_per_unit() const { return seconds_per_unit_; }
 
--- a/src/scheduling/load_shedding.cpp
+++ b/src/scheduling/load_shedding.cpp
@@ -16,7 +16,7 @@
         Time limit = volume.requests.empty() ? unlimited_wait : disconnects.wait_limit(id, now);
         for (const QueueRank &rank : volume.requests) {
             const Request &request = requests.at(rank.request);
-            if (now + node.latency.expected(request.units) > request.received_at + limit)
+            if (now + node.latency.expected_duration(request.units) > request.received_at + limit)
                 late.insert({id, rank});
         }
     }
@@ -26,12 +26,12 @@
 
 std::vector<RequestId> requests_to_shed(const NodeRecord &node, const RequestTable &requests,
                                         const EarlyDisconnects &disconnects, Time now) {
-    auto expected = [&](double units) { return node.latency.expected(units); };
-    Positions late = node.waiting.find_late(now, expected);
-    if (disconnects.many(now))
+    auto expected = [&](double units) { return node.latency.expected_duration(units); };
+    Positions late = node.waiting_index.find_late(now, expected);
+    if (disconnects.many_recent(now))
         add_soon_disconnected(late, node, requests, disconnects, now);
 
-    const Positions &repeats = node.waiting.repeats();
+    const Positions &repeats = node.waiting_index.repeats();
     std::vector<RequestId> result;
     std::size_t late_first_requests = 0;
     for (const QueuePosition &position : late) {
@@ -40,8 +40,8 @@
             ++late_first_requests;
     }
 
-    bool first_requests_wait = node.waiting.first_request_count() > late_first_requests;
-    if (!first_requests_wait || !node.window.full(node.health.counted_in_flight()))
+    bool first_requests_wait = node.waiting_index.first_request_count() > late_first_requests;
+    if (!first_requests_wait || !node.window.is_full(node.health.in_flight_not_overdue()))
         return result;
     for (const QueuePosition &position : repeats)
         if (!late.contains(position))
--- a/src/scheduling/node_health.cpp
+++ b/src/scheduling/node_health.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-std::size_t NodeHealth::occupied_places(Time now) const {
+std::size_t NodeHealth::occupied_window_slots(Time now) const {
     std::size_t occupied = in_flight_.size() - overdue_ + abandoned_.size();
     if (in_flight_.empty() || occupied == 0)
         return 0;
@@ -40,9 +40,9 @@
 }
 
 bool NodeHealth::trial_allowed(Time now, const TrialRotation &rotation) const {
-    Time slot_duration = std::min<Time>(trial_slot, longest_trial_round / rotation.schedulers);
+    Time slot_duration = std::min<Time>(trial_slot, longest_trial_round / rotation.scheduler_count);
     auto slot = static_cast<std::uint64_t>(now / slot_duration);
-    return slot % rotation.schedulers == rotation.self.value &&
+    return slot % rotation.scheduler_count == rotation.scheduler.value &&
            now - last_attempt_at_ >= trial_slot;
 }
 
@@ -54,14 +54,15 @@
     in_flight_.insert(attempt);
 }
 
-void NodeHealth::abandoned(Time now, Time started_at, Time duration, Time response_timeout) {
+void NodeHealth::attempt_abandoned(Time now, Time started_at, Time duration,
+                                   Time response_timeout) {
     if (!overtaken(started_at))
         abandoned_.insert(started_at);
     else if (duration > response_timeout)
         lost_at_ = now;
 }
 
-bool NodeHealth::responded(Time now) {
+bool NodeHealth::node_responded(Time now) {
     bool may_have_restarted =
         connections_refused_ || (unresponsive_ && now - last_response_at_ > shortest_restart);
     unresponsive_ = false;
@@ -71,12 +72,12 @@
     return may_have_restarted;
 }
 
-void NodeHealth::answered(Time started_at) {
+void NodeHealth::attempt_answered(Time started_at) {
     last_answered_start_ = std::max(last_answered_start_, started_at);
     abandoned_.erase(abandoned_.begin(), abandoned_.lower_bound(last_answered_start_));
 }
 
-void NodeHealth::unreachable(Time started_at) {
+void NodeHealth::attempt_unreachable(Time started_at) {
     // A connection that never came up while the node answered others was lost on the way.
     if (last_response_at_ > started_at)
         return;
@@ -87,7 +88,7 @@
     connections_refused_ = true;
 }
 
-void NodeHealth::restarted(Time now) {
+void NodeHealth::node_restarted(Time now) {
     last_response_at_ = now;
     unresponsive_ = false;
 }
--- a/src/scheduling/node_health.hpp
+++ b/src/scheduling/node_health.hpp
@@ -26,8 +26,8 @@
 /// This scheduler among those that share a node's trial attempts.
 struct TrialRotation {
     /// The scheduler's number, from 0.
-    PeerId self;
-    std::uint32_t schedulers = 1;
+    SchedulerId scheduler;
+    std::uint32_t scheduler_count = 1;
 };
 
 /// What one scheduler's attempts show of one node.
@@ -44,13 +44,13 @@
     bool any_in_flight() const { return !in_flight_.empty(); }
 
     /// @return the number of attempts in flight that aren't overdue.
-    std::size_t counted_in_flight() const { return in_flight_.size() - overdue_; }
+    std::size_t in_flight_not_overdue() const { return in_flight_.size() - overdue_; }
 
     /// Places of the concurrency window that are taken: attempts in flight but the overdue, and
     /// abandoned attempts, whose work may still be there until a later attempt is answered. One
     /// attempt may always go, or nothing would show that they ended; one more for a while after an
     /// attempt was lost.
-    std::size_t occupied_places(Time now) const;
+    std::size_t occupied_window_slots(Time now) const;
 
     bool unresponsive() const { return unresponsive_; }
 
@@ -69,23 +69,23 @@
     void attempt_ended(const AttemptInFlight &attempt) { in_flight_.erase(attempt); }
 
     /// The attempt timed out or was canceled.
-    void abandoned(Time now, Time started_at, Time duration, Time response_timeout);
+    void attempt_abandoned(Time now, Time started_at, Time duration, Time response_timeout);
 
     /// The node answered or failed an attempt: it lives.
     /// @return whether its process may have restarted: its connections were refused, or it was
     ///     silent for longer than nodes pause. A reset alone is no sign: its cause may lie on the
     ///     way.
-    bool responded(Time now);
+    bool node_responded(Time now);
 
     /// The node answered an attempt that started then: those before it are overtaken, and the work
     /// of abandoned ones before it is over.
-    void answered(Time started_at);
+    void attempt_answered(Time started_at);
 
     /// The attempt that started then found no connection.
-    void unreachable(Time started_at);
+    void attempt_unreachable(Time started_at);
 
     /// The endpoint list shows a new process: what was silent before says nothing of it.
-    void restarted(Time now);
+    void node_restarted(Time now);
 
     /// Looks again which attempts are overdue, and whether the node is unresponsive.
     void update(Time now, const LatencyEstimate &latency);
--- a/src/scheduling/node_record.hpp
+++ b/src/scheduling/node_record.hpp
@@ -23,10 +23,10 @@
 inline constexpr double negligible_units = 1e-9;
 
 struct NodeRecord {
-    /// @param schedulers that share the node.
+    /// @param scheduler_count the number of schedulers that share the node.
     /// @param largest_request in units.
-    NodeRecord(NodeId id, std::uint32_t schedulers, double largest_request)
-        : queue(largest_request), window(schedulers) {
+    NodeRecord(NodeId id, std::uint32_t scheduler_count, double largest_request)
+        : queue(largest_request), window(scheduler_count) {
         location.node = id;
     }
 
@@ -37,13 +37,13 @@
     NodeState state = NodeState::removed;
     Time started_at = 0;
     /// The list that is being read names it.
-    bool listed = false;
+    bool in_current_list = false;
 
     // What waits, and what bounds what is in flight.
     FairQueue queue;
-    WaitingIndex waiting;
+    WaitingIndex waiting_index;
     ConcurrencyWindow window;
-    OverloadHold overload_hold;
+    OverloadBackoff overload_backoff;
     double units_waiting = 0;
     double units_in_flight = 0;
 
--- a/src/scheduling/node_table.hpp
+++ b/src/scheduling/node_table.hpp
@@ -24,8 +24,8 @@
 
     /// A line of the list.
     /// @param config for a node that is new, with defaults filled in.
-    void list(const Endpoint &endpoint, Time now, const SchedulerConfig &config,
-              const SlowStart &slow_start);
+    void apply_endpoint(const Endpoint &endpoint, Time now, const SchedulerConfig &config,
+                        const SlowStart &slow_start);
 
     /// The list ends: a full one has removed the nodes that it doesn't name.
     /// @return the nodes that drain or are removed, in the order of ids.
--- a/src/scheduling/overload_hold.hpp
+++ b/src/scheduling/overload_hold.hpp
@@ -13,15 +13,15 @@
 /// time, doubled with each further overload until it answers, at most times the number of
 /// schedulers (then all together send one in that time). Guards against a node that stays full of
 /// work which is too late.
-class OverloadHold {
+class OverloadBackoff {
 public:
     /// @param expected_duration of the request that was rejected.
-    void overloaded(Time now, Time expected_duration, std::uint32_t schedulers) {
+    void node_overloaded(Time now, Time expected_duration, std::uint32_t scheduler_count) {
         until_ = now + expected_duration * multiplier_;
-        multiplier_ = std::min(multiplier_ * 2, schedulers);
+        multiplier_ = std::min(multiplier_ * 2, scheduler_count);
     }
 
-    void answered() { multiplier_ = 1; }
+    void reset() { multiplier_ = 1; }
 
     bool active(Time now) const { return now < until_; }
 
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -22,7 +22,7 @@
         holder = &node;
 }
 
-NodeRecord *Placement::choose(ShardId shard, Time now, RandomGenerator &random) const {
+NodeRecord *Placement::choose_node(ShardId shard, Time now, RandomGenerator &random) const {
     if (shard != no_shard) {
         auto it = shard_holders_.find(shard);
         return it == shard_holders_.end() ? nullptr : it->second;
@@ -36,7 +36,7 @@
 
 double placement_cost(const NodeRecord &node, Time now) {
     double units = 1 + node.units_waiting + node.units_in_flight;
-    return node.latency.wait() + units * node.latency.seconds_per_unit() +
+    return node.latency.wait_seconds() + units * node.latency.seconds_per_unit() +
            (node.health.unresponsive() ? unresponsive_cost : 0) +
            (node.slow_start.active(now) ? slow_start_cost : 0);
 }
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -25,7 +25,7 @@
 
     /// @param shard no_shard for a new object.
     /// @return nullptr if no node is ready for it.
-    NodeRecord *choose(ShardId shard, Time now, RandomGenerator &random) const;
+    NodeRecord *choose_node(ShardId shard, Time now, RandomGenerator &random) const;
 
 private:
     std::vector<NodeRecord *> ready_;
--- a/src/scheduling/repeat_detector.cpp
+++ b/src/scheduling/repeat_detector.cpp
@@ -14,11 +14,11 @@
 
 } // namespace
 
-void RepeatDetector::ended_unanswered(const Request &request) {
+void RepeatDetector::record_unanswered(const Request &request) {
     unanswered_[likeness(request)] = request.first_latency_deadline;
 }
 
-void RepeatDetector::recognize(Request &request, bool clients_mark_repeats) {
+void RepeatDetector::detect_repeat(Request &request, bool clients_mark_repeats) {
     request.first_latency_deadline = request.latency_deadline;
     auto earlier = unanswered_.extract(likeness(request));
     if (!earlier || request.key == no_key || request.repeated != clients_mark_repeats)
--- a/src/scheduling/repeat_detector.hpp
+++ b/src/scheduling/repeat_detector.hpp
@@ -17,11 +17,11 @@
 class RepeatDetector {
 public:
     /// The request ended and its client may ask again.
-    void ended_unanswered(const Request &request);
+    void record_unanswered(const Request &request);
 
     /// Sets the deadlines of a request that was just received, and whether it is repeated.
     /// @param clients_mark_repeats then only a request that says so is one.
-    void recognize(Request &request, bool clients_mark_repeats);
+    void detect_repeat(Request &request, bool clients_mark_repeats);
 
     /// Forgets requests that no client repeats any more.
     void prune(Time now);
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -63,7 +63,7 @@
 
 void RequestScheduler::settle(Time now) {
     now_ = now;
-    if (endpoint_list_poll_.due(now))
+    if (endpoint_list_poll_.request_due(now))
         watch_endpoints(now);
 
     give_up_overdue();
@@ -103,7 +103,7 @@
     request.answer_deadline = info.client_timeout - delivery_margin();
     request.latency_deadline =
         std::min(now + workloads_[request.workload].latency_objective, request.answer_deadline);
-    repeat_detector_.recognize(request, config_.clients_mark_repeats);
+    repeat_detector_.detect_repeat(request, config_.clients_mark_repeats);
 
     requests_.set_unanswered(request);
     if (ordered(request))
@@ -118,7 +118,7 @@
         return;
     if (reason == CancelReason::client_disconnected)
         early_disconnects_.client_disconnected(now, request->volume, now - request->received_at);
-    repeat_detector_.ended_unanswered(*request);
+    repeat_detector_.record_unanswered(*request);
     finish(*request);
     erase_if_done(*request);
 }
@@ -136,7 +136,7 @@
 
     NodeRecord *node = nullptr;
     if (request.stage == RequestStage::placement)
-        node = nodes_.placement().choose(request.shard, now_, random_);
+        node = nodes_.placement().choose_node(request.shard, now_, random_);
     if (node)
         enqueue(*node, request);
     else if (now_ >= request.latency_deadline || quota == QuotaDecision::never_fits)
@@ -172,11 +172,11 @@
         SlowStart::request_enqueued(node.slow_start, now_, request.units);
         WindowedSum &requested = requested_[request.volume];
         requested.add(now_, request.units);
-        requested.since(now_ - value_window);
+        requested.sum_since(now_ - value_window);
     }
     QueueRank place = rank(request);
     node.queue.enqueue(request.volume, plans_.queue_weight(plans_.get(request.plan)), place);
-    node.waiting.add(request.units, request.repeated, {request.volume, place});
+    node.waiting_index.add(request.units, request.repeated, {request.volume, place});
 }
 
 bool RequestScheduler::ordered(const Request &request) {
@@ -218,7 +218,7 @@
         if (!has_capacity(node, request))
             return;
         node.queue.request_sent(place, request.units, charge);
-        node.waiting.remove(request.units, {*volume, place});
+        node.waiting_index.remove(request.units, {*volume, place});
         start_attempt(node, request);
     }
 }
@@ -232,12 +232,12 @@
 }
 
 bool RequestScheduler::has_capacity(NodeRecord &node, const Request &request) {
-    double value = node.window.paces() ? relative_value(node) : 1;
-    if (!node.window.has_capacity(node.health.occupied_places(now_),
+    double value = node.window.pacing() ? relative_value(node) : 1;
+    if (!node.window.has_capacity(node.health.occupied_window_slots(now_),
                                   now_ - node.health.last_attempt_at(),
-                                  node.latency.expected(request.units), value))
+                                  node.latency.expected_duration(request.units), value))
         return false;
-    if (node.overload_hold.active(now_))
+    if (node.overload_backoff.active(now_))
         return false;
     bool unresponsive = node.health.unresponsive();
     if (unresponsive && !node.health.trial_allowed(now_, {config_.self, config_.scheduler_count}))
@@ -256,7 +256,7 @@
         if (volume.requests.empty())
             continue;
         const Request &request = requests_.at(volume.requests.begin()->request);
-        double rate = requested_[id].since(now_ - value_window) / seconds(value_window);
+        double rate = requested_[id].sum_since(now_ - value_window) / seconds(value_window);
         waiting_value +=
             plans_.unit_value(plans_.get(request.plan), std::max(rate * request.sharers, min_rate));
     }
@@ -297,7 +297,7 @@
     if (may_have_restarted)
         slow_start_.node_started(node.slow_start, now);
     if (result.outcome == AttemptOutcome::answered)
-        typical_unit_time_.add(units_of_work(*request), result.duration);
+        typical_unit_time_.add(effective_units(*request), result.duration);
 
     bool may_still_run = result.outcome == AttemptOutcome::timed_out ||
                          result.outcome == AttemptOutcome::reset ||
@@ -318,7 +318,7 @@
 void RequestScheduler::retry(Request &request) {
     leave_queue(request);
     request.stage = RequestStage::placement;
-    NodeRecord *node = nodes_.placement().choose(request.shard, now_, random_);
+    NodeRecord *node = nodes_.placement().choose_node(request.shard, now_, random_);
     if (node && may_retry(request, *node))
         enqueue(*node, request);
     else
@@ -329,7 +329,7 @@
     return may_start_attempt(request, workloads_[request.workload], config_.attempts,
                              repeat_target(node, now_)) &&
            retry_budget_.allows_retry(now_) &&
-           now_ + node.latency.expected(request.units) < request.latency_deadline;
+           now_ + node.latency.expected_duration(request.units) < request.latency_deadline;
 }
 
 RepeatTarget RequestScheduler::repeat_target(const NodeRecord &node, Time now) const {
@@ -367,7 +367,7 @@
         actions_.reject(request.id, std::min(retry_after, config_.max_retry_after));
     else
         actions_.fail(request.id);
-    repeat_detector_.ended_unanswered(request);
+    repeat_detector_.record_unanswered(request);
     finish(request);
 }
 
@@ -391,7 +391,7 @@
     NodeRecord &node = nodes_.at(request.node);
     QueueRank place = rank(request);
     node.queue.remove(request.volume, place);
-    node.waiting.remove(request.units, {request.volume, place});
+    node.waiting_index.remove(request.units, {request.volume, place});
     node.units_waiting -= request.units;
 }
 
@@ -408,12 +408,12 @@
 
 void RequestScheduler::endpoint_list_begin(Time now, EndpointListKind kind) {
     now_ = now;
-    endpoint_list_poll_.updated(now);
+    endpoint_list_poll_.reset_age(now);
     nodes_.begin_list(kind);
 }
 
 void RequestScheduler::endpoint_listed(const Endpoint &endpoint) {
-    nodes_.list(endpoint, now_, config_, slow_start_);
+    nodes_.apply_endpoint(endpoint, now_, config_, slow_start_);
 }
 
 void RequestScheduler::endpoint_list_end() {
@@ -422,7 +422,7 @@
 }
 
 void RequestScheduler::endpoint_list_failed(Time now) {
-    endpoint_list_poll_.failed(now, random_);
+    endpoint_list_poll_.request_failed(now, random_);
 }
 
 // What waits at a node that drains or is removed goes back to placement.
@@ -438,7 +438,7 @@
 }
 
 void RequestScheduler::watch_endpoints(Time now) {
-    endpoint_list_poll_.updated(now);
+    endpoint_list_poll_.reset_age(now);
     actions_.watch_endpoints();
 }
 
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -38,7 +38,7 @@
 ///                               the next of the node's volumes  (fair_queue, budget_feedback)
 ///                               may it be executed again?       (retry_policy, retry_budget)
 ///                               capacity at the node            (concurrency_window,
-///                                                                overload_hold, slow_start)
+///                                                                overload_backoff, slow_start)
 ///                               start_attempt
 ///     attempt_completed         what it shows of the node       (attempt_outcome)
 ///                               the client has its answer: finish
--- a/src/scheduling/slow_start.cpp
+++ b/src/scheduling/slow_start.cpp
@@ -29,12 +29,12 @@
 
 void SlowStart::request_enqueued(NodeSlowStart &node, Time now, double units) {
     node.requested.add(now, units);
-    node.requested.since(now - demand_window);
+    node.requested.sum_since(now - demand_window);
 }
 
 void SlowStart::attempt_started(NodeSlowStart &node, Time now, double units) const {
     node.sent.add(now, units);
-    node.sent.since(now - window());
+    node.sent.sum_since(now - window());
 }
 
 bool SlowStart::admits(NodeSlowStart &node, Time now, bool unresponsive, double units,
@@ -44,11 +44,12 @@
     if (now < started_at_ + config_.slow_start.window)
         return false;
     Time averaged = std::min(demand_window, now - started_at_);
-    double requested = node.requested.since(now - averaged) * seconds(window()) / seconds(averaged);
+    double requested =
+        node.requested.sum_since(now - averaged) * seconds(window()) / seconds(averaged);
     if (config_.slow_start.units <= 0)
         return true;
     SlowStartLoad load;
-    load.sent = node.sent.since(now - window());
+    load.sent = node.sent.sum_since(now - window());
     load.units = units;
     load.share = share(node, now, unresponsive);
     load.largest_request = config_.units.largest;
--- a/src/scheduling/windowed_sum.hpp
+++ b/src/scheduling/windowed_sum.hpp
@@ -19,7 +19,7 @@
 
     /// Forgets what was added before `from`, for later calls too.
     /// @return the sum of what was added at `from` or later.
-    double since(Time from) {
+    double sum_since(Time from) {
         while (!entries_.empty() && entries_.front().first < from) {
             sum_ -= entries_.front().second;
             entries_.pop_front();
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -549,7 +549,7 @@
         edge::CoreConfig{id, w.day.seed + lives * 1000, extent, span, unit, w.all_shards()});
     auto &s = core->scheduler();
     SchedulerConfig config;
-    config.self = PeerId{static_cast<std::uint32_t>(id)};
+    config.self = SchedulerId{static_cast<std::uint32_t>(id)};
     config.scheduler_count = w.day.edges;
     config.max_retry_after = sec;
     config.units = {2, 9, 0.35, 0.08};
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -214,7 +214,7 @@
     void set_up(edge::Core &core, std::size_t index) {
         auto &s = core.scheduler();
         SchedulerConfig config;
-        config.self = PeerId{static_cast<std::uint32_t>(index)};
+        config.self = SchedulerId{static_cast<std::uint32_t>(index)};
         config.scheduler_count = day.edges;
         config.max_retry_after = sec;
         config.units = {2, 9, 0.35, 0.08};
--- a/tests/scheduling/attempt_outcome_test.cpp
+++ b/tests/scheduling/attempt_outcome_test.cpp
@@ -59,16 +59,16 @@
     outcome.node.latency.update(0, 0.01);
     outcome.record(AttemptOutcome::overloaded, ms);
     CHECK(outcome.node.window.size() == doctest::Approx(0.5));
-    CHECK(outcome.node.overload_hold.active(21 * ms - 1));
-    CHECK_FALSE(outcome.node.overload_hold.active(21 * ms));
+    CHECK(outcome.node.overload_backoff.active(21 * ms - 1));
+    CHECK_FALSE(outcome.node.overload_backoff.active(21 * ms));
 }
 
 TEST_CASE("only an answer or an error shows that a process is back") {
     for (int i = 0; i < 8; ++i) {
         auto kind = static_cast<AttemptOutcome>(i);
         Outcome outcome;
-        outcome.node.health.unreachable(0);
-        outcome.node.health.unreachable(0);
+        outcome.node.health.attempt_unreachable(0);
+        outcome.node.health.attempt_unreachable(0);
         bool responds = kind == AttemptOutcome::answered || kind == AttemptOutcome::error;
         CHECK(outcome.record(kind, 10 * ms) == responds);
         CHECK(outcome.node.health.unresponsive() != responds);
--- a/tests/scheduling/early_disconnects_test.cpp
+++ b/tests/scheduling/early_disconnects_test.cpp
@@ -92,12 +92,12 @@
     EarlyDisconnects disconnects;
     for (Time i = 1; i <= 7; ++i)
         disconnects.client_disconnected(0, volume, i * 10 * ms);
-    CHECK_FALSE(disconnects.many(0));
+    CHECK_FALSE(disconnects.many_recent(0));
     CHECK(disconnects.wait_limit(volume, 0) == unlimited_wait);
     disconnects.client_disconnected(0, volume, 80 * ms);
-    CHECK(disconnects.many(0));
+    CHECK(disconnects.many_recent(0));
     CHECK(disconnects.wait_limit(volume, 0) == 20 * ms);
-    CHECK_FALSE(disconnects.many(2 * sec));
+    CHECK_FALSE(disconnects.many_recent(2 * sec));
     CHECK(disconnects.wait_limit(volume, 2 * sec) == unlimited_wait);
 }
 
--- a/tests/scheduling/endpoint_list_poll_test.cpp
+++ b/tests/scheduling/endpoint_list_poll_test.cpp
@@ -18,17 +18,17 @@
 TEST_CASE("a list on request is asked for again when it is too old") {
     EndpointListPoll poll;
     poll.configure({true, 10 * sec});
-    poll.updated(sec);
-    CHECK_FALSE(poll.due(11 * sec));
-    CHECK(poll.due(11 * sec + 1));
+    poll.reset_age(sec);
+    CHECK_FALSE(poll.request_due(11 * sec));
+    CHECK(poll.request_due(11 * sec + 1));
     CHECK(poll.next_check() == 11 * sec + ms);
 }
 
 TEST_CASE("a list that is pushed is never asked for") {
     EndpointListPoll poll;
     poll.configure({false, 10 * sec});
-    poll.updated(0);
-    CHECK_FALSE(poll.due(3600 * sec));
+    poll.reset_age(0);
+    CHECK_FALSE(poll.request_due(3600 * sec));
     CHECK(poll.next_check() == never);
 }
 
@@ -41,15 +41,15 @@
     for (int i = 0; i < 20; ++i) {
         EndpointListPoll poll;
         poll.configure({true, 10 * sec});
-        poll.updated(0);
-        poll.failed(sec, random);
-        CHECK_FALSE(poll.due(sec + 499 * ms));
-        CHECK(poll.due(sec + 1500 * ms));
+        poll.reset_age(0);
+        poll.request_failed(sec, random);
+        CHECK_FALSE(poll.request_due(sec + 499 * ms));
+        CHECK(poll.request_due(sec + 1500 * ms));
         if (i == 0)
             first_retry = poll.next_check();
         differ = differ || poll.next_check() != first_retry;
-        poll.updated(1200 * ms);
-        CHECK_FALSE(poll.due(3 * sec));
+        poll.reset_age(1200 * ms);
+        CHECK_FALSE(poll.request_due(3 * sec));
     }
     CHECK(differ);
 }
--- a/tests/scheduling/latency_estimate_test.cpp
+++ b/tests/scheduling/latency_estimate_test.cpp
@@ -11,26 +11,26 @@
 // counted for good, nothing would ever be sent that could show it to be quick again.
 TEST_CASE("old answers tell of no wait") {
     LatencyEstimate latency;
-    latency.answered(0, 2, 900 * ms);
+    latency.add_answer(0, 2, 900 * ms);
     latency.update(100 * ms, 0.01);
-    CHECK(latency.expected(2) == doctest::Approx(900e6));
+    CHECK(latency.expected_duration(2) == doctest::Approx(900e6));
     latency.update(2 * sec, 0.01);
-    CHECK(latency.expected(2) == doctest::Approx(20e6));
+    CHECK(latency.expected_duration(2) == doctest::Approx(20e6));
 }
 
 TEST_CASE("the wait of a small request isn't multiplied by a large one's units") {
     LatencyEstimate latency;
-    latency.answered(0, 1, 110 * ms);
+    latency.add_answer(0, 1, 110 * ms);
     latency.update(ms, 0.01);
-    CHECK(latency.expected(8) == doctest::Approx(180e6));
+    CHECK(latency.expected_duration(8) == doctest::Approx(180e6));
 }
 
 TEST_CASE("where eight answers came in four seconds their median time per unit is expected") {
     LatencyEstimate latency;
     for (int i = 0; i < 8; ++i)
-        latency.answered(0, 2, 100 * ms);
+        latency.add_answer(0, 2, 100 * ms);
     latency.update(sec, 0.01);
-    CHECK(latency.expected(4) == doctest::Approx(200e6));
+    CHECK(latency.expected_duration(4) == doctest::Approx(200e6));
 }
 
 // At a node that became slow all clients leave before their answer. If only answers counted, the
@@ -49,21 +49,21 @@
 TEST_CASE("an abandoned attempt counts only where it took longer than expected") {
     LatencyEstimate latency;
     latency.update(0, 0.1);
-    REQUIRE(latency.expected(1) == 100 * ms);
-    latency.abandoned(0, 1, 100 * ms);
+    REQUIRE(latency.expected_duration(1) == 100 * ms);
+    latency.add_abandoned(0, 1, 100 * ms);
     latency.update(1, 0.1);
-    CHECK(latency.expected(1) == 100 * ms);
-    latency.abandoned(1, 1, 300 * ms);
+    CHECK(latency.expected_duration(1) == 100 * ms);
+    latency.add_abandoned(1, 1, 300 * ms);
     latency.update(2, 0.1);
-    CHECK(latency.wait() == doctest::Approx(0.2));
-    CHECK(latency.expected(1) == 300 * ms);
+    CHECK(latency.wait_seconds() == doctest::Approx(0.2));
+    CHECK(latency.expected_duration(1) == 300 * ms);
 }
 
 TEST_CASE("a node may be silent for three times its slowest answer, and for half a second") {
     LatencyEstimate latency;
     CHECK(latency.response_timeout() == 500 * ms);
-    latency.answered(0, 1, 400 * ms);
-    latency.answered(0, 1, 10 * ms);
+    latency.add_answer(0, 1, 400 * ms);
+    latency.add_answer(0, 1, 10 * ms);
     CHECK(latency.response_timeout() == 1200 * ms);
 }
 
--- a/tests/scheduling/load_shedding_test.cpp
+++ b/tests/scheduling/load_shedding_test.cpp
@@ -26,15 +26,15 @@
     const QueuePosition repeat = {VolumeId{1}, {0, far, RequestId{1}}};
     const QueuePosition first = {VolumeId{1}, {0, far, RequestId{2}}};
     NodeRecord node(NodeId{1}, 1, 8); // a window of four
-    node.waiting.add(1, true, repeat);
+    node.waiting_index.add(1, true, repeat);
     for (std::uint64_t i = 10; i < 13; ++i)
         node.health.attempt_started({0, RequestId{i}, AttemptId{0}});
     auto shed = [&] { return requests_to_shed(node, RequestTable(), EarlyDisconnects(), 0); };
-    node.waiting.add(1, false, first);
+    node.waiting_index.add(1, false, first);
     CHECK(shed().empty()); // three in flight
     node.health.attempt_started({0, RequestId{13}, AttemptId{0}});
     CHECK(shed() == std::vector<RequestId>{RequestId{1}});
-    node.waiting.remove(1, first);
+    node.waiting_index.remove(1, first);
     CHECK(shed().empty());
 }
 
--- a/tests/scheduling/node_health_test.cpp
+++ b/tests/scheduling/node_health_test.cpp
@@ -142,67 +142,67 @@
     health.attempt_started(attempt_at(0, 1));
     health.update(500 * ms + 1, latency);
     CHECK_FALSE(health.unresponsive());
-    CHECK(health.counted_in_flight() == 0);
+    CHECK(health.in_flight_not_overdue() == 0);
     health.attempt_started(attempt_at(ms, 2));
     health.update(501 * ms, latency); // the second isn't overdue yet
     CHECK_FALSE(health.unresponsive());
     health.update(501 * ms + 1, latency);
     CHECK(health.unresponsive());
-    health.responded(502 * ms);
+    health.node_responded(502 * ms);
     CHECK_FALSE(health.unresponsive());
 }
 
 TEST_CASE("an overtaken attempt is overdue past three median durations") {
     LatencyEstimate latency;
-    latency.answered(0, 1, 10 * ms);
+    latency.add_answer(0, 1, 10 * ms);
     NodeHealth health;
     health.attempt_started(attempt_at(0, 1));
     health.update(31 * ms, latency);
-    CHECK(health.counted_in_flight() == 1);
-    health.answered(5 * ms); // one that started later
+    CHECK(health.in_flight_not_overdue() == 1);
+    health.attempt_answered(5 * ms); // one that started later
     health.update(30 * ms, latency);
-    CHECK(health.counted_in_flight() == 1);
+    CHECK(health.in_flight_not_overdue() == 1);
     health.update(30 * ms + 1, latency);
-    CHECK(health.counted_in_flight() == 0);
+    CHECK(health.in_flight_not_overdue() == 0);
 }
 
 TEST_CASE("abandoned work takes a place until a later attempt is answered") {
     NodeHealth health;
     health.attempt_started(attempt_at(10 * ms));
-    health.abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
-    CHECK(health.occupied_places(20 * ms) == 2);
-    health.answered(4 * ms);
-    CHECK(health.occupied_places(20 * ms) == 2);
-    health.answered(6 * ms);
-    CHECK(health.occupied_places(20 * ms) == 1);
+    health.attempt_abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
+    CHECK(health.occupied_window_slots(20 * ms) == 2);
+    health.attempt_answered(4 * ms);
+    CHECK(health.occupied_window_slots(20 * ms) == 2);
+    health.attempt_answered(6 * ms);
+    CHECK(health.occupied_window_slots(20 * ms) == 1);
     // An attempt that was overtaken before it was abandoned leaves no work behind.
-    health.abandoned(30 * ms, 5 * ms, 25 * ms, 500 * ms);
-    CHECK(health.occupied_places(30 * ms) == 1);
+    health.attempt_abandoned(30 * ms, 5 * ms, 25 * ms, 500 * ms);
+    CHECK(health.occupied_window_slots(30 * ms) == 1);
 }
 
 TEST_CASE("with nothing in flight one attempt may always go") {
     NodeHealth health;
-    health.abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
-    CHECK(health.occupied_places(20 * ms) == 0);
+    health.attempt_abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
+    CHECK(health.occupied_window_slots(20 * ms) == 0);
 }
 
 TEST_CASE("a lost attempt gives the window one more place for two seconds") {
     NodeHealth health;
-    health.answered(10 * ms);
+    health.attempt_answered(10 * ms);
     health.attempt_started(attempt_at(600 * ms));
-    health.abandoned(600 * ms, 0, 600 * ms, 500 * ms);
-    CHECK(health.occupied_places(600 * ms) == 0);
-    CHECK(health.occupied_places(2599 * ms) == 0);
-    CHECK(health.occupied_places(2600 * ms) == 1);
+    health.attempt_abandoned(600 * ms, 0, 600 * ms, 500 * ms);
+    CHECK(health.occupied_window_slots(600 * ms) == 0);
+    CHECK(health.occupied_window_slots(2599 * ms) == 0);
+    CHECK(health.occupied_window_slots(2600 * ms) == 1);
 }
 
 TEST_CASE("an answer after refused connections or a long silence may be a new process's") {
     NodeHealth refused;
-    refused.unreachable(0);
-    refused.unreachable(0);
+    refused.attempt_unreachable(0);
+    refused.attempt_unreachable(0);
     CHECK(refused.unresponsive());
-    CHECK(refused.responded(ms));
-    CHECK_FALSE(refused.responded(2 * ms));
+    CHECK(refused.node_responded(ms));
+    CHECK_FALSE(refused.node_responded(2 * ms));
 
     for (Time silence : {2 * sec, 2 * sec + 1}) {
         NodeHealth silent;
@@ -210,24 +210,24 @@
         silent.attempt_started(attempt_at(0, 2));
         silent.update(sec, LatencyEstimate());
         REQUIRE(silent.unresponsive());
-        CHECK(silent.responded(silence) == (silence > 2 * sec));
+        CHECK(silent.node_responded(silence) == (silence > 2 * sec));
     }
 }
 
 TEST_CASE("schedulers send trial attempts in turns") {
     NodeHealth health;
-    const TrialRotation first = {PeerId{0}, 2};
-    const TrialRotation second = {PeerId{1}, 2};
+    const TrialRotation first = {SchedulerId{0}, 2};
+    const TrialRotation second = {SchedulerId{1}, 2};
     CHECK(health.trial_allowed(500 * ms, first));
     CHECK_FALSE(health.trial_allowed(500 * ms, second));
     CHECK(health.trial_allowed(750 * ms, second));
     // All of twenty schedulers have their turn, of 100 ms, within two seconds.
-    CHECK(health.trial_allowed(1900 * ms, {PeerId{19}, 20}));
-    CHECK_FALSE(health.trial_allowed(1900 * ms, {PeerId{18}, 20}));
+    CHECK(health.trial_allowed(1900 * ms, {SchedulerId{19}, 20}));
+    CHECK_FALSE(health.trial_allowed(1900 * ms, {SchedulerId{18}, 20}));
     // But one scheduler's trials are a turn of 250 ms apart.
     health.attempt_started(attempt_at(500 * ms));
-    CHECK_FALSE(health.trial_allowed(749 * ms, {PeerId{0}, 1}));
-    CHECK(health.trial_allowed(750 * ms, {PeerId{0}, 1}));
+    CHECK_FALSE(health.trial_allowed(749 * ms, {SchedulerId{0}, 1}));
+    CHECK(health.trial_allowed(750 * ms, {SchedulerId{0}, 1}));
 }
 
 // A node that had nothing to do for a while was not silent: after a short pause it must not pass
@@ -238,17 +238,17 @@
     health.attempt_started(attempt_at(10 * sec, 2));
     health.update(10600 * ms, LatencyEstimate());
     REQUIRE(health.unresponsive());
-    CHECK_FALSE(health.responded(11 * sec));
+    CHECK_FALSE(health.node_responded(11 * sec));
 }
 
 TEST_CASE("abandoned work is taken for done four response timeouts after its start") {
     NodeHealth health;
-    health.abandoned(ms, 0, ms, 500 * ms);
+    health.attempt_abandoned(ms, 0, ms, 500 * ms);
     health.attempt_started(attempt_at(1900 * ms));
     health.update(2 * sec, LatencyEstimate());
-    CHECK(health.occupied_places(2 * sec) == 2);
+    CHECK(health.occupied_window_slots(2 * sec) == 2);
     health.update(2 * sec + 1, LatencyEstimate());
-    CHECK(health.occupied_places(2 * sec + 1) == 1);
+    CHECK(health.occupied_window_slots(2 * sec + 1) == 1);
 }
 
 TEST_CASE("a new process isn't unresponsive for what its predecessor left unanswered") {
@@ -257,7 +257,7 @@
     health.attempt_started(attempt_at(0, 2));
     health.update(sec, LatencyEstimate());
     REQUIRE(health.unresponsive());
-    health.restarted(sec);
+    health.node_restarted(sec);
     CHECK_FALSE(health.unresponsive());
     health.update(1100 * ms, LatencyEstimate());
     CHECK_FALSE(health.unresponsive());
--- a/tests/scheduling/node_table_test.cpp
+++ b/tests/scheduling/node_table_test.cpp
@@ -16,16 +16,16 @@
         NodeTable nodes;
         RandomGenerator random(1);
         nodes.begin_list(EndpointListKind::full);
-        nodes.list(endpoint(1), 0, {}, {});
-        nodes.list(endpoint(2), 0, {}, {});
+        nodes.apply_endpoint(endpoint(1), 0, {}, {});
+        nodes.apply_endpoint(endpoint(2), 0, {}, {});
         CHECK(nodes.end_list().empty());
         nodes.begin_list(kind);
-        nodes.list(endpoint(2), 0, {}, {});
+        nodes.apply_endpoint(endpoint(2), 0, {}, {});
         bool removes = kind == EndpointListKind::full;
         CHECK(nodes.end_list().size() == (removes ? 1 : 0));
         CHECK((nodes.at(NodeId{1}).state == NodeState::removed) == removes);
-        CHECK((nodes.placement().choose(ShardId{1}, 0, random) == nullptr) == removes);
-        CHECK(nodes.placement().choose(ShardId{2}, 0, random) == &nodes.at(NodeId{2}));
+        CHECK((nodes.placement().choose_node(ShardId{1}, 0, random) == nullptr) == removes);
+        CHECK(nodes.placement().choose_node(ShardId{2}, 0, random) == &nodes.at(NodeId{2}));
     }
 }
 
@@ -36,16 +36,16 @@
     slow_start.configure(config);
     NodeTable nodes;
     nodes.begin_list(EndpointListKind::full);
-    nodes.list(endpoint(1, NodeState::ready, sec), sec, config, slow_start);
+    nodes.apply_endpoint(endpoint(1, NodeState::ready, sec), sec, config, slow_start);
     nodes.end_list();
     NodeRecord &node = nodes.at(NodeId{1});
-    node.health.unreachable(sec);
-    node.health.unreachable(sec);
+    node.health.attempt_unreachable(sec);
+    node.health.attempt_unreachable(sec);
     nodes.begin_list(EndpointListKind::delta);
-    nodes.list(endpoint(1, NodeState::ready, sec), 20 * sec, config, slow_start);
+    nodes.apply_endpoint(endpoint(1, NodeState::ready, sec), 20 * sec, config, slow_start);
     CHECK(node.health.unresponsive());
     CHECK_FALSE(node.slow_start.active(20 * sec));
-    nodes.list(endpoint(1, NodeState::ready, 19 * sec), 20 * sec, config, slow_start);
+    nodes.apply_endpoint(endpoint(1, NodeState::ready, 19 * sec), 20 * sec, config, slow_start);
     CHECK_FALSE(node.health.unresponsive());
     CHECK(node.slow_start.active(29 * sec - 1));
     CHECK_FALSE(node.slow_start.active(29 * sec));
--- a/tests/scheduling/overload_hold_test.cpp
+++ b/tests/scheduling/overload_hold_test.cpp
@@ -28,16 +28,16 @@
 }
 
 TEST_CASE("each overload doubles the hold, up to the number of schedulers; an answer ends that") {
-    OverloadHold hold;
-    CHECK_FALSE(hold.active(0));
+    OverloadBackoff backoff;
+    CHECK_FALSE(backoff.active(0));
     for (Time multiplier : {1, 2, 3, 3}) {
-        hold.overloaded(0, 10 * ms, 3);
-        CHECK(hold.active(multiplier * 10 * ms - 1));
-        CHECK_FALSE(hold.active(multiplier * 10 * ms));
+        backoff.node_overloaded(0, 10 * ms, 3);
+        CHECK(backoff.active(multiplier * 10 * ms - 1));
+        CHECK_FALSE(backoff.active(multiplier * 10 * ms));
     }
-    hold.answered();
-    hold.overloaded(0, 10 * ms, 3);
-    CHECK_FALSE(hold.active(10 * ms));
+    backoff.reset();
+    backoff.node_overloaded(0, 10 * ms, 3);
+    CHECK_FALSE(backoff.active(10 * ms));
 }
 
 } // namespace
--- a/tests/scheduling/placement_test.cpp
+++ b/tests/scheduling/placement_test.cpp
@@ -31,14 +31,14 @@
     Placement placement;
     placement.add(newer);
     placement.add(older);
-    CHECK(placement.choose(ShardId{5}, 0, random) == &newer);
-    CHECK(placement.choose(ShardId{6}, 0, random) == nullptr);
+    CHECK(placement.choose_node(ShardId{5}, 0, random) == &newer);
+    CHECK(placement.choose_node(ShardId{6}, 0, random) == nullptr);
 }
 
 TEST_CASE("where no node is ready nothing is placed, and nothing is drawn") {
     RandomGenerator random(1);
     RandomGenerator unused(1);
-    CHECK(Placement().choose(no_shard, 0, random) == nullptr);
+    CHECK(Placement().choose_node(no_shard, 0, random) == nullptr);
     CHECK(random == unused);
 }
 
@@ -46,7 +46,7 @@
     NodeRecord cheap = node_of(1, 1);
     NodeRecord costly = node_of(2, 2);
     for (NodeRecord *node : {&cheap, &costly})
-        node->latency.answered(0, 1, 100 * ms);
+        node->latency.add_answer(0, 1, 100 * ms);
     cheap.latency.update(0, 0.1);
     costly.latency.update(0, 0.1);
     costly.units_waiting = 8;
@@ -59,7 +59,7 @@
         bool first_is_cheap = draws() % 2 == 0;
         bool second_is_cheap = draws() % 2 == 0;
         NodeRecord *expected = first_is_cheap || second_is_cheap ? &cheap : &costly;
-        CHECK(placement.choose(no_shard, 0, random) == expected);
+        CHECK(placement.choose_node(no_shard, 0, random) == expected);
         CHECK(random == draws);
     }
 }
@@ -68,14 +68,14 @@
     NodeRecord queued = node_of(1, 1);
     queued.units_waiting = 1000;
     queued.units_in_flight = 100;
-    queued.latency.answered(0, 1, 10 * ms);
+    queued.latency.add_answer(0, 1, 10 * ms);
     queued.latency.update(10 * sec, 0.5); // half a second a unit, no wait any more
     CHECK(placement_cost(queued, 0) == doctest::Approx(1101 * 0.5));
     NodeRecord starting = node_of(2, 2);
     starting.slow_start.until = sec;
     NodeRecord unresponsive = node_of(3, 3);
-    unresponsive.health.unreachable(0);
-    unresponsive.health.unreachable(0);
+    unresponsive.health.attempt_unreachable(0);
+    unresponsive.health.attempt_unreachable(0);
     CHECK(placement_cost(starting, 0) > placement_cost(queued, 0));
     CHECK(placement_cost(unresponsive, 0) > placement_cost(starting, 0));
     CHECK(placement_cost(starting, sec) < placement_cost(queued, sec));
--- a/tests/scheduling/repeat_detector_test.cpp
+++ b/tests/scheduling/repeat_detector_test.cpp
@@ -39,18 +39,18 @@
 TEST_CASE("a request like one that ended unanswered keeps its first latency deadline") {
     RepeatDetector detector;
     Request first = request_at(0);
-    detector.recognize(first, false);
+    detector.detect_repeat(first, false);
     CHECK(first.first_latency_deadline == 100 * ms);
-    detector.ended_unanswered(first);
+    detector.record_unanswered(first);
 
     Request early_repeat = request_at(40 * ms);
-    detector.recognize(early_repeat, false);
+    detector.detect_repeat(early_repeat, false);
     CHECK_FALSE(early_repeat.repeated);
     CHECK(early_repeat.latency_deadline == 100 * ms);
-    detector.ended_unanswered(early_repeat);
+    detector.record_unanswered(early_repeat);
 
     Request late_repeat = request_at(100 * ms);
-    detector.recognize(late_repeat, false);
+    detector.detect_repeat(late_repeat, false);
     CHECK(late_repeat.repeated);
     CHECK(late_repeat.first_latency_deadline == 100 * ms);
     CHECK(late_repeat.latency_deadline == 200 * ms);
@@ -60,11 +60,11 @@
     for (bool marked : {false, true}) {
         RepeatDetector detector;
         Request first = request_at(0);
-        detector.recognize(first, true);
-        detector.ended_unanswered(first);
+        detector.detect_repeat(first, true);
+        detector.record_unanswered(first);
         Request second = request_at(200 * ms);
         second.repeated = marked;
-        detector.recognize(second, true);
+        detector.detect_repeat(second, true);
         CHECK(second.first_latency_deadline == (marked ? 100 * ms : 300 * ms));
     }
 }
@@ -72,18 +72,18 @@
 TEST_CASE("requests without a key, and those that differ in units, repeat nothing") {
     RepeatDetector detector;
     Request first = request_at(0, no_key);
-    detector.recognize(first, false);
-    detector.ended_unanswered(first);
+    detector.detect_repeat(first, false);
+    detector.record_unanswered(first);
     Request without_key = request_at(200 * ms, no_key);
-    detector.recognize(without_key, false);
+    detector.detect_repeat(without_key, false);
     CHECK_FALSE(without_key.repeated);
 
     Request keyed = request_at(0);
-    detector.recognize(keyed, false);
-    detector.ended_unanswered(keyed);
+    detector.detect_repeat(keyed, false);
+    detector.record_unanswered(keyed);
     Request larger = request_at(200 * ms);
     larger.units = 3;
-    detector.recognize(larger, false);
+    detector.detect_repeat(larger, false);
     CHECK_FALSE(larger.repeated);
 }
 
@@ -91,25 +91,25 @@
     RepeatDetector detector;
     for (std::uint64_t key = 1; key <= 4097; ++key) {
         Request request = request_at(0, KeyId{key});
-        detector.recognize(request, false);
-        detector.ended_unanswered(request);
+        detector.detect_repeat(request, false);
+        detector.record_unanswered(request);
     }
     detector.prune(4 * sec + 100 * ms); // the deadline is four seconds ago
     Request repeat = request_at(4 * sec + 100 * ms, KeyId{1});
-    detector.recognize(repeat, false);
+    detector.detect_repeat(repeat, false);
     CHECK(repeat.repeated);
     detector.prune(4 * sec + 100 * ms + 1); // not more than 4096 are left
     repeat = request_at(5 * sec, KeyId{2});
-    detector.recognize(repeat, false);
+    detector.detect_repeat(repeat, false);
     CHECK(repeat.repeated);
     for (std::uint64_t key = 5000; key <= 5001; ++key) {
         Request request = request_at(5 * sec, KeyId{key});
-        detector.recognize(request, false);
-        detector.ended_unanswered(request);
+        detector.detect_repeat(request, false);
+        detector.record_unanswered(request);
     }
     detector.prune(5 * sec);
     repeat = request_at(5 * sec, KeyId{3});
-    detector.recognize(repeat, false);
+    detector.detect_repeat(repeat, false);
     CHECK_FALSE(repeat.repeated);
 }
 
--- a/tests/scheduling/slow_start_test.cpp
+++ b/tests/scheduling/slow_start_test.cpp
@@ -84,7 +84,7 @@
         : schedulers_(count), lines_read_(count), random_(seed) {
         for (std::uint32_t i = 0; i < count; ++i) {
             SchedulerFixture &fixture = schedulers_[i];
-            fixture.config.self = PeerId{i};
+            fixture.config.self = SchedulerId{i};
             fixture.config.scheduler_count = count;
             fixture.config.units = {mean_units, 8, 0.3, 0.05};
             fixture.config.slow_start = {node_units, window, slow_start_duration, initial_capacity};
--- a/tests/scheduling/windowed_sum_test.cpp
+++ b/tests/scheduling/windowed_sum_test.cpp
@@ -10,11 +10,11 @@
     sum.add(1, 0.1);
     sum.add(2, 0.2);
     sum.add(3, 0.4);
-    CHECK(sum.since(1) == doctest::Approx(0.7));
-    CHECK(sum.since(2) == doctest::Approx(0.6));
-    CHECK(sum.since(1) == doctest::Approx(0.6));
+    CHECK(sum.sum_since(1) == doctest::Approx(0.7));
+    CHECK(sum.sum_since(2) == doctest::Approx(0.6));
+    CHECK(sum.sum_since(1) == doctest::Approx(0.6));
     // No rounding error is left.
-    CHECK(sum.since(4) == 0);
+    CHECK(sum.sum_since(4) == 0);
 }
 
 } // namespace
