--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -27,21 +27,24 @@
     bool trace = false;
 };
 
-/// Reads the command line; returns an exit code if the program ends with that.
+/// Parses the command line into `options`. Returns the exit code if the program is to exit at once.
 std::optional<int> parse_options(int argc, char **argv, PlatformOptions &options) {
     CLI::App app{
-        "knotvane-edge --platform: HTTP in, scheduled attempts to the platform's disk servers out"};
+        "knotvane-edge --platform: receives HTTP requests and schedules attempts for them to the "
+        "platform's disk servers"};
     bool platform = false;
     if (const char *from_environment = std::getenv("LB_CONFIG"))
         options.config_path = from_environment;
-    app.add_flag("--platform", platform, "serve on the platform's protocol");
+    app.add_flag("--platform", platform, "serve the platform's HTTP protocol");
     app.add_option("--config", options.config_path,
-                   "configuration (JSON); else what LB_CONFIG names");
-    app.add_option("--log", options.log_level, "least level of the log")
+                   "configuration file (JSON); default: the path in LB_CONFIG");
+    app.add_option("--log", options.log_level, "lowest level that is logged")
         ->check(CLI::IsMember({"debug", "info", "warn", "error"}));
-    app.add_flag("--log-json", options.log_json, "log as JSON lines");
-    app.add_flag("--trace", options.trace,
-                 "log each attempt's times and what is counted out; `knotvane trace` reads it");
+    app.add_flag("--log-json", options.log_json, "log one JSON object per line");
+    app.add_flag(
+        "--trace", options.trace,
+        "log each attempt's times and the attempts in flight by node; summarize the log with "
+        "`knotvane trace`");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &error) {
@@ -50,23 +53,23 @@
     return std::nullopt;
 }
 
-/// Signals that a loop passes on to a server: SIGHUP reloads, the others stop it. Must outlive the
-/// loop, which closes the handles.
+/// Passes signals to a server: SIGHUP reloads its configuration, SIGTERM and SIGINT stop it. Must
+/// outlive the loop, which closes the signal handles.
 class ServerSignals {
 public:
     void start(loop::Loop &loop, http_gateway::Server &server) {
-        constexpr std::array<int, 3> numbers{SIGTERM, SIGINT, SIGHUP};
-        for (std::size_t i = 0; i < numbers.size(); ++i) {
+        constexpr std::array<int, 3> signals{SIGTERM, SIGINT, SIGHUP};
+        for (std::size_t i = 0; i < signals.size(); ++i) {
             uv_signal_init(loop.raw(), &handles_[i]);
             handles_[i].data = &server;
-            uv_signal_start(&handles_[i], on_signal, numbers[i]);
+            uv_signal_start(&handles_[i], on_signal, signals[i]);
         }
     }
 
 private:
-    static void on_signal(uv_signal_t *handle, int number) {
+    static void on_signal(uv_signal_t *handle, int signal) {
         auto &server = *static_cast<http_gateway::Server *>(handle->data);
-        if (number == SIGHUP)
+        if (signal == SIGHUP)
             server.reload();
         else
             server.stop();
@@ -75,7 +78,7 @@
     std::array<uv_signal_t, 3> handles_{};
 };
 
-/// Serves until a signal stops it.
+/// Runs a server until a signal stops it.
 void serve(const PlatformOptions &options, const http_gateway::Config &config) {
     ServerSignals signals;
     loop::Loop loop;
@@ -96,13 +99,14 @@
     if (auto code = parse_options(argc, argv, options))
         return *code;
     if (options.config_path.empty()) {
-        std::fprintf(stderr, "no configuration: set LB_CONFIG or give --config FILE\n");
+        std::fprintf(stderr,
+                     "no configuration file: give --config FILE or set LB_CONFIG to its path\n");
         return exit_usage;
     }
-    std::string fault;
-    auto text = settings::File::slurp(options.config_path, fault);
-    if (!fault.empty()) {
-        std::fprintf(stderr, "%s\n", fault.c_str());
+    std::string read_error;
+    auto text = settings::File::slurp(options.config_path, read_error);
+    if (!read_error.empty()) {
+        std::fprintf(stderr, "%s\n", read_error.c_str());
         return exit_usage;
     }
 
--- a/src/cli/platform.hpp
+++ b/src/cli/platform.hpp
@@ -1,11 +1,12 @@
 /// \file
-/// The edge program as an HTTP gateway on the platform's protocol.
+/// The edge program in its HTTP gateway mode, which serves the platform's protocol.
 #pragma once
 
 namespace knotvane::cli {
 
-/// Runs until a signal stops it.
-/// @return the exit code: 0 stopped, 1 it could not run, 2 usage or configuration.
+/// Runs an HTTP gateway until a signal stops it.
+/// @return the exit code: 0 after a graceful shutdown, 1 if the gateway could not run, 2 if the
+/// command line or the configuration is invalid.
 int run_platform(int argc, char **argv);
 
 } // namespace knotvane::cli
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -1,4 +1,4 @@
-// What an HTTP gateway's trace shows.
+// The command `knotvane trace`: statistics of an HTTP gateway's trace.
 #include "cli/commands.hpp"
 
 #include <cstdio>
@@ -15,26 +15,27 @@
 
 void add_trace(CLI::App &app, int &code) {
     auto paths = std::make_shared<std::vector<std::string>>();
-    auto *cmd = app.add_subcommand(
-        "trace", "what was believed against what crossed the sockets, from --trace logs");
-    cmd->add_option("FILES", *paths,
-                    "logs of knotvane-edge --platform --trace; - for standard input")
+    auto *command = app.add_subcommand("trace", "compare the scheduler's view with what happened "
+                                                "on the sockets, from logs written with --trace");
+    command
+        ->add_option("FILES", *paths,
+                     "logs of `knotvane-edge --platform --trace`; - for standard input")
         ->required();
-    cmd->footer(
-        "Exit codes: 0 good, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
-    cmd->callback([paths, &code] {
-        http_gateway::TraceSummary trace;
+    command->footer(
+        "Exit codes: 0 success, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
+    command->callback([paths, &code] {
+        http_gateway::TraceSummary summary;
         for (auto &path : *paths) {
             std::ifstream file(path == "-" ? "/dev/stdin" : path);
             if (!file) {
-                std::fprintf(stderr, "%s: can't be read\n", path.c_str());
+                std::fprintf(stderr, "%s: can't open this log file\n", path.c_str());
                 code = 2;
                 return;
             }
             for (std::string line; std::getline(file, line);)
-                trace.add_line(line);
+                summary.add_line(line);
         }
-        std::fputs(trace.report().c_str(), stdout);
+        std::fputs(summary.report().c_str(), stdout);
     });
 }
 
--- a/src/http_gateway/client_connections.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -11,31 +11,37 @@
 
 constexpr Time never = std::numeric_limits<Time>::max();
 
-// A client that sends nothing, or doesn't complete a first request, is owed an end within 3 s of
-// connecting. Some usual clients write slowly: one that was answered before has longer.
+// The platform requires that a connection on which no complete first request arrives is closed
+// within 3 s of connecting. Some regular clients write slowly, so a client that was answered before
+// has more time for its next request.
 constexpr Time first_byte_timeout = 2 * sec;
 constexpr Time first_request_timeout = 2700 * ms;
 constexpr Time later_request_timeout = 5 * sec;
 
-// A connection without a request may be closed after 2 s. Some clients ask once and stay connected:
-// kept for long, they leave no room for others.
+// The platform allows closing a connection that had no request for 2 s. Idle connections are closed
+// soon after that: some clients send one request and stay connected, and would use up the
+// connections that other clients need.
 constexpr Time min_idle_time = 2 * sec;
 constexpr Time idle_timeout = 2500 * ms;
 
-// Usual clients send as soon as they are connected; a throttled loop's turn is well under this.
-constexpr Time usual_first_byte_time = 200 * ms;
+// Regular clients send as soon as they are connected. An iteration of the event loop takes well
+// under this time even when the processor is throttled.
+constexpr Time typical_first_byte_time = 200 * ms;
 
-// Bytes kept of what comes behind a request in flight: one request of the largest size. Past that
-// nothing more of the connection is served, but it is read on, so that its client's close shows.
+// How many bytes are kept of those that arrive while a request is in flight: enough for one request
+// of the largest size. If more arrive, the rest isn't served, but the connection is still read, so
+// that the client's close is noticed.
 constexpr std::size_t max_pipelined_bytes = 72 << 10;
 
-// How long a half-closed connection waits for its client's close, and how much is read and
-// discarded meanwhile: a close over unread bytes resets the connection and takes the answer along.
+// How long a half-closed connection waits for the client to close its side, and how many bytes are
+// read and discarded meanwhile. Closing a socket with unread bytes resets the connection, by which
+// the client would lose the response.
 constexpr Time linger_time = 500 * ms;
 constexpr std::size_t max_discarded_bytes = 1 << 20;
 
-// Before that, how long its last answer may take to leave: past the longest client timeout, 3 s.
-constexpr Time last_answer_timeout = 5 * sec;
+// How long the last response may take to be written before that; longer than the longest client
+// timeout of 3 s.
+constexpr Time last_response_timeout = 5 * sec;
 
 const char *reason_phrase(unsigned status) {
     switch (status) {
@@ -68,7 +74,7 @@
     }
 }
 
-// The rank of a connection that isn't closed to make room.
+// The eviction rank of connections that are never closed to make room.
 constexpr int never_evicted = 5;
 
 } // namespace
@@ -82,19 +88,21 @@
 std::optional<ConnectionId> ClientConnections::connected(Time now) {
     if (clients_.size() >= max_connections_)
         evict_one(now);
-    // Each has a request in flight: one more would take a descriptor from nodes and discovery.
+    // Every connection has a request in flight. One more connection would use a descriptor that is
+    // reserved for nodes and discovery.
     if (clients_.size() >= max_connections_)
         return std::nullopt;
     ConnectionId id = connection_ids_.next();
     Client &client = clients_.try_emplace(id).first->second;
     client.idle_since = now;
-    set_due(id, client, now + first_byte_timeout);
+    set_timeout(id, client, now + first_byte_timeout);
     return id;
 }
 
-/// The order in which connections are closed to make room, lowest first. One that is just connected
-/// comes last: its request may wait unread. Guards against crowds of clients that ask once and
-/// stay, for which usual clients were refused a connection.
+/// Returns the rank by which connections are closed to make room, lowest first. A connection that
+/// was just accepted ranks last, as its request may be waiting in the socket unread. Without the
+/// ranks, many clients that send one request and stay connected caused regular clients to be
+/// refused.
 int ClientConnections::eviction_rank(Time now, const Client &client) {
     if (client.half_closed)
         return -1;
@@ -102,7 +110,7 @@
         return never_evicted;
     Time idle = now - client.idle_since;
     if (!client.has_sent_bytes)
-        return idle >= usual_first_byte_time ? 0 : 4;
+        return idle >= typical_first_byte_time ? 0 : 4;
     if (client.decoder.state() != http::State::empty)
         return 2;
     return idle >= min_idle_time ? 1 : 3;
@@ -122,17 +130,17 @@
         close(lowest->first);
 }
 
-void ClientConnections::set_due(ConnectionId id, Client &client, Time due) {
-    due_.erase({client.due, id});
-    client.due = due;
-    if (due != never)
-        due_.insert({due, id});
+void ClientConnections::set_timeout(ConnectionId id, Client &client, Time timeout_at) {
+    timeouts_.erase({client.timeout_at, id});
+    client.timeout_at = timeout_at;
+    if (timeout_at != never)
+        timeouts_.insert({timeout_at, id});
 }
 
-bool ClientConnections::forget(ConnectionId id) {
+bool ClientConnections::erase(ConnectionId id) {
     auto it = clients_.find(id);
     bool in_flight = it->second.request_in_flight;
-    due_.erase({it->second.due, id});
+    timeouts_.erase({it->second.timeout_at, id});
     if (it->second.half_closed)
         --half_closed_count_;
     clients_.erase(it);
@@ -140,7 +148,7 @@
 }
 
 void ClientConnections::close(ConnectionId id) {
-    forget(id);
+    erase(id);
     transport_.close(id);
 }
 
@@ -150,7 +158,7 @@
     client.request_in_flight = false;
     client.pipelined.clear();
     client.pipelined_bytes = 0;
-    set_due(id, client, now + (client.unsent_bytes > 0 ? last_answer_timeout : linger_time));
+    set_timeout(id, client, now + (client.unsent_bytes > 0 ? last_response_timeout : linger_time));
     transport_.finish_sending(id);
 }
 
@@ -167,7 +175,8 @@
     Client &client = it->second;
     client.has_sent_bytes = true;
     if (client.half_closed) {
-        // A request that crossed our end isn't taken; its client sends it elsewhere.
+        // The client sent a request before it noticed that this side is closed. It isn't accepted;
+        // the client sends it to another gateway.
         client.discarded_bytes += bytes.size();
         if (client.discarded_bytes > max_discarded_bytes)
             close(id);
@@ -176,7 +185,7 @@
     if (client.ignores_input)
         return;
     if (!client.request_in_flight && client.pipelined.empty())
-        return read(now, now, id, bytes);
+        return process_bytes(now, now, id, bytes);
     if (client.pipelined_bytes + bytes.size() > max_pipelined_bytes) {
         client.ignores_input = true;
         return;
@@ -185,19 +194,21 @@
     client.pipelined_bytes += bytes.size();
 }
 
-void ClientConnections::read(Time now, Time received_at, ConnectionId id, std::string_view bytes) {
+void ClientConnections::process_bytes(Time now, Time received_at, ConnectionId id,
+                                      std::string_view bytes) {
     while (!bytes.empty()) {
         Client &client = clients_.at(id);
         http::Decoder &decoder = client.decoder;
         if (decoder.state() == http::State::empty)
-            set_due(id, client,
-                    client.has_been_answered ? now + later_request_timeout
-                                             : client.idle_since + first_request_timeout);
+            set_timeout(id, client,
+                        client.has_been_answered ? now + later_request_timeout
+                                                 : client.idle_since + first_request_timeout);
         bytes.remove_prefix(decoder.take(bytes));
         if (decoder.state() == http::State::broken)
             return send_error(now, id, {decoder.fault_status(), decoder.fault()});
         if (decoder.state() != http::State::whole) {
-            // The rest of it was ignored: what comes next must not be read as its end.
+            // The rest of this request was discarded. Bytes that arrive from now on must not be
+            // parsed as its end.
             if (client.ignores_input && client.pipelined.empty())
                 send_error(now, id, {413, "too much at once"});
             return;
@@ -233,14 +244,14 @@
     auto &request = std::get<ClientRequest>(parsed);
     request.info.client_timeout += received_at;
     client.request_in_flight = true;
-    set_due(id, client, never);
+    set_timeout(id, client, never);
     events_.request_received(now, id, request.info, std::move(request.outbound));
 }
 
 void ClientConnections::disconnected(Time now, ConnectionId id) {
     if (!clients_.contains(id))
         return;
-    if (forget(id))
+    if (erase(id))
         events_.request_canceled(now, id);
 }
 
@@ -265,7 +276,7 @@
     client.has_been_answered = true;
     client.idle_since = now;
     client.decoder.next();
-    set_due(id, client, now + idle_timeout);
+    set_timeout(id, client, now + idle_timeout);
     if (!client.pipelined.empty())
         answered_with_pipelined_.insert(id);
 }
@@ -277,10 +288,10 @@
     Client &client = it->second;
     client.unsent_bytes -= std::min(bytes, client.unsent_bytes);
     if (client.half_closed && client.unsent_bytes == 0)
-        set_due(id, client, now + linger_time);
+        set_timeout(id, client, now + linger_time);
 }
 
-void ClientConnections::read_pipelined(Time now) {
+void ClientConnections::process_pipelined(Time now) {
     for (auto id : std::exchange(answered_with_pipelined_, {})) {
         auto it = clients_.find(id);
         while (it != clients_.end() && !it->second.request_in_flight &&
@@ -288,7 +299,7 @@
             auto pipelined = std::move(it->second.pipelined.front());
             it->second.pipelined.pop_front();
             it->second.pipelined_bytes -= pipelined.bytes.size();
-            read(now, pipelined.received_at, id, pipelined.bytes);
+            process_bytes(now, pipelined.received_at, id, pipelined.bytes);
             it = clients_.find(id);
         }
     }
@@ -318,14 +329,14 @@
 }
 
 void ClientConnections::handle_timeouts(Time now) {
-    while (!due_.empty() && due_.begin()->first <= now) {
-        auto id = due_.begin()->second;
+    while (!timeouts_.empty() && timeouts_.begin()->first <= now) {
+        auto id = timeouts_.begin()->second;
         Client &client = clients_.at(id);
         bool idle = client.decoder.state() == http::State::empty;
         if (client.half_closed)
             close(id);
         else if (idle && client.has_sent_bytes && keep_idle_)
-            set_due(id, client, now + idle_timeout);
+            set_timeout(id, client, now + idle_timeout);
         else if (idle)
             finish_sending(now, id, client);
         else
--- a/src/http_gateway/client_connections.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Clients' connections, without I/O.
+/// The protocol logic of connections from clients, without I/O.
 #pragma once
 
 #include <cstddef>
@@ -24,80 +24,89 @@
 
 namespace knotvane::http_gateway {
 
-/// What clients do. Each request received is answered once, by its connection, unless it is
-/// canceled before.
+/// Receives the requests of clients. The implementation answers each request exactly once, through
+/// the ClientConnections' respond, reject or fail with the client's connection id, unless the
+/// request is canceled before.
 class ClientRequestEvents {
 public:
     virtual ~ClientRequestEvents() = default;
 
-    /// @param info all but the request's id.
+    /// A client sent a complete, valid request.
+    /// @param info complete except for the request's id, which the receiver assigns.
     virtual void request_received(Time now, ConnectionId client, RequestInfo info,
                                   std::shared_ptr<const OutboundRequest> outbound) = 0;
 
-    /// The client of a request without an answer disconnected.
+    /// A client disconnected before its request was answered.
     virtual void request_canceled(Time now, ConnectionId client) = 0;
 
-    /// Whether health checks are answered that this gateway serves.
+    /// Whether the gateway is able to serve: health checks are answered with 200 if so, else 503.
     virtual bool serving() const = 0;
 };
 
-/// Requests in, one at a time on each connection, and one response to each. What can't be a request
-/// is answered with an error at once and its connection is closed. Bounds what clients can occupy:
-/// connections, memory and time.
+/// The connections that clients have opened. Reads requests, one at a time on each connection, and
+/// sends one response to each. An invalid message is answered with an error at once and its
+/// connection is closed. Limits the connections, memory and time that clients can use.
 class ClientConnections {
 public:
-    /// @param parser reads the requests.
-    /// @param max_connections at once; 1 at least.
+    /// @param transport, events, connection_ids must outlive this object.
+    /// @param parser turns complete messages into requests.
+    /// @param max_connections the most connections open at a time; at least 1.
     ClientConnections(Transport &transport, ClientRequestEvents &events,
                       ConnectionIds &connection_ids, RequestParser parser,
                       std::size_t max_connections);
 
     bool owns(ConnectionId id) const { return clients_.contains(id); }
 
-    /// A connection was accepted. If there are too many, the least useful one is closed.
-    /// @return nothing if each has a request in flight: the new one isn't taken.
+    /// A connection was accepted. At the connection limit, the connection with the lowest eviction
+    /// rank is closed to make room.
+    /// @return the new connection's id, or nothing if every connection has a request in flight; the
+    /// caller then closes the new one.
     std::optional<ConnectionId> connected(Time now);
     void received(Time now, ConnectionId id, std::string_view bytes);
     void disconnected(Time now, ConnectionId id);
     void sent(Time now, ConnectionId id, std::size_t bytes);
 
-    /// Answers with a node's body.
+    /// Answers with 200 and a node's response body.
     void respond(Time now, ConnectionId id, const std::string &body);
-    /// Answers that nothing was done and that the client may ask again.
-    /// @param retry_after when; 0 leaves it to the client.
+    /// Answers with 503: nothing was executed and the client may repeat the request.
+    /// @param retry_after how long the client should wait before that, sent as Retry-After; 0 sends
+    /// none.
     void reject(Time now, ConnectionId id, Time retry_after);
-    /// Answers that the request may have been executed.
+    /// Answers with 502: the request failed and may have been executed.
     void fail(Time now, ConnectionId id);
 
-    /// From now on connections without a request aren't closed for being idle.
+    /// From now on idle connections on which a client has sent something stay open.
     void keep_idle() { keep_idle_ = true; }
-    /// From now on an answer is its connection's last, unless a request waits behind it.
+    /// From now on a connection is closed after its next response, unless the client has already
+    /// sent another request on it.
     void close_after_responses() { close_after_responses_ = true; }
-    /// Ends every connection without a request; what is received on it after that is ignored.
+    /// Half-closes every connection without a request. Bytes that it receives later are discarded.
     void close_idle(Time now);
 
-    /// Reads on where bytes came behind a request that has its answer now. Not to be called while
-    /// the scheduler decides.
-    void read_pipelined(Time now);
+    /// Parses the pipelined bytes of connections whose request has been answered in the meantime.
+    /// Must not be called from within a call of the scheduler, as it may start a new request.
+    void process_pipelined(Time now);
     bool has_pipelined() const { return !answered_with_pipelined_.empty(); }
 
-    /// Connections, without those that only wait for the client's close.
+    /// The number of connections that aren't half-closed.
     std::size_t open_count() const { return clients_.size() - half_closed_count_; }
-    /// All connections.
+    /// The number of all connections.
     std::size_t count() const { return clients_.size(); }
 
-    /// When handle_timeouts is due next; the largest Time if nothing is.
+    /// When handle_timeouts must be called next; the largest Time if no timeout is pending.
     Time next_due() const {
-        return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
+        return timeouts_.empty() ? std::numeric_limits<Time>::max() : timeouts_.begin()->first;
     }
-    /// Closes connections whose time is over.
+    /// Acts on the timeouts that have passed: sends a 408 response, half-closes or closes the
+    /// connection.
     void handle_timeouts(Time now);
 
 private:
-    // Heads here are some hundred bytes; bodies 64 KiB at most, by the protocol.
+    // Request heads of this protocol have some hundred bytes, bodies at most 64 KiB.
     static constexpr std::size_t max_head_bytes = 8 << 10;
     static constexpr std::size_t max_body_bytes = 64 << 10;
 
+    /// Bytes that were received while an earlier request was in flight.
     struct PipelinedBytes {
         Time received_at;
         std::string bytes;
@@ -105,47 +114,50 @@
 
     struct Client {
         http::Decoder decoder{http::MessageKind::request, max_head_bytes, max_body_bytes};
-        /// When its time is over; see next_due.
-        Time due = 0;
-        /// When it connected or was last answered.
+        /// When its current timeout passes; also in timeouts_.
+        Time timeout_at = 0;
+        /// When it connected or was last answered, whichever is later.
         Time idle_since = 0;
         bool has_sent_bytes = false;
         bool request_in_flight = false;
         bool has_been_answered = false;
-        /// The next answer ends the connection.
+        /// The connection is closed after the next response.
         bool close_after_response = false;
-        /// No further requests are read.
+        /// Too many bytes were pipelined: those received from now on are discarded.
         bool ignores_input = false;
-        /// Our side has ended, the client's hasn't.
+        /// This side is closed for sending and the client's isn't closed yet.
         bool half_closed = false;
-        /// Bytes of answers that have not left.
+        /// Bytes of responses that aren't written to the socket yet.
         std::size_t unsent_bytes = 0;
-        /// Bytes received after our end.
+        /// Bytes received since the connection was half-closed.
         std::size_t discarded_bytes = 0;
-        /// What was received while a request was in flight.
         std::deque<PipelinedBytes> pipelined;
+        /// The number of bytes in `pipelined`.
         std::size_t pipelined_bytes = 0;
     };
 
-    /// @param received_at of these bytes: a client's timeout starts there, also if they waited
-    /// behind another request.
-    void read(Time now, Time received_at, ConnectionId id, std::string_view bytes);
-    /// Handles the whole message in the client's decoder.
+    /// Parses bytes and handles the messages that they complete, until a request is in flight.
+    /// @param received_at when the bytes arrived. The client's timeout counts from then, also if
+    /// they were parsed only after an earlier request was answered.
+    void process_bytes(Time now, Time received_at, ConnectionId id, std::string_view bytes);
+    /// Handles the complete message in the client's decoder: a request, health check or error.
     void handle_message(Time now, Time received_at, ConnectionId id, Client &client);
+    /// Puts bytes back in front of the connection's pipelined bytes, up to the limit.
     void keep_pipelined(Client &client, Time received_at, std::string_view bytes);
 
     void send(Time now, ConnectionId id, unsigned status, const std::string &headers,
               const std::string &body);
     void send_error(Time now, ConnectionId id, const RequestError &error);
 
-    void set_due(ConnectionId id, Client &client, Time due);
-    /// Forgets a connection; returns whether it had a request in flight.
-    bool forget(ConnectionId id);
+    void set_timeout(ConnectionId id, Client &client, Time timeout_at);
+    /// Removes a connection from the tables; returns whether it had a request in flight.
+    bool erase(ConnectionId id);
     void close(ConnectionId id);
-    /// Ends our side once all that is owed has left. What is received after that is discarded until
-    /// the client's close, or for a short while.
+    /// Half-closes a connection: this side is closed once all responses are written. Bytes received
+    /// after that are discarded until the client closes or a timeout passes.
     void finish_sending(Time now, ConnectionId id, Client &client);
     static int eviction_rank(Time now, const Client &client);
+    /// Closes the connection with the lowest eviction rank, if any may be closed.
     void evict_one(Time now);
 
     Transport &transport_;
@@ -155,7 +167,9 @@
     std::size_t max_connections_;
     std::size_t half_closed_count_ = 0;
     std::map<ConnectionId, Client> clients_;
-    std::set<std::pair<Time, ConnectionId>> due_;
+    /// Pending timeouts, the next one first.
+    std::set<std::pair<Time, ConnectionId>> timeouts_;
+    /// Connections whose request was answered and that have pipelined bytes to parse.
     std::set<ConnectionId> answered_with_pipelined_;
     bool keep_idle_ = false;
     bool close_after_responses_ = false;
--- a/src/http_gateway/config.cpp
+++ b/src/http_gateway/config.cpp
@@ -11,32 +11,36 @@
 using scheduler_setup::MalformedInput;
 
 constexpr std::int64_t min_sockets = 32;
-constexpr std::size_t max_quoted = 80;
 
-/// Returns a value as an option's text; what separates options and list entries becomes '_'.
+// An invalid value is quoted in the error's message up to this many bytes.
+constexpr std::size_t max_quoted_bytes = 80;
+
+/// Returns a value as the text of an option. Characters that separate options and list entries
+/// (blanks, commas, line ends) are replaced by '_'.
 std::string option_text(const json &value) {
     if (value.is_null())
         return {};
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
-    for (char &c : text)
-        if (c == ' ' || c == ',' || c == '\n' || c == '\r')
-            c = '_';
+    for (char &character : text)
+        if (character == ' ' || character == ',' || character == '\n' || character == '\r')
+            character = '_';
     return text;
 }
 
-/// Appends a line "path=value" for each value: a list of texts and numbers becomes one line with
-/// commas; a list of objects has its size at "path.count" and each object at "path.N".
+/// Appends a line "path=value" for each value below `value`. A list of texts or numbers becomes one
+/// line with its entries separated by commas. For a list of objects, the size is written at
+/// "path.count" and the members of object number N below "path.N".
 void append_options(const json &value, const std::string &path, std::string &lines) {
-    auto path_below = [&](const std::string &name) {
+    auto member_path = [&](const std::string &name) {
         return path.empty() ? name : path + "." + name;
     };
     if (value.is_object()) {
-        for (const auto &[name, inner] : value.items())
-            append_options(inner, path_below(name), lines);
+        for (const auto &[name, member] : value.items())
+            append_options(member, member_path(name), lines);
     } else if (value.is_array() && !value.empty() && value[0].is_object()) {
         lines += path + ".count=" + std::to_string(value.size()) + "\n";
         for (std::size_t i = 0; i < value.size(); ++i)
-            append_options(value[i], path_below(std::to_string(i)), lines);
+            append_options(value[i], member_path(std::to_string(i)), lines);
     } else if (value.is_array()) {
         lines += path + "=";
         for (std::size_t i = 0; i < value.size(); ++i)
@@ -54,30 +58,31 @@
 
     explicit Document(std::string_view text) : root(json::parse(text, nullptr, false)) {}
 
-    /// Returns a text that is there and not empty.
+    /// Returns the text of a required field. Throws if it is absent, empty or not a text.
     std::string text(const char *field) const {
         auto it = root.find(field);
         if (it == root.end() || !it->is_string())
-            throw MalformedInput(std::string(field) + ": expected text");
+            throw MalformedInput(std::string(field) + ": missing or not a string, expected text");
         auto text = it->get<std::string>();
         if (text.empty())
-            throw MalformedInput(std::string(field) + ": empty");
+            throw MalformedInput(std::string(field) + ": empty, expected text");
         return text;
     }
 
     void require_object(const char *field) const {
         auto it = root.find(field);
         if (it == root.end() || !it->is_object())
-            throw MalformedInput(std::string(field) + ": expected an object");
+            throw MalformedInput(std::string(field) +
+                                 ": missing or not an object, expected a JSON object");
     }
 };
 
 Config::Config(std::string_view text) : document_(std::make_unique<Document>(text)) {
     if (!document_->root.is_object())
-        throw MalformedInput("expected a JSON object");
+        throw MalformedInput("the configuration is not a JSON object");
     document_->require_object("settings");
     document_->require_object("limits");
-    // Each throws on a fault of its own.
+    // These throw if their field is missing or invalid.
     listen_address();
     discovery_address();
     seed();
@@ -108,7 +113,8 @@
     std::uint64_t seed = 0;
     auto [end, error] = std::from_chars(text.data(), text_end, seed, hexadecimal);
     if (error != std::errc() || end != text_end)
-        throw MalformedInput("seed: expected up to 16 hex digits: " + text.substr(0, max_quoted));
+        throw MalformedInput("seed: expected up to 16 hexadecimal digits, found \"" +
+                             text.substr(0, max_quoted_bytes) + "\"");
     return seed;
 }
 
@@ -116,8 +122,8 @@
     const json &limits = document_->root["limits"];
     auto it = limits.find("sockets");
     if (it == limits.end() || !it->is_number_integer() || it->get<std::int64_t>() < min_sockets)
-        throw MalformedInput("limits.sockets: expected a whole number, " +
-                             std::to_string(min_sockets) + " or more");
+        throw MalformedInput("limits.sockets: expected a whole number of at least " +
+                             std::to_string(min_sockets));
     return it->get<std::size_t>();
 }
 
@@ -136,13 +142,15 @@
     const json &settings = document_->root["settings"];
     auto it = settings.find(list);
     if (it == settings.end() || !it->is_array())
-        throw MalformedInput("settings." + list + ": expected a list");
+        throw MalformedInput("settings." + list +
+                             ": missing or not a list, expected a list of names");
     std::vector<std::string> names;
     for (const json &entry : *it) {
         const json &name = entry.is_object() && entry.contains("Name") ? entry["Name"] : entry;
         if (!name.is_string())
-            throw MalformedInput("settings." + list + "." + std::to_string(names.size()) +
-                                 ": expected a name");
+            throw MalformedInput(
+                "settings." + list + "." + std::to_string(names.size()) +
+                ": expected a name, either as text or as the field Name of an object");
         names.push_back(name.get<std::string>());
     }
     return names;
--- a/src/http_gateway/config.hpp
+++ b/src/http_gateway/config.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The configuration that the platform gives a gateway.
+/// The JSON configuration that the platform gives to a gateway.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 
 namespace knotvane::http_gateway {
 
-/// A configuration (JSON), checked when it is read.
+/// A parsed configuration. The constructor checks that all required fields are present and valid.
 class Config {
 public:
-    /// @param text JSON.
-    /// @throws scheduler_setup::MalformedInput, saying which field and what was expected.
+    /// @param text the configuration as JSON.
+    /// @throws scheduler_setup::MalformedInput if a field is missing or invalid; the message names
+    /// the field and what was expected.
     explicit Config(std::string_view text);
     ~Config();
     Config(const Config &) = delete;
@@ -24,21 +25,25 @@
     Config(Config &&) noexcept;
     Config &operator=(Config &&) noexcept;
 
-    /// This gateway's name.
+    /// This gateway's name. Throws MalformedInput if the configuration has none: the constructor
+    /// doesn't check it.
     std::string name() const;
-    /// Where to listen, "host:port".
+    /// The address to listen on, "host:port".
     std::string listen_address() const;
-    /// Where discovery is, "host:port".
+    /// The address of discovery, "host:port".
     std::string discovery_address() const;
+    /// Seed of the gateway's random choices.
     std::uint64_t seed() const;
-    /// Descriptors that the process may hold.
+    /// The most descriptors that the process may have open.
     std::size_t max_sockets() const;
-    /// The endpoint list as it was last had, in discovery's form; empty for none.
+    /// The endpoint list that was last known, as JSON in discovery's format; empty if there is
+    /// none.
     std::string known_endpoints() const;
-    /// The settings, at the paths of the simulator's boot record.
+    /// The settings, by the paths that they have in the simulator's boot record.
     scheduler_setup::Options settings() const;
-    /// Returns the names of a list of the settings, in the order of their ids: of its objects, or
-    /// its texts themselves.
+    /// Returns the names in a list of the settings, in the order of their ids. An entry is a text,
+    /// which is the name itself, or an object with the name in its field Name.
+    /// @param list the list's name in the settings, such as "Classes".
     /// @throws scheduler_setup::MalformedInput if there is no such list or an entry has no name.
     std::vector<std::string> names(const std::string &list) const;
 
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -11,28 +11,29 @@
 using scheduler_setup::MalformedInput;
 using scheduler_setup::Options;
 
-// Descriptors for all that is neither a client nor a node: the loop's, the log's, discovery's, and
-// those of connections that are closing.
-constexpr std::size_t spare_sockets = 32;
+// Descriptors reserved for everything but connections to clients and nodes: those of the loop, the
+// log and discovery, and of connections that are being closed.
+constexpr std::size_t reserved_sockets = 32;
 
-// The part of the other descriptors that is for nodes: the scheduler's window keeps attempts few,
-// while clients come in any number.
+// Connections to nodes may use one part in this many of the descriptors. Clients get the rest:
+// their number isn't bounded, while the scheduler's window keeps the number of attempts low.
 constexpr std::size_t node_socket_divisor = 3;
 
 std::size_t max_node_connections(std::size_t max_sockets) {
-    return (max_sockets - spare_sockets / 2) / node_socket_divisor;
+    return (max_sockets - reserved_sockets / 2) / node_socket_divisor;
 }
 
 std::size_t max_client_connections(std::size_t max_sockets) {
-    auto taken = max_node_connections(max_sockets) + spare_sockets;
-    return max_sockets > taken ? max_sockets - taken : 1;
+    auto other_sockets = max_node_connections(max_sockets) + reserved_sockets;
+    return max_sockets > other_sockets ? max_sockets - other_sockets : 1;
 }
 
-/// Returns a timeout that a site may leave out: there is no such bound then.
+/// Returns the timeout at a path of the settings; ConnectionPool::unbounded if it is absent or 0.
 Time optional_timeout(const Options &settings, const std::string &path) {
     Time timeout = settings.time(path);
     if (timeout < 0)
-        throw MalformedInput("setting " + path + ": expected seconds, 0 or more");
+        throw MalformedInput("setting " + path +
+                             ": expected a time in seconds of 0 (no limit) or more");
     return timeout > 0 ? timeout : ConnectionPool::unbounded;
 }
 
@@ -46,10 +47,10 @@
 
 Time longest_client_timeout(const Options &settings) {
     Time longest = 0;
-    for (std::uint32_t i = 0; i < settings.count("Classes.count"); ++i) {
-        auto path = "Classes." + std::to_string(i) + ".DeadlineS";
+    for (std::uint32_t index = 0; index < settings.count("Classes.count"); ++index) {
+        auto path = "Classes." + std::to_string(index) + ".DeadlineS";
         if (settings.time(path) <= 0)
-            throw MalformedInput("setting " + path + ": expected seconds above 0");
+            throw MalformedInput("setting " + path + ": expected a time in seconds above 0");
         longest = std::max(longest, settings.time(path));
     }
     return longest;
@@ -90,10 +91,10 @@
         discovery_.connected(now, id);
 }
 
-void Core::connect_failed(Time now, ConnectionId id, bool tried) {
+void Core::connect_failed(Time now, ConnectionId id, bool attempted) {
     now_ = now;
     if (pool_.owns(id))
-        pool_.connect_failed(now, id, tried);
+        pool_.connect_failed(now, id, attempted);
     else
         discovery_.connect_failed(now, id);
 }
@@ -133,8 +134,8 @@
     pool_.handle_timeouts(now);
     discovery_.handle_timeouts(now);
 
-    // A decision may end an attempt at once, of which the scheduler learns like of any other end; a
-    // few rounds do.
+    // A decision of the scheduler may end an attempt at once, and a response may make room for the
+    // next pipelined request. Both are handled in a further round; a few rounds are enough.
     constexpr int max_rounds = 8;
     for (int round = 0; round < max_rounds; ++round) {
         while (!completed_attempts_.empty()) {
@@ -143,14 +144,14 @@
             complete_attempt(now, attempt);
         }
         expire_timers(now);
-        clients_.read_pipelined(now);
+        clients_.process_pipelined(now);
         scheduler_->settle(now);
         if (completed_attempts_.empty() && !clients_.has_pipelined())
             break;
     }
     shut_down(now);
     if (transport_.tracing())
-        due_ = next_due();
+        settle_due_at_ = next_due();
 }
 
 void Core::expire_timers(Time now) {
@@ -170,13 +171,14 @@
                (clients_.count() == 0 || shutdown_.past_deadline(now));
 }
 
-/// Writes how late the loop came to what was due, and ten times a second the attempts that the
-/// scheduler counts in flight against those that are.
+/// Writes by how much this call is late if it is more than 2 ms, and ten times a second the number
+/// of attempts that the scheduler counts as in flight at each node next to the node's busy
+/// connections.
 void Core::trace_counts(Time now) {
     constexpr Time min_lateness = 2 * ms;
     constexpr Time interval = 100 * ms;
-    if (due_ != never && now - due_ > min_lateness)
-        transport_.trace(TraceLine("late").microseconds("us", now - due_).text());
+    if (settle_due_at_ != never && now - settle_due_at_ > min_lateness)
+        transport_.trace(TraceLine("late").microseconds("us", now - settle_due_at_).text());
     if (now - counts_traced_at_ < interval)
         return;
     counts_traced_at_ = now;
@@ -220,7 +222,7 @@
     result.duration = attempt.duration;
     result.client_answered = requests_.at(id).ended;
     scheduler_->attempt_completed(now, result);
-    forget_if_done(id);
+    erase_if_done(id);
 }
 
 std::optional<ConnectionId> Core::end_request(RequestId id) {
@@ -232,7 +234,7 @@
     return it->second.client;
 }
 
-void Core::forget_if_done(RequestId id) {
+void Core::erase_if_done(RequestId id) {
     auto it = requests_.find(id);
     if (it != requests_.end() && it->second.ended && it->second.attempts_in_flight == 0)
         requests_.erase(it);
@@ -257,13 +259,13 @@
 void Core::reject(RequestId request, Time retry_after) {
     if (auto client = end_request(request))
         clients_.reject(now_, *client, retry_after);
-    forget_if_done(request);
+    erase_if_done(request);
 }
 
 void Core::fail(RequestId request) {
     if (auto client = end_request(request))
         clients_.fail(now_, *client);
-    forget_if_done(request);
+    erase_if_done(request);
 }
 
 bool Core::may_send_attempt(Time now, const AttemptKey &key) const {
@@ -290,22 +292,23 @@
         return;
     auto request = it->second;
     end_request(request);
-    // Also where the scheduler may not cancel attempts: these weren't sent yet.
+    // Attempts that aren't sent yet are ended even if the settings don't allow the scheduler to
+    // cancel attempts.
     pool_.cancel_unsent(now, request);
     scheduler_->request_canceled(now, request, CancelReason::client_disconnected);
-    forget_if_done(request);
+    erase_if_done(request);
 }
 
 void Core::endpoint_list_begin(Time now, EndpointListKind kind) {
-    unnamed_nodes_.clear();
+    unlisted_nodes_.clear();
     if (kind == EndpointListKind::full)
-        unnamed_nodes_ = nodes_;
+        unlisted_nodes_ = nodes_;
     scheduler_->endpoint_list_begin(now, kind);
 }
 
 void Core::endpoint_listed(const Endpoint &endpoint, const std::string &address) {
     NodeId node = endpoint.node;
-    unnamed_nodes_.erase(node);
+    unlisted_nodes_.erase(node);
     if (endpoint.state == NodeState::removed) {
         nodes_.erase(node);
         pool_.remove_node(now_, node);
@@ -319,7 +322,7 @@
 }
 
 void Core::endpoint_list_end() {
-    for (auto node : unnamed_nodes_) {
+    for (auto node : unlisted_nodes_) {
         nodes_.erase(node);
         pool_.remove_node(now_, node);
     }
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP gateway without I/O.
+/// The logic of the HTTP gateway, without I/O.
 #pragma once
 
 #include <cstdint>
@@ -25,63 +25,70 @@
 
 namespace knotvane::http_gateway {
 
-/// What a gateway is set up with. Names are in the order of their ids.
+/// The configuration of a gateway's core. The names of workloads, plans and zones are in the order
+/// of their ids.
 struct CoreConfig {
-    /// The scheduler's settings; some of them are the gateway's, too.
+    /// The scheduler's settings. The gateway itself uses some of them, too.
     scheduler_setup::Options settings;
     std::vector<std::string> workloads;
     std::vector<std::string> plans;
     std::vector<std::string> zones;
-    /// Of the random choices.
+    /// Seed of the random choices.
     std::uint64_t seed = 0;
-    /// Descriptors that the process may hold.
+    /// The most descriptors that the process may have open.
     std::size_t max_sockets = 0;
 };
 
-/// Makes a scheduler that acts through what it is given.
+/// Creates a scheduler that acts through the given interface.
 using SchedulerFactory = std::function<std::unique_ptr<Scheduler>(SchedulerActions &)>;
 
-/// Clients, attempts, discovery and the scheduler put together: time and bytes in, bytes and calls
-/// out. All that happens in one moment is followed by one call of settle.
+/// Connects the clients' connections, the connections to nodes, discovery and the scheduler. Its
+/// owner passes in the time, connection events and received bytes, and the core acts through the
+/// Transport. After all events of one moment the owner calls settle once.
 class Core final : public SchedulerActions,
                    public UpstreamAttemptEvents,
                    public ClientRequestEvents,
                    public EndpointListEvents {
 public:
-    /// @throws scheduler_setup::MalformedInput on settings that are wrong.
+    /// @param transport must outlive the core.
+    /// @throws scheduler_setup::MalformedInput if a setting is missing or invalid.
     Core(Transport &transport, const SchedulerFactory &scheduler_factory, const CoreConfig &config);
 
-    /// To be called once, first.
-    /// @param known_endpoints the list as last had, in discovery's form; empty for none.
-    /// @param discovery where to watch for the list.
-    /// @return why the list was refused; empty if it was not.
+    /// Must be called once, before anything else.
+    /// @param known_endpoints the endpoint list that was last known, in discovery's format; empty
+    /// for none.
+    /// @param discovery the address of discovery, "host:port".
+    /// @return why the known list was not accepted; empty if it was, or if there is none.
     std::string start(Time now, const std::string &known_endpoints, const std::string &discovery);
-    /// Discovery is at this address from now on.
+    /// Discovery has moved to this address.
     void set_discovery_address(Time now, const std::string &address) {
         discovery_.watch(now, address);
     }
     /// Starts the graceful shutdown.
     void stop(Time now);
-    /// Whether the shutdown is complete, as of the last call of settle.
+    /// Whether the shutdown was complete at the last call of settle.
     bool stopped() const { return stopped_; }
 
-    /// @return nothing if there is no room for one more.
+    /// A client's connection was accepted.
+    /// @return its id, or nothing if there are too many connections; the caller then closes it.
     std::optional<ConnectionId> client_connected(Time now) { return clients_.connected(now); }
     void connected(Time now, ConnectionId id);
-    /// @param tried the attempt to connect left this machine; else a descriptor was lacking, which
-    /// is not the other side's doing.
-    void connect_failed(Time now, ConnectionId id, bool tried = true);
+    /// @param attempted whether a connection was attempted over the network. False if no descriptor
+    /// was available, which says nothing about the other side.
+    void connect_failed(Time now, ConnectionId id, bool attempted = true);
     void received(Time now, ConnectionId id, std::string_view bytes);
     void disconnected(Time now, ConnectionId id, CloseReason reason);
+    /// Bytes that were given to Transport::send have been written to the socket.
     void sent(Time now, ConnectionId id, std::size_t bytes);
-    /// Ends a moment: what is due, then outcomes, then decisions.
+    /// Ends a moment: handles timeouts that have passed, then reports outcomes of attempts to the
+    /// scheduler, then lets it decide.
     void settle(Time now);
-    /// When settle is due next; the largest Time if nothing is.
+    /// When settle must be called next; the largest Time if nothing is pending.
     Time next_due() const;
 
     const ClientConnections &clients() const { return clients_; }
     const ConnectionPool &pool() const { return pool_; }
-    /// Requests that aren't answered or have attempts in flight.
+    /// The number of requests that aren't answered yet or have attempts in flight.
     std::size_t request_count() const { return requests_.size(); }
 
     void start_attempt(RequestId request, NodeId node, Time timeout) override;
@@ -89,7 +96,7 @@
     void reject(RequestId request, Time retry_after) override;
     void fail(RequestId request) override;
     void set_timer(TimerId timer, Time delay) override { timers_.insert({now_ + delay, timer}); }
-    /// Nothing: the list is always watched.
+    /// Does nothing: the endpoint list is watched from the start.
     void watch_endpoints() override {}
 
     bool may_send_attempt(Time now, const AttemptKey &key) const override;
@@ -106,22 +113,28 @@
 private:
     static constexpr Time never = std::numeric_limits<Time>::max();
 
+    /// A client's request that isn't answered yet or has attempts in flight.
     struct Request {
         ConnectionId client;
         std::shared_ptr<const OutboundRequest> outbound;
+        /// The moment at which the client stops waiting.
         Time client_timeout = 0;
         std::uint32_t attempts_started = 0;
         std::uint32_t attempts_in_flight = 0;
-        /// Nobody is owed an answer any more.
+        /// The request was answered or its client disconnected.
         bool ended = false;
     };
 
+    /// Answers the client if the attempt succeeded, and reports the outcome to the scheduler.
     void complete_attempt(Time now, const CompletedAttempt &attempt);
     void expire_timers(Time now);
-    /// Ends a request; returns the client that is owed an answer, if one is.
+    /// Marks a request as ended. Returns the client to answer, or nothing if it had ended before.
     std::optional<ConnectionId> end_request(RequestId id);
-    void forget_if_done(RequestId id);
+    /// Removes a request that has ended and has no attempts in flight.
+    void erase_if_done(RequestId id);
+    /// Carries out the steps of the graceful shutdown that are due.
     void shut_down(Time now);
+    /// Writes the trace's events about the loop and the nodes.
     void trace_counts(Time now);
 
     Transport &transport_;
@@ -133,23 +146,25 @@
     std::map<RequestId, Request> requests_;
     std::map<ConnectionId, RequestId> requests_by_client_;
     std::uint64_t last_request_id_ = 0;
-    /// The scheduler learns of them at the moment's end: it isn't called while it decides.
+    /// Attempts whose outcome isn't reported to the scheduler yet. That is done in settle, as the
+    /// scheduler must not be called from within one of its own calls.
     std::deque<CompletedAttempt> completed_attempts_;
     std::set<std::pair<Time, TimerId>> timers_;
-    /// Nodes of the endpoint list.
+    /// The nodes of the endpoint list.
     std::set<NodeId> nodes_;
-    /// Of these, not named so far by the full list that is being received.
-    std::set<NodeId> unnamed_nodes_;
+    /// Nodes that the full list being received has not listed so far; those left at its end are
+    /// removed.
+    std::set<NodeId> unlisted_nodes_;
     GracefulShutdown shutdown_;
     bool stopped_ = false;
     Time now_ = 0;
     Time max_client_timeout_ = 0;
 
-    // For the trace: attempts that the scheduler counts in flight by node, when that was last
-    // written, and when the last moment was due.
+    // For the trace only: the attempts that the scheduler counts as in flight, by node; when these
+    // counts were last written; and when the next call of settle is due.
     std::map<NodeId, std::size_t> scheduled_attempts_;
     Time counts_traced_at_ = 0;
-    Time due_ = never;
+    Time settle_due_at_ = never;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/graceful_shutdown.cpp
+++ b/src/http_gateway/graceful_shutdown.cpp
@@ -5,25 +5,26 @@
 namespace knotvane::http_gateway {
 namespace {
 
-// A stopping process is killed no sooner than the longest client timeout, of which 3 s count at
-// most, and 0.7 s after it was told to stop.
+// The platform kills a stopping process at the earliest after the longest client timeout, counted
+// as at most 3 s, plus 0.7 s, both from when it told the process to stop.
 constexpr Time max_counted_timeout = 3 * sec;
 constexpr Time kill_grace = 700 * ms;
 
-// All is answered so long before the kill: time for a throttled processor.
+// The shutdown is complete this long before the kill, as a throttled processor may delay it.
 constexpr Time kill_margin = 300 * ms;
 
-// Answers end their connections for so long before the end.
+// For how long before the deadline connections are closed after their next response.
 constexpr Time draining_time = 500 * ms;
 
-// New connections arrive for 0.4 s after the stop; none of them ends with its first answer.
-constexpr Time connections_arrive = 500 * ms;
+// Clients still open new connections for 0.4 s after the stop. Until that is over, no connection is
+// closed after its first response.
+constexpr Time new_connections_time = 500 * ms;
 
-// Idle connections end so long before the process: a client answers an end within a round trip,
-// and what crosses it is read.
-constexpr Time idle_end_margin = 200 * ms;
+// Idle connections are closed this long before the deadline. A client closes its side within a
+// round trip after that, and a request that it sent meanwhile can still be read.
+constexpr Time idle_close_margin = 200 * ms;
 
-// How often the end is looked for while draining.
+// How often the gateway checks during draining whether the shutdown is complete.
 constexpr Time poll_interval = 20 * ms;
 
 } // namespace
@@ -33,9 +34,9 @@
         return;
     started_ = true;
     deadline_ = now + std::min(max_client_timeout, max_counted_timeout) + kill_grace - kill_margin;
-    closes_after_responses_at_ = std::max(deadline_ - draining_time, now + connections_arrive);
+    closes_after_responses_at_ = std::max(deadline_ - draining_time, now + new_connections_time);
     deadline_ = std::max(deadline_, closes_after_responses_at_ + draining_time);
-    closes_idle_at_ = deadline_ - idle_end_margin;
+    closes_idle_at_ = deadline_ - idle_close_margin;
 }
 
 Time GracefulShutdown::limit_timeout(Time client_timeout) const {
--- a/src/http_gateway/graceful_shutdown.hpp
+++ b/src/http_gateway/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// When a gateway that was told to stop ends its connections and itself.
+/// The schedule of a gateway's graceful shutdown.
 #pragma once
 
 #include <limits>
@@ -8,35 +8,39 @@
 
 namespace knotvane::http_gateway {
 
-/// The schedule of a graceful shutdown. A stopping gateway serves on, on the connections that there
-/// are, for as long as may be: the clients behind them have no other way to a node until this
-/// gateway is back. Then it drains, in this order: answers end their connections, idle connections
-/// end, all requests are answered. The times are chosen such that everything is answered before the
-/// process may be killed. It does nothing by itself: its owner asks when each step is due.
+/// The schedule of a graceful shutdown. A stopping gateway serves its connections for as long as
+/// possible: its clients have no other way to reach a node until the gateway has restarted. Then it
+/// drains, in this order: connections are closed after their next response, idle connections are
+/// closed, and by the deadline all requests are answered. The deadline is before the earliest time
+/// at which the platform kills the process. This class only computes the times; its owner asks
+/// whether a step is due and carries it out.
 class GracefulShutdown {
 public:
-    /// Starts the shutdown; a second call changes nothing.
-    /// @param max_client_timeout the longest time that a client waits for an answer.
+    /// Starts the shutdown; further calls have no effect.
+    /// @param max_client_timeout the longest time that a client waits for a response.
     void start(Time now, Time max_client_timeout);
 
     bool started() const { return started_; }
 
-    /// Whether an answer is its connection's last from now on.
+    /// Whether each connection is to be closed after its next response.
     bool closes_after_responses(Time now) const {
         return started_ && now >= closes_after_responses_at_;
     }
 
-    /// Whether connections without a request are to end. A client that sends a request across the
-    /// end isn't reset: the request is read and not taken.
+    /// Whether connections without a request are to be closed for sending. A request that the
+    /// client sends before it notices is to be read and discarded, so that its connection isn't
+    /// reset.
     bool closes_idle_connections(Time now) const { return started_ && now >= closes_idle_at_; }
 
-    /// Whether the process may end with connections still open.
+    /// Whether the process is to exit even if connections are still open.
     bool past_deadline(Time now) const { return started_ && now >= deadline_; }
 
-    /// Returns a client's timeout, cut to the time in which this process still answers.
+    /// Returns the moment at which a client's timeout passes, moved forward to the deadline if that
+    /// comes first.
     Time limit_timeout(Time client_timeout) const;
 
-    /// When the schedule is to be looked at again, after `now`; the largest Time before the start.
+    /// Returns when the schedule is to be checked next, after `now`; the largest Time if the
+    /// shutdown hasn't started.
     Time next_due(Time now) const;
 
 private:
--- a/src/http_gateway/ids.hpp
+++ b/src/http_gateway/ids.hpp
@@ -1,15 +1,15 @@
 /// \file
-/// Ids of the gateway's connections.
+/// Ids of the HTTP gateway's connections.
 #pragma once
 
 #include "common/ids.hpp"
 
 namespace knotvane::http_gateway {
 
-/// A connection of any kind, never used again. 0 is no connection.
+/// Identifies a connection to a client, a node or discovery. Ids aren't reused; 0 is no connection.
 using ConnectionId = Id<struct ConnectionKind, std::uint64_t>;
 
-/// Gives out the ids of connections.
+/// Assigns connection ids; shared by all kinds of connections of a gateway.
 class ConnectionIds {
 public:
     ConnectionId next() { return ConnectionId{++last_}; }
--- a/src/http_gateway/request_parser.cpp
+++ b/src/http_gateway/request_parser.cpp
@@ -7,14 +7,14 @@
 namespace knotvane::http_gateway {
 namespace {
 
-// Trace ids that are remembered: those of some ten seconds of a busy gateway.
+// How many trace ids are remembered: those of about ten seconds on a busy gateway.
 constexpr std::size_t max_trace_ids = 4096;
 
 constexpr std::size_t max_trace_id_bytes = 64;
 constexpr std::size_t max_idempotency_key_bytes = 256;
 
-// Seconds. No client waits for an hour: a longer time is a mistake.
-constexpr double max_client_timeout = 3600;
+// No client waits for longer than an hour; a higher value in a request is an error.
+constexpr double max_client_timeout_seconds = 3600;
 
 constexpr double max_units = 1e6;
 constexpr double max_sharers = 1e6;
@@ -23,13 +23,18 @@
 constexpr double nanoseconds_per_second = 1e9;
 
 bool is_plain_id(std::string_view id, std::size_t max_bytes) {
-    return !id.empty() && id.size() <= max_bytes && std::all_of(id.begin(), id.end(), [](char c) {
-        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-               c == '-' || c == '_' || c == '.' || c == ':' || c == '+' || c == '/' || c == '=';
-    });
+    return !id.empty() && id.size() <= max_bytes &&
+           std::all_of(id.begin(), id.end(), [](char character) {
+               return (character >= '0' && character <= '9') ||
+                      (character >= 'a' && character <= 'z') ||
+                      (character >= 'A' && character <= 'Z') || character == '-' ||
+                      character == '_' || character == '.' || character == ':' ||
+                      character == '+' || character == '/' || character == '=';
+           });
 }
 
-/// Cuts the text up to a separator off `rest`, and the separator. Blanks around it are left out.
+/// Removes the text up to the next separator, and the separator, from `rest`. Returns the text
+/// without blanks at its start and end.
 std::string_view next_part(std::string_view &rest, char separator) {
     auto end = std::min(rest.find(separator), rest.size());
     auto part = rest.substr(0, end);
@@ -52,6 +57,7 @@
     std::optional<double> shard;
     std::optional<double> sharers;
 
+    /// Whether all fields are present and within their limits.
     bool valid() const {
         return volume && units && shard && sharers && *units > 0 && *units <= max_units &&
                *sharers >= 1 && *sharers <= max_sharers && is_whole(*sharers) &&
@@ -76,7 +82,7 @@
     return extent;
 }
 
-/// Returns the cookie's object id, or nothing if it has none.
+/// Returns the object id in a Cookie header, or nothing if there is none or it is invalid.
 std::optional<std::uint64_t> parse_object_id(std::string_view cookie) {
     std::optional<std::uint64_t> object_id;
     while (!cookie.empty() && !object_id) {
@@ -110,7 +116,8 @@
         return *error;
     if (auto error = read_extent(message, info))
         return *error;
-    // The last check: the trace id of what isn't a request can be used again.
+    // This check is the last one: the trace id of an invalid message must not be remembered, so
+    // that the client can use it again.
     auto trace_id = message.header("X-Trace-Id").value_or("");
     if (!remember_trace_id(trace_id))
         return RequestError{409, "X-Trace-Id: was used before"};
@@ -127,11 +134,11 @@
 
 std::optional<RequestError> RequestParser::read_target(const http::Decoder &message,
                                                        RequestInfo &info) {
-    bool reads = message.method() == "GET";
+    bool is_read = message.method() == "GET";
     info.writes = message.method() == "PUT";
-    if (!reads && !info.writes)
+    if (!is_read && !info.writes)
         return RequestError{405, "neither GET nor PUT"};
-    if (reads && !message.body().empty())
+    if (is_read && !message.body().empty())
         return RequestError{400, "a GET with a body"};
 
     std::string_view target = message.target();
@@ -157,7 +164,7 @@
     info.plan = plan->second;
 
     auto timeout = http::number(message.header("X-Expires-In").value_or(""));
-    if (!timeout || *timeout <= 0 || *timeout > max_client_timeout)
+    if (!timeout || *timeout <= 0 || *timeout > max_client_timeout_seconds)
         return RequestError{400, "X-Expires-In: expected seconds"};
     info.client_timeout = static_cast<Time>(*timeout * nanoseconds_per_second);
     return std::nullopt;
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -24,12 +24,13 @@
         core_config(config));
     auto error = core_->start(loop::now(), config.known_endpoints(), config.discovery_address());
     if (!error.empty())
-        Server::log_event("known: " + error);
+        Server::log_event("known: " + error +
+                          "; starting without this endpoint list, waiting for discovery's");
     listener_ = std::make_unique<loop::Listener>(
         loop_, config.listen_address(),
         [this](const std::shared_ptr<loop::Socket> &socket) { accept(socket); });
     address_ = listener_->address();
-    loop_.at_end([this] { return end_of_moment(); });
+    loop_.at_end([this] { return end_moment(); });
 }
 
 Server::~Server() {
@@ -75,7 +76,7 @@
 }
 
 void Server::close(ConnectionId connection) {
-    // A close in order would first write what is gathered; a reset drops it.
+    // An orderly close would write the queued bytes first. A reset drops them.
     if (auto socket = sockets_.remove(connection))
         socket->close(socket->has_pending());
 }
@@ -106,16 +107,16 @@
             throw scheduler_setup::MalformedInput(error);
         Config config(text);
         core_->set_discovery_address(loop::now(), config.discovery_address());
-        log::line(log::info, "configuration read again",
-                  {{"discovery", config.discovery_address()}});
+        log::line(log::info, "configuration reloaded", {{"discovery", config.discovery_address()}});
     } catch (const scheduler_setup::MalformedInput &malformed) {
-        log::line(log::error, "configuration refused, the last one stays",
+        log::line(log::error, "configuration can't be reloaded, keeping the previous one",
                   {{"fault", malformed.what()}});
     }
 }
 
-Time Server::end_of_moment() {
-    // What was written makes room for more, which is sent in the same moment; a few rounds do.
+Time Server::end_moment() {
+    // Writing may let the core send more, which is written in the same moment. A few rounds are
+    // enough.
     constexpr int max_rounds = 4;
     for (int round = 0; round < max_rounds; ++round) {
         core_->settle(loop::now());
@@ -126,13 +127,13 @@
     if (!core_->stopped())
         return core_->next_due();
 
-    // Time for the last answers to leave.
+    // Leaves some time in which the last responses are written.
     constexpr Time flush_time = 100 * ms;
-    if (stops_at_ == 0)
-        stops_at_ = loop::now() + flush_time;
-    if (loop::now() >= stops_at_)
+    if (stop_loop_at_ == 0)
+        stop_loop_at_ = loop::now() + flush_time;
+    if (loop::now() >= stop_loop_at_)
         loop_.stop();
-    return std::min(stops_at_, core_->next_due());
+    return std::min(stop_loop_at_, core_->next_due());
 }
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/server.hpp
+++ b/src/http_gateway/server.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP gateway on sockets.
+/// Runs the HTTP gateway's core on sockets.
 #pragma once
 
 #include <functional>
@@ -13,31 +13,34 @@
 
 namespace knotvane::http_gateway {
 
-/// Makes a scheduler that acts through what it is given, with a seed of its random choices.
+/// Creates a scheduler that acts through the given interface.
+/// `seed` is the seed of its random choices.
 using SeededSchedulerFactory =
     std::function<std::unique_ptr<Scheduler>(SchedulerActions &, std::uint64_t seed)>;
 
-/// Carries bytes, time and calls between a loop's sockets and the core, and decides nothing. It is
-/// used on its loop's thread.
+/// Connects the sockets of a loop to the core: passes events, received bytes and the time to the
+/// core and carries out its calls. Contains no protocol logic. Must be used on the loop's thread
+/// only.
 class Server final : public Transport {
 public:
     /// @param loop must outlive the server.
-    /// @param config_path where to read the configuration again from; see reload.
-    /// @param tracing writes the trace to the log.
-    /// @throws std::runtime_error if the address can't be listened on,
-    /// scheduler_setup::MalformedInput on settings that are wrong.
+    /// @param config_path the file that reload reads.
+    /// @param config the configuration to start with.
+    /// @param tracing whether to write the trace to the log.
+    /// @throws std::runtime_error if the server can't listen on the configured address;
+    /// scheduler_setup::MalformedInput if a setting is missing or invalid.
     Server(loop::Loop &loop, std::string config_path, const Config &config,
            const SeededSchedulerFactory &scheduler_factory, bool tracing);
     ~Server() override;
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
 
-    /// Starts the graceful shutdown; it ends the loop.
+    /// Starts the graceful shutdown. The server stops the loop once it is complete.
     void stop();
-    /// Reads the configuration again and follows discovery's address. A configuration with a fault
-    /// changes nothing.
+    /// Reads the configuration file again and applies a changed address of discovery; all other
+    /// changes are ignored. If the file is invalid, the error is logged and nothing changes.
     void reload();
-    /// Where it listens, "host:port".
+    /// The address on which the server listens, "host:port".
     const std::string &address() const { return address_; }
 
     void connect(ConnectionId connection, const std::string &address) override;
@@ -52,10 +55,11 @@
 
 private:
     void accept(const std::shared_ptr<loop::Socket> &socket);
-    /// Passes a socket's events on to the core.
+    /// Registers a socket under its connection id and passes its events to the core.
     void attach(ConnectionId connection, const std::shared_ptr<loop::Socket> &socket);
-    /// Returns when the loop is to call again at the latest.
-    Time end_of_moment();
+    /// Settles the core and writes queued bytes. The loop calls this before it waits for events.
+    /// @return when the loop must call it again at the latest.
+    Time end_moment();
 
     loop::Loop &loop_;
     std::string config_path_;
@@ -64,8 +68,8 @@
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
     loop::Sockets<ConnectionId> sockets_;
-    /// When the loop stops after the shutdown; 0 before.
-    Time stops_at_ = 0;
+    /// When the loop is to be stopped; 0 until the shutdown is complete.
+    Time stop_loop_at_ = 0;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/trace.cpp
+++ b/src/http_gateway/trace.cpp
@@ -7,13 +7,14 @@
 namespace knotvane::http_gateway {
 namespace {
 
-/// Returns the whole number behind " name="; nothing if it is absent, a dash or no number.
-std::optional<std::int64_t> field(std::string_view fields, const std::string &name) {
+/// Returns the whole number in the field " name="; nothing if the field is absent or has no number,
+/// such as a dash.
+std::optional<std::int64_t> number_field(std::string_view fields, const std::string &name) {
     std::string key = " " + name + "=";
-    auto at = fields.find(key);
-    if (at == std::string_view::npos)
+    auto position = fields.find(key);
+    if (position == std::string_view::npos)
         return std::nullopt;
-    auto text = fields.substr(at + key.size());
+    auto text = fields.substr(position + key.size());
     std::int64_t value = 0;
     auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end == text.data())
@@ -21,18 +22,19 @@
     return value;
 }
 
+/// Returns the number of values and their median, 99th percentile and maximum in microseconds.
 std::string percentiles(std::vector<std::int64_t> values) {
     if (values.empty())
         return "none";
     std::sort(values.begin(), values.end());
-    auto at = [&](std::size_t percent) {
+    auto percentile = [&](std::size_t percent) {
         return std::to_string(values[(values.size() - 1) * percent / 100]);
     };
-    return std::to_string(values.size()) + ", us " + at(50) + " in the middle, " + at(99) +
-           " at 99%, " + at(100) + " at most";
+    return std::to_string(values.size()) + ", median " + percentile(50) + " us, 99th percentile " +
+           percentile(99) + " us, maximum " + percentile(100) + " us";
 }
 
-/// The report's words for outcomes.
+/// Returns an outcome's name in the report.
 const char *name_of(AttemptOutcome outcome) {
     switch (outcome) {
     case AttemptOutcome::answered:
@@ -59,11 +61,11 @@
 
 void TraceSummary::add_line(std::string_view line) {
     constexpr std::string_view marker = "trace ";
-    auto at = line.find(marker);
-    if (at == std::string_view::npos)
+    auto position = line.find(marker);
+    if (position == std::string_view::npos)
         return;
-    // The blank in front of the event's name stays.
-    auto fields = line.substr(at + marker.size() - 1);
+    // Keeps the blank in front of the event's name: fields are searched with the blank before them.
+    auto fields = line.substr(position + marker.size() - 1);
     if (fields.starts_with(" attempt "))
         add_attempt(fields);
     else if (fields.starts_with(" told "))
@@ -75,8 +77,8 @@
 }
 
 void TraceSummary::add_attempt(std::string_view fields) {
-    auto outcome = field(fields, "how");
-    auto duration = field(fields, "over");
+    auto outcome = number_field(fields, "how");
+    auto duration = number_field(fields, "over");
     constexpr auto last_outcome = static_cast<std::int64_t>(AttemptOutcome::not_sent);
     if (!outcome || !duration || *outcome < 0 || *outcome > last_outcome) {
         ++unreadable_lines_;
@@ -84,25 +86,25 @@
     }
     Attempts &attempts = attempts_[static_cast<AttemptOutcome>(*outcome)];
     attempts.durations.push_back(*duration);
-    if (auto first_byte = field(fields, "first")) {
+    if (auto first_byte = number_field(fields, "first")) {
         ++attempts.responses_started;
         attempts.response_times.push_back(*duration - *first_byte);
     }
-    if (auto connected = field(fields, "connected"))
+    if (auto connected = number_field(fields, "connected"))
         attempts.connect_times.push_back(*connected);
 }
 
 void TraceSummary::add_time(std::string_view fields, const char *name,
                             std::vector<std::int64_t> &times) {
-    if (auto time = field(fields, name))
+    if (auto time = number_field(fields, name))
         times.push_back(*time);
     else
         ++unreadable_lines_;
 }
 
 void TraceSummary::add_node(std::string_view fields) {
-    auto counted = field(fields, "counted");
-    auto open = field(fields, "open");
+    auto counted = number_field(fields, "counted");
+    auto open = number_field(fields, "open");
     if (!counted || !open) {
         ++unreadable_lines_;
         return;
@@ -115,19 +117,20 @@
     std::string text;
     for (const auto &[outcome, attempts] : attempts_) {
         text += std::string(name_of(outcome)) + ": " + percentiles(attempts.durations) + "\n";
-        text += "  new connections: " + percentiles(attempts.connect_times) + "\n";
-        text += "  begun to be answered: " + std::to_string(attempts.responses_started) +
+        text += "  time to open a connection: " + percentiles(attempts.connect_times) + "\n";
+        text += "  responses started: " + std::to_string(attempts.responses_started) +
                 "; first byte to end: " + percentiles(attempts.response_times) + "\n";
     }
-    text += "outcomes told after they came: " + percentiles(outcome_lateness_) + "\n";
-    text += "turns of the loop over 2 ms late: " + percentiles(loop_lateness_) + "\n";
-    text += "looks at a node: " + std::to_string(node_samples_) + "\n";
+    text += "delay before the scheduler learned of an outcome: " + percentiles(outcome_lateness_) +
+            "\n";
+    text += "loop iterations over 2 ms late: " + percentiles(loop_lateness_) + "\n";
+    text += "samples of a node's counts: " + std::to_string(node_samples_) + "\n";
     for (const auto &[excess, count] : count_excess_)
         if (excess != 0)
-            text += "  counted out less open connections " + std::to_string(excess) + ": " +
-                    std::to_string(count) + "\n";
+            text += "  attempts counted by the scheduler minus busy connections = " +
+                    std::to_string(excess) + ": " + std::to_string(count) + " samples\n";
     if (unreadable_lines_ > 0)
-        text += "lines that could not be read: " + std::to_string(unreadable_lines_) + "\n";
+        text += "trace lines that could not be parsed: " + std::to_string(unreadable_lines_) + "\n";
     return text;
 }
 
--- a/src/http_gateway/trace_line.hpp
+++ b/src/http_gateway/trace_line.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lines of the gateway's trace.
+/// Builds the lines of the gateway's trace.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace knotvane::http_gateway {
 
-/// Builds a line: the event's name, then " name=value" for each field. `knotvane trace` and
-/// operators read the names; a value that isn't known is a dash.
+/// Builds a line of the trace: the event's name, then " name=value" for each field. A value that
+/// isn't known is written as a dash. `knotvane trace` and operators' tools depend on the names.
 class TraceLine {
 public:
     explicit TraceLine(std::string event) : text_(std::move(event)) {}
@@ -29,12 +29,14 @@
         return *this;
     }
 
-    /// Appends a span in whole microseconds.
-    TraceLine &microseconds(std::string_view name, Time span) { return field(name, span / us); }
+    /// Appends a duration in whole microseconds.
+    TraceLine &microseconds(std::string_view name, Time duration) {
+        return field(name, duration / us);
+    }
 
-    /// Appends a span in whole microseconds, or a dash.
-    TraceLine &microseconds(std::string_view name, std::optional<Time> span) {
-        return span ? field(name, *span / us) : field(name, "-");
+    /// Appends a duration in whole microseconds, or a dash.
+    TraceLine &microseconds(std::string_view name, std::optional<Time> duration) {
+        return duration ? field(name, *duration / us) : field(name, "-");
     }
 
     std::string text() const { return text_; }
--- a/src/http_gateway/transport.hpp
+++ b/src/http_gateway/transport.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the gateway's core asks of its sockets and its log.
+/// The interface through which the gateway's core uses sockets and the log.
 #pragma once
 
 #include <string>
@@ -10,33 +10,39 @@
 
 /// How the other side closed a connection.
 enum class CloseReason {
-    end_of_stream, ///< It ended its sending in order.
-    reset          ///< The connection broke.
+    end_of_stream, ///< It finished sending in order.
+    reset          ///< The connection was reset or failed.
 };
 
-/// Implemented by the server on sockets, and by tests without. No call may call the core back.
+/// Connections and log of a gateway's core. Implemented by Server with sockets, and by tests
+/// without. An implementation must not call the core from within a call; it reports results later.
 class Transport {
 public:
     virtual ~Transport() = default;
 
-    /// Connects to "host:port"; the core is told of the outcome.
+    /// Starts to connect to "host:port". The result is reported to Core::connected or
+    /// Core::connect_failed.
     virtual void connect(ConnectionId connection, const std::string &address) = 0;
 
-    /// Gathers bytes, which leave at the end of the moment; the core is told as they are written.
+    /// Queues bytes, which are written at the end of the moment. Core::sent is called as they are
+    /// written.
     virtual void send(ConnectionId connection, std::string bytes) = 0;
 
-    /// Closes at once: gathered bytes don't leave and the core is told nothing more of it.
+    /// Closes the connection at once: queued bytes are dropped and no further event of the
+    /// connection is reported to the core.
     virtual void close(ConnectionId connection) = 0;
 
-    /// Ends the sending side once all that was sent has left. The core is still told of what is
-    /// received and of the other side's close.
+    /// Closes the sending side once all queued bytes are written. Received bytes and the other
+    /// side's close are still reported to the core.
     virtual void finish_sending(ConnectionId connection) = 0;
 
+    /// Writes a warning to the log.
     virtual void log_event(const std::string &text) = 0;
 
-    /// Logs a line of the trace, as TraceLine builds it. Called only if tracing() is true.
+    /// Writes a line of the trace, as TraceLine builds it, to the log. Called only if tracing().
     virtual void trace(const std::string & /*line*/) {}
 
+    /// Whether the trace is enabled.
     virtual bool tracing() const { return false; }
 };
 
--- a/tests/http_gateway/trace_test.cpp
+++ b/tests/http_gateway/trace_test.cpp
@@ -7,7 +7,9 @@
 using namespace knotvane;
 using namespace knotvane::http_gateway;
 
-TEST_CASE("a trace tells where what was counted and what was open differ, and what it can't read") {
+TEST_CASE(
+    "the report shows where the scheduler's counts differ from the open connections, and how many "
+    "lines could not be parsed") {
     TraceSummary trace;
     for (auto line : {"[1] info trace attempt request=1 attempt=0 node=2 conn=3 how=0 at=5 "
                       "connected=100 written=120 first=900 over=950",
@@ -19,16 +21,17 @@
         trace.add_line(line);
     auto report = trace.report();
     for (auto part :
-         {"answered: 1, us 950 in", "begun to be answered: 1; first byte to end: 1, us 50",
-          "reset: 1, us 70", "new connections: 1, us 100", "looks at a node: 2",
-          "less open connections 2: 1", "could not be read: 2"}) {
+         {"answered: 1, median 950 us", "responses started: 1; first byte to end: 1, median 50 us",
+          "reset: 1, median 70 us", "time to open a connection: 1, median 100 us",
+          "samples of a node's counts: 2", "minus busy connections = 2: 1",
+          "could not be parsed: 2"}) {
         CAPTURE(part);
         CHECK(contains(report, part));
     }
 }
 
-// `knotvane trace` and operators read these names and this form.
-TEST_CASE("a line of the trace has its event's name, then names and values") {
+// `knotvane trace` and operators' tools depend on these names and this format.
+TEST_CASE("a line of the trace is the event's name followed by name=value for each field") {
     CHECK(TraceLine("attempt")
               .field("request", std::uint64_t{7})
               .field("how", 0)
