--- a/tests/http_gateway/config_test.cpp
+++ b/tests/http_gateway/config_test.cpp
@@ -8,13 +8,13 @@
 using namespace knotvane;
 using namespace knotvane::http_gateway;
 
-TEST_CASE(
-    "configuration: settings at the simulator's paths, names in order, a fault names its field") {
-    std::string good =
+TEST_CASE("a configuration gives settings by the simulator's paths and names in order, and an "
+          "error names its field") {
+    std::string valid =
         R"({"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
         "limits":{"sockets":256},"settings":{"Classes":[{"Name":"a b","TargetS":0.15},{"Name":"c"}],"Report":{"Columns":[]},
         "Extra":{"Writes":[false,true]},"Contracts":[],"Zones":["z1","z2"]}})";
-    Config config(good);
+    Config config(valid);
     CHECK(config.seed() == 0x8c1f30d27a5be964);
     CHECK(config.settings().count("Classes.count") == 2);
     CHECK(config.settings().number("Classes.0.TargetS") == 0.15);
@@ -22,9 +22,9 @@
     CHECK(config.names("Classes") == std::vector<std::string>{"a b", "c"});
     CHECK(config.names("Zones").size() == 2);
     for (std::string field : {"listen", "discovery", "seed", "sockets", "settings"}) {
-        auto bad = good;
-        bad.replace(bad.find("\"" + field), 1, "\"x");
-        CHECK_THROWS_WITH_AS(Config{bad}, doctest::Contains(field.c_str()),
+        auto invalid = valid;
+        invalid.replace(invalid.find("\"" + field), 1, "\"x");
+        CHECK_THROWS_WITH_AS(Config{invalid}, doctest::Contains(field.c_str()),
                              scheduler_setup::MalformedInput);
     }
     CHECK_THROWS_AS(Config{"[]"}, scheduler_setup::MalformedInput);
--- a/tests/http_gateway/core_test.cpp
+++ b/tests/http_gateway/core_test.cpp
@@ -1,5 +1,5 @@
-// The whole gateway on the core, events made by hand: requests, attempts, answers, what clients and
-// nodes may do wrong, discovery, stopping.
+// The gateway's core with the real scheduler and events made by the test: requests, attempts and
+// responses, misbehaving clients and nodes, discovery, the graceful shutdown.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -8,8 +8,9 @@
 using namespace knotvane;
 using namespace knotvane::http_gateway;
 
-TEST_SUITE("requests and answers") {
-    TEST_CASE("a read goes to the node that holds its shard and comes back as the node gave it") {
+TEST_SUITE("requests and responses") {
+    TEST_CASE("a read is sent to the node that holds its shard, and the node's response body is "
+              "returned") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
@@ -21,22 +22,22 @@
         CHECK(gateway.transport.sent[client] ==
               "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nthe body");
         CHECK(gateway.core.request_count() == 0);
-        // The next one on both connections.
+        // The next request uses the same connections to the client and to the node.
         gateway.settle(10 * ms);
         gateway.core.received(gateway.now, client, read_request("t2"));
         gateway.settle();
-        CHECK(gateway.transport.connect_calls.size() == 2); // discovery's and the node's
+        CHECK(gateway.transport.connect_calls.size() == 2); // one to discovery, one to the node
         CHECK(contains(gateway.transport.sent[node], "X-Trace-Id: t2\r\n"));
     }
-    TEST_CASE("a write's body, mark and length pass on unchanged") {
+    TEST_CASE("a write's body, idempotency key and length are sent to the node unchanged") {
         TestGateway gateway;
         gateway.connect_client(write_request("t1", std::string("a\0b", 3)));
         auto &sent = gateway.transport.sent[gateway.connect_node()];
         CHECK(contains(sent, "Idempotency-Key: k1\r\n"));
         CHECK(sent.ends_with("Content-Length: 3\r\n\r\n" + std::string("a\0b", 3)));
     }
-    TEST_CASE("a node's no before it ran is attempted again; after it may have run, a write fails "
-              "and a read goes again") {
+    TEST_CASE("a request is attempted again if the node rejected it without running it; a read "
+              "also if it may have run") {
         for (bool writes : {false, true}) {
             TestGateway gateway;
             auto client =
@@ -57,26 +58,29 @@
         gateway.receive_from_node(again, http_response(200, "ok"));
         CHECK(gateway.transport.sent[client].ends_with("ok"));
     }
-    TEST_CASE("what the module gives up is answered at once, with when to come back") {
+    TEST_CASE(
+        "a request that the scheduler gives up is rejected at once with a Retry-After header") {
         TestGateway gateway;
         auto client =
-            gateway.connect_client(read_request("t1")); // the node's connection never comes up
+            gateway.connect_client(read_request("t1")); // the connection to the node never succeeds
         gateway.settle(260 * ms);
         CHECK(gateway.transport.sent[client].starts_with("HTTP/1.1 503 "));
         CHECK(contains(gateway.transport.sent[client], "Retry-After: 2.000\r\n"));
     }
-    TEST_CASE("never after the client's timeout, and once") {
+    TEST_CASE("a request that gets no response from the node is answered once, before the client's "
+              "timeout") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1", "", "0.100"));
         gateway.connect_node();
         gateway.settle(97 * ms);
-        auto told = gateway.transport.sent[client];
-        CHECK(told.starts_with("HTTP/1.1 503 "));
+        auto answer = gateway.transport.sent[client];
+        CHECK(answer.starts_with("HTTP/1.1 503 "));
         gateway.settle(sec);
-        CHECK(gateway.transport.sent[client] == told);
+        CHECK(gateway.transport.sent[client] == answer);
         CHECK(gateway.core.request_count() == 0);
     }
-    TEST_CASE("a client that leaves: its attempt is closed, nothing is written to it") {
+    TEST_CASE("when a client disconnects, its attempt's connection is closed and nothing is sent "
+              "to the client") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
@@ -89,31 +93,34 @@
     }
 }
 
-TEST_SUITE("nodes that do wrong") {
-    TEST_CASE("spoilt answers, in any pieces, never reach a client and cost their connection") {
-        for (std::string bad :
+TEST_SUITE("misbehaving nodes") {
+    TEST_CASE("a malformed response, split anywhere, never reaches a client, and its connection is "
+              "closed") {
+        for (std::string malformed :
              {std::string("\x01noise\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'a'),
               std::string("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"),
               std::string("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc"),
               std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
               std::string("HTTP/1.1 200 OK\r\n\r\n") + std::string((1 << 20) + 1, 'a'),
               std::string("HTTP/1.1 2OO OK\r\n\r\n")})
-            for (std::size_t piece : {bad.size() > 10'000 ? std::size_t{997} : std::size_t{1},
-                                      std::size_t{7}, bad.size()}) {
-                if (bad.size() / piece > 10'000)
-                    continue; // the same bytes in fewer pieces do
-                CAPTURE(bad.substr(0, 60));
+            for (std::size_t piece_size :
+                 {malformed.size() > 10'000 ? std::size_t{997} : std::size_t{1}, std::size_t{7},
+                  malformed.size()}) {
+                if (malformed.size() / piece_size > 10'000)
+                    continue; // more pieces than needed; the larger pieces cover these bytes
+                CAPTURE(malformed.substr(0, 60));
                 TestGateway gateway;
                 auto client = gateway.connect_client(write_request("t1", "x"));
                 auto node = gateway.connect_node();
-                for (std::size_t at = 0; at < bad.size(); at += piece)
-                    gateway.core.received(gateway.now, node, bad.substr(at, piece));
+                for (std::size_t start = 0; start < malformed.size(); start += piece_size)
+                    gateway.core.received(gateway.now, node, malformed.substr(start, piece_size));
                 gateway.settle();
                 CHECK(gateway.transport.closed.contains(node));
                 CHECK(!contains(gateway.transport.sent[client], " 200 "));
             }
     }
-    TEST_CASE("a good answer with more behind it is delivered and its connection dropped") {
+    TEST_CASE(
+        "a valid response followed by more bytes is delivered, and its connection is closed") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
@@ -121,7 +128,7 @@
         CHECK(gateway.transport.sent[client].ends_with("one"));
         CHECK(gateway.transport.closed.contains(node));
     }
-    TEST_CASE("bytes on a connection that waits for nothing: it is dropped, they answer nobody") {
+    TEST_CASE("a node's connection that receives bytes while no attempt is on it is closed") {
         TestGateway gateway;
         gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
@@ -129,27 +136,27 @@
         gateway.receive_from_node(node, http_response(200, "one"));
         CHECK(gateway.transport.closed.contains(node));
     }
-    TEST_CASE(
-        "an answer that stops short ends soon; one past the protocol's 64 KiB is still good") {
+    TEST_CASE("a response that stops arriving is given up after 250 ms; one over the protocol's 64 "
+              "KiB is delivered") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
-        auto big = http_response(200, std::string(400'000, 'b'));
-        gateway.receive_from_node(node, big.substr(0, 200'000));
-        gateway.settle(240 * ms); // a throttled node, a network in pieces
-        gateway.receive_from_node(node, big.substr(200'000));
+        auto large = http_response(200, std::string(400'000, 'b'));
+        gateway.receive_from_node(node, large.substr(0, 200'000));
+        gateway.settle(240 * ms); // such as a throttled node or a slow network
+        gateway.receive_from_node(node, large.substr(200'000));
         CHECK(gateway.transport.sent[client].ends_with(std::string(400'000, 'b')));
         CHECK(gateway.transport.closed.empty());
         TestGateway other_gateway;
         other_gateway.connect_client(read_request("t2"));
         node = other_gateway.connect_node();
-        other_gateway.receive_from_node(node, big.substr(0, 100));
+        other_gateway.receive_from_node(node, large.substr(0, 100));
         other_gateway.settle(249 * ms);
         CHECK(!other_gateway.transport.closed.contains(node));
         other_gateway.settle(ms);
         CHECK(other_gateway.transport.closed.contains(node));
     }
-    TEST_CASE("1xx in front is passed over") {
+    TEST_CASE("an interim response with a 1xx status is skipped") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         gateway.receive_from_node(gateway.connect_node(),
@@ -158,14 +165,15 @@
     }
 }
 
-TEST_SUITE("clients that do wrong") {
-    TEST_CASE("each gets an error and its connection is closed; the module hears of none") {
-        std::string good = read_request("t1");
-        auto with = [&](const std::string &a, const std::string &b) {
-            auto s = good;
-            return s.replace(s.find(a), a.size(), b);
+TEST_SUITE("misbehaving clients") {
+    TEST_CASE("an invalid request is answered with an error, its connection is closed, and no "
+              "attempt starts") {
+        std::string valid = read_request("t1");
+        auto with = [&](const std::string &old_part, const std::string &new_part) {
+            auto request = valid;
+            return request.replace(request.find(old_part), old_part.size(), new_part);
         };
-        for (auto bad :
+        for (auto invalid :
              {std::string("\x16\x03\x01 noise\r\n\r\n"), with("/read", "/none"),
               with("gold", "tin"), with("1.000", "soon"), with("1.000", "-1"),
               with("1.000", "1e300"), with("X-Trace-Id: t1\r\n", ""),
@@ -176,9 +184,9 @@
               with("Host: s", "Host: s\r\nContent-Length: 3\r\nTransfer-Encoding: chunked"),
               with("Host: s", "Host: s\r\nContent-Length: 2") + "xx",
               with("Host: s", "Host: " + std::string(9000, 's'))}) {
-            CAPTURE(bad.substr(0, 200));
+            CAPTURE(invalid.substr(0, 200));
             TestGateway gateway;
-            auto client = gateway.connect_client(bad);
+            auto client = gateway.connect_client(invalid);
             CHECK((gateway.transport.sent[client].starts_with("HTTP/1.1 4") ||
                    gateway.transport.sent[client].starts_with("HTTP/1.1 501")));
             CHECK(gateway.transport.closed.contains(client));
@@ -186,44 +194,46 @@
             CHECK(gateway.core.clients().open_count() == 0);
         }
     }
-    TEST_CASE("an id that is open, or was, is refused without being told") {
+    TEST_CASE("a request whose trace id was used before is refused and not sent to a node") {
         TestGateway gateway;
         gateway.connect_client(read_request("t1"));
         auto client = gateway.connect_client(read_request("t1"));
         CHECK(gateway.transport.sent[client].starts_with("HTTP/1.1 409 "));
         CHECK(gateway.core.request_count() == 1);
     }
-    TEST_CASE("who says nothing, or does not come to an end, is closed within its time") {
+    TEST_CASE("a client that sends nothing, or no complete request, is disconnected within its "
+              "time limit") {
         TestGateway gateway;
         auto silent = gateway.connect_client(""),
-             half = gateway.connect_client("GET /read HTTP/1.1\r\nHost"),
-             body = gateway.connect_client(
+             partial_head = gateway.connect_client("GET /read HTTP/1.1\r\nHost"),
+             partial_body = gateway.connect_client(
                  write_request("t1", "xyz").substr(0, write_request("t1", "xyz").size() - 1));
-        auto full = gateway.connect_client(read_request("t2"));
-        for (auto later : {sec, sec - ms})
-            gateway.settle(later);
+        auto complete = gateway.connect_client(read_request("t2"));
+        for (auto delay : {sec, sec - ms})
+            gateway.settle(delay);
         CHECK(!gateway.transport.closed.contains(silent));
         gateway.settle(ms);
         CHECK(gateway.transport.closed.contains(silent));
         gateway.settle(699 * ms);
-        CHECK(!gateway.transport.closed.contains(body));
+        CHECK(!gateway.transport.closed.contains(partial_body));
         gateway.settle(ms);
-        CHECK(gateway.transport.closed.contains(half));
-        CHECK(gateway.transport.closed.contains(body));
-        CHECK(gateway.transport.sent[half].starts_with("HTTP/1.1 408 "));
-        CHECK(gateway.transport.sent[full].starts_with("HTTP/1.1 503 "));
+        CHECK(gateway.transport.closed.contains(partial_head));
+        CHECK(gateway.transport.closed.contains(partial_body));
+        CHECK(gateway.transport.sent[partial_head].starts_with("HTTP/1.1 408 "));
+        CHECK(gateway.transport.sent[complete].starts_with("HTTP/1.1 503 "));
     }
-    // Two slow requests of a short zone day were cut off after 2 s.
-    TEST_CASE("who says something late has no more time than who does at once; who was answered "
-              "before has longer") {
+    // Guards against a fault found in a short test run: two requests that clients sent slowly were
+    // cut off after 2 s.
+    TEST_CASE("a first request has the same time limit whenever its first byte comes; a client "
+              "that was answered has longer") {
         TestGateway gateway;
-        auto late = gateway.connect_client("");
+        auto late_starter = gateway.connect_client("");
         auto slow = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\n");
         gateway.settle(1900 * ms);
-        gateway.core.received(gateway.now, late, "GET /read");
+        gateway.core.received(gateway.now, late_starter, "GET /read");
         gateway.core.received(gateway.now, slow, read_request("t1").substr(0, 30));
         gateway.settle(800 * ms);
-        CHECK(gateway.transport.closed.contains(late));
+        CHECK(gateway.transport.closed.contains(late_starter));
         gateway.send_heartbeat();
         gateway.settle(2 * sec);
         gateway.send_heartbeat();
@@ -233,11 +243,11 @@
         gateway.settle();
         CHECK(gateway.core.request_count() == 1);
         gateway.send_heartbeat();
-        auto endless = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\nGET");
+        auto incomplete = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\nGET");
         gateway.settle(5 * sec);
-        CHECK(gateway.transport.sent[endless].find("HTTP/1.1 408 ") != std::string::npos);
+        CHECK(gateway.transport.sent[incomplete].find("HTTP/1.1 408 ") != std::string::npos);
     }
-    TEST_CASE("a connection that asked once and stays is closed, so that others find room") {
+    TEST_CASE("an idle connection is closed after 2.5 s, so that other clients can connect") {
         TestGateway gateway;
         auto client = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\n");
         gateway.settle(2 * sec);
@@ -245,7 +255,7 @@
         gateway.settle(500 * ms);
         CHECK(gateway.transport.closed.contains(client));
     }
-    TEST_CASE("requests sent at once are served one at a time, in order") {
+    TEST_CASE("requests that a client pipelines are served one at a time, in order") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1") + read_request("t2") +
                                              "GET /healthz HTTP/1.1\r\n\r\n");
@@ -258,17 +268,17 @@
               "OK\r\nContent-Length: 3\r\n\r\ntwo"
               "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
-    // Reading used to stop at a bound: from then on its leaving was not seen, and its requests were
-    // sent on.
-    TEST_CASE("who sends far ahead is read on, so that its leaving shows; what is past the bound "
-              "is not kept") {
-        for (bool leaves : {false, true}) {
+    // Guards against a fault: reading stopped at the limit, so the client's disconnect went
+    // unnoticed and its requests were still sent to nodes.
+    TEST_CASE("a connection is read past the limit of pipelined bytes, so that a disconnect is "
+              "noticed; the rest is discarded") {
+        for (bool disconnects : {false, true}) {
             TestGateway gateway;
             auto client = gateway.connect_client(read_request("t1"));
             auto node = gateway.connect_node();
             for (int i = 0; i < 100; ++i)
                 gateway.core.received(gateway.now, client, std::string(20000, 'x'));
-            if (leaves) {
+            if (disconnects) {
                 gateway.disconnect(client);
                 CHECK(gateway.transport.closed.contains(node));
                 CHECK(gateway.core.request_count() == 0);
@@ -276,17 +286,19 @@
             }
             gateway.receive_from_node(node, http_response(200, "one"));
             CHECK(gateway.transport.sent[client].starts_with("HTTP/1.1 200 "));
-            CHECK(gateway.transport.closed.contains(client)); // what came behind is no request
+            // The pipelined bytes are no valid request.
+            CHECK(gateway.transport.closed.contains(client));
         }
     }
-    TEST_CASE("past the bound of what is sent ahead, nothing that was cut is read as one request") {
+    TEST_CASE("a request that is cut at the limit of pipelined bytes is not completed with bytes "
+              "received later") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
-        std::string ahead;
-        for (int i = 0; ahead.size() < 70'000; ++i)
-            ahead += read_request("a" + std::to_string(i));
-        gateway.core.received(gateway.now, client, ahead);
+        std::string pipelined;
+        for (int i = 0; pipelined.size() < 70'000; ++i)
+            pipelined += read_request("a" + std::to_string(i));
+        gateway.core.received(gateway.now, client, pipelined);
         gateway.core.received(gateway.now, client,
                               read_request("cut") + std::string(4000, 'x') + "\r\n\r\n" +
                                   read_request("late"));
@@ -295,15 +307,15 @@
         for (int i = 0; i < 400 && !gateway.transport.closed.contains(client); ++i)
             gateway.respond_to_attempt("x", 100 * us);
         CHECK(gateway.transport.closed.contains(client));
-        for (auto &[conn, sent] : gateway.transport.sent) {
-            if (!gateway.transport.address_of(conn).starts_with('n'))
+        for (auto &[connection, sent] : gateway.transport.sent) {
+            if (!gateway.transport.address_of(connection).starts_with('n'))
                 continue;
             CHECK(!contains(sent, "X-Trace-Id: late"));
             CHECK(!contains(sent, "X-Trace-Id: cut"));
         }
     }
-    TEST_CASE(
-        "past that bound, a request that was cut is refused at once, not when its time is up") {
+    TEST_CASE("a request that is cut at the limit of pipelined bytes is refused at once, without "
+              "waiting for a timeout") {
         TestGateway gateway;
         auto client = gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
@@ -314,30 +326,31 @@
         CHECK(contains(gateway.transport.sent[client], "HTTP/1.1 413 "));
         CHECK(gateway.transport.half_closed.contains(client));
     }
-    TEST_CASE("past its bound an idle connection goes before one that just came, whose request may "
-              "wait unread") {
+    TEST_CASE("at the connection limit, idle connections are closed before those that were just "
+              "accepted") {
         TestGateway gateway;
         std::vector<ConnectionId> idle(140);
         for (auto &client : idle)
             client = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\n");
-        std::vector<ConnectionId> fresh(60);
-        for (auto &client : fresh)
+        // Their requests may be waiting in the socket unread.
+        std::vector<ConnectionId> just_accepted(60);
+        for (auto &client : just_accepted)
             client = *gateway.core.client_connected(gateway.now += us);
-        for (auto client : fresh)
+        for (auto client : just_accepted)
             CHECK(!gateway.transport.closed.contains(client));
         CHECK(gateway.transport.closed.contains(idle.front()));
     }
-    TEST_CASE(
-        "past its bound of connections the silent go first; one with an open request never does") {
+    TEST_CASE("at the connection limit, clients that sent nothing are closed first, and none with "
+              "a request in flight") {
         TestGateway gateway;
-        auto asks = gateway.connect_client(read_request("t1"));
+        auto active = gateway.connect_client(read_request("t1"));
         std::vector<ConnectionId> silent(400);
         for (auto &client : silent)
             client = *gateway.core.client_connected(gateway.now += us);
-        auto late = gateway.connect_client(read_request("t2"));
+        auto newest = gateway.connect_client(read_request("t2"));
         CHECK(gateway.core.clients().open_count() < 200);
-        CHECK(!gateway.transport.closed.contains(asks));
-        CHECK(!gateway.transport.closed.contains(late));
+        CHECK(!gateway.transport.closed.contains(active));
+        CHECK(!gateway.transport.closed.contains(newest));
         CHECK(gateway.transport.closed.contains(silent.front()));
         CHECK(gateway.core.request_count() == 2);
     }
@@ -345,59 +358,61 @@
 
 TEST_SUITE("discovery") {
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    TEST_CASE("watches from the list as last had; a change counts; silence and an end make it "
-              "watch again") {
+    TEST_CASE("discovery is watched from the known list's generation, changes apply, and a silent "
+              "or closed watch is reopened") {
         TestGateway gateway;
-        auto d = gateway.transport.connection_to("d1");
-        CHECK(contains(gateway.transport.sent[d], "GET /v1/servers?stream=1&index=41 "));
+        auto watch = gateway.transport.connection_to("d1");
+        CHECK(contains(gateway.transport.sent[watch], "GET /v1/servers?stream=1&index=41 "));
         gateway.send_endpoint_list(endpoint_list_json(42, endpoint_json("s1", "n9", 5), false));
         gateway.connect_client(read_request("t1"));
         CHECK(gateway.transport.connection_to("n9").value != 0);
-        gateway.core.disconnected(gateway.now, d, CloseReason::end_of_stream);
+        gateway.core.disconnected(gateway.now, watch, CloseReason::end_of_stream);
         gateway.settle(100 * ms);
-        CHECK(gateway.transport.connection_to("d1") != d);
-        d = gateway.transport.connection_to("d1");
-        gateway.core.connected(gateway.now, d);
-        CHECK(contains(gateway.transport.sent[d], "index=42 "));
-        gateway.core.received(gateway.now, d, head + http_chunk("\n"));
+        CHECK(gateway.transport.connection_to("d1") != watch);
+        watch = gateway.transport.connection_to("d1");
+        gateway.core.connected(gateway.now, watch);
+        CHECK(contains(gateway.transport.sent[watch], "index=42 "));
+        gateway.core.received(gateway.now, watch, head + http_chunk("\n"));
         gateway.settle(3 * sec - ms);
-        CHECK(gateway.transport.connection_to("d1") == d);
+        CHECK(gateway.transport.connection_to("d1") == watch);
         gateway.settle(ms);
-        auto beside = gateway.transport.connection_to("d1");
-        CHECK(beside != d);
-        CHECK(!gateway.transport.closed.contains(d)); // it may speak yet
-        gateway.core.connected(gateway.now, beside);
-        gateway.core.received(gateway.now, beside, head + http_chunk("\n"));
-        CHECK(gateway.transport.closed.contains(d));
+        auto second_watch = gateway.transport.connection_to("d1");
+        CHECK(second_watch != watch);
+        CHECK(!gateway.transport.closed.contains(watch)); // it may still send something
+        gateway.core.connected(gateway.now, second_watch);
+        gateway.core.received(gateway.now, second_watch, head + http_chunk("\n"));
+        CHECK(gateway.transport.closed.contains(watch));
     }
-    TEST_CASE("a list with a fault changes nothing at all; an older one neither") {
+    TEST_CASE("an invalid list is ignored as a whole, and so is one of an older generation") {
         TestGateway gateway;
-        auto d = gateway.transport.connection_to("d1");
+        auto watch = gateway.transport.connection_to("d1");
         gateway.send_endpoint_list(endpoint_list_json(40, ""));
         gateway.send_endpoint_list(
             endpoint_list_json(50, endpoint_json("s1", "n9", 5) + R"(,{"instanceId":7})"));
         CHECK(gateway.transport.logged_events.size() == 1);
-        CHECK(gateway.transport.closed.contains(d));
+        CHECK(gateway.transport.closed.contains(watch));
         gateway.connect_client(read_request("t1"));
         CHECK(gateway.transport.connection_to("n1").value != 0);
         CHECK(gateway.transport.connection_to("n9").value == 0);
     }
-    TEST_CASE("a new address takes over once it speaks; the old one counts until then") {
+    TEST_CASE("the watch at a new address takes over once discovery sends something there; until "
+              "then the old one counts") {
         TestGateway gateway;
-        auto old = gateway.transport.connection_to("d1");
+        auto old_watch = gateway.transport.connection_to("d1");
         gateway.core.set_discovery_address(gateway.now, "d2");
-        auto fresh = gateway.transport.connection_to("d2");
-        CHECK(!gateway.transport.closed.contains(old));
-        gateway.core.connected(gateway.now, fresh);
+        auto new_watch = gateway.transport.connection_to("d2");
+        CHECK(!gateway.transport.closed.contains(old_watch));
+        gateway.core.connected(gateway.now, new_watch);
         gateway.send_endpoint_list(endpoint_list_json(42, endpoint_json("s1", "n9", 5), false));
-        gateway.core.received(gateway.now, fresh, head + http_chunk("\n"));
-        CHECK(gateway.transport.closed.contains(old));
+        gateway.core.received(gateway.now, new_watch, head + http_chunk("\n"));
+        CHECK(gateway.transport.closed.contains(old_watch));
         gateway.connect_client(read_request("t1"));
         CHECK(gateway.transport.connection_to("n9").value != 0);
-        gateway.core.set_discovery_address(gateway.now, "d2"); // told the same again: it stays
-        CHECK(!gateway.transport.closed.contains(fresh));
+        // The same address again: the watch stays.
+        gateway.core.set_discovery_address(gateway.now, "d2");
+        CHECK(!gateway.transport.closed.contains(new_watch));
     }
-    TEST_CASE("nothing more goes to a node that drains, and its idle connections close") {
+    TEST_CASE("a draining node gets no further attempts, and its idle connections are closed") {
         TestGateway gateway;
         gateway.connect_client(read_request("t1"));
         auto node = gateway.connect_node();
@@ -412,13 +427,14 @@
     }
 }
 
-TEST_SUITE("life") {
-    TEST_CASE("a stop serves on until just before it may be killed: the longest client timeout and "
-              "0.7 s later") {
-        TestGateway gateway; // the longest client timeout is 1.5 s: killed 2.2 s after the stop at
-                             // the soonest
+TEST_SUITE("lifecycle") {
+    TEST_CASE("a stopping gateway serves until just before it may be killed: 0.7 s after the "
+              "longest client timeout") {
+        // The longest client timeout is 1.5 s, so the process is killed 2.2 s after the stop at the
+        // earliest.
+        TestGateway gateway;
         auto idle = gateway.connect_client("GET /healthz HTTP/1.1\r\n\r\n");
-        auto told = gateway.now;
+        auto stopped_at = gateway.now;
         gateway.core.stop(gateway.now);
         gateway.settle(50 * ms);
         auto client = gateway.connect_client(read_request("t1")), node = gateway.connect_node();
@@ -428,30 +444,29 @@
         gateway.core.received(gateway.now, client, read_request("t2", "", "1.400"));
         gateway.settle();
         gateway.receive_from_node(node, http_response(200, "two"));
-        CHECK(!gateway.transport.closed.contains(
-            client)); // there is no other way in until this one is back
+        // The client has no other gateway until this one has restarted.
+        CHECK(!gateway.transport.closed.contains(client));
         gateway.settle(100 * ms);
-        gateway.core.received(
-            gateway.now, client,
-            read_request("t3", "", "1.400")); // may be answered until this ends, no later
-        while (gateway.now < told + 1700 * ms) {
-            CHECK(!gateway.transport.closed.contains(idle)); // a request may be on its way on it
+        // May be answered until the shutdown's deadline, but no later.
+        gateway.core.received(gateway.now, client, read_request("t3", "", "1.400"));
+        while (gateway.now < stopped_at + 1700 * ms) {
+            CHECK(!gateway.transport.closed.contains(idle)); // its client may be sending a request
             gateway.settle(5 * ms);
         }
-        // Then it ends, in order: a request that crosses its end is read and neither taken nor
-        // reset.
+        // Then the idle connection is closed for sending. A request that its client sent meanwhile
+        // is read and discarded, and the connection isn't reset.
         CHECK(gateway.transport.half_closed.contains(idle));
         gateway.core.received(gateway.now, idle, read_request("t4"));
         gateway.settle(ms);
         CHECK(!contains(gateway.transport.sent[node], "t4"));
         CHECK(gateway.transport.half_closed.contains(idle));
-        while (!gateway.core.stopped() && gateway.now < told + 2200 * ms)
+        while (!gateway.core.stopped() && gateway.now < stopped_at + 2200 * ms)
             gateway.settle(5 * ms);
         CHECK(gateway.transport.sent[client].find("Connection: close\r\n") != std::string::npos);
         CHECK(gateway.transport.closed.contains(client));
-        CHECK(gateway.now <= told + 2000 * ms);
+        CHECK(gateway.now <= stopped_at + 2000 * ms);
     }
-    TEST_CASE("fresh ids, connections and nodes all day leave nothing behind") {
+    TEST_CASE("new trace ids, connections and attempts leave no state behind") {
         TestGateway gateway;
         for (int i = 0; i < 300; ++i) {
             auto client = gateway.connect_client(read_request("t" + std::to_string(i)));
@@ -466,10 +481,10 @@
     }
 }
 
-// A class without a deadline was taken with one of 0 s: a stop ended at once. Without a connect
-// timeout none came up.
-TEST_CASE(
-    "settings: what a site may leave out has no bound, what it may not is told with its path") {
+// Guards against two faults: a class without DeadlineS counted with 0 s, so that a stopping gateway
+// exited at once; and without a connect timeout no connection to a node succeeded.
+TEST_CASE("a timeout that the settings leave out means no limit; a missing required setting is an "
+          "error with its path") {
     TestGateway gateway("Permissions.ConnectTimeoutS=0\nPermissions.ConnIdleS=0\n");
     auto client = gateway.connect_client(read_request("t1"));
     auto node = gateway.connect_node(100 * ms);
@@ -480,22 +495,22 @@
         gateway.send_heartbeat();
     }
     CHECK(!gateway.transport.closed.contains(node));
-    for (std::string wrong :
+    for (std::string invalid :
          {"Classes.1.DeadlineS=0", "Classes.1.DeadlineS=-1", "Permissions.ConnIdleS=-1"})
-        CHECK_THROWS_WITH_AS(TestGateway{wrong + "\n"},
-                             doctest::Contains(wrong.substr(0, wrong.find('=')).c_str()),
+        CHECK_THROWS_WITH_AS(TestGateway{invalid + "\n"},
+                             doctest::Contains(invalid.substr(0, invalid.find('=')).c_str()),
                              scheduler_setup::MalformedInput);
-    auto usual = settings_text();
+    auto settings = settings_text();
     const std::string target = "Classes.0.TargetS=0.15\n";
-    usual.erase(usual.find(target), target.size());
-    TestGateway other_gateway("", usual);
+    settings.erase(settings.find(target), target.size());
+    TestGateway other_gateway("", settings);
     client = other_gateway.connect_client(read_request("t1"));
     other_gateway.receive_from_node(other_gateway.connect_node(), http_response(200, "one"),
-                                    200 * ms); // in time until its deadline
+                                    200 * ms); // before the deadline of its class
     CHECK(other_gateway.transport.sent[client].ends_with("one"));
-    std::vector<ConnectionId> wait(8);
-    for (std::size_t i = 0; i < wait.size(); ++i)
-        wait[i] = other_gateway.connect_client(read_request("w" + std::to_string(i)));
+    std::vector<ConnectionId> waiting(8);
+    for (std::size_t i = 0; i < waiting.size(); ++i)
+        waiting[i] = other_gateway.connect_client(read_request("w" + std::to_string(i)));
     other_gateway.settle(20 * ms);
-    CHECK(other_gateway.core.request_count() == wait.size()); // none is late yet
+    CHECK(other_gateway.core.request_count() == waiting.size()); // none has timed out yet
 }
--- a/tests/http_gateway/server_test.cpp
+++ b/tests/http_gateway/server_test.cpp
@@ -1,37 +1,41 @@
-// The server's sockets on loopback.
+// The loop's sockets on loopback, as the gateway's server uses them.
 #include <doctest/doctest.h>
 
 #include "loop/loop.hpp"
 
 using namespace knotvane;
 
-TEST_CASE("writes to a connection that its peer has reset are told, and do not end the program") {
+TEST_CASE("writing to a connection that its peer has reset reports the close and does not end the "
+          "process") {
     loop::Loop loop;
     std::shared_ptr<loop::Socket> server;
     auto client = std::make_shared<loop::Socket>(loop);
-    bool told = false;
-    loop::Listener listener(loop, "127.0.0.1:0", [&](const std::shared_ptr<loop::Socket> &s) {
-        server = s;
-        s->on_gone = [&](loop::Gone) {
-            told = true;
+    bool close_reported = false;
+    loop::Listener listener(loop, "127.0.0.1:0", [&](const std::shared_ptr<loop::Socket> &socket) {
+        server = socket;
+        socket->on_gone = [&](loop::Gone) {
+            close_reported = true;
             loop.stop();
         };
-        s->hold(true); // so that only a write tells of the end
-        s->start();
+        // Pauses reading, so that only a write can find out about the
+        // reset.
+        socket->hold(true);
+        socket->start();
         client->close(true);
     });
     client->connect(listener.address(), [](bool) {});
-    Time begun = loop::now();
+    Time started_at = loop::now();
     loop.at_end([&] {
-        // The first write finds out, the next one would raise the signal.
-        for (int i = 0; i < 3 && server && !told && loop::now() - begun > 50 * ms; ++i) {
+        // The first write reports the reset; a further one would raise SIGPIPE.
+        for (int i = 0; i < 3 && server && !close_reported && loop::now() - started_at > 50 * ms;
+             ++i) {
             server->send("x");
             server->flush();
         }
-        if (loop::now() - begun > 5 * sec)
+        if (loop::now() - started_at > 5 * sec)
             loop.stop();
         return loop::now() + 10 * ms;
     });
     loop.run();
-    CHECK(told);
+    CHECK(close_reported);
 }
--- a/tests/http_gateway/trace_test.cpp
+++ b/tests/http_gateway/trace_test.cpp
@@ -10,7 +10,7 @@
 TEST_CASE(
     "the report shows where the scheduler's counts differ from the open connections, and how many "
     "lines could not be parsed") {
-    TraceSummary trace;
+    TraceSummary summary;
     for (auto line : {"[1] info trace attempt request=1 attempt=0 node=2 conn=3 how=0 at=5 "
                       "connected=100 written=120 first=900 over=950",
                       "trace attempt request=2 attempt=0 node=2 conn=3 how=5 at=5 connected=- "
@@ -18,8 +18,8 @@
                       "trace told request=1 attempt=0 late=40", "trace late us=2500",
                       "trace node id=2 counted=3 open=1", "trace node id=2 counted=1 open=1",
                       "serves address=x", "trace attempt how=x", "trace node counted=-"})
-        trace.add_line(line);
-    auto report = trace.report();
+        summary.add_line(line);
+    auto report = summary.report();
     for (auto part :
          {"answered: 1, median 950 us", "responses started: 1; first byte to end: 1, median 50 us",
           "reset: 1, median 70 us", "time to open a connection: 1, median 100 us",
