--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -31,7 +31,7 @@
 
     Direct(loop::Loop &l, const std::string &address, ShardId s, std::size_t n, Time length)
         : loop(l), socket(std::make_shared<loop::Socket>(l)), flying(n), shard(s) {
-        socket->on_bytes = [this](std::string_view in) {
+        socket->on_received = [this](std::string_view in) {
             reader.feed(in, *this);
             socket->flush();
         };
--- a/src/cli/edge_main.cpp
+++ b/src/cli/edge_main.cpp
@@ -19,7 +19,7 @@
             auto e = std::make_shared<edge::Server>(
                 loop, f,
                 [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
-            log::line(log::info, "edge serves", {{"address", e->address()}});
+            log::write(log::info, "edge serves", {{"address", e->address()}});
             return e;
         });
 }
--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -57,7 +57,7 @@
     std::fflush(stdout);
     int signal = 0;
     sigwait(&ends, &signal);
-    log::line(log::info, "stopping", {{"signal", std::to_string(signal)}});
+    log::write(log::info, "stopping", {{"signal", std::to_string(signal)}});
 }
 
 } // namespace
--- a/src/cli/node_main.cpp
+++ b/src/cli/node_main.cpp
@@ -9,7 +9,7 @@
         [](settings::File &f) { node::check(f); },
         [](loop::Loop &loop, settings::File &f) -> std::shared_ptr<void> {
             auto n = std::make_shared<node::Server>(loop, f);
-            log::line(log::info, "node serves", {{"address", n->address()}});
+            log::write(log::info, "node serves", {{"address", n->address()}});
             return n;
         });
 }
--- a/src/cli/planner_main.cpp
+++ b/src/cli/planner_main.cpp
@@ -35,8 +35,8 @@
                 throw;
         }
         if (!std::exchange(waits, true))
-            log::line(log::info, "standby: waits for the store", {});
-        loop.at_end([this, due = loop::now() + look_every] {
+            log::write(log::info, "standby: waits for the store", {});
+        loop.set_before_wait_callback([this, due = loop::now() + look_every] {
             // Called from the loop later: a server sets an end of its own, which must not replace
             // this one while it runs.
             if (loop::now() < due)
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -87,7 +87,7 @@
         [](SchedulerActions &actions, std::uint64_t seed) { return make_scheduler(actions, seed); },
         options.trace);
     signals.start(loop, *server);
-    log::line(log::info, "serves", {{"address", server->address()}, {"name", config.name()}});
+    log::write(log::info, "serves", {{"address", server->address()}, {"name", config.name()}});
     loop.run();
     server.reset();
 }
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -179,8 +179,8 @@
                 } catch (const std::exception &e) {
                     result.text = e.what();
                 }
-                log::line(log::info, result.done ? "operator" : "operator: not done",
-                          {{"answer", result.text}});
+                log::write(log::info, result.done ? "operator" : "operator: not done",
+                           {{"answer", result.text}});
                 return result.done;
             };
             auto began = loop::now();
@@ -237,7 +237,7 @@
 void Stage::begin(const Trouble &t) {
     Time now = loop::now(), until = now + t.length;
     auto id = fleet.node_id(t.node);
-    log::line(log::info, "trouble", {{"kind", t.kind}, {"node", std::to_string(id.value)}});
+    log::write(log::info, "trouble", {{"kind", t.kind}, {"node", std::to_string(id.value)}});
     on_relay([&] { relay->put(record::Kind::note, id.value, 0, 0, t.kind); });
     if (auto fault = node::fault_kind_from_name(t.kind)) {
         fleet.with_node(t.node, [&](node::Server &n) {
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -54,27 +54,27 @@
     follow_planner(read_planner(file), identity.seed);
     if (!planner_client_) {
         load_endpoint_file();
-        watch_ =
-            std::make_unique<loop::Watch>(loop_, endpoint_path_, [this] { load_endpoint_file(); });
+        watch_ = std::make_unique<loop::FileWatcher>(loop_, endpoint_path_,
+                                                     [this] { load_endpoint_file(); });
     }
-    loop_.at_end([this] { return end_of_moment(); });
+    loop_.set_before_wait_callback([this] { return end_of_moment(); });
 }
 
 Server::~Server() {
-    loop_.at_end(nullptr);
+    loop_.set_before_wait_callback(nullptr);
     planner_.reset();
 }
 
 void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
     ClientId id{++last_client_};
     clients_.add(id, socket);
-    socket->on_bytes = [this, id](std::string_view bytes) {
+    socket->on_received = [this, id](std::string_view bytes) {
         core_->client_received(loop::now(), id, bytes);
     };
     socket->on_written = [this, id](std::size_t bytes) {
         core_->client_sent(loop::now(), id, bytes);
     };
-    socket->on_gone = [this, id](loop::Gone) {
+    socket->on_disconnected = [this, id](loop::DisconnectReason) {
         clients_.remove(id);
         core_->client_disconnected(loop::now(), id);
     };
@@ -86,13 +86,13 @@
     if (settings.address.empty())
         return;
     plan_path_ = settings.plan_file;
-    planner_ = std::make_unique<loop::Dialled>(loop_, settings.address);
+    planner_ = std::make_unique<loop::OutgoingConnection>(loop_, settings.address);
     planner_client_ = std::make_unique<PlannerClient>(
         *this, PlannerClientConfig{control::EdgeId{id_}, listener_->address(), seed,
                                    settings.renew_every, settings.max_plan_age});
-    planner_->on_up = [this] { planner_client_->connected(loop::now()); };
-    planner_->on_down = [this] { planner_client_->disconnected(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) {
+    planner_->on_connected = [this] { planner_client_->connected(loop::now()); };
+    planner_->on_disconnected = [this] { planner_client_->disconnected(loop::now()); };
+    planner_->on_received = [this](std::string_view in) {
         planner_client_->received(loop::now(), in);
     };
     core_->follow_cluster_state(planner_client_->replica().cluster_state());
@@ -173,7 +173,7 @@
     // Each rejection is reported once, not at every look at the same file.
     if (faults != last_faults_)
         for (const auto &each : faults)
-            log::line(log::error, "endpoint list rejected, the last one stays", {{"fault", each}});
+            log::write(log::error, "endpoint list rejected, the last one stays", {{"fault", each}});
     last_faults_ = std::move(faults);
 }
 
@@ -186,10 +186,10 @@
         core_->endpoint_listed(entry.endpoint, address);
     }
     core_->endpoint_list_end();
-    log::line(log::info, "endpoint list accepted",
-              {{"edge", std::to_string(id_)},
-               {"version", std::to_string(list.version)},
-               {"nodes", std::to_string(list.entries.size())}});
+    log::write(log::info, "endpoint list accepted",
+               {{"edge", std::to_string(id_)},
+                {"version", std::to_string(list.version)},
+                {"nodes", std::to_string(list.entries.size())}});
     if (on_endpoint_list)
         on_endpoint_list(list);
 }
@@ -200,7 +200,7 @@
     // What was written makes room for more, which is sent in the same moment; a few rounds do.
     for (int round = 0; round < 4; ++round) {
         core_->settle(loop::now());
-        if (!clients_.has_out() && !node_connections_.has_out())
+        if (!clients_.has_unflushed() && !node_connections_.has_unflushed())
             break;
         node_connections_.flush();
         clients_.flush();
@@ -214,13 +214,13 @@
 void Server::connect(NodeConnectionId id, const std::string &address) {
     auto socket = std::make_shared<loop::Socket>(loop_);
     node_connections_.add(id, socket);
-    socket->on_bytes = [this, id](std::string_view bytes) {
+    socket->on_received = [this, id](std::string_view bytes) {
         core_->node_received(loop::now(), id, bytes);
     };
     socket->on_written = [this, id](std::size_t bytes) {
         core_->node_sent(loop::now(), id, bytes);
     };
-    socket->on_gone = [this, id](loop::Gone) {
+    socket->on_disconnected = [this, id](loop::DisconnectReason) {
         node_connections_.remove(id);
         core_->node_disconnected(loop::now(), id);
     };
@@ -254,25 +254,25 @@
 
 void Server::pause_client(ClientId id, bool paused) {
     if (auto s = clients_.find(id))
-        s->hold(paused);
+        s->set_reading_paused(paused);
 }
 
 void Server::log_event(std::string text) {
-    log::line(log::warn, text, {{"edge", std::to_string(id_)}});
+    log::write(log::warn, text, {{"edge", std::to_string(id_)}});
 }
 
 void Server::attempt_completed(RequestId request, NodeId node, AttemptOutcome outcome,
                                Time duration) {
     if (planner_client_)
         planner_client_->attempt_completed(loop::now(), node, outcome);
-    if (!log::shown(log::debug))
+    if (!log::is_enabled(log::debug))
         return;
-    log::line(log::debug, "attempt completed",
-              {{"edge", std::to_string(id_)},
-               {"request", std::to_string(request.value)},
-               {"node", std::to_string(node.value)},
-               {"outcome", name_of(outcome)},
-               {"us", std::to_string(duration / us)}});
+    log::write(log::debug, "attempt completed",
+               {{"edge", std::to_string(id_)},
+                {"request", std::to_string(request.value)},
+                {"node", std::to_string(node.value)},
+                {"outcome", name_of(outcome)},
+                {"us", std::to_string(duration / us)}});
 }
 
 } // namespace knotvane::edge
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -11,9 +11,9 @@
 #include "edge/endpoint_file.hpp"
 #include "edge/planner_client.hpp"
 #include "edge/settings.hpp"
-#include "loop/dialled.hpp"
 #include "loop/loop.hpp"
-#include "loop/sockets.hpp"
+#include "loop/outgoing_connection.hpp"
+#include "loop/socket_map.hpp"
 #include "settings/ini.hpp"
 
 namespace knotvane::edge {
@@ -41,7 +41,7 @@
     /// @return null without a planner.
     const PlannerClient *planner_client() const { return planner_client_.get(); }
     /// Whether to leave unread what the planner sends; for tests of a planner that hangs.
-    void pause_planner(bool paused) { planner_->hold(paused); }
+    void pause_planner(bool paused) { planner_->set_reading_paused(paused); }
 
     void connect(NodeConnectionId id, const std::string &address) override;
     void send(NodeConnectionId id, std::string bytes) override;
@@ -55,8 +55,8 @@
     void volume_used(VolumeId volume, bool on) override;
     void snapshot_step_done(VolumeId snapshot, control::SnapshotStep step,
                             control::EdgeIncarnation incarnation) override;
-    void connect_planner() override { planner_->dial(); }
-    void disconnect_planner() override { planner_->hang_up(); }
+    void connect_planner() override { planner_->connect(); }
+    void disconnect_planner() override { planner_->disconnect(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
     void store_plan(std::string bytes, bool anew) override;
     void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
@@ -80,13 +80,13 @@
     std::uint64_t last_client_ = 0;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
-    std::unique_ptr<loop::Watch> watch_;
-    std::unique_ptr<loop::Dialled> planner_;
+    std::unique_ptr<loop::FileWatcher> watch_;
+    std::unique_ptr<loop::OutgoingConnection> planner_;
     std::unique_ptr<PlannerClient> planner_client_; // with a planner
     std::uint64_t lists_ = 0;
     bool said_unkept_ = false;
-    loop::Sockets<ClientId> clients_;
-    loop::Sockets<NodeConnectionId> node_connections_;
+    loop::SocketMap<ClientId> clients_;
+    loop::SocketMap<NodeConnectionId> node_connections_;
 };
 
 } // namespace knotvane::edge
--- a/src/http/decoder.cpp
+++ b/src/http/decoder.cpp
@@ -63,26 +63,26 @@
         parser.data = this;
         state = State::empty;
         fault = "";
-        fault_status = 400;
+        error_status = 400;
         target.clear();
         body.clear();
         headers.clear();
         in_header_name_ = false;
         head_complete_ = false;
-        keeps_open = true;
+        keep_alive = true;
         raw_bytes = 0;
     }
 
     /// Returns how many bytes were taken, up to the message's end at most.
-    std::size_t take(std::string_view bytes);
+    std::size_t consume(std::string_view bytes);
 
     /// Marks the message as broken; the first fault counts. Returns what stops the parser.
     int fail(const char *reason, unsigned status = 400) {
-        if (state != State::broken) {
+        if (state != State::invalid) {
             fault = reason;
-            fault_status = status;
+            error_status = status;
         }
-        state = State::broken;
+        state = State::invalid;
         return -1;
     }
 
@@ -111,11 +111,11 @@
     std::size_t max_body;
     State state = State::empty;
     const char *fault = "";
-    unsigned fault_status = 400;
+    unsigned error_status = 400;
     std::string target;
     std::string body;
     std::vector<std::pair<std::string, std::string>> headers;
-    bool keeps_open = true;
+    bool keep_alive = true;
     /// Bytes since the message began, or since its body was last taken.
     std::size_t raw_bytes = 0;
 
@@ -195,7 +195,7 @@
     if (count("content-length") == 1 && parser.content_length != unknown_length &&
         parser.content_length > max_body)
         return fail("the body is too long", 413);
-    keeps_open = http_should_keep_alive(&parser) != 0;
+    keep_alive = http_should_keep_alive(&parser) != 0;
     head_complete_ = true;
     state = State::body;
     return 0;
@@ -229,7 +229,7 @@
             return of(source).on_body({bytes, size});
         };
         settings.on_message_complete = [](http_parser *source) {
-            of(source).state = State::whole;
+            of(source).state = State::complete;
             http_parser_pause(source, 1);
             return 0;
         };
@@ -238,9 +238,9 @@
     return all;
 }
 
-std::size_t Decoder::Message::take(std::string_view bytes) {
+std::size_t Decoder::Message::consume(std::string_view bytes) {
     std::size_t total = 0;
-    while (total < bytes.size() && state != State::whole && state != State::broken) {
+    while (total < bytes.size() && state != State::complete && state != State::invalid) {
         if (state == State::empty)
             state = State::head;
         // A head is read in no larger pieces than it may be long.
@@ -250,7 +250,7 @@
         auto taken = http_parser_execute(&parser, &callbacks(), piece.data(), piece.size());
         total += taken;
         raw_bytes += taken;
-        if (state != State::whole)
+        if (state != State::complete)
             check_progress(taken);
         else if (kind == MessageKind::response && parser.status_code < 200)
             start();
@@ -278,8 +278,8 @@
 Decoder::Decoder(Decoder &&) noexcept = default;
 Decoder &Decoder::operator=(Decoder &&) noexcept = default;
 
-std::size_t Decoder::take(std::string_view bytes) {
-    return message_->take(bytes);
+std::size_t Decoder::consume(std::string_view bytes) {
+    return message_->consume(bytes);
 }
 
 void Decoder::finish() {
@@ -287,11 +287,11 @@
     if (message.state != State::head && message.state != State::body)
         return;
     http_parser_execute(&message.parser, &Message::callbacks(), nullptr, 0);
-    if (message.state != State::whole)
+    if (message.state != State::complete)
         message.fail("it ended in the middle");
 }
 
-void Decoder::next() {
+void Decoder::start_next() {
     message_->start();
 }
 
@@ -299,12 +299,12 @@
     return message_->state;
 }
 
-const char *Decoder::fault() const {
+const char *Decoder::error() const {
     return message_->fault;
 }
 
-unsigned Decoder::fault_status() const {
-    return message_->fault_status;
+unsigned Decoder::error_status() const {
+    return message_->error_status;
 }
 
 std::string_view Decoder::method() const {
@@ -319,8 +319,8 @@
     return message_->parser.status_code;
 }
 
-bool Decoder::keeps_open() const {
-    return message_->keeps_open;
+bool Decoder::keep_alive() const {
+    return message_->keep_alive;
 }
 
 std::optional<std::string_view> Decoder::header(std::string_view name) const {
@@ -329,7 +329,7 @@
     return message_->value(name);
 }
 
-std::size_t Decoder::count(std::string_view name) const {
+std::size_t Decoder::header_count(std::string_view name) const {
     return message_->count(name);
 }
 
@@ -342,7 +342,7 @@
     return std::exchange(message_->body, {});
 }
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_decimal(std::string_view text) {
     constexpr std::size_t max_size = 32;
     if (text.empty() || text.size() > max_size ||
         text.find_first_not_of("0123456789.-") != std::string_view::npos)
@@ -355,7 +355,7 @@
     return value;
 }
 
-std::optional<std::uint64_t> hex16(std::string_view text) {
+std::optional<std::uint64_t> parse_hex64(std::string_view text) {
     constexpr std::size_t digits = 16;
     constexpr int hexadecimal = 16;
     const char *text_end = text.data() + text.size();
--- a/src/http_gateway/client_connections.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -203,10 +203,10 @@
             set_timeout(id, client,
                         client.has_been_answered ? now + later_request_timeout
                                                  : client.idle_since + first_request_timeout);
-        bytes.remove_prefix(decoder.take(bytes));
-        if (decoder.state() == http::State::broken)
-            return send_error(now, id, {decoder.fault_status(), decoder.fault()});
-        if (decoder.state() != http::State::whole) {
+        bytes.remove_prefix(decoder.consume(bytes));
+        if (decoder.state() == http::State::invalid)
+            return send_error(now, id, {decoder.error_status(), decoder.error()});
+        if (decoder.state() != http::State::complete) {
             // The rest of this request was discarded. Bytes that arrive from now on must not be
             // parsed as its end.
             if (client.ignores_input && client.pipelined.empty())
@@ -234,7 +234,7 @@
 
 void ClientConnections::handle_message(Time now, Time received_at, ConnectionId id,
                                        Client &client) {
-    client.close_after_response = !client.decoder.keeps_open();
+    client.close_after_response = !client.decoder.keep_alive();
     ParsedRequest parsed = parser_.parse(client.decoder);
     if (std::holds_alternative<HealthCheck>(parsed))
         return send(now, id, events_.serving() ? 200 : 503, "", "");
@@ -275,7 +275,7 @@
     client.request_in_flight = false;
     client.has_been_answered = true;
     client.idle_since = now;
-    client.decoder.next();
+    client.decoder.start_next();
     set_timeout(id, client, now + idle_timeout);
     if (!client.pipelined.empty())
         answered_with_pipelined_.insert(id);
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -27,7 +27,7 @@
 }
 
 AttemptOutcome outcome_of(const http::Decoder &response) {
-    if (response.state() != http::State::whole)
+    if (response.state() != http::State::complete)
         return AttemptOutcome::error;
     auto status = response.status();
     if (status == 200)
@@ -159,7 +159,7 @@
     auto message = encode(*attempt.request, attempt.timeout_at - now);
     connection.unsent_bytes = message.size();
     connection.request_handed = true;
-    connection.decoder.next();
+    connection.decoder.start_next();
     set_due(id, connection, attempt.timeout_at);
     transport_.send(id, std::move(message));
 }
@@ -246,7 +246,7 @@
 void ConnectionPool::make_idle(Time now, ConnectionId id, Connection &connection) {
     connection.busy = false;
     connection.request_handed = false;
-    connection.decoder.next();
+    connection.decoder.start_next();
     connection.idle_since = now;
     set_due(id, connection, now + idle_timeout_);
     nodes_.at(connection.node).idle.push_back(id);
@@ -268,13 +268,13 @@
     hand_request(now, id, it->second);
 }
 
-void ConnectionPool::connect_failed(Time now, ConnectionId id, bool tried) {
+void ConnectionPool::connect_failed(Time now, ConnectionId id, bool connect_attempted) {
     auto it = connections_.find(id);
     if (it == connections_.end())
         return;
     auto key = it->second.attempt;
     forget(id);
-    complete(now, key, tried ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
+    complete(now, key, connect_attempted ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
 }
 
 void ConnectionPool::disconnected(Time now, ConnectionId id, CloseReason reason) {
@@ -289,7 +289,7 @@
     if (busy && request_sent && reason == CloseReason::end_of_stream) {
         connection.decoder.finish();
         connection.retired = true;
-        if (connection.decoder.state() == http::State::whole)
+        if (connection.decoder.state() == http::State::complete)
             return response_ended(now, id, false);
     }
     forget(id);
@@ -326,9 +326,9 @@
     Attempt &attempt = attempts_.at(connection.attempt);
     if (attempt.first_byte_at == 0)
         attempt.first_byte_at = now;
-    bytes.remove_prefix(connection.decoder.take(bytes));
+    bytes.remove_prefix(connection.decoder.consume(bytes));
     auto state = connection.decoder.state();
-    if (state == http::State::whole || state == http::State::broken)
+    if (state == http::State::complete || state == http::State::invalid)
         return response_ended(now, id, !bytes.empty());
     set_due(id, connection, std::min(attempt.timeout_at, now + connect_timeout_));
 }
@@ -345,11 +345,11 @@
                              .field("conn", id.value)
                              .field("status", response.status())
                              .field("length", response.header("Content-Length").value_or("-"))
-                             .field("fault", *response.fault() ? response.fault() : "-")
+                             .field("fault", *response.error() ? response.error() : "-")
                              .text());
 
-    bool reusable = response.state() == http::State::whole && !bytes_behind &&
-                    response.keeps_open() && !connection.retired && connection.unsent_bytes == 0;
+    bool reusable = response.state() == http::State::complete && !bytes_behind &&
+                    response.keep_alive() && !connection.retired && connection.unsent_bytes == 0;
     if (reusable)
         make_idle(now, id, connection);
     else
--- a/src/http_gateway/connection_pool.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -70,7 +70,7 @@
 class ConnectionPool {
 public:
     /// A timeout past all that is waited for.
-    static constexpr Time unbounded = 3600 * sec;
+    static constexpr Time unbounded_timeout = 3600 * sec;
 
     ConnectionPool(Transport &transport, UpstreamAttemptEvents &events,
                    ConnectionIds &connection_ids, const ConnectionPoolOptions &options);
@@ -94,8 +94,8 @@
 
     bool owns(ConnectionId id) const { return connections_.contains(id); }
     void connected(Time now, ConnectionId id);
-    /// @param tried the attempt to connect left this machine.
-    void connect_failed(Time now, ConnectionId id, bool tried);
+    /// @param connect_attempted the attempt to connect left this machine.
+    void connect_failed(Time now, ConnectionId id, bool connect_attempted);
     void received(Time now, ConnectionId id, std::string_view bytes);
     void disconnected(Time now, ConnectionId id, CloseReason reason);
     void sent(Time now, ConnectionId id, std::size_t bytes);
--- a/src/http_gateway/core.cpp
+++ b/src/http_gateway/core.cpp
@@ -28,13 +28,14 @@
     return max_sockets > other_sockets ? max_sockets - other_sockets : 1;
 }
 
-/// Returns the timeout at a path of the settings; ConnectionPool::unbounded if it is absent or 0.
+/// Returns the timeout at a path of the settings; ConnectionPool::unbounded_timeout if it is absent
+/// or 0.
 Time optional_timeout(const Options &settings, const std::string &path) {
     Time timeout = settings.time(path);
     if (timeout < 0)
         throw MalformedInput("setting " + path +
                              ": expected a time in seconds of 0 (no limit) or more");
-    return timeout > 0 ? timeout : ConnectionPool::unbounded;
+    return timeout > 0 ? timeout : ConnectionPool::unbounded_timeout;
 }
 
 ConnectionPoolOptions pool_options(const CoreConfig &config) {
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -104,7 +104,7 @@
     void request_received(Time now, ConnectionId client, RequestInfo info,
                           std::shared_ptr<const OutboundRequest> outbound) override;
     void request_canceled(Time now, ConnectionId client) override;
-    bool serving() const override { return discovery_.listed(); }
+    bool serving() const override { return discovery_.has_endpoint_list(); }
 
     void endpoint_list_begin(Time now, EndpointListKind kind) override;
     void endpoint_listed(const Endpoint &endpoint, const std::string &address) override;
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -152,7 +152,7 @@
     watch.has_answered = false;
     watch.last_received_at = now;
     watch.stale_since = 0;
-    watch.decoder.next();
+    watch.decoder.start_next();
     watch.objects = JsonStream(max_object_bytes);
     watch.reconnect_backoff.connect_started(now, connect_timeout);
     transport_.connect(watch.connection, watch.address);
@@ -218,18 +218,18 @@
     if (!watch)
         return;
     http::Decoder &decoder = watch->decoder;
-    while (!bytes.empty() && decoder.state() != http::State::whole &&
-           decoder.state() != http::State::broken)
-        bytes.remove_prefix(decoder.take(bytes));
+    while (!bytes.empty() && decoder.state() != http::State::complete &&
+           decoder.state() != http::State::invalid)
+        bytes.remove_prefix(decoder.consume(bytes));
     auto state = decoder.state();
-    if (state == http::State::broken)
-        return close_connection(now, *watch, decoder.fault());
-    if (state != http::State::body && state != http::State::whole)
+    if (state == http::State::invalid)
+        return close_connection(now, *watch, decoder.error());
+    if (state != http::State::body && state != http::State::complete)
         return;
     if (decoder.status() != 200)
         return close_connection(now, *watch, "it answered " + std::to_string(decoder.status()));
     std::string body = decoder.take_body();
-    if (handle_body(now, id, body) && state == http::State::whole)
+    if (handle_body(now, id, body) && state == http::State::complete)
         close_connection(now, *find(id), "the watch ended");
 }
 
@@ -237,10 +237,10 @@
     while (!body.empty()) {
         Watch &watch = *find(id);
         JsonStream &objects = watch.objects;
-        body.remove_prefix(objects.take(body));
+        body.remove_prefix(objects.consume(body));
         bool answered = objects.take_blank_line();
-        if (objects.has_fault()) {
-            close_connection(now, watch, objects.fault());
+        if (objects.has_error()) {
+            close_connection(now, watch, objects.error());
             return false;
         }
         if (auto object = objects.take_object()) {
--- a/src/http_gateway/discovery.hpp
+++ b/src/http_gateway/discovery.hpp
@@ -68,7 +68,7 @@
     void handle_timeouts(Time now);
 
     /// Whether any list was passed on.
-    bool listed() const { return listed_; }
+    bool has_endpoint_list() const { return listed_; }
 
 private:
     /// A call to discovery, or the pause before it is made again.
--- a/src/http_gateway/json_stream.hpp
+++ b/src/http_gateway/json_stream.hpp
@@ -18,10 +18,10 @@
     explicit JsonStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
     /// Takes bytes up to the end of one object at most; returns how many.
-    std::size_t take(std::string_view bytes) {
+    std::size_t consume(std::string_view bytes) {
         std::size_t taken = 0;
-        while (taken < bytes.size() && !complete_ && !has_fault()) {
-            take_byte(bytes[taken]);
+        while (taken < bytes.size() && !complete_ && !has_error()) {
+            consume_byte(bytes[taken]);
             ++taken;
         }
         return taken;
@@ -38,18 +38,18 @@
     /// Returns whether an empty line between objects came since the last call.
     bool take_blank_line() { return std::exchange(blank_line_, false); }
 
-    bool has_fault() const { return *fault_ != '\0'; }
+    bool has_error() const { return *error_ != '\0'; }
     /// Why the stream can't be read on; empty while it can.
-    const char *fault() const { return fault_; }
+    const char *error() const { return error_; }
 
 private:
-    void take_byte(char byte) {
+    void consume_byte(char byte) {
         if (depth_ == 0 && !starts_object(byte))
             return;
         line_empty_ = false;
         object_ += byte;
         if (object_.size() > max_object_bytes_) {
-            fault_ = "an object is too long";
+            error_ = "an object is too long";
             return;
         }
         if (in_string_) {
@@ -74,7 +74,7 @@
         if (byte == ' ' || byte == '\t' || byte == '\r' || byte == '\n')
             return false;
         if (byte != '{')
-            fault_ = "not a JSON object";
+            error_ = "not a JSON object";
         return byte == '{';
     }
 
@@ -86,7 +86,7 @@
     bool complete_ = false;
     bool blank_line_ = false;
     bool line_empty_ = true;
-    const char *fault_ = "";
+    const char *error_ = "";
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/request_parser.cpp
+++ b/src/http_gateway/request_parser.cpp
@@ -71,13 +71,13 @@
         auto value = next_part(text, ',');
         auto name = next_part(value, '=');
         if (name == "volume")
-            extent.volume = http::hex16(value);
+            extent.volume = http::parse_hex64(value);
         if (name == "units")
-            extent.units = http::number(value);
+            extent.units = http::parse_decimal(value);
         if (name == "shard")
-            extent.shard = http::number(value);
+            extent.shard = http::parse_decimal(value);
         if (name == "hosts")
-            extent.sharers = http::number(value);
+            extent.sharers = http::parse_decimal(value);
     }
     return extent;
 }
@@ -88,7 +88,7 @@
     while (!cookie.empty() && !object_id) {
         auto value = next_part(cookie, ';');
         if (next_part(value, '=') == "object")
-            object_id = http::hex16(value);
+            object_id = http::parse_hex64(value);
     }
     return object_id;
 }
@@ -163,7 +163,7 @@
         return RequestError{400, "X-Storage-Class: names no plan"};
     info.plan = plan->second;
 
-    auto timeout = http::number(message.header("X-Expires-In").value_or(""));
+    auto timeout = http::parse_decimal(message.header("X-Expires-In").value_or(""));
     if (!timeout || *timeout <= 0 || *timeout > max_client_timeout_seconds)
         return RequestError{400, "X-Expires-In: expected seconds"};
     info.client_timeout = static_cast<Time>(*timeout * nanoseconds_per_second);
@@ -174,11 +174,11 @@
                                                      RequestInfo &info) {
     std::string_view idempotency_key = message.header("Idempotency-Key").value_or("");
     bool plain = idempotency_key.empty() || is_plain_id(idempotency_key, max_idempotency_key_bytes);
-    if (message.count("Idempotency-Key") > 1 || !plain)
+    if (message.header_count("Idempotency-Key") > 1 || !plain)
         return RequestError{400, "Idempotency-Key: expected one key"};
 
     info.key = no_key;
-    if (message.count("Cookie") == 0)
+    if (message.header_count("Cookie") == 0)
         return std::nullopt;
     auto object_id = parse_object_id(message.header("Cookie").value_or(""));
     if (!object_id)
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -30,11 +30,11 @@
         loop_, config.listen_address(),
         [this](const std::shared_ptr<loop::Socket> &socket) { accept(socket); });
     address_ = listener_->address();
-    loop_.at_end([this] { return end_moment(); });
+    loop_.set_before_wait_callback([this] { return end_moment(); });
 }
 
 Server::~Server() {
-    loop_.at_end(nullptr);
+    loop_.set_before_wait_callback(nullptr);
 }
 
 void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
@@ -47,17 +47,18 @@
 
 void Server::attach(ConnectionId connection, const std::shared_ptr<loop::Socket> &socket) {
     sockets_.add(connection, socket);
-    socket->on_bytes = [this, connection](std::string_view bytes) {
+    socket->on_received = [this, connection](std::string_view bytes) {
         core_->received(loop::now(), connection, bytes);
     };
     socket->on_written = [this, connection](std::size_t bytes) {
         core_->sent(loop::now(), connection, bytes);
     };
-    socket->on_gone = [this, connection](loop::Gone reason) {
+    socket->on_disconnected = [this, connection](loop::DisconnectReason reason) {
         sockets_.remove(connection);
         core_->disconnected(loop::now(), connection,
-                            reason == loop::Gone::ended ? CloseReason::end_of_stream
-                                                        : CloseReason::reset);
+                            reason == loop::DisconnectReason::end_of_stream
+                                ? CloseReason::end_of_stream
+                                : CloseReason::reset);
     };
 }
 
@@ -71,31 +72,31 @@
             return core_->connected(loop::now(), connection);
         auto failed = sockets_.remove(connection);
         failed->close();
-        core_->connect_failed(loop::now(), connection, failed->tried());
+        core_->connect_failed(loop::now(), connection, failed->connect_attempted());
     });
 }
 
 void Server::close(ConnectionId connection) {
     // An orderly close would write the queued bytes first. A reset drops them.
     if (auto socket = sockets_.remove(connection))
-        socket->close(socket->has_pending());
+        socket->close(socket->has_unflushed());
 }
 
 void Server::finish_sending(ConnectionId connection) {
     if (auto socket = sockets_.find(connection))
-        socket->shut();
+        socket->finish_sending();
 }
 
 void Server::trace(const std::string &line) {
-    log::line(log::info, "trace " + line);
+    log::write(log::info, "trace " + line);
 }
 
 void Server::log_event(const std::string &text) {
-    log::line(log::warn, text);
+    log::write(log::warn, text);
 }
 
 void Server::stop() {
-    log::line(log::info, "stopping");
+    log::write(log::info, "stopping");
     core_->stop(loop::now());
 }
 
@@ -107,10 +108,11 @@
             throw scheduler_setup::MalformedInput(error);
         Config config(text);
         core_->set_discovery_address(loop::now(), config.discovery_address());
-        log::line(log::info, "configuration reloaded", {{"discovery", config.discovery_address()}});
+        log::write(log::info, "configuration reloaded",
+                   {{"discovery", config.discovery_address()}});
     } catch (const scheduler_setup::MalformedInput &malformed) {
-        log::line(log::error, "configuration can't be reloaded, keeping the previous one",
-                  {{"fault", malformed.what()}});
+        log::write(log::error, "configuration can't be reloaded, keeping the previous one",
+                   {{"fault", malformed.what()}});
     }
 }
 
@@ -120,7 +122,7 @@
     constexpr int max_rounds = 4;
     for (int round = 0; round < max_rounds; ++round) {
         core_->settle(loop::now());
-        if (!sockets_.has_out())
+        if (!sockets_.has_unflushed())
             break;
         sockets_.flush();
     }
--- a/src/http_gateway/server.hpp
+++ b/src/http_gateway/server.hpp
@@ -9,7 +9,7 @@
 #include "http_gateway/config.hpp"
 #include "http_gateway/core.hpp"
 #include "loop/loop.hpp"
-#include "loop/sockets.hpp"
+#include "loop/socket_map.hpp"
 
 namespace knotvane::http_gateway {
 
@@ -67,7 +67,7 @@
     bool tracing_;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
-    loop::Sockets<ConnectionId> sockets_;
+    loop::SocketMap<ConnectionId> sockets_;
     /// When the loop is to be stopped; 0 until the shutdown is complete.
     Time stop_loop_at_ = 0;
 };
--- a/src/load/driver.cpp
+++ b/src/load/driver.cpp
@@ -32,11 +32,11 @@
         session = std::make_unique<Session>(*this, s.shape_.volume, s.shape_.structured);
         socket = std::make_shared<loop::Socket>(s.loop_);
         leaves = s.shape_.leave_every > 0 ? loop::now() + s.shape_.leave_every : 0;
-        socket->on_bytes = [this](std::string_view in) {
+        socket->on_received = [this](std::string_view in) {
             session->bytes(in);
             push();
         };
-        socket->on_gone = [this](loop::Gone) { gone(); };
+        socket->on_disconnected = [this](loop::DisconnectReason) { gone(); };
         auto self = socket;
         socket->connect(s.shape_.address, [this, self](bool well) {
             if (self != socket)
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -45,13 +45,13 @@
     logger.reset();
     spdlog::shutdown();
 }
-bool shown(int level) {
+bool is_enabled(int level) {
     return logger && level >= least;
 }
 
-void line(int level, std::string_view what,
-          std::initializer_list<std::pair<std::string_view, std::string>> facts) {
-    if (!shown(level))
+void write(int level, std::string_view what,
+           std::initializer_list<std::pair<std::string_view, std::string>> facts) {
+    if (!is_enabled(level))
         return;
     if (as_json) {
         nlohmann::ordered_json j;
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -13,10 +13,10 @@
 bool start(const std::string &level, bool json);
 // Writes out what is queued and ends.
 void stop();
-bool shown(int level);
+bool is_enabled(int level);
 inline constexpr int debug = 0, info = 1, warn = 2, error = 3;
 // A line: what happened, and facts by name.
-void line(int level, std::string_view what,
-          std::initializer_list<std::pair<std::string_view, std::string>> facts = {});
+void write(int level, std::string_view what,
+           std::initializer_list<std::pair<std::string_view, std::string>> facts = {});
 
 } // namespace knotvane::log
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -70,9 +70,9 @@
     uv_prepare_init(&loop_, &prepare_);
     uv_prepare_start(&prepare_, [](uv_prepare_t *p) {
         auto &self = *static_cast<Loop *>(p->loop->data);
-        if (!self.at_end_)
+        if (!self.before_wait_)
             return;
-        Time due = self.at_end_();
+        Time due = self.before_wait_();
         if (due == std::numeric_limits<Time>::max()) {
             uv_timer_stop(&self.timer_);
             return;
@@ -139,7 +139,7 @@
     } catch (const std::exception &) {
         bad = -1;
     }
-    tried_ = bad == 0;
+    connect_attempted_ = bad == 0;
     if (bad != 0)
         loop_.post([c] {
             std::unique_ptr<Connect> self(c);
@@ -154,10 +154,10 @@
     up_ = true;
     handle_->owner = shared_from_this();
     uv_tcp_nodelay(&handle_->tcp, 1);
-    hold(held_);
+    set_reading_paused(held_);
 }
 
-void Socket::hold(bool hold) {
+void Socket::set_reading_paused(bool hold) {
     held_ = hold;
     if (closed_ || !up_ || reading_ == !hold)
         return;
@@ -172,21 +172,22 @@
         if (!self || self->closed_ || n == 0)
             return;
         if (n < 0)
-            return self->gone(n == UV_EOF ? Gone::ended : Gone::broken);
+            return self->gone(n == UV_EOF ? DisconnectReason::end_of_stream
+                                          : DisconnectReason::connection_error);
         // Once it only ends, nothing is called back any more: whoever owned it may be gone.
-        if (self->on_bytes && !self->ending_)
-            self->on_bytes({buf->base, static_cast<std::size_t>(n)});
+        if (self->on_received && !self->ending_)
+            self->on_received({buf->base, static_cast<std::size_t>(n)});
     });
 }
 
-void Socket::gone(Gone how) {
+void Socket::gone(DisconnectReason how) {
     if (closed_)
         return;
     bool silent = ending_;
     // Who ends in order may still read: only a broken connection has nothing to lose by a reset.
-    close(how == Gone::broken || !pending_.empty());
-    if (on_gone && !silent)
-        on_gone(how);
+    close(how == DisconnectReason::connection_error || !pending_.empty());
+    if (on_disconnected && !silent)
+        on_disconnected(how);
 }
 
 void Socket::send(std::string bytes) {
@@ -217,7 +218,8 @@
         if (put < 0) {
             pending_.clear();
             // Told later: whoever flushes does not expect to lose what it holds.
-            loop_.post([self = shared_from_this()] { self->gone(Gone::broken); });
+            loop_.post(
+                [self = shared_from_this()] { self->gone(DisconnectReason::connection_error); });
             return;
         }
         left_now += static_cast<std::size_t>(put);
@@ -249,14 +251,14 @@
             if (s.closed_)
                 return;
             if (status < 0)
-                return s.gone(Gone::broken);
+                return s.gone(DisconnectReason::connection_error);
             if (s.on_written && !s.ending_ && !self->told)
                 s.on_written(self->bytes.size());
             if (s.closed_)
                 return;
             if (s.ending_ && s.writing_ == 0 && s.pending_.empty())
                 return s.close();
-            s.shut_if_sent();
+            s.shutdown_if_sent();
         });
         // It may have left at once, and is called back in the next turn only: until then it would
         // pass for unsent.
@@ -276,14 +278,14 @@
         return close();
 }
 
-void Socket::shut() {
+void Socket::finish_sending() {
     if (closed_ || shutting_)
         return;
     flush();
     shutting_ = true;
-    shut_if_sent();
+    shutdown_if_sent();
 }
-void Socket::shut_if_sent() {
+void Socket::shutdown_if_sent() {
     if (!shutting_ || closed_ || !up_ || writing_ > 0 || !pending_.empty())
         return;
     auto *req = new uv_shutdown_t;
@@ -359,7 +361,7 @@
              [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
 }
 
-Watch::Watch(Loop &loop, const std::string &path, std::function<void()> on_change)
+FileWatcher::FileWatcher(Loop &loop, const std::string &path, std::function<void()> on_change)
     : handle_(new Handle{{}, this}), on_change_(std::move(on_change)) {
     // The folder is watched: a file that is replaced by another takes a watch on itself along with
     // it.
@@ -378,7 +380,7 @@
         },
         folder.c_str(), 0);
 }
-Watch::~Watch() {
+FileWatcher::~FileWatcher() {
     handle_->owner = nullptr;
     uv_close(reinterpret_cast<uv_handle_t *>(&handle_->event),
              [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -31,7 +31,7 @@
     void stop();
     void post(std::function<void()> call);
     // Called before each wait for events; gives back when to be called again at the latest.
-    void at_end(std::function<Time()> call) { at_end_ = std::move(call); }
+    void set_before_wait_callback(std::function<Time()> call) { before_wait_ = std::move(call); }
 
 private:
     struct Posted;
@@ -39,20 +39,20 @@
     uv_async_t wake_;
     uv_prepare_t prepare_;
     uv_timer_t timer_;
-    std::function<Time()> at_end_;
+    std::function<Time()> before_wait_;
     std::unique_ptr<Posted> posted_;
 };
 
 // How the other side let go of a connection: it ended its sending in order, or the connection
 // broke.
-enum class Gone { ended, broken };
+enum class DisconnectReason { end_of_stream, connection_error };
 
 // A connection. Nothing is called back after close, nor from within send.
 class Socket : public std::enable_shared_from_this<Socket> {
 public:
-    std::function<void(std::string_view)> on_bytes;
-    std::function<void(Gone)> on_gone;           // closed or broken by the other side
-    std::function<void(std::size_t)> on_written; // so many bytes have left
+    std::function<void(std::string_view)> on_received;
+    std::function<void(DisconnectReason)> on_disconnected; // closed or broken by the other side
+    std::function<void(std::size_t)> on_written;           // so many bytes have left
 
     explicit Socket(Loop &loop);
     ~Socket();
@@ -60,20 +60,20 @@
     void connect(const std::string &address, std::function<void(bool)> done);
     // Whether a connect that failed got as far as the network: without a descriptor it says nothing
     // of the other side.
-    bool tried() const { return tried_; }
+    bool connect_attempted() const { return connect_attempted_; }
     void start();
     // Gathers; flush sends what was gathered.
     void send(std::string bytes);
     void flush();
-    bool has_pending() const { return !pending_.empty(); }
-    void hold(bool hold);
+    bool has_unflushed() const { return !pending_.empty(); }
+    void set_reading_paused(bool hold);
     // What was gathered and can still be sent at once is sent first, but for a reset.
     void close(bool reset = false);
     // Once all that was sent has left.
     void close_when_sent();
     // Once all that was sent has left, the sending side ends; what comes in is told as before,
     // until close.
-    void shut();
+    void finish_sending();
     uv_tcp_t *raw() { return &handle_->tcp; }
 
 private:
@@ -82,14 +82,14 @@
         uv_tcp_t tcp;
         std::shared_ptr<Socket> owner;
     };
-    void gone(Gone how);
-    void shut_if_sent();
+    void gone(DisconnectReason how);
+    void shutdown_if_sent();
     Loop &loop_;
     Handle *handle_;
     std::vector<std::string> pending_;
     std::size_t writing_ = 0;
     bool reading_ = false, held_ = false, closed_ = false, up_ = false, ending_ = false,
-         shutting_ = false, tried_ = false;
+         shutting_ = false, connect_attempted_ = false;
 };
 
 class Listener {
@@ -112,15 +112,15 @@
 };
 
 // Calls when a file is written, replaced or removed; more often than that at times.
-class Watch {
+class FileWatcher {
 public:
-    Watch(Loop &loop, const std::string &path, std::function<void()> on_change);
-    ~Watch();
+    FileWatcher(Loop &loop, const std::string &path, std::function<void()> on_change);
+    ~FileWatcher();
 
 private:
     struct Handle {
         uv_fs_event_t event;
-        Watch *owner;
+        FileWatcher *owner;
     };
     Handle *handle_;
     std::string name_;
--- a/src/loop/dialled.hpp
+++ b/src/loop/outgoing_connection.hpp
@@ -10,20 +10,22 @@
 
 namespace knotvane::loop {
 
-class Dialled {
+class OutgoingConnection {
 public:
-    std::function<void()> on_up, on_down; // down: a try failed, or the other side is gone
-    std::function<void(std::string_view)> on_bytes;
+    std::function<void()> on_connected,
+        on_disconnected; // down: a try failed, or the other side is gone
+    std::function<void(std::string_view)> on_received;
 
-    Dialled(Loop &loop, std::string address) : loop_(loop), address_(std::move(address)) {}
-    ~Dialled() { hang_up(); }
-    void dial();
+    OutgoingConnection(Loop &loop, std::string address)
+        : loop_(loop), address_(std::move(address)) {}
+    ~OutgoingConnection() { disconnect(); }
+    void connect();
     // Nothing is called back for it.
-    void hang_up();
+    void disconnect();
     void send(std::string bytes);
     void flush();
     // Whether to leave what comes in unread.
-    void hold(bool hold);
+    void set_reading_paused(bool hold);
 
 private:
     Loop &loop_;
--- a/src/loop/sockets.hpp
+++ b/src/loop/socket_map.hpp
@@ -13,9 +13,9 @@
 namespace knotvane::loop {
 
 template <class IdOf>
-class Sockets {
+class SocketMap {
 public:
-    ~Sockets() {
+    ~SocketMap() {
         for (auto &[id, s] : sockets_)
             s->close(true);
     }
@@ -35,7 +35,7 @@
         if (auto s = find(id))
             s->send(std::move(bytes)), out_.insert(id);
     }
-    bool has_out() const { return !out_.empty(); }
+    bool has_unflushed() const { return !out_.empty(); }
     void flush() {
         for (auto id : std::exchange(out_, {}))
             if (auto s = find(id))
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -41,11 +41,11 @@
     listen(true);
     if (!settings.planner_address.empty())
         connect_planner(settings);
-    loop_.at_end([this] { return end_of_iteration(); });
+    loop_.set_before_wait_callback([this] { return end_of_iteration(); });
 }
 
 Server::~Server() {
-    loop_.at_end(nullptr);
+    loop_.set_before_wait_callback(nullptr);
     try {
         store_->close();
     } catch (const std::exception &error) {
@@ -54,10 +54,10 @@
 }
 
 void Server::connect_planner(const Settings &settings) {
-    planner_ = std::make_unique<loop::Dialled>(loop_, settings.planner_address);
+    planner_ = std::make_unique<loop::OutgoingConnection>(loop_, settings.planner_address);
     registration_ = std::make_unique<PlannerRegistration>(
         PlannerRegistration::Actions{
-            [this] { planner_->dial(); }, [this] { planner_->hang_up(); },
+            [this] { planner_->connect(); }, [this] { planner_->disconnect(); },
             [this](std::string bytes) { planner_->send(std::move(bytes)); },
             [this](std::string text) { log_event(std::move(text)); },
             [this](VolumeId source, VolumeId snapshot, std::uint32_t epoch,
@@ -75,9 +75,11 @@
             [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
         PlannerRegistrationConfig{id_, shard_, settings.zone, address_,
                                   settings.random_seed + id_.value, renewal_interval});
-    planner_->on_up = [this] { registration_->connected(loop::now()); };
-    planner_->on_down = [this] { registration_->disconnected(loop::now()); };
-    planner_->on_bytes = [this](std::string_view in) { registration_->received(loop::now(), in); };
+    planner_->on_connected = [this] { registration_->connected(loop::now()); };
+    planner_->on_disconnected = [this] { registration_->disconnected(loop::now()); };
+    planner_->on_received = [this](std::string_view in) {
+        registration_->received(loop::now(), in);
+    };
     start_registration();
 }
 
@@ -106,10 +108,10 @@
 void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
     ConnectionId connection{++last_connection_};
     connections_.add(connection, socket);
-    socket->on_bytes = [this, connection](std::string_view bytes) {
+    socket->on_received = [this, connection](std::string_view bytes) {
         storage_node_->received(loop::now(), connection, bytes);
     };
-    socket->on_gone = [this, connection](loop::Gone) {
+    socket->on_disconnected = [this, connection](loop::DisconnectReason) {
         connections_.remove(connection);
         storage_node_->disconnected(connection);
     };
@@ -132,7 +134,7 @@
 }
 
 void Server::log_event(std::string text) {
-    log::line(log::warn, text, {{"node", std::to_string(id_.value)}});
+    log::write(log::warn, text, {{"node", std::to_string(id_.value)}});
 }
 
 Time Server::end_of_iteration() {
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -5,9 +5,9 @@
 #include <memory>
 #include <string>
 
-#include "loop/dialled.hpp"
 #include "loop/loop.hpp"
-#include "loop/sockets.hpp"
+#include "loop/outgoing_connection.hpp"
+#include "loop/socket_map.hpp"
 #include "node/planner_registration.hpp"
 #include "node/settings.hpp"
 #include "node/storage_node.hpp"
@@ -53,10 +53,10 @@
     std::unique_ptr<Store> store_;
     std::unique_ptr<StorageNode> storage_node_;
     std::unique_ptr<loop::Listener> listener_;
-    std::unique_ptr<loop::Dialled> planner_;
+    std::unique_ptr<loop::OutgoingConnection> planner_;
     std::unique_ptr<PlannerRegistration> registration_; // with a planner
     std::uint64_t last_connection_ = 0;
-    loop::Sockets<ConnectionId> connections_;
+    loop::SocketMap<ConnectionId> connections_;
 };
 
 } // namespace knotvane::node
--- a/src/planner/admin_client.cpp
+++ b/src/planner/admin_client.cpp
@@ -4,7 +4,7 @@
 
 #include "control/decode.hpp"
 #include "control/encode.hpp"
-#include "loop/dialled.hpp"
+#include "loop/outgoing_connection.hpp"
 
 namespace knotvane::planner {
 namespace {
@@ -31,18 +31,18 @@
     Answer answer;
     control::MessageDecoder decoder;
     loop::Loop loop;
-    loop::Dialled connection(loop, address);
+    loop::OutgoingConnection connection(loop, address);
     std::string error;
-    connection.on_up = [&] {
+    connection.on_connected = [&] {
         connection.send(request);
         connection.flush();
     };
-    connection.on_down = [&] {
+    connection.on_disconnected = [&] {
         if (!answer.received)
             error = "no planner answers there";
         loop.stop();
     };
-    connection.on_bytes = [&](std::string_view bytes) {
+    connection.on_received = [&](std::string_view bytes) {
         std::string why;
         try {
             decoder.decode(bytes, answer);
@@ -56,16 +56,16 @@
             loop.stop();
     };
     const Time deadline = loop::now() + timeout;
-    loop.at_end([&] {
+    loop.set_before_wait_callback([&] {
         if (loop::now() >= deadline && !answer.received) {
             error = "no answer within " + std::to_string(timeout / ms) + "ms";
             loop.stop();
         }
         return deadline;
     });
-    connection.dial();
+    connection.connect();
     loop.run();
-    connection.hang_up();
+    connection.disconnect();
     if (!error.empty())
         throw std::runtime_error("planner " + address + ": " + error);
     return answer;
--- a/src/planner/server.cpp
+++ b/src/planner/server.cpp
@@ -30,18 +30,18 @@
     fleet_path_ = settings.fleet_path;
     open_store(settings, from);
     start_core(settings, from);
-    watch_ = std::make_unique<loop::Watch>(loop_, fleet_path_,
-                                           [this] { read_fleet_at_ = loop::now() + still_for; });
+    watch_ = std::make_unique<loop::FileWatcher>(
+        loop_, fleet_path_, [this] { read_fleet_at_ = loop::now() + still_for; });
     listen(settings.listen_address);
-    loop_.at_end([this] { return end_of_moment(); });
-    log::line(log::info, "planner serves",
-              {{"address", address()},
-               {"term", std::to_string(core_->term().value)},
-               {"version", std::to_string(core_->version().value)}});
+    loop_.set_before_wait_callback([this] { return end_of_moment(); });
+    log::write(log::info, "planner serves",
+               {{"address", address()},
+                {"term", std::to_string(core_->term().value)},
+                {"version", std::to_string(core_->version().value)}});
 }
 
 Server::~Server() {
-    loop_.at_end(nullptr);
+    loop_.set_before_wait_callback(nullptr);
 }
 
 void Server::open_store(const PlannerSettings &settings, From from) {
@@ -96,10 +96,10 @@
 void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
     const SessionId id{++last_session_};
     sessions_.add(id, socket);
-    socket->on_bytes = [this, id](std::string_view bytes) {
+    socket->on_received = [this, id](std::string_view bytes) {
         core_->received(loop::now(), id, bytes);
     };
-    socket->on_gone = [this, id](loop::Gone) {
+    socket->on_disconnected = [this, id](loop::DisconnectReason) {
         sessions_.remove(id);
         core_->disconnected(loop::now(), id);
     };
@@ -132,7 +132,7 @@
     if (!faults.empty())
         last_fault_ = faults.back();
     for (const auto &fault : faults)
-        log::line(log::error, "settings refused, the last ones stay whole", {{"fault", fault}});
+        log::write(log::error, "settings refused, the last ones stay whole", {{"fault", fault}});
     fleet_text_ = faults.empty() ? text : std::string();
 }
 
@@ -161,7 +161,7 @@
 }
 
 void Server::log_event(std::string text) {
-    log::line(log::warn, text, {{"part", "planner"}});
+    log::write(log::warn, text, {{"part", "planner"}});
 }
 
 void Server::retired() {
--- a/src/planner/server.hpp
+++ b/src/planner/server.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "loop/loop.hpp"
-#include "loop/sockets.hpp"
+#include "loop/socket_map.hpp"
 #include "planner/core.hpp"
 #include "planner/desired_state_files.hpp"
 #include "planner/sqlite_state_store.hpp"
@@ -59,9 +59,9 @@
     std::unique_ptr<SqliteStateStore> store_;
     std::unique_ptr<Core> core_;
     std::unique_ptr<loop::Listener> listener_;
-    std::unique_ptr<loop::Watch> watch_;
+    std::unique_ptr<loop::FileWatcher> watch_;
     std::uint64_t last_session_ = 0;
-    loop::Sockets<SessionId> sessions_;
+    loop::SocketMap<SessionId> sessions_;
 };
 
 } // namespace knotvane::planner
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -48,7 +48,7 @@
             side[to]->flush();
         }
         if (side[1 - to] && side[to])
-            side[1 - to]->hold(under_way[to] > most_under_way);
+            side[1 - to]->set_reading_paused(under_way[to] > most_under_way);
     }
     void got(int from, std::string_view in) {
         if (from == edge_side())
@@ -144,13 +144,13 @@
         put(record::Kind::node_wire, wire->id, front.edge, front.node.value);
     for (int i = 0; i < 2; ++i) {
         auto &s = *wire->side[i];
-        s.on_bytes = [wire = wire.get(), i](std::string_view in) { wire->got(i, in); };
+        s.on_received = [wire = wire.get(), i](std::string_view in) { wire->got(i, in); };
         s.on_written = [wire = wire.get(), i](std::size_t n) {
             wire->under_way[i] -= std::min(n, wire->under_way[i]);
             if (wire->side[1 - i])
-                wire->side[1 - i]->hold(wire->under_way[i] > most_under_way);
+                wire->side[1 - i]->set_reading_paused(wire->under_way[i] > most_under_way);
         };
-        s.on_gone = [wire = wire.get(), i](loop::Gone) { wire->end(i, false); };
+        s.on_disconnected = [wire = wire.get(), i](loop::DisconnectReason) { wire->end(i, false); };
     }
     from->start();
     wire->side[1]->connect(front.address, [wire = wire.get()](bool well) {
--- a/tests/http_gateway/json_stream_test.cpp
+++ b/tests/http_gateway/json_stream_test.cpp
@@ -16,10 +16,10 @@
     for (std::size_t at = 0; at < text.size(); at += piece_size) {
         auto piece = text.substr(at, piece_size);
         while (!piece.empty()) {
-            piece.remove_prefix(stream.take(piece));
+            piece.remove_prefix(stream.consume(piece));
             if (auto object = stream.take_object())
                 found.push_back(*object);
-            if (stream.has_fault())
+            if (stream.has_error())
                 return found;
         }
     }
@@ -41,25 +41,25 @@
     TEST_CASE("what is no object, or too long, is told; nothing after it is read") {
         for (auto bad : {"[1]", "x", "}", "\n 1"}) {
             JsonStream stream(10);
-            stream.take(bad);
-            CHECK(stream.has_fault());
+            stream.consume(bad);
+            CHECK(stream.has_error());
         }
         JsonStream stream(10);
-        stream.take("{\"a\":12345678}");
-        CHECK(stream.has_fault());
+        stream.consume("{\"a\":12345678}");
+        CHECK(stream.has_error());
         CHECK(!stream.take_object());
     }
     TEST_CASE("a blank line is one between objects, not within") {
         JsonStream stream(100);
-        stream.take("\n");
+        stream.consume("\n");
         CHECK(stream.take_blank_line());
-        stream.take("{\n\n");
+        stream.consume("{\n\n");
         CHECK(!stream.take_blank_line());
-        stream.take("}");
+        stream.consume("}");
         CHECK(stream.take_object());
-        stream.take("\r\n");
+        stream.consume("\r\n");
         CHECK(!stream.take_blank_line()); // the object's own line
-        stream.take("\r\n");
+        stream.consume("\r\n");
         CHECK(stream.take_blank_line());
     }
 }
--- a/tests/http_gateway/server_test.cpp
+++ b/tests/http_gateway/server_test.cpp
@@ -13,19 +13,19 @@
     bool close_reported = false;
     loop::Listener listener(loop, "127.0.0.1:0", [&](const std::shared_ptr<loop::Socket> &socket) {
         server = socket;
-        socket->on_gone = [&](loop::Gone) {
+        socket->on_disconnected = [&](loop::DisconnectReason) {
             close_reported = true;
             loop.stop();
         };
         // Pauses reading, so that only a write can find out about the
         // reset.
-        socket->hold(true);
+        socket->set_reading_paused(true);
         socket->start();
         client->close(true);
     });
     client->connect(listener.address(), [](bool) {});
     Time started_at = loop::now();
-    loop.at_end([&] {
+    loop.set_before_wait_callback([&] {
         // The first write reports the reset; a further one would raise SIGPIPE.
         for (int i = 0; i < 3 && server && !close_reported && loop::now() - started_at > 50 * ms;
              ++i) {
