--- a/src/scheduling/budget_feedback.cpp
+++ b/src/scheduling/budget_feedback.cpp
@@ -5,17 +5,17 @@
 namespace knotvane::scheduling {
 namespace {
 
-// The paper's.
-constexpr Time shortest_measured_service = 20 * ms;
+// Value from the BFQ paper.
+constexpr Time min_measured_service = 20 * ms;
 
 } // namespace
 
 void ServiceRateEstimator::add_service(double units, Time duration, bool exhausted) {
-    if (duration >= shortest_measured_service)
+    if (duration >= min_measured_service)
         samples_.add({units / seconds(duration), exhausted});
 }
 
-// The filter's weights, 7/8 and 1/8, are the paper's.
+// The filter's weights, 7/8 and 1/8, are those of the BFQ paper.
 double ServiceRateEstimator::rate() const {
     double filtered = 0;
     for (const auto &[rate, exhausted] : samples_) {
@@ -31,7 +31,7 @@
     return std::max(largest_request, seconds(service_slice) * rate);
 }
 
-// The factors are the paper's.
+// The factors are those of the BFQ paper.
 double next_budget(ServiceEnd end, bool attempts_in_flight, double budget, double maximum) {
     if (end == ServiceEnd::exhausted)
         return budget * 4;
--- a/src/scheduling/budget_feedback.hpp
+++ b/src/scheduling/budget_feedback.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Budgets of a node's volumes: how the paper's (fair_queue.hpp) feedback sets the next one from
-/// how the last was used, and the service rate that bounds them.
+/// Budgets of a node's volumes: the BFQ paper's feedback rule, which sets the next budget from the
+/// use of the last one, and the estimate of the service rate that bounds budgets. The paper is
+/// named in fair_queue.hpp.
 #pragma once
 
 #include "common/time.hpp"
@@ -10,21 +11,24 @@
 
 /// Why a volume's service ended.
 enum class ServiceEnd {
-    emptied,   ///< No request of it waits.
-    exhausted, ///< Its next request doesn't fit in the budget.
-    timed_out  ///< It was in service for a whole slice.
+    emptied,   ///< The volume has no waiting request left.
+    exhausted, ///< The volume's next request doesn't fit in its budget.
+    timed_out  ///< The volume was in service for a whole slice.
 };
 
-/// The longest time for which a volume is served at a stretch (the paper's).
+/// The longest time for which a volume is served without a break; value from the BFQ paper.
 inline constexpr Time service_slice = 125 * ms;
 
-/// The paper's rate estimator: a filter that a faster service raises at once and a slower one
-/// lowers by an eighth.
+/// The BFQ paper's estimator of a node's service rate: a low-pass filter in which a new sample has
+/// a weight of 1/8.
 class ServiceRateEstimator {
 public:
-    /// @param units sent in the service, in plain units, not charges.
-    /// @param duration of the service. Short ones are ignored: they say nothing of the rate.
-    /// @param exhausted whether it ended with its budget: such a service never lowers the rate.
+    /// Adds the service of one volume as a sample.
+    /// @param units that were sent, not weighted as charges.
+    /// @param duration of the service. One under 20 ms is ignored: it is too short to measure a
+    ///     rate.
+    /// @param exhausted whether the service ended because its budget was used up; such a service
+    ///     never lowers the rate.
     void add_service(double units, Time duration, bool exhausted);
 
     /// @return units per second; 0 before the first sample.
@@ -36,18 +40,21 @@
         bool exhausted;
     };
 
-    // The oldest of 32 has less than a fiftieth of the filter's weight.
+    // 32 samples are enough: the oldest has less than 1/50 of the filter's weight.
     RecentSamples<Sample, 32> samples_;
 };
 
-/// The largest budget: what the node serves in a slice, and never less than the largest request.
-/// @return units of charge.
+/// @param largest_request units of the largest request.
+/// @param rate of the node's service in units per second.
+/// @return the largest budget, in charged units: what the node serves in one slice, but at least
+///     the largest request.
 double maximum_budget(double largest_request, double rate);
 
-/// The paper's feedback: a volume that could use more gets more, one that leaves budget unused
-/// gets less.
-/// @param attempts_in_flight whether the volume has any: then it may only wait for their answers.
-/// @return units of charge, not bounded yet.
+/// The BFQ paper's feedback rule: raises the budget of a volume that could have used more and
+/// lowers the budget of one that left some unused.
+/// @param attempts_in_flight whether the volume has attempts in flight. If so, an emptied volume
+///     may send more requests once these are answered, so its budget is raised.
+/// @return the next budget in charged units, not yet limited to the allowed range.
 double next_budget(ServiceEnd end, bool attempts_in_flight, double budget, double maximum);
 
 } // namespace knotvane::scheduling
--- a/src/scheduling/fair_queue.cpp
+++ b/src/scheduling/fair_queue.cpp
@@ -6,7 +6,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-// The paper's.
+// Units charged for each written unit; value from the BFQ paper.
 constexpr double write_charge = 10;
 
 } // namespace
@@ -73,13 +73,14 @@
     if (least_start_tag == none)
         return;
 
-    // Virtual time never trails all start tags: so that some volume is eligible.
+    // Virtual time is at least the least start tag of the waiting volumes, so that one of them is
+    // eligible.
     virtual_time_ = std::max(virtual_time_, least_start_tag);
-    const Volume *first = nullptr;
+    const Volume *selected = nullptr;
     for (const auto &[id, volume] : volumes_) {
         bool eligible = !volume.requests.empty() && volume.start_tag <= virtual_time_;
-        if (eligible && (!first || volume.finish_tag < first->finish_tag)) {
-            first = &volume;
+        if (eligible && (!selected || volume.finish_tag < selected->finish_tag)) {
+            selected = &volume;
             in_service_ = id;
         }
     }
@@ -93,7 +94,7 @@
     rate_estimator_.add_service(units_sent_, now - service_began_, end == ServiceEnd::exhausted);
     double maximum = max_budget();
 
-    // After a time-out the finish tag stands at the whole budget; else at what was charged.
+    // A service that timed out is charged at least its whole budget, any other what it used.
     double charged = end == ServiceEnd::timed_out ? std::max(charged_, volume.budget) : charged_;
     volume.finish_tag = volume.start_tag + charged / volume.weight;
 
--- a/src/scheduling/fair_queue.hpp
+++ b/src/scheduling/fair_queue.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The order of requests at one node: B-WF2Q+ over the budgets of its volumes, after "Improving
-/// Application Responsiveness with the BFQ Disk I/O Scheduler" (here: the paper; docs/design.md).
+/// The order of requests at one node: the B-WF2Q+ scheduling policy of the BFQ paper, "Improving
+/// Application Responsiveness with the BFQ Disk I/O Scheduler", applied to volumes. docs/design.md
+/// tells where it differs.
 #pragma once
 
 #include <compare>
@@ -15,69 +16,70 @@
 
 namespace knotvane::scheduling {
 
-/// The place of a request among those of its volume: the least goes first.
+/// Sort key of a request among those of its volume; the least goes first.
 struct QueueRank {
-    /// What an answer is worth, negated.
+    /// The value of an answer, negated so that the highest value sorts first.
     double negative_value = 0;
     Time latency_deadline = 0;
-    /// Ids grow in the order of receipt.
+    /// Ids increase in the order of receipt.
     RequestId request;
 
     auto operator<=>(const QueueRank &) const = default;
 };
 
-/// Orders the requests of a node's volumes by the paper's B-WF2Q+.
+/// Orders the requests of a node's volumes by B-WF2Q+.
 ///
-/// Each volume has a budget, a start tag and a finish tag, which is its start tag plus budget over
-/// weight. Virtual time grows with the charge that is served. Of the volumes that wait and are
-/// eligible (their start tag isn't past virtual time) the one with the least finish tag is served
-/// alone until it is empty, its budget is exhausted or its slice is over. So a volume gets its
-/// weight's share of the node, and keeps the node for a budget at a time.
+/// Each volume has a budget, a start tag and a finish tag: the start tag plus the budget divided by
+/// the weight. Virtual time increases by the charge that is served, divided by the total weight of
+/// the waiting volumes. A waiting volume is eligible if its start tag is at or before virtual time.
+/// The eligible volume with the least finish tag is served, and no other, until it has no waiting
+/// request, its budget is exhausted or its slice is over. So each volume gets a share of the node
+/// in proportion to its weight, and is served without interruption for up to one budget.
 class FairQueue {
 public:
     struct Volume {
         double weight = 1;
         double start_tag = 0;
         double finish_tag = 0;
-        /// Units of charge.
+        /// In charged units.
         double budget = 0;
         std::size_t attempts_in_flight = 0;
         std::set<QueueRank> requests;
     };
 
-    /// @param largest_request units of the largest request: the least budget.
+    /// @param largest_request units of the largest request; no budget is smaller.
     explicit FairQueue(double largest_request) : largest_request_(largest_request) {}
 
-    /// @param weight of the volume from now on, above 0.
+    /// @param weight of the volume from now on; above 0.
     void enqueue(VolumeId id, double weight, const QueueRank &request);
 
-    /// Takes a request out that won't be sent.
+    /// Removes a waiting request that won't be sent.
     void remove(VolumeId id, const QueueRank &request);
 
-    /// Ends a service that is over and begins the next one.
-    /// @return the volume in service, whose first request goes next; none if nothing waits.
+    /// Ends the current service if it is over, and begins the next one if none is active.
+    /// @return the volume in service, whose first request is next; none if no request waits.
     std::optional<VolumeId> select(Time now);
 
-    /// @return what a request is charged, in units. A unit written counts as ten read ones (the
-    ///     paper's).
+    /// @return the charge of a request, in units. A written unit is charged as ten read units, as
+    ///     in the BFQ paper.
     static double charge_of(double units, bool writes);
 
-    /// @return whether the budget of the volume in service holds the charge. The first request of
-    ///     a service always goes, whatever its charge.
+    /// @return whether the remaining budget of the volume in service covers the charge. The first
+    ///     request of a service is always allowed, whatever its charge.
     bool fits_budget(double charge) const;
 
-    /// Ends the service of a volume whose next request doesn't fit.
+    /// Ends the current service because the volume's next request doesn't fit its budget.
     void end_exhausted_service(Time now) { end_service(now, ServiceEnd::exhausted); }
 
-    /// A request of the volume in service was sent.
+    /// Records that a request of the volume in service was sent.
     void request_sent(const QueueRank &request, double units, double charge);
 
-    /// An attempt of the volume's ended.
+    /// Records that an attempt of the volume has ended.
     void attempt_ended(VolumeId id) { --volumes_[id].attempts_in_flight; }
 
     const std::map<VolumeId, Volume> &volumes() const { return volumes_; }
 
-    /// @return units per second that the node serves.
+    /// @return the estimated service rate of the node in units per second; 0 if still unknown.
     double rate() const { return rate_estimator_.rate(); }
 
     double max_budget() const { return maximum_budget(largest_request_, rate()); }
@@ -91,13 +93,13 @@
 
     double largest_request_;
     double virtual_time_ = 0;
-    // Of the volumes that wait; 0: to be added up again.
+    // Total weight of the waiting volumes; 0 if it has to be computed again.
     double waiting_weight_ = 0;
     std::map<VolumeId, Volume> volumes_;
 
     std::optional<VolumeId> in_service_;
     Time service_began_ = 0;
-    // By the volume in service, since its service began.
+    // Sums for the volume in service, since its service began.
     double charged_ = 0;
     double units_sent_ = 0;
 
--- a/src/scheduling/key_order.hpp
+++ b/src/scheduling/key_order.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests with one key run one at a time, in the order of receipt.
+/// Ensures that requests with the same key are executed one at a time, in the order of receipt.
 #pragma once
 
 #include <deque>
@@ -10,22 +10,23 @@
 
 namespace knotvane::scheduling {
 
-/// The requests of each key in the order of receipt. A request stays in its place until it has its
-/// answer and no attempt in flight.
+/// The requests of each key in the order of receipt. The owner removes a request once it has ended
+/// and none of its attempts is in flight.
 class KeyOrder {
 public:
     void enqueue(KeyId key, RequestId request);
 
-    /// @return whether the request is the first of its key and the key doesn't rest.
+    /// @return whether the request is the first of its key and the key isn't blocked.
     bool may_run(KeyId key, RequestId request, Time now) const;
 
-    /// No request of the key starts before `until`. Guards against a successor that overtakes an
-    /// attempt which was given up and may still run at its node.
+    /// Blocks the key: none of its requests may run before `until`. Without this the key's next
+    /// request could overtake an abandoned attempt that its node is still executing. A call never
+    /// shortens an earlier block.
     void block_until(KeyId key, Time until);
 
     void remove(KeyId key, RequestId request);
 
-    /// Forgets keys that have no requests and don't rest.
+    /// Erases keys that have no requests and aren't blocked.
     void prune(Time now);
 
 private:
--- a/src/scheduling/plan_table.cpp
+++ b/src/scheduling/plan_table.cpp
@@ -5,7 +5,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-// Keeps a division by the usual rates defined where none was set.
+// Avoids a division by zero if no plan has a usual rate.
 constexpr double min_total_rate = 1e-9;
 
 } // namespace
@@ -28,11 +28,11 @@
 }
 
 double PlanTable::unit_value(const PlanConfig &plan, double requested) const {
-    double reserve = std::min(requested, plan.reserved_rate);
-    double share = std::min(requested, std::max(plan.usual_rate, plan.reserved_rate)) - reserve;
-    double spare = requested - reserve - share;
+    double reserved = std::min(requested, plan.reserved_rate);
+    double usual = std::min(requested, std::max(plan.usual_rate, plan.reserved_rate)) - reserved;
+    double excess = requested - reserved - usual;
     return plan.price *
-           (reserve + units_.usual_unit_value * share + units_.excess_unit_value * spare) /
+           (reserved + units_.usual_unit_value * usual + units_.excess_unit_value * excess) /
            requested;
 }
 
--- a/src/scheduling/quota_share.cpp
+++ b/src/scheduling/quota_share.cpp
@@ -11,7 +11,7 @@
 QuotaDecision QuotaShare::try_take(Time now, double units, double sharers) {
     refill(now, granted_ ? sharers_ : std::max(sharers_, sharers));
     if (units > level_) {
-        // A share that isn't granted yet is waited for.
+        // With infinite sharers no share is granted yet: the request waits for the grant.
         bool never_fits = !std::isinf(sharers_) && units > burst_ / sharers_;
         return never_fits ? QuotaDecision::never_fits : QuotaDecision::wait;
     }
@@ -30,7 +30,7 @@
 }
 
 void QuotaShare::grant(Time now, double sharers) {
-    // What came in until now came in at the smaller of the two shares.
+    // The time until now is credited at the smaller of the old and the new share.
     refill(now, std::max(sharers_, sharers));
     refill(now, sharers);
     granted_ = true;
--- a/src/scheduling/quota_share.hpp
+++ b/src/scheduling/quota_share.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A volume's limit: this scheduler's share of it, kept as a token bucket.
+/// This scheduler's share of a volume's limit, kept as a token bucket.
 #pragma once
 
 #include <map>
@@ -9,43 +9,44 @@
 
 namespace knotvane::scheduling {
 
-/// What a volume's quota says to a request.
+/// Result of charging a request to its volume's quota share.
 enum class QuotaDecision {
-    admitted,  ///< Its units are taken.
-    wait,      ///< Its units will be there later.
-    never_fits ///< It has more units than the share holds when full.
+    admitted,  ///< The request's units have been taken from the share.
+    wait,      ///< The units aren't available yet; try again later.
+    never_fits ///< The request has more units than a full share holds.
 };
 
-/// One scheduler's share of one volume's limit: the limit's rate and burst over the schedulers that
-/// share it.
+/// One scheduler's share of one volume's limit: the limit's rate and burst, divided by the number
+/// of schedulers that share it.
 ///
-/// Units taken but not yet sent stay reserved: the bucket never refills past its burst less what is
-/// reserved, so that all schedulers together never send more than the limit.
+/// Units that were taken but not yet sent stay reserved: the bucket is filled only up to its burst
+/// minus the reserved units, so that all schedulers together never send more than the limit.
 class QuotaShare {
 public:
-    /// Starts empty: a scheduler that ran here before may just have sent a full burst.
-    /// @param rate units per second of the whole limit.
-    /// @param burst units of the whole limit.
+    /// The bucket starts empty, because the scheduler's previous process may just have sent a full
+    /// burst.
+    /// @param rate of the whole limit, in units per second.
+    /// @param burst of the whole limit, in units.
     QuotaShare(double rate, double burst, Time now);
 
-    /// Takes the units if the share holds them.
-    /// @param sharers schedulers that share the limit, as far as the client knows. Until a planner
-    ///     grants shares the most that were ever named count: another scheduler may still go by
-    ///     them.
+    /// Takes the units if the bucket holds them.
+    /// @param sharers number of schedulers that share the limit, as far as the client knows. Until
+    ///     a planner grants shares, the largest number named so far is used, because another
+    ///     scheduler may still use a share of that size.
     QuotaDecision try_take(Time now, double units, double sharers);
 
-    /// Units that were taken are sent: they are no longer reserved.
+    /// Ends the reservation of units that were taken: they have been sent.
     void units_sent(double units);
 
-    /// Units that were taken won't be sent: they are there again.
+    /// Puts units that were taken but won't be sent back into the bucket.
     void return_units(double units);
 
-    /// From now on a planner grants the share, and sees to it that shares never add past the whole:
-    /// so it may grow again, too.
+    /// Sets the share to 1 / `sharers`. From this call on shares are granted by a planner, which
+    /// ensures that they never add up to more than the whole; so a share may also grow again.
     /// @param sharers infinity for no share yet.
     void grant(Time now, double sharers);
 
-    /// Follows a change of the volume's limit.
+    /// Changes the volume's limit.
     void set_limit(Time now, double rate, double burst);
 
 private:
--- a/src/scheduling/request.hpp
+++ b/src/scheduling/request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a scheduler keeps of a request and of its attempts.
+/// A scheduler's record of a request and of its attempts.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace knotvane::scheduling {
 
-/// A node and the deduplication scopes that it belongs to.
+/// A node, with the shard and the zone that determine its deduplication scopes.
 struct NodeLocation {
     NodeId node;
     ShardId shard;
@@ -23,20 +23,20 @@
     NodeLocation location;
     Time started_at = 0;
     bool in_flight = true;
-    /// Its outcome proves that the node did not execute it.
+    /// The outcome proves that the node did not execute the attempt.
     bool not_executed = false;
 };
 
 /// What a request waits for, in the order in which it passes the stages.
 enum class RequestStage {
-    key_order, ///< Earlier requests of its key.
-    quota,     ///< Units of its volume's limit.
+    key_order, ///< Completion of earlier requests with the same key.
+    quota,     ///< Units within its volume's limit.
     placement, ///< A node that is ready.
-    queue,     ///< Its service in the node's fair queue.
+    queue,     ///< Its turn in the node's fair queue.
     attempt    ///< The outcome of an attempt.
 };
 
-/// A client's request until it has its answer and no attempt in flight.
+/// A client's request. It is kept until it has ended and none of its attempts is in flight.
 struct Request {
     RequestId id;
     WorkloadId workload;
@@ -45,26 +45,28 @@
     ShardId shard;
     KeyId key;
     double units = 0;
-    /// Schedulers that share its volume's limit, as far as the client knows.
+    /// Number of schedulers that share its volume's limit, as far as the client knows.
     double sharers = 1;
-    /// Drawn for it, 0 to 1: the chance of admission to a node in slow start that lets it in.
+    /// A random number from 0 to 1, drawn once on receipt. Where a node in slow start admits
+    /// requests with a probability, this one is compared with that probability.
     double admission_draw = 0;
     bool writes = false;
-    /// It repeats a request whose answer was due already.
+    /// It repeats a request whose answer was already due.
     bool repeated = false;
     Time received_at = 0;
-    /// Until when an answer earns its full value.
+    /// An answer earns its full value until this time.
     Time latency_deadline = 0;
-    /// The latency deadline of the client's first request, where this one is known to repeat it.
+    /// For a recognized repeat the latency deadline of the client's first request, otherwise its
+    /// own.
     Time first_latency_deadline = 0;
-    /// Its final answer leaves at this time at the latest.
+    /// The latest time at which the scheduler answers the client itself.
     Time answer_deadline = 0;
     RequestStage stage = RequestStage::key_order;
-    /// Whose queue it waits in, at stage queue.
+    /// At stage queue: the node in whose queue it waits.
     NodeId node;
-    /// It has its answer, or needs none any more.
+    /// The client has its answer or no longer needs one.
     bool ended = false;
-    /// Its volume's quota has been charged.
+    /// The request's units have been taken from its volume's quota share.
     bool quota_charged = false;
     std::vector<Attempt> attempts;
 
--- a/src/scheduling/retry_budget.hpp
+++ b/src/scheduling/retry_budget.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many attempts beyond each request's first may start.
+/// Limits how many retries (attempts after a request's first) may start.
 #pragma once
 
 #include "common/time.hpp"
@@ -8,8 +8,9 @@
 
 namespace knotvane::scheduling {
 
-/// Bounds retries to a part of the requests received in the window and some more. Guards against
-/// retries that multiply the load of nodes which fail for being overloaded.
+/// Limits retries within a window to a fraction of the requests received in it, plus a fixed
+/// number. Without a limit, retries would multiply the load of nodes that fail because they are
+/// overloaded.
 class RetryBudget {
 public:
     void configure(const RetryBudgetConfig &config) { config_ = config; }
--- a/src/scheduling/retry_policy.hpp
+++ b/src/scheduling/retry_policy.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Whether a request may be executed again, here or by the client. Pure functions.
+/// Pure functions that decide whether a request may be executed again, by this scheduler or because
+/// its client repeats it.
 #pragma once
 
 #include <cstddef>
@@ -15,26 +16,27 @@
 /// @return whether the outcome proves that the node did not execute the attempt.
 bool proves_not_executed(AttemptOutcome outcome);
 
-/// @return whether a client may be told that nothing was done and that it may ask again. Guards
-///     against effects that happen twice.
+/// @return whether the client may be told that the request was not executed and that it may send it
+///     again. False if the repeat could be executed a second time.
 bool may_reject(const Request &request, const WorkloadConfig &workload);
 
 /// Where and when a repeat would be executed.
 struct RepeatTarget {
     NodeLocation location;
     Time now = 0;
-    /// Time between the decision and the execution at most.
+    /// Upper bound of the time between the decision and the execution.
     Time margin = 0;
 };
 
 /// @param previous_attempts how many of the request's attempts come before the repeat.
-/// @return whether an execution at the target can do no harm after those. Guards against effects
-///     that happen twice.
+/// @return whether the request may be executed at the target after these attempts. False if its
+///     effect could happen twice.
 bool is_repeat_safe(const Request &request, std::size_t previous_attempts,
                     const WorkloadConfig &workload, const RepeatTarget &target);
 
-/// @return whether the request may have one more attempt, by its number of attempts and by what a
-///     repeat at the target may do.
+/// @return whether one more attempt of the request may start: neither the limits on its attempts
+/// nor
+///     is_repeat_safe forbids it.
 bool may_start_attempt(const Request &request, const WorkloadConfig &workload,
                        const AttemptConfig &limits, const RepeatTarget &target);
 
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -11,14 +11,15 @@
 
 constexpr TimerId scheduler_timer{1};
 
-// Waiting requests are looked at this often: the finest time that any rule here tells apart.
+// Longest time between two settles while requests wait: the shortest time that makes a difference
+// to any rule in this package.
 constexpr Time waiting_interval = 5 * ms;
 
-// Nodes with attempts in flight and nothing waiting are looked at this often.
+// Longest time between two settles while attempts are in flight and no request waits.
 constexpr Time in_flight_interval = 50 * ms;
 
-// Rates that weigh a volume against others are averaged over this: short enough to follow a surge
-// while it lasts.
+// A volume's requested rate is averaged over this time when its value is compared with that of
+// other volumes: short enough to follow a surge while it lasts.
 constexpr Time value_window = 5 * sec;
 
 SchedulerConfig with_defaults(SchedulerConfig config) {
@@ -81,7 +82,7 @@
     set_timer();
 }
 
-// Requests.
+// Request events and the stages before the queue.
 
 void RequestScheduler::request_received(Time now, const RequestInfo &info) {
     now_ = now;
@@ -106,7 +107,7 @@
     repeat_detector_.detect_repeat(request, config_.clients_mark_repeats);
 
     requests_.set_unanswered(request);
-    if (ordered(request))
+    if (is_ordered(request))
         key_order_.enqueue(request.key, request.id);
     requests_.set_unplaced(request);
 }
@@ -125,7 +126,7 @@
 
 void RequestScheduler::advance(Request &request) {
     if (request.stage == RequestStage::key_order &&
-        (!ordered(request) || key_order_.may_run(request.key, request.id, now_)))
+        (!is_ordered(request) || key_order_.may_run(request.key, request.id, now_)))
         request.stage = RequestStage::quota;
 
     QuotaDecision quota = QuotaDecision::wait;
@@ -170,28 +171,28 @@
     busy_nodes_.insert(node.location.node);
     if (request.attempts.empty()) {
         SlowStart::request_enqueued(node.slow_start, now_, request.units);
-        WindowedSum &requested = requested_[request.volume];
-        requested.add(now_, request.units);
-        requested.sum_since(now_ - value_window);
+        WindowedSum &units = requested_units_[request.volume];
+        units.add(now_, request.units);
+        units.sum_since(now_ - value_window);
     }
-    QueueRank place = rank(request);
-    node.queue.enqueue(request.volume, plans_.queue_weight(plans_.get(request.plan)), place);
-    node.waiting_index.add(request.units, request.repeated, {request.volume, place});
+    QueueRank queue_rank = rank(request);
+    node.queue.enqueue(request.volume, plans_.queue_weight(plans_.get(request.plan)), queue_rank);
+    node.waiting_index.add(request.units, request.repeated, {request.volume, queue_rank});
 }
 
-bool RequestScheduler::ordered(const Request &request) {
+bool RequestScheduler::is_ordered(const Request &request) {
     return workloads_[request.workload].ordered_by_key && request.key != no_key;
 }
 
-// Value first: a client's repeat is past its deadline, or nearly, and earns what a late answer
-// does.
+// Requests of higher value go first. A client's repeat is past its latency deadline or close to it,
+// so it is ranked with the value of a late answer.
 QueueRank RequestScheduler::rank(const Request &request) {
     const WorkloadConfig &workload = workloads_[request.workload];
     double fraction = request.repeated ? workload.late_value_fraction : 1;
     return {-workload.value * fraction, request.latency_deadline, request.id};
 }
 
-// A node's queue.
+// Dispatch from a node's queue.
 
 void RequestScheduler::dispatch(NodeRecord &node) {
     if (node.state != NodeState::ready)
@@ -203,8 +204,8 @@
     shed_load(node);
 
     while (auto volume = node.queue.select(now_)) {
-        const QueueRank place = *node.queue.volumes().at(*volume).requests.begin();
-        Request &request = requests_.at(place.request);
+        const QueueRank queue_rank = *node.queue.volumes().at(*volume).requests.begin();
+        Request &request = requests_.at(queue_rank.request);
         if (!request.attempts.empty() && !may_retry(request, node)) {
             give_up(request, config_.max_retry_after);
             erase_if_done(request);
@@ -217,8 +218,8 @@
         }
         if (!has_capacity(node, request))
             return;
-        node.queue.request_sent(place, request.units, charge);
-        node.waiting_index.remove(request.units, {*volume, place});
+        node.queue.request_sent(queue_rank, request.units, charge);
+        node.waiting_index.remove(request.units, {*volume, queue_rank});
         start_attempt(node, request);
     }
 }
@@ -248,7 +249,8 @@
                               request.admission_draw);
 }
 
-// What all volumes that wait at the node are worth, against the mean of the plans.
+// Returns the total unit value of the volumes that wait at the node, relative to the mean unit
+// value of the plans at their usual rates.
 double RequestScheduler::relative_value(const NodeRecord &node) {
     double plans_value = plans_.total_usual_value();
     double waiting_value = 0;
@@ -256,7 +258,7 @@
         if (volume.requests.empty())
             continue;
         const Request &request = requests_.at(volume.requests.begin()->request);
-        double rate = requested_[id].sum_since(now_ - value_window) / seconds(value_window);
+        double rate = requested_units_[id].sum_since(now_ - value_window) / seconds(value_window);
         waiting_value +=
             plans_.unit_value(plans_.get(request.plan), std::max(rate * request.sharers, min_rate));
     }
@@ -278,7 +280,7 @@
     actions_.start_attempt(request.id, node.location.node, 0);
 }
 
-// Attempts and answers.
+// Attempt results, retries and answers.
 
 void RequestScheduler::attempt_completed(Time now, const AttemptResult &result) {
     now_ = now;
@@ -293,7 +295,7 @@
 
     NodeRecord &node = nodes_.at(attempt.location.node);
     bool may_have_restarted = record_outcome(node, *request, result, now, config_.scheduler_count);
-    // The endpoint list may say so later.
+    // The endpoint list may report the restart only later.
     if (may_have_restarted)
         slow_start_.node_started(node.slow_start, now);
     if (result.outcome == AttemptOutcome::answered)
@@ -302,7 +304,7 @@
     bool may_still_run = result.outcome == AttemptOutcome::timed_out ||
                          result.outcome == AttemptOutcome::reset ||
                          result.outcome == AttemptOutcome::canceled;
-    if (may_still_run && ordered(*request))
+    if (may_still_run && is_ordered(*request))
         key_order_.block_until(request->key, now + workloads_[request->workload].key_cooldown);
 
     if (result.client_answered && !request->ended) {
@@ -314,7 +316,8 @@
     erase_if_done(*request);
 }
 
-// An attempt ended without an answer: another one if it is harmless and may be in time.
+// Called when an attempt has ended without an answer to the client: enqueues another one if that is
+// allowed and can be in time, otherwise gives the request up.
 void RequestScheduler::retry(Request &request) {
     leave_queue(request);
     request.stage = RequestStage::placement;
@@ -336,13 +339,14 @@
     return {node.location, now, delivery_margin()};
 }
 
-// Two steps: an action leaves with its step's batch, and that batch may arrive a step later.
+// Two time steps: an action is sent with the batch of its step, and the batch may arrive one step
+// later.
 Time RequestScheduler::delivery_margin() const {
     return 2 * config_.time_step;
 }
 
-// Its connection may have come up late: the client left, the node drains, or the window in which
-// nodes drop repeats is over.
+// Connecting may have taken long: meanwhile the client may have disconnected, the node may have
+// started to drain, or the deduplication window may have ended.
 bool RequestScheduler::may_send_attempt(Time now, RequestId id, AttemptId attempt) const {
     const Request *request = requests_.find(id);
     if (!request || request->ended)
@@ -356,7 +360,7 @@
 void RequestScheduler::give_up_overdue() {
     while (auto id = requests_.past_answer_deadline(now_)) {
         Request &request = requests_.at(*id);
-        // The client is about to leave anyway.
+        // No Retry-After: the client's timeout is about to expire anyway.
         give_up(request, 0);
         erase_if_done(request);
     }
@@ -389,17 +393,18 @@
     if (request.stage != RequestStage::queue)
         return;
     NodeRecord &node = nodes_.at(request.node);
-    QueueRank place = rank(request);
-    node.queue.remove(request.volume, place);
-    node.waiting_index.remove(request.units, {request.volume, place});
+    QueueRank queue_rank = rank(request);
+    node.queue.remove(request.volume, queue_rank);
+    node.waiting_index.remove(request.units, {request.volume, queue_rank});
     node.units_waiting -= request.units;
 }
 
-// Only when no attempt of a request is in flight the next one of its key may go.
+// A request that has ended is kept while attempts are in flight: the next request of its key must
+// not start before they have completed.
 void RequestScheduler::erase_if_done(Request &request) {
     if (!request.ended || request.any_in_flight())
         return;
-    if (ordered(request))
+    if (is_ordered(request))
         key_order_.remove(request.key, request.id);
     requests_.erase(request.id);
 }
@@ -425,7 +430,7 @@
     endpoint_list_poll_.request_failed(now, random_);
 }
 
-// What waits at a node that drains or is removed goes back to placement.
+// Returns requests that wait at a node which drains or was removed to the placement stage.
 void RequestScheduler::requeue_waiting_requests(const NodeRecord &node) {
     for (auto &[id, request] : requests_.all()) {
         if (request.stage != RequestStage::queue || request.node != node.location.node ||
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The scheduler: joins the rules of this package into the way of a request.
+/// The scheduler: applies the rules of this package to each request in turn.
 #pragma once
 
 #include <cstdint>
@@ -26,30 +26,30 @@
 
 namespace knotvane::scheduling {
 
-/// The way of a request, from its receipt to its answer:
+/// The steps of a request, from its receipt to its answer:
 ///
-///     request_received          deadlines, repeats              (repeat_detector)
-///     settle -> advance         earlier requests of its key     (key_order)
-///                               units of its volume's limit     (quota_share)
-///                               a node that is ready            (node_table, placement)
+///     request_received          set deadlines, detect repeats     (repeat_detector)
+///     settle -> advance         wait for its key's turn           (key_order)
+///                               take units of its volume's limit  (quota_share)
+///                               choose a node that is ready       (node_table, placement)
 ///                               enqueue
-///     settle -> dispatch        is the node responsive?         (node_health)
-///                               what can't be in time is shed   (load_shedding)
-///                               the next of the node's volumes  (fair_queue, budget_feedback)
-///                               may it be executed again?       (retry_policy, retry_budget)
-///                               capacity at the node            (concurrency_window,
-///                                                                overload_backoff, slow_start)
+///     settle -> dispatch        update the node's health          (node_health)
+///                               shed requests that would be late  (load_shedding)
+///                               select the next volume            (fair_queue, budget_feedback)
+///                               check that a retry is allowed     (retry_policy, retry_budget)
+///                               check the node's capacity         (concurrency_window,
+///                                                                  overload_backoff, slow_start)
 ///                               start_attempt
-///     attempt_completed         what it shows of the node       (attempt_outcome)
-///                               the client has its answer: finish
-///                               it has none: retry, else give_up
+///     attempt_completed         update the node's record          (attempt_outcome)
+///                               client answered: finish
+///                               not answered: retry or give_up
 ///
-/// A request that can't go on waits at its stage. It is given up by its answer deadline at the
-/// latest: rejected with a Retry-After, or failed where it may have been executed.
+/// A request that can't proceed waits at its stage. It is given up no later than its answer
+/// deadline: rejected with a Retry-After, or failed if it may have been executed.
 class RequestScheduler final : public Scheduler {
 public:
     /// @param actions must outlive the scheduler.
-    /// @param seed of all random choices.
+    /// @param seed of the generator for all random choices.
     RequestScheduler(SchedulerActions &actions, std::uint64_t seed);
 
     void configure(const SchedulerConfig &config) override;
@@ -73,7 +73,7 @@
     void settle(Time now) override;
 
 private:
-    // The stages from a request's receipt to its attempt, each of which passes it on or keeps it.
+    // From a request's receipt to the start of its attempt.
     void advance(Request &request);
     QuotaDecision take_quota(Request &request);
     void enqueue(NodeRecord &node, Request &request);
@@ -82,7 +82,7 @@
     bool has_capacity(NodeRecord &node, const Request &request);
     void start_attempt(NodeRecord &node, Request &request);
 
-    // From an attempt's outcome to the request's answer.
+    // From an attempt's outcome to the answer of the request.
     void retry(Request &request);
     bool may_retry(const Request &request, const NodeRecord &node);
     void give_up(Request &request, Time retry_after);
@@ -91,8 +91,8 @@
     void leave_queue(Request &request);
     void erase_if_done(Request &request);
 
-    // What the stages ask.
-    bool ordered(const Request &request);
+    // Queries used by the steps above.
+    bool is_ordered(const Request &request);
     QueueRank rank(const Request &request);
     double relative_value(const NodeRecord &node);
     RepeatTarget repeat_target(const NodeRecord &node, Time now) const;
@@ -104,7 +104,7 @@
 
     SchedulerActions &actions_;
     RandomGenerator random_;
-    // With defaults filled in.
+    // Defaults are already filled in.
     SchedulerConfig config_;
     std::map<WorkloadId, WorkloadConfig> workloads_;
     PlanTable plans_;
@@ -115,7 +115,7 @@
 
     EndpointListPoll endpoint_list_poll_;
     NodeTable nodes_;
-    // Nodes with something waiting or in flight.
+    // Nodes with requests waiting or attempts in flight.
     std::set<NodeId> busy_nodes_;
     SlowStart slow_start_;
     TypicalUnitTime typical_unit_time_;
@@ -123,8 +123,7 @@
     RequestTable requests_;
     KeyOrder key_order_;
     std::map<VolumeId, QuotaShare> quota_shares_;
-    // Units that were requested, by volume.
-    std::map<VolumeId, WindowedSum> requested_;
+    std::map<VolumeId, WindowedSum> requested_units_;
     RetryBudget retry_budget_;
     EarlyDisconnects early_disconnects_;
     RepeatDetector repeat_detector_;
--- a/src/scheduling/waiting_index.hpp
+++ b/src/scheduling/waiting_index.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// What waits at a node, by deadline: so that requests which can't be in time are found without a
-/// look at all of them. With thousands that wait, the look itself would make all of them late.
+/// An index of the requests that wait at a node, by deadline. It finds requests that can't be
+/// answered in time without a scan of all of them: with thousands of waiting requests the scan
+/// itself would make all of them late.
 #pragma once
 
 #include <compare>
@@ -15,7 +16,7 @@
 
 namespace knotvane::scheduling {
 
-/// A request's place in a node's fair queue, in the order of volumes and of their requests.
+/// Position of a request in a node's fair queue, ordered by volume and then by rank.
 struct QueuePosition {
     VolumeId volume;
     QueueRank rank;
@@ -26,13 +27,14 @@
 /// The requests in a node's fair queue, by units and latency deadline.
 class WaitingIndex {
 public:
-    /// @param repeated it repeats an earlier request.
+    /// @param repeated whether the request repeats an earlier one.
     void add(double units, bool repeated, const QueuePosition &position);
 
     void remove(double units, const QueuePosition &position);
 
-    /// @param expected what a request of so many units takes from now on: Time(double units).
-    /// @return those that would be answered past their latency deadline.
+    /// @param expected function Time(double units): the expected time until a request with that
+    ///     many units is answered if it is sent now.
+    /// @return the requests that would be answered after their latency deadline.
     template <class ExpectedDuration>
     std::set<QueuePosition> find_late(Time now, ExpectedDuration expected) const {
         std::set<QueuePosition> result;
@@ -46,13 +48,15 @@
         return result;
     }
 
+    /// @return the waiting requests that repeat an earlier one.
     const std::set<QueuePosition> &repeats() const { return repeats_; }
 
-    /// @return the number of requests that repeat none.
+    /// @return the number of waiting requests that don't repeat an earlier one.
     std::size_t first_request_count() const { return size_ - repeats_.size(); }
 
 private:
-    // Within one number of units the earliest deadline is the first that is missed.
+    // Requests by units, then by latency deadline. Requests with the same units are expected to
+    // take the same time, so that the one with the earliest deadline is the first to be late.
     std::map<double, std::set<std::pair<Time, QueuePosition>>> by_units_;
     std::set<QueuePosition> repeats_;
     std::size_t size_ = 0;
--- a/tests/scheduling/fair_queue_test.cpp
+++ b/tests/scheduling/fair_queue_test.cpp
@@ -24,7 +24,7 @@
     CHECK(FairQueue::charge_of(3, false) == 3);
 }
 
-TEST_CASE("virtual time grows by the charge over the weights of waiting volumes") {
+TEST_CASE("virtual time increases by the charge divided by the weight of the waiting volumes") {
     FairQueue queue(8);
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(second_volume, 3, rank(2));
@@ -33,7 +33,7 @@
     CHECK(queue.virtual_time() == doctest::Approx(1));
 }
 
-TEST_CASE("virtual time never trails the least start tag") {
+TEST_CASE("virtual time is never less than the least start tag of the waiting volumes") {
     FairQueue queue(8);
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
@@ -54,7 +54,7 @@
     CHECK(queue.volumes().at(first_volume).start_tag == doctest::Approx(8));
 }
 
-TEST_CASE("a volume that empties is charged what it sent") {
+TEST_CASE("a volume whose queue becomes empty is charged only for what it sent") {
     FairQueue queue(8);
     queue.enqueue(first_volume, 1, rank(1));
     queue.select(0);
@@ -63,7 +63,7 @@
     CHECK(queue.volumes().at(first_volume).finish_tag == doctest::Approx(2));
 }
 
-TEST_CASE("a budget bounds the charges of a service, but the first request always goes") {
+TEST_CASE("a budget limits the charges of a service, but never stops its first request") {
     FairQueue queue(8);
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
@@ -73,30 +73,32 @@
     CHECK_FALSE(queue.fits_budget(3));
 }
 
-TEST_CASE("exhaustion quadruples a budget, a time-out and attempts in flight double it") {
-    FairQueue queue(1); // new at half of a maximum that is still one largest request: 1
+TEST_CASE("an exhausted budget is quadrupled; a time-out or attempts in flight double it") {
+    FairQueue queue(1); // the rate is unknown, so the maximum and the first budget are 1
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
     queue.select(0);
     queue.request_sent(rank(1), 100, 1);
-    queue.end_exhausted_service(50 * ms); // 100 units in 50 ms: 2000 a second, 250 in a slice
+    // 100 units in 50 ms are 2000 units per second or 250 units per slice.
+    queue.end_exhausted_service(50 * ms);
     CHECK(queue.max_budget() == doctest::Approx(250));
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(4));
     queue.select(50 * ms);
-    queue.select(175 * ms); // cut off by the slice
+    queue.select(175 * ms); // the slice is over
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(8));
-    CHECK(queue.rate() == doctest::Approx(1750)); // seven eighths: nothing was sent in that service
+    // 7/8 of the rate before: nothing was sent in the service that timed out.
+    CHECK(queue.rate() == doctest::Approx(1750));
     queue.request_sent(rank(2), 1, 1);
-    queue.select(180 * ms); // emptied with attempts in flight
+    queue.select(180 * ms); // no request waits, attempts are in flight
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(16));
     queue.attempt_ended(first_volume);
     queue.attempt_ended(first_volume);
     queue.enqueue(second_volume, 1, rank(3));
     CHECK(queue.volumes().at(second_volume).budget ==
-          doctest::Approx(1750 * 0.125 / 2)); // new: half the maximum
+          doctest::Approx(1750 * 0.125 / 2)); // a new volume starts with half the maximum
 }
 
-TEST_CASE("a volume whose start tag is past virtual time isn't eligible") {
+TEST_CASE("a volume whose start tag is after virtual time isn't eligible") {
     FairQueue queue(8);
     queue.enqueue(first_volume, 1, rank(1));
     queue.enqueue(first_volume, 1, rank(2));
--- a/tests/scheduling/key_order_test.cpp
+++ b/tests/scheduling/key_order_test.cpp
@@ -7,9 +7,9 @@
 namespace knotvane::scheduling {
 namespace {
 
-// A connection may be reset while its node still executes a write. If the key's next write went out
-// at once it might be executed first, and the older one would then overwrite it.
-TEST_CASE("requests of one key run one at a time, in order, with a rest after a reset") {
+// A connection may be reset while the node is still executing a write. If the key's next write were
+// sent at once, it could be executed first and then be overwritten by the older one.
+TEST_CASE("requests with the same key run one at a time, with a cooldown after a reset") {
     SchedulerFixture fixture;
     WorkloadConfig ordered = SchedulerFixture::workload();
     ordered.ordered_by_key = true;
@@ -26,7 +26,7 @@
     CHECK(fixture.actions.count("start 3") == 0);
 }
 
-TEST_CASE("only the first request of a key may run; the next may when it is removed") {
+TEST_CASE("only the first request of a key may run; once it is removed the next one may") {
     constexpr KeyId key{42};
     constexpr KeyId other_key{43};
     KeyOrder order;
@@ -40,7 +40,7 @@
     CHECK(order.may_run(key, RequestId{1}, 0));
 }
 
-TEST_CASE("a key's rest outlasts its requests, and the longer of two rests counts") {
+TEST_CASE("a key stays blocked after its requests are removed, until the later of two times") {
     constexpr KeyId key{42};
     KeyOrder order;
     order.enqueue(key, RequestId{1});
--- a/tests/scheduling/request_table_test.cpp
+++ b/tests/scheduling/request_table_test.cpp
@@ -11,7 +11,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("answer deadlines come in their order, also of requests in another order") {
+TEST_CASE("answer deadlines are returned earliest first, whatever the order of the requests") {
     RequestTable requests;
     for (std::uint64_t id = 1; id <= 3; ++id) {
         Request &request = requests.add(RequestId{id});
@@ -28,7 +28,7 @@
     CHECK(requests.next_answer_deadline() == never);
 }
 
-TEST_CASE("a request is found until it is erased; unplaced ones come in the order of ids") {
+TEST_CASE("a request is found until it is erased, and unplaced requests are sorted by id") {
     RequestTable requests;
     for (std::uint64_t id : {2U, 1U})
         requests.set_unplaced(requests.add(RequestId{id}));
--- a/tests/scheduling/retry_budget_test.cpp
+++ b/tests/scheduling/retry_budget_test.cpp
@@ -5,9 +5,9 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("retries stay within the free ones and a part of the requests received") {
+TEST_CASE("retries are limited to the free ones plus a fraction of the requests received") {
     RetryBudget budget;
-    budget.configure({0.5, 1, sec}); // with two requests: 2
+    budget.configure({0.5, 1, sec}); // allows 2 retries for two requests
     budget.request_received(0);
     budget.request_received(0);
     budget.retry_started(0);
@@ -17,7 +17,7 @@
     CHECK(budget.allows_retry(sec + 1));
 }
 
-TEST_CASE("at the window's edge a retry still counts and a request doesn't any more") {
+TEST_CASE("exactly one window later a retry still counts, but a request no longer does") {
     RetryBudget budget;
     budget.configure({1, 0, sec});
     budget.request_received(0);
@@ -28,7 +28,7 @@
     CHECK_FALSE(budget.allows_retry(2 * sec));
 }
 
-TEST_CASE("without a window retries aren't limited") {
+TEST_CASE("retries aren't limited if the window is 0") {
     RetryBudget budget;
     budget.configure({0, 0, 0});
     budget.retry_started(0);
--- a/tests/scheduling/retry_policy_test.cpp
+++ b/tests/scheduling/retry_policy_test.cpp
@@ -19,9 +19,9 @@
     return request;
 }
 
-// If a client were told that nothing was done while an attempt still ran, it would ask again and
-// its write would be executed twice.
-TEST_CASE("no rejection where an attempt may have been executed and no scope drops the repeat") {
+// If a client were told that its request was not executed while an attempt was still running, it
+// would repeat the request and its write would be executed twice.
+TEST_CASE("a request that may have been executed isn't rejected unless all nodes drop repeats") {
     Request request = request_with({});
     CHECK_FALSE(may_reject(request, workload_of(Idempotency::at_most_once)));
     CHECK_FALSE(
@@ -31,8 +31,8 @@
     CHECK(may_reject(request, workload_of(Idempotency::at_most_once)));
 }
 
-// Nodes forget an idempotency key after its window, and share it within its scope only: a repeat
-// past either would be executed a second time.
+// Nodes keep an idempotency key only for the deduplication window and share it only within its
+// scope: a repeat outside of either would be executed a second time.
 TEST_CASE("a deduplicated request is repeated only within its scope and window") {
     Request request = request_with({{NodeId{1}, ShardId{1}, ZoneId{0}}, 0, false, false});
     WorkloadConfig workload = workload_of(Idempotency::deduplicated, DeduplicationScope::shard);
@@ -45,7 +45,7 @@
     CHECK_FALSE(may_start_attempt(request, workload, limits, {other_shard, 0, 0}));
 }
 
-TEST_CASE("no parallel attempts where they are forbidden, and no more than the maximum") {
+TEST_CASE("attempts run in parallel only if allowed, and never exceed the maximum number") {
     Request request = request_with({{NodeId{1}, ShardId{1}, ZoneId{0}}, 0, true, false});
     const RepeatTarget target = {{NodeId{1}, ShardId{0}, ZoneId{0}}, 0, 0};
     CHECK_FALSE(may_start_attempt(request, {}, {3, false, false}, target));
@@ -53,7 +53,8 @@
     CHECK_FALSE(may_start_attempt(request, {}, {1, true, false}, target));
 }
 
-TEST_CASE("only an overloaded, unreachable or unsent attempt proves that it was not executed") {
+TEST_CASE(
+    "only the outcomes overloaded, unreachable and not_sent prove that nothing was executed") {
     CHECK(proves_not_executed(AttemptOutcome::overloaded));
     CHECK(proves_not_executed(AttemptOutcome::unreachable));
     CHECK(proves_not_executed(AttemptOutcome::not_sent));
@@ -64,17 +65,17 @@
     CHECK_FALSE(proves_not_executed(AttemptOutcome::canceled));
 }
 
-TEST_CASE("an attempt that must never run twice is repeated only where none was executed") {
+TEST_CASE("an at-most-once request is repeated only if no attempt may have been executed") {
     const NodeLocation location = {NodeId{1}, ShardId{1}, ZoneId{0}};
     Request request = request_with({location, 0, false, false});
     WorkloadConfig workload = workload_of(Idempotency::at_most_once);
-    workload.deduplication_window = sec; // not read
+    workload.deduplication_window = sec; // not used for at-most-once requests
     CHECK_FALSE(is_repeat_safe(request, 1, workload, {location, 0, 0}));
     request.attempts[0].not_executed = true;
     CHECK(is_repeat_safe(request, 1, workload, {location, 0, 0}));
 }
 
-TEST_CASE("a scope of one zone drops repeats at other shards, not in other zones") {
+TEST_CASE("with the zone as scope a request may be repeated at another shard of its zone only") {
     Request request = request_with({{NodeId{1}, ShardId{1}, ZoneId{0}}, 0, false, false});
     WorkloadConfig workload = workload_of(Idempotency::deduplicated, DeduplicationScope::zone);
     workload.deduplication_window = sec;
--- a/tests/scheduling/scheduler_core_test.cpp
+++ b/tests/scheduling/scheduler_core_test.cpp
@@ -8,7 +8,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("a request that waits is answered before its client's timeout") {
+TEST_CASE("a waiting request is answered before its client's timeout") {
     SchedulerFixture fixture;
     fixture.receive(0, 1); // no node is listed
     fixture.scheduler->settle(0);
@@ -28,7 +28,7 @@
     CHECK(fixture.actions.count("reject 1") == 1);
 }
 
-TEST_CASE("no attempt goes to a node that drains") {
+TEST_CASE("no attempt is started at a draining node") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0, NodeState::draining);
     fixture.receive(0, 1);
@@ -46,8 +46,9 @@
     CHECK(fixture.actions.count("start") == 0);
 }
 
-// An answer that leaves after the client's timeout reaches nobody: it leaves two steps before.
-TEST_CASE("the last answer leaves two steps before the client's timeout") {
+// A rejection sent in one time step may arrive a step later. It is sent two steps before the
+// client's timeout, because after the timeout the client would not receive it.
+TEST_CASE("a request is rejected two time steps before its client's timeout") {
     SchedulerFixture fixture;
     fixture.scheduler->set_workload(WorkloadId{0}, SchedulerFixture::workload(10 * sec));
     fixture.receive(0, 1);
@@ -57,7 +58,7 @@
     CHECK(fixture.actions.count("reject") == 1);
 }
 
-TEST_CASE("an attempt isn't sent any more to a node that drains, nor for a client that left") {
+TEST_CASE("an attempt may not be sent once its node drains or its request is canceled") {
     for (bool drains : {false, true}) {
         SchedulerFixture fixture;
         fixture.list_endpoints(0);
@@ -72,7 +73,7 @@
     }
 }
 
-TEST_CASE("attempts of an ended request are canceled where the settings say so") {
+TEST_CASE("attempts of an ended request are canceled only if cancel_abandoned is set") {
     for (bool cancels : {false, true}) {
         SchedulerFixture fixture;
         fixture.config.attempts.cancel_abandoned = cancels;
@@ -85,13 +86,13 @@
     }
 }
 
-/// A volume's share of five units a second, ten at once.
+/// Gives the volume a limit of which this scheduler has 5 units per second and a burst of 10 units.
 void set_limit(const SchedulerFixture &fixture) {
     fixture.scheduler->set_plan(PlanId{0}, {1, 10, 0, 1, 10, 20});
     fixture.scheduler->start(0);
 }
 
-TEST_CASE("a request that ends before it is sent gives its units back") {
+TEST_CASE("a request that ends before it is sent returns its units to the quota share") {
     SchedulerFixture fixture;
     set_limit(fixture);
     fixture.receive(2 * sec, 1, 1, 0, 8); // no node is listed yet
@@ -103,7 +104,7 @@
     CHECK(fixture.actions.count("start 2") == 1);
 }
 
-TEST_CASE("units that are sent leave the share to be filled again") {
+TEST_CASE("the quota share fills up again after its units have been sent") {
     SchedulerFixture fixture;
     set_limit(fixture);
     fixture.list_endpoints(0);
@@ -115,7 +116,7 @@
     CHECK(fixture.actions.count("start") == 2);
 }
 
-TEST_CASE("a request larger than its share when full is rejected at once") {
+TEST_CASE("a request larger than a full quota share is rejected at once") {
     SchedulerFixture fixture;
     set_limit(fixture);
     fixture.list_endpoints(0);
@@ -126,7 +127,7 @@
     CHECK(fixture.actions.count("reject 2") == 1);
 }
 
-TEST_CASE("a retry that can't be in time isn't made") {
+TEST_CASE("no retry is started if it can't be answered in time") {
     for (Time ended_at : {499 * ms, 500 * ms}) {
         SchedulerFixture fixture;
         fixture.list_endpoints(0);
@@ -139,7 +140,7 @@
     }
 }
 
-TEST_CASE("a retry beyond the budget isn't made") {
+TEST_CASE("no retry is started beyond the retry budget") {
     SchedulerFixture fixture;
     fixture.config.retry_budget = {0, 1, sec};
     fixture.scheduler->configure(fixture.config);
@@ -154,13 +155,13 @@
     CHECK(fixture.actions.count("reject") == 1);
 }
 
-TEST_CASE("what waits at a node that drains goes to the node that replaces it") {
+TEST_CASE("requests that wait at a draining node are sent to the node that replaces it") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i <= 3; ++i)
         fixture.receive(0, i);
     fixture.scheduler->settle(0);
-    REQUIRE(fixture.actions.count("start") == 2); // the third waits behind a full window
+    REQUIRE(fixture.actions.count("start") == 2); // the concurrency window is full, the third waits
     fixture.scheduler->endpoint_list_begin(ms, EndpointListKind::delta);
     fixture.scheduler->endpoint_listed({NodeId{1}, ShardId{1}, ZoneId{0}, NodeState::draining, 0});
     fixture.scheduler->endpoint_listed({NodeId{3}, ShardId{1}, ZoneId{0}, NodeState::ready, 0});
@@ -169,8 +170,8 @@
     CHECK(fixture.actions.count("start 3 3") == 1);
 }
 
-// After a reset the node may still execute the write; see key_order.
-TEST_CASE("after an attempt that may still run its key rests") {
+// After a reset the node may still execute the write; key_order_test.cpp tells what could happen.
+TEST_CASE("a key is blocked for its cooldown after an attempt that may still be running") {
     SchedulerFixture fixture;
     fixture.config.attempts.max_attempts = 1;
     fixture.scheduler->configure(fixture.config);
@@ -189,7 +190,7 @@
     CHECK(fixture.actions.count("start 2") == 1);
 }
 
-TEST_CASE("a request that may have been executed fails, and isn't rejected") {
+TEST_CASE("an at-most-once request that may have been executed fails instead of being rejected") {
     SchedulerFixture fixture;
     WorkloadConfig workload = SchedulerFixture::workload();
     workload.idempotency = Idempotency::at_most_once;
@@ -202,21 +203,22 @@
     CHECK(fixture.actions.count("reject") == 0);
 }
 
-TEST_CASE("the timer is set for what waits, and only where it isn't due sooner") {
+TEST_CASE("the timer is set while requests wait, unless it already expires sooner") {
     SchedulerFixture fixture;
     fixture.scheduler->settle(0);
-    CHECK(fixture.actions.timers.empty());
+    CHECK(fixture.actions.timer_delays.empty());
     fixture.receive(0, 1); // no node is listed
     fixture.scheduler->settle(0);
     fixture.scheduler->settle(ms);
-    CHECK(fixture.actions.timers == std::vector<Time>{5 * ms});
+    CHECK(fixture.actions.timer_delays == std::vector<Time>{5 * ms});
     fixture.scheduler->timer_expired(5 * ms, TimerId{1});
     fixture.scheduler->settle(5 * ms);
-    CHECK(fixture.actions.timers == std::vector<Time>{5 * ms, 5 * ms});
+    CHECK(fixture.actions.timer_delays == std::vector<Time>{5 * ms, 5 * ms});
 }
 
-TEST_CASE("an unresponsive node gets one trial attempt in this scheduler's slot, none before") {
-    SchedulerFixture fixture; // the first of two schedulers
+TEST_CASE(
+    "an unresponsive node gets one trial attempt in this scheduler's time slot, none before") {
+    SchedulerFixture fixture; // scheduler 0 of two
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i <= 2; ++i)
         fixture.receive(10 * sec, i);
--- a/tests/scheduling/scheduler_fixture.hpp
+++ b/tests/scheduling/scheduler_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the tests of this package share: recorded actions, and a scheduler set up by hand.
+/// Shared by this package's tests: recorded actions, and a scheduler configured for tests.
 #pragma once
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 
 namespace knotvane::scheduling {
 
-/// Records each action as a line, in order, and timers apart.
+/// Records each action as a line of text, in the order of the calls; timers are kept separately.
 struct RecordedActions final : SchedulerActions {
     std::vector<std::string> lines;
-    /// Delays of set_timer.
-    std::vector<Time> timers;
+    /// Delays passed to set_timer.
+    std::vector<Time> timer_delays;
 
     void start_attempt(RequestId request, NodeId node, Time /*timeout*/) override {
         record("start " + std::to_string(request.value) + " " + std::to_string(node.value));
@@ -34,11 +34,11 @@
 
     void fail(RequestId request) override { record("fail " + std::to_string(request.value)); }
 
-    void set_timer(TimerId /*timer*/, Time delay) override { timers.push_back(delay); }
+    void set_timer(TimerId /*timer*/, Time delay) override { timer_delays.push_back(delay); }
 
     void watch_endpoints() override { record("watch"); }
 
-    /// @return the number of lines that begin so.
+    /// @return the number of lines that begin with `prefix`.
     std::size_t count(const std::string &prefix) const {
         return static_cast<std::size_t>(
             std::count_if(lines.begin(), lines.end(),
@@ -49,8 +49,8 @@
     void record(std::string line) { lines.push_back(std::move(line)); }
 };
 
-/// One of two schedulers of two nodes, with one plain workload (0) and one plan (0); tests change
-/// what they need.
+/// One of two schedulers that share two nodes, with one idempotent workload (0) and one plan (0).
+/// Tests change the configuration where they need another one.
 struct SchedulerFixture {
     RecordedActions actions;
     std::unique_ptr<Scheduler> scheduler = make_scheduler(actions, 7);
@@ -74,7 +74,8 @@
         return config;
     }
 
-    /// A full endpoint list: nodes 1 and 2, each with the shard of its number.
+    /// Passes a full endpoint list with nodes 1 and 2, each of which holds the shard of its number.
+    /// @param first_state and `first_started_at` are those of node 1.
     void list_endpoints(Time now, NodeState first_state = NodeState::ready,
                         Time first_started_at = 0) const {
         scheduler->endpoint_list_begin(now, EndpointListKind::full);
@@ -84,7 +85,7 @@
         scheduler->endpoint_list_end();
     }
 
-    /// A request of volume 5 whose client waits for two seconds.
+    /// Passes a request for volume 5 whose client waits for two seconds.
     void receive(Time now, std::uint64_t id, int shard = 1, std::uint64_t key = 0,
                  double units = 2) const {
         RequestInfo request;
@@ -98,6 +99,7 @@
         scheduler->request_received(now, request);
     }
 
+    /// Passes the end of an attempt at node 1; the outcome answered also answers the client.
     void complete(Time now, std::uint64_t id, AttemptOutcome outcome, Time duration = 10 * ms,
                   std::uint32_t attempt = 0) const {
         scheduler->attempt_completed(now, {RequestId{id}, AttemptId{attempt}, NodeId{1}, outcome,
--- a/tests/scheduling/waiting_index_test.cpp
+++ b/tests/scheduling/waiting_index_test.cpp
@@ -13,7 +13,7 @@
     return {VolumeId{volume}, {0, latency_deadline, RequestId{request}}};
 }
 
-TEST_CASE("requests are late by what one of their units is expected to take") {
+TEST_CASE("a request is late if the time expected for its units ends after its deadline") {
     WaitingIndex waiting;
     QueuePosition small = position(1, 1, 100 * ms);
     QueuePosition large = position(2, 2, 100 * ms);
@@ -30,7 +30,7 @@
     CHECK(waiting.find_late(20 * ms + 1, expected).empty());
 }
 
-TEST_CASE("repeats are known apart from first requests") {
+TEST_CASE("repeats are counted separately from first requests") {
     WaitingIndex waiting;
     QueuePosition first = position(1, 1, 100 * ms);
     QueuePosition repeat = position(1, 2, 100 * ms);
