--- a/src/scheduler_setup/checked_input.cpp
+++ b/src/scheduler_setup/checked_input.cpp
@@ -5,7 +5,7 @@
 namespace knotvane::scheduler_setup {
 namespace {
 
-// Nanoseconds of a longer span don't fit a Time.
+// The nanoseconds of a longer time don't fit into a Time.
 constexpr double max_seconds = 9e9;
 constexpr double microseconds_per_second = 1e6;
 
@@ -13,7 +13,7 @@
 
 Time time_from_seconds(double seconds, const std::string &name) {
     if (!std::isfinite(seconds) || std::abs(seconds) > max_seconds)
-        throw MalformedInput(name + ": not a time");
+        throw MalformedInput(name + ": expected a number of seconds from -9e9 to 9e9");
     return static_cast<Time>(std::llround(seconds * microseconds_per_second)) * us;
 }
 
--- a/src/scheduler_setup/checked_input.hpp
+++ b/src/scheduler_setup/checked_input.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What checks of input from outside the process share.
+/// Error type and conversions for the validation of input from outside the process.
 #pragma once
 
 #include <stdexcept>
@@ -9,14 +9,16 @@
 
 namespace knotvane::scheduler_setup {
 
-/// Input that its format doesn't allow. The message names the field and what is wrong with it.
+/// Thrown for input that violates its format. The message names the field and what is wrong with
+/// it.
 struct MalformedInput : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// Converts seconds to nanoseconds, rounded to the whole microseconds that the simulator counts in.
-/// @param name of the field, for the error's message.
-/// @throws MalformedInput if `seconds` isn't finite or is more than 9e9 from zero.
+/// Converts seconds to nanoseconds, rounded to whole microseconds, which is the resolution of the
+/// simulator's clock.
+/// @param name of the field, used in the error message.
+/// @throws MalformedInput if `seconds` isn't finite or its absolute value is more than 9e9.
 Time time_from_seconds(double seconds, const std::string &name);
 
 } // namespace knotvane::scheduler_setup
--- a/src/scheduler_setup/options.cpp
+++ b/src/scheduler_setup/options.cpp
@@ -8,7 +8,7 @@
 
 constexpr double max_count = 1e6;
 
-// A value that can't be read is quoted in the error's message up to this many bytes.
+// Error messages quote at most this many bytes of an invalid value.
 constexpr std::size_t max_quoted = 80;
 
 std::string quoted(std::string_view value) {
@@ -29,7 +29,8 @@
 
         auto equals = line.find('=');
         if (equals == std::string_view::npos)
-            throw MalformedInput("setting without '=': " + quoted(line));
+            throw MalformedInput("settings line without '=': expected path=value, got " +
+                                 quoted(line));
         values_[std::string(line.substr(0, equals))] = line.substr(equals + 1);
     }
 }
@@ -39,23 +40,26 @@
     return it == values_.end() ? std::string() : it->second;
 }
 
-double Options::number(const std::string &path, double absent) const {
+double Options::number(const std::string &path, double default_value) const {
     auto it = values_.find(path);
     if (it == values_.end())
-        return absent;
+        return default_value;
     const std::string &value = it->second;
     const char *value_end = value.data() + value.size();
     double parsed = 0;
     auto [end, error] = std::from_chars(value.data(), value_end, parsed);
     if (error != std::errc() || end != value_end || !std::isfinite(parsed))
-        throw MalformedInput("setting " + path + ": not a number: " + quoted(value));
+        throw MalformedInput("setting " + path + ": expected a finite number, got " +
+                             quoted(value));
     return parsed;
 }
 
-std::uint32_t Options::count(const std::string &path, std::uint32_t absent) const {
-    double value = number(path, absent);
+std::uint32_t Options::count(const std::string &path, std::uint32_t default_value) const {
+    double value = number(path, default_value);
     if (value < 0 || value > max_count || value != std::floor(value))
-        throw MalformedInput("setting " + path + ": not a count: " + quoted(text(path)));
+        throw MalformedInput("setting " + path +
+                             ": expected a whole number from 0 to 1000000, got " +
+                             quoted(text(path)));
     return static_cast<std::uint32_t>(value);
 }
 
@@ -69,7 +73,7 @@
         return true;
     if (value.empty() || value == "false")
         return false;
-    throw MalformedInput("setting " + path + ": not true or false: " + quoted(value));
+    throw MalformedInput("setting " + path + ": expected true or false, got " + quoted(value));
 }
 
 } // namespace knotvane::scheduler_setup
--- a/src/scheduler_setup/options.hpp
+++ b/src/scheduler_setup/options.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The settings that a scheduler is started with.
+/// The settings with which a scheduler is started.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,14 @@
 
 namespace knotvane::scheduler_setup {
 
-/// Settings as text by path, such as "Permissions.MaxAttempts". A setting that is absent reads as
-/// empty, zero or false unless its reader is given another value. Readers throw MalformedInput,
-/// with the path, for a value of the wrong kind.
+/// Settings as text by path, such as "Permissions.MaxAttempts". For a setting that is absent the
+/// accessors return an empty text, zero or false, or the default that they are given. They throw
+/// MalformedInput, with the path in the message, for a value of the wrong type.
 class Options {
 public:
-    /// @param text a line "path=value" for each setting. Empty lines are skipped and a carriage
-    /// return at a line's end is dropped; of lines with one path the last counts.
+    /// @param text one line "path=value" for each setting. Empty lines are skipped, and a carriage
+    ///     return at the end of a line is removed. If a path occurs more than once its last line
+    ///     is used.
     /// @throws MalformedInput for a line without '='.
     explicit Options(std::string_view text);
 
@@ -27,16 +28,16 @@
 
     std::string text(const std::string &path) const;
 
-    /// Returns a finite number.
-    double number(const std::string &path, double absent = 0) const;
+    /// @return the value as a finite number.
+    double number(const std::string &path, double default_value = 0) const;
 
-    /// Returns a whole number from 0 to a million.
-    std::uint32_t count(const std::string &path, std::uint32_t absent = 0) const;
+    /// @return the value as a whole number from 0 to 1000000.
+    std::uint32_t count(const std::string &path, std::uint32_t default_value = 0) const;
 
-    /// Returns a setting that is written in seconds.
+    /// @return the value, a number of seconds, as a Time.
     Time time(const std::string &path) const;
 
-    /// Returns whether a setting is "true"; "false" and empty are false.
+    /// @return whether the value is "true"; "false" and an empty value are false.
     bool flag(const std::string &path) const;
 
 private:
--- a/src/scheduler_setup/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -6,7 +6,7 @@
 namespace knotvane::scheduler_setup {
 namespace {
 
-// A value that can't be read is quoted in the error's message up to this many bytes.
+// Error messages quote at most this many bytes of an invalid value.
 constexpr std::size_t max_quoted = 80;
 
 Idempotency idempotency(const std::string &name, const std::string &path) {
@@ -16,7 +16,9 @@
         return Idempotency::deduplicated;
     if (name == "at_most_once")
         return Idempotency::at_most_once;
-    throw MalformedInput("setting " + path + ": unknown effect: " + name.substr(0, max_quoted));
+    throw MalformedInput("setting " + path +
+                         ": expected idempotent, deduplicated or at_most_once, got " +
+                         name.substr(0, max_quoted));
 }
 
 DeduplicationScope deduplication_scope(const std::string &name, const std::string &path) {
@@ -26,12 +28,13 @@
         return DeduplicationScope::zone;
     if (name == "cell")
         return DeduplicationScope::shard;
-    throw MalformedInput("setting " + path + ": unknown group: " + name.substr(0, max_quoted));
+    throw MalformedInput("setting " + path + ": expected all, zone or cell, got " +
+                         name.substr(0, max_quoted));
 }
 
 WorkloadConfig workload_config(const Options &options, std::uint32_t index) {
     const std::string prefix = "Classes." + std::to_string(index) + ".";
-    // Without an objective of its own a class is in time until its deadline.
+    // Without an objective of its own, a class's answers are in time until its deadline.
     const char *objective = options.has(prefix + "TargetS") ? "TargetS" : "DeadlineS";
     WorkloadConfig workload;
     workload.latency_objective = options.time(prefix + objective);
--- a/src/scheduler_setup/setup.hpp
+++ b/src/scheduler_setup/setup.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Configures a scheduler from the site's settings, in one way for every program that runs one.
+/// Configures a scheduler from the site's settings. Shared by all programs that run a scheduler
+/// with these settings.
 #pragma once
 
 #include "scheduler_setup/options.hpp"
@@ -7,9 +8,9 @@
 
 namespace knotvane::scheduler_setup {
 
-/// Makes all calls that configure a scheduler: configure, set_workload and set_plan. The settings'
-/// paths are those of the simulator's boot record.
-/// @throws MalformedInput with the path of a setting that is wrong.
+/// Makes all calls that configure a scheduler: configure, set_workload and set_plan. The settings
+/// have the paths of the simulator's start record.
+/// @throws MalformedInput if a setting is invalid; the message names its path.
 void configure_scheduler(Scheduler &scheduler, const Options &options);
 
 } // namespace knotvane::scheduler_setup
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -16,27 +16,27 @@
 using scheduler_setup::MalformedInput;
 
 AttemptOutcome to_outcome(std::uint16_t number) {
-    // The wire's numbers are the enumerators' in order.
+    // The enumerators have the numbers of the wire format.
     if (number > static_cast<std::uint16_t>(AttemptOutcome::not_sent))
-        throw MalformedInput("outcome " + std::to_string(number) + " is unknown");
+        throw MalformedInput("outcome: unknown number " + std::to_string(number));
     return static_cast<AttemptOutcome>(number);
 }
 
 NodeState to_node_state(std::uint8_t number) {
-    // The wire's numbers are the enumerators' in order.
+    // The enumerators have the numbers of the wire format.
     if (number > static_cast<std::uint8_t>(NodeState::ready))
-        throw MalformedInput("node state " + std::to_string(number) + " is unknown");
+        throw MalformedInput("node state: unknown number " + std::to_string(number));
     return static_cast<NodeState>(number);
 }
 
 ShardId to_shard(float number) {
     constexpr float max_shard = 65535;
     if (!(number >= static_cast<float>(no_shard.value) && number <= max_shard))
-        throw MalformedInput("shard: not a shard");
+        throw MalformedInput("shard: expected a number from -1 to 65535");
     return ShardId{static_cast<std::int32_t>(number)};
 }
 
-/// Load reports are checked and not used.
+/// Checks the format of a load report, which is otherwise not used.
 void skip_load_report(RecordReader &fields) {
     auto size = fields.optional<std::uint8_t>("report size");
     for (std::uint8_t i = 0; i < size; ++i)
@@ -82,7 +82,7 @@
     request.client_timeout = fields.time("client timeout");
     request.units = fields.optional<float>("units");
     if (!std::isfinite(request.sharers) || !std::isfinite(request.units))
-        throw MalformedInput("request: sharers or units is not a number");
+        throw MalformedInput("sharers and units: expected finite numbers");
     return request;
 }
 
@@ -132,7 +132,8 @@
         } catch (const MalformedInput &error) {
             throw MalformedInput("record " + std::to_string(code) + ": " + error.what());
         } catch (const std::exception &error) {
-            return Fault{target_.value_or(0), std::string("decisions failed: ") + error.what()};
+            return Fault{target_.value_or(0), std::string("scheduler failed on record ") +
+                                                  std::to_string(code) + ": " + error.what()};
         }
     }
     return std::nullopt;
@@ -152,13 +153,13 @@
 
 void SimulatorAdapter::handle_event(InputRecord code, RecordReader fields) {
     if (!target_)
-        throw MalformedInput("event before any instance is named");
+        throw MalformedInput("event without a preceding target_instance record in its frame");
     if (code == InputRecord::kill)
         return kill_instance();
 
-    auto &listed = instances_with_events_;
-    if (std::find(listed.begin(), listed.end(), *target_) == listed.end())
-        listed.push_back(*target_);
+    auto &instances = instances_with_events_;
+    if (std::find(instances.begin(), instances.end(), *target_) == instances.end())
+        instances.push_back(*target_);
     if (code == InputRecord::start)
         return start_instance(fields);
 
@@ -192,7 +193,7 @@
 void SimulatorAdapter::store_endpoint_list(RecordReader fields) {
     auto number = fields.required<std::uint16_t>("list number");
     if (number >= endpoint_lists_.size())
-        throw MalformedInput("list number " + std::to_string(number) + " is past " +
+        throw MalformedInput("list number " + std::to_string(number) + ": expected at most " +
                              std::to_string(endpoint_lists_.size() - 1));
     auto count = fields.optional<std::uint32_t>("list size");
     std::vector<Endpoint> endpoints;
@@ -219,16 +220,17 @@
 }
 
 void SimulatorAdapter::update_endpoints(Scheduler &scheduler, RecordReader fields) {
-    auto number_of_kind = fields.required<std::uint8_t>("list kind");
-    auto kind = static_cast<EndpointUpdateKind>(number_of_kind);
+    auto kind_number = fields.required<std::uint8_t>("list kind");
+    auto kind = static_cast<EndpointUpdateKind>(kind_number);
     fields.optional<std::uint64_t>("list version");
     auto list_number = fields.optional<std::uint16_t>("list number");
     if (kind == EndpointUpdateKind::failed)
         return scheduler.endpoint_list_failed(now_);
     if (kind > EndpointUpdateKind::delta)
-        throw MalformedInput("list kind " + std::to_string(number_of_kind) + " is unknown");
+        throw MalformedInput("list kind: unknown number " + std::to_string(kind_number));
     if (list_number >= endpoint_lists_.size() || !endpoint_lists_[list_number])
-        throw MalformedInput("list number " + std::to_string(list_number) + " was never given");
+        throw MalformedInput("list number " + std::to_string(list_number) +
+                             ": no endpoint_list record with this number was received");
 
     scheduler.endpoint_list_begin(now_, kind == EndpointUpdateKind::delta ? EndpointListKind::delta
                                                                           : EndpointListKind::full);
@@ -246,7 +248,7 @@
         try {
             instance.scheduler->settle(now_);
         } catch (const std::exception &error) {
-            return Fault{id, std::string("decisions failed: ") + error.what()};
+            return Fault{id, std::string("scheduler failed in settle: ") + error.what()};
         }
         std::string records = instance.actions.take_records();
         if (!records.empty())
@@ -258,11 +260,11 @@
 
 SimulatorAdapter::Instance &SimulatorAdapter::target_instance() {
     if (!target_)
-        throw MalformedInput("event before any instance is named");
+        throw MalformedInput("event without a preceding target_instance record in its frame");
     auto it = instances_.find(*target_);
     if (it == instances_.end())
         throw MalformedInput("event for instance " + std::to_string(*target_) +
-                             ", which was never started");
+                             ", which isn't running");
     return *it->second;
 }
 
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Runs schedulers behind the simulator's wire.
+/// Runs schedulers that are driven over the simulator's wire protocol.
 #pragma once
 
 #include <array>
@@ -18,23 +18,25 @@
 
 namespace knotvane::simulator_adapter {
 
-/// Runs any number of schedulers, each for an instance of the simulated site. It decides nothing: a
-/// decoded record goes straight into a call, and a call goes straight out as a record.
+/// Runs any number of schedulers, one for each scheduler instance of the simulated site. It makes
+/// no decisions: each input record becomes a call of a scheduler, and each action of a scheduler
+/// becomes an output record.
 class SimulatorAdapter {
 public:
-    /// Handles one frame, its length included, and returns the frame that answers it. A scheduler
-    /// that throws is answered with a fault record.
-    /// @throws scheduler_setup::MalformedInput on what the wire doesn't allow.
+    /// Handles one input frame.
+    /// @param frame includes its length field.
+    /// @return the reply frame. If a scheduler throws, the reply ends with a fault record.
+    /// @throws scheduler_setup::MalformedInput if the frame violates the wire format.
     std::string handle_frame(std::string_view frame);
 
 private:
-    /// One scheduler process of the simulated site.
+    /// A scheduler instance of the simulated site.
     struct Instance {
         RecordActions actions;
         std::unique_ptr<Scheduler> scheduler;
     };
 
-    /// A scheduler's failure: the instance and what to tell of it.
+    /// An exception that a scheduler threw, with the instance that it is reported for.
     struct Fault {
         std::uint32_t instance;
         std::string text;
@@ -48,16 +50,17 @@
     void kill_instance();
     void update_endpoints(Scheduler &scheduler, RecordReader fields);
 
-    /// Ends the moment for every instance that had an event, and appends their actions.
+    /// Calls settle for every instance that had an event in this frame, and appends the records of
+    /// their actions to the reply.
     std::optional<Fault> settle(std::string &reply);
 
-    /// @throws MalformedInput if no instance was named or the one named last isn't running.
+    /// @throws MalformedInput if no target was named in this frame or the target isn't running.
     Instance &target_instance();
 
     Time now_ = 0;
-    /// The instance that the frame named last.
+    /// The instance that the last target_instance record of this frame named.
     std::optional<std::uint32_t> target_;
-    /// Those that had an event in this frame, in the order of their first ones.
+    /// Instances that had an event in this frame, in the order of their first events.
     std::vector<std::uint32_t> instances_with_events_;
     std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
     std::array<std::optional<std::vector<Endpoint>>, endpoint_list_count> endpoint_lists_;
--- a/src/simulator_adapter/record_actions.hpp
+++ b/src/simulator_adapter/record_actions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A scheduler's actions as records.
+/// Writes a scheduler's actions as records.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace knotvane::simulator_adapter {
 
-/// Writes each action as a record, in the order of the calls.
+/// Encodes each action as a record, in the order of the calls.
 class RecordActions final : public SchedulerActions {
 public:
-    /// Returns the records since the last call.
+    /// @return the records written since the last call of take_records.
     std::string take_records();
 
     void start_attempt(RequestId request, NodeId node, Time timeout) override;
--- a/src/simulator_adapter/record_reader.hpp
+++ b/src/simulator_adapter/record_reader.hpp
@@ -13,12 +13,13 @@
 
 namespace knotvane::simulator_adapter {
 
-/// Bytes of a node's address: four of IP, first byte first, and a port.
+/// Size of a node's address: 4 bytes of IPv4 address in network order and a 2-byte port.
 inline constexpr std::size_t address_bytes = 6;
 
-/// Reads little-endian fields from a run of bytes, which it doesn't own. Later versions of the wire
-/// add fields at a record's end: a field past the end counts as absent and reads as zero; one that
-/// is cut in two is malformed. `name` is what an error calls the field.
+/// Reads little-endian fields from a sequence of bytes that it doesn't own. Later versions of the
+/// wire format append fields to records, so a field past the end counts as absent and is read as
+/// zero; a field that ends past the last byte is malformed. The parameter `name` of each function
+/// is the field's name in error messages.
 class RecordReader {
 public:
     explicit RecordReader(std::string_view bytes) : rest_(bytes) {}
@@ -26,7 +27,7 @@
     bool empty() const { return rest_.empty(); }
 
     /// Reads a field that may be absent.
-    /// @throws MalformedInput if it is cut in two.
+    /// @throws MalformedInput if the field is truncated.
     template <class T>
     T optional(const char *name) {
         if (rest_.empty())
@@ -34,35 +35,38 @@
         return load<T>(bytes(sizeof(T), name));
     }
 
-    /// Reads a field that may not be absent.
-    /// @throws MalformedInput if it is absent or cut in two.
+    /// Reads a field that must be present.
+    /// @throws MalformedInput if the field is absent or truncated.
     template <class T>
     T required(const char *name) {
         return load<T>(bytes(sizeof(T), name));
     }
 
-    /// Reads `size` bytes; the result points into the reader's bytes.
-    /// @throws MalformedInput if there are fewer.
+    /// Reads the next `size` bytes.
+    /// @return a view into the sequence that the reader was created with.
+    /// @throws MalformedInput if fewer bytes are left.
     std::string_view bytes(std::size_t size, const char *name) {
         if (size > rest_.size())
-            throw scheduler_setup::MalformedInput(std::string(name) + ": " + std::to_string(size) +
-                                                  " bytes wanted, " + std::to_string(rest_.size()) +
-                                                  " left");
-        auto taken = rest_.substr(0, size);
+            throw scheduler_setup::MalformedInput(std::string(name) + ": expected " +
+                                                  std::to_string(size) + " bytes, but only " +
+                                                  std::to_string(rest_.size()) + " are left");
+        auto result = rest_.substr(0, size);
         rest_.remove_prefix(size);
-        return taken;
+        return result;
     }
 
-    /// Reads a node's address, as one number whose bytes are the wire's.
+    /// Reads a node's address.
+    /// @return a number with the address's bytes in the low 6 bytes; serves as the node's id.
+    /// @throws MalformedInput if the field is absent or truncated.
     std::uint64_t address(const char *name) {
-        auto taken = bytes(address_bytes, name);
+        auto address_field = bytes(address_bytes, name);
         std::uint64_t value = 0;
-        std::memcpy(&value, taken.data(), address_bytes);
+        std::memcpy(&value, address_field.data(), address_bytes);
         return value;
     }
 
     /// Reads a time in seconds, which may be absent.
-    /// @throws MalformedInput as time_from_seconds does.
+    /// @throws MalformedInput if the field is truncated or its value isn't a valid time.
     Time time(const char *name) {
         return scheduler_setup::time_from_seconds(optional<double>(name), name);
     }
--- a/src/simulator_adapter/record_writer.hpp
+++ b/src/simulator_adapter/record_writer.hpp
@@ -14,15 +14,15 @@
 
 namespace knotvane::simulator_adapter {
 
-/// Appends one record to a run of bytes: its code, the length of its fields and the fields, all
-/// little-endian. The length is filled in when the writer is destroyed; nothing else may be
-/// appended before that but the record's own fields.
+/// Appends one record to a byte string: its code, the length of its fields and the fields, all
+/// little-endian. The destructor fills in the length; until then only the record's own fields may
+/// be appended to the byte string.
 class RecordWriter {
 public:
-    /// @param out must outlive the writer.
+    /// @param out the byte string, which must outlive the writer.
     RecordWriter(std::string &out, std::uint16_t code) : out_(out) {
         put(code);
-        length_at_ = out_.size();
+        length_position_ = out_.size();
         put(std::uint32_t{0});
     }
 
@@ -31,8 +31,9 @@
         : RecordWriter(out, static_cast<std::uint16_t>(code)) {}
 
     ~RecordWriter() {
-        auto length = static_cast<std::uint32_t>(out_.size() - length_at_ - sizeof(std::uint32_t));
-        std::memcpy(out_.data() + length_at_, &length, sizeof length);
+        auto length =
+            static_cast<std::uint32_t>(out_.size() - length_position_ - sizeof(std::uint32_t));
+        std::memcpy(out_.data() + length_position_, &length, sizeof length);
     }
 
     RecordWriter(const RecordWriter &) = delete;
@@ -46,8 +47,11 @@
         return *this;
     }
 
+    /// Appends a time in seconds.
     RecordWriter &time(Time time) { return put(seconds(time)); }
 
+    /// Appends a node's address.
+    /// @param node id as RecordReader::address returns it.
     RecordWriter &address(std::uint64_t node) {
         char bytes[address_bytes];
         std::memcpy(bytes, &node, address_bytes);
@@ -55,7 +59,7 @@
         return *this;
     }
 
-    /// Appends a text, cut at the largest size that its two bytes of length can tell.
+    /// Appends a text and its 2-byte length. A text over 65535 bytes is truncated.
     RecordWriter &text(std::string_view text) {
         text = text.substr(0, std::numeric_limits<std::uint16_t>::max());
         put(static_cast<std::uint16_t>(text.size()));
@@ -65,7 +69,7 @@
 
 private:
     std::string &out_;
-    std::size_t length_at_ = 0;
+    std::size_t length_position_ = 0;
 };
 
 } // namespace knotvane::simulator_adapter
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -1,4 +1,5 @@
-// The simulator's wire: unusual but legal input works, malformed input is refused with an error.
+// Tests of the simulator's wire protocol: unusual but valid input is handled, malformed input is
+// refused with an error.
 #include <cstring>
 
 #include <doctest/doctest.h>
@@ -16,7 +17,7 @@
 
 namespace {
 
-std::string frame_of(const std::string &records, double clock = 1) {
+std::string make_frame(const std::string &records, double clock = 1) {
     std::string frame(4, '\0');
     frame.append(reinterpret_cast<const char *>(&clock), sizeof clock);
     frame += records;
@@ -25,15 +26,16 @@
     return frame;
 }
 
-std::string target(std::uint32_t instance) {
+std::string target_record(std::uint32_t instance) {
     std::string records;
     RecordWriter(records, InputRecord::target_instance).put(instance);
     return records;
 }
 
-std::string start(std::uint32_t instance,
-                  const std::string &settings = "Balancers=1\nClasses.count=0\n") {
-    std::string records = target(instance);
+/// Records that name the instance as target and start it.
+std::string start_records(std::uint32_t instance,
+                          const std::string &settings = "Balancers=1\nClasses.count=0\n") {
+    std::string records = target_record(instance);
     RecordWriter record(records, InputRecord::start);
     record.put(std::uint64_t{3}).put(static_cast<std::uint32_t>(settings.size()));
     records += settings;
@@ -46,11 +48,11 @@
     return records;
 }
 
-std::string kill() {
+std::string kill_record() {
     return empty_record(InputRecord::kill);
 }
 
-std::string timer_expired() {
+std::string timer_expired_record() {
     std::string records;
     RecordWriter(records, InputRecord::timer_expired).put(std::uint32_t{0});
     return records;
@@ -60,52 +62,56 @@
 
 TEST_CASE("an empty frame gets an empty reply") {
     SimulatorAdapter adapter;
-    CHECK(adapter.handle_frame(frame_of("")) == std::string("\4\0\0\0", 4));
+    CHECK(adapter.handle_frame(make_frame("")) == std::string("\4\0\0\0", 4));
 }
 
 TEST_CASE("an instance is killed and started again within one frame") {
     SimulatorAdapter adapter;
-    adapter.handle_frame(frame_of(start(3)));
-    CHECK_NOTHROW(adapter.handle_frame(frame_of(target(3) + kill() + start(3))));
-    CHECK_NOTHROW(adapter.handle_frame(frame_of(start(3) + kill())));
-    CHECK_THROWS_AS(adapter.handle_frame(frame_of(target(3) + kill())), MalformedInput);
+    adapter.handle_frame(make_frame(start_records(3)));
+    CHECK_NOTHROW(
+        adapter.handle_frame(make_frame(target_record(3) + kill_record() + start_records(3))));
+    CHECK_NOTHROW(adapter.handle_frame(make_frame(start_records(3) + kill_record())));
+    CHECK_THROWS_AS(adapter.handle_frame(make_frame(target_record(3) + kill_record())),
+                    MalformedInput);
 }
 
-TEST_CASE("an unknown record and an unknown setting are skipped") {
+TEST_CASE("unknown records and unknown settings are ignored") {
     SimulatorAdapter adapter;
-    std::string records = start(1, "Novel.Thing=seven\nBalancers=2\n");
+    std::string records = start_records(1, "Novel.Thing=seven\nBalancers=2\n");
     RecordWriter(records, 999).put(std::uint64_t{1});
-    CHECK_NOTHROW(adapter.handle_frame(frame_of(records)));
+    CHECK_NOTHROW(adapter.handle_frame(make_frame(records)));
 }
 
-TEST_CASE("outcomes and cancellations of unknown requests are skipped, absent fields are zero") {
+TEST_CASE("results and cancellations of unknown requests are ignored, and fields may be absent") {
     SimulatorAdapter adapter;
-    std::string records = start(1);
+    std::string records = start_records(1);
     RecordWriter(records, InputRecord::attempt_completed)
         .put(std::uint64_t{9})
         .put(std::uint8_t{0})
         .address(77)
         .put(std::uint16_t{0});
     RecordWriter(records, InputRecord::request_canceled).put(std::uint64_t{9});
-    CHECK_NOTHROW(adapter.handle_frame(frame_of(records)));
+    CHECK_NOTHROW(adapter.handle_frame(make_frame(records)));
 }
 
 TEST_CASE("malformed input is refused") {
     SimulatorAdapter adapter;
-    std::string cut = start(1);
-    cut.resize(cut.size() - 1);
-    for (const auto &records : {target(4) + timer_expired(), // an instance that was never started
-                                timer_expired(),             // no instance is named
-                                cut, start(1, "StepS=fast\n"), start(1, "no equals sign\n")})
-        CHECK_THROWS_AS(adapter.handle_frame(frame_of(records)), MalformedInput);
+    std::string truncated = start_records(1);
+    truncated.resize(truncated.size() - 1);
+    for (const auto &records :
+         {target_record(4) + timer_expired_record(), // the instance was never started
+          timer_expired_record(),                    // no instance is named
+          truncated, start_records(1, "StepS=fast\n"), start_records(1, "no equals sign\n")})
+        CHECK_THROWS_AS(adapter.handle_frame(make_frame(records)), MalformedInput);
 }
 
-// The codes are the wire's: a renumbered enumerator would have the simulator read another record.
-TEST_CASE("records have the wire's codes") {
-    CHECK(start(3).substr(0, 10) == std::string("\x0b\x01\4\0\0\0\3\0\0\0", 10));
-    CHECK(start(3).substr(10, 2) == std::string("\0\x01", 2));
-    CHECK(kill() == std::string("\x09\x01\0\0\0\0", 6));
-    CHECK(timer_expired().substr(0, 2) == std::string("\x06\x01", 2));
+// A renumbered enumerator would make the simulator and this program read each other's records as
+// records of another kind.
+TEST_CASE("records have the codes and the layout of the wire protocol") {
+    CHECK(start_records(3).substr(0, 10) == std::string("\x0b\x01\4\0\0\0\3\0\0\0", 10));
+    CHECK(start_records(3).substr(10, 2) == std::string("\0\x01", 2));
+    CHECK(kill_record() == std::string("\x09\x01\0\0\0\0", 6));
+    CHECK(timer_expired_record().substr(0, 2) == std::string("\x06\x01", 2));
     CHECK(empty_record(InputRecord::attempt_completed) == std::string("\4\x01\0\0\0\0", 6));
     CHECK(empty_record(InputRecord::request_canceled) == std::string("\5\x01\0\0\0\0", 6));
 }
