--- a/tests/recorded_run/record.py
+++ b/tests/recorded_run/record.py
@@ -1,12 +1,12 @@
-"""Records the runs anew: python3 -B -m tests.recorded_run.record PROGRAM [SCENARIO...]
+"""Replaces the recordings: python3 -B -m tests.recorded_run.record PROGRAM [SCENARIO...]
 
-Right only for a commit that is meant to change a decision; its message says which. A refactoring
-never records anew: there a difference is a fault.
+Only for a commit that is meant to change a scheduling decision; its message says which one. Never
+replace the recordings for a refactoring: there a difference is a bug.
 """
 
 import sys
 
-from tests.recorded_run.recording import keep
+from tests.recorded_run.recording import write_recording
 from tests.recorded_run.run import run
 from tests.recorded_run.scenarios import SCENARIOS
 from tests.recorded_run.wire import split_frames
@@ -19,7 +19,7 @@
     for scenario in SCENARIOS:
         if not names or scenario.name in names:
             replies = run(program, scenario)
-            keep(scenario, replies)
+            write_recording(scenario, replies)
             print(f"{scenario.name}: {len(split_frames(replies))} frames, {len(replies)} bytes")
 
 
--- a/tests/recorded_run/recorded_run_test.py
+++ b/tests/recorded_run/recorded_run_test.py
@@ -1,46 +1,47 @@
-"""Runs every scenario against the program that KNOTVANE_DRILL names and compares all reply bytes."""
+"""Runs every scenario against the program named by KNOTVANE_DRILL and compares all bytes of its replies
+with the recording."""
 
 import os
 import unittest
 
-from tests.recorded_run.recording import kept
+from tests.recorded_run.recording import read_recording
 from tests.recorded_run.run import run
 from tests.recorded_run.scenarios import SCENARIOS
 from tests.recorded_run.wire import decode_reply, split_frames
 
 
-def first_difference(expected, got):
-    """The first record in which two runs differ, decoded; None where the bytes are the same."""
-    if expected == got:
+def first_difference(expected, actual):
+    """Describes the first record in which two runs differ; None if their bytes are the same."""
+    if expected == actual:
         return None
-    expected_frames, got_frames = split_frames(expected), split_frames(got)
-    for number in range(max(len(expected_frames), len(got_frames))):
-        frames = [run[number] if number < len(run) else None for run in (expected_frames, got_frames)]
+    expected_frames, actual_frames = split_frames(expected), split_frames(actual)
+    for number in range(max(len(expected_frames), len(actual_frames))):
+        frames = [run[number] if number < len(run) else None for run in (expected_frames, actual_frames)]
         if frames[0] == frames[1]:
             continue
         actions = [decode_reply(frame) if frame is not None else [] for frame in frames]
-        for at in range(max(map(len, actions)) + 1):
-            sides = [str(side[at]) if at < len(side) else "nothing" for side in actions]
-            if sides[0] != sides[1] or at == max(map(len, actions)):
-                return f"frame {number}, record {at}:\n  expected {sides[0]}\n  got      {sides[1]}"
-    return "the last frame is cut short"
+        for position in range(max(map(len, actions)) + 1):
+            sides = [str(side[position]) if position < len(side) else "no record" for side in actions]
+            if sides[0] != sides[1] or position == max(map(len, actions)):
+                return f"frame {number}, record {position}:\n  expected {sides[0]}\n  actual   {sides[1]}"
+    return "the last frame is truncated"
 
 
 class RecordedRunTest(unittest.TestCase):
-    # Guards against a refactoring that changes a scheduling decision unseen: a comparison turned
-    # round, a figure mistyped, a random number drawn once more. Each of these still passes where
-    # only what must hold is tested, and shows in the day's result weeks later, if at all.
+    # Guards against a refactoring that changes a scheduling decision unnoticed: a reversed
+    # comparison, a mistyped constant, one random number more. Tests that check only properties of
+    # the result still pass then, and the fault may show weeks later, if at all.
     def test_all_decisions_are_as_recorded(self):
         program = os.environ["KNOTVANE_DRILL"]
         for scenario in SCENARIOS:
             with self.subTest(scenario=scenario.name):
-                difference = first_difference(kept(scenario), run(program, scenario))
+                difference = first_difference(read_recording(scenario), run(program, scenario))
                 if difference:
                     self.fail(f"{scenario.name}, {difference}")
 
-    # Guards against a comparison that passes whatever the program says.
-    def test_one_changed_byte_is_found_and_named(self):
-        expected = kept(SCENARIOS[0])
+    # Guards against a comparison that passes whatever the program replies.
+    def test_one_changed_byte_or_missing_frame_is_reported(self):
+        expected = read_recording(SCENARIOS[0])
         frames = split_frames(expected)
         number = len(frames) // 2
         start = sum(map(len, frames[:number]))
--- a/tests/recorded_run/recording.py
+++ b/tests/recorded_run/recording.py
@@ -1,4 +1,4 @@
-"""Where the kept bytes of a scenario stand."""
+"""Reads and writes the recorded reply bytes of a scenario, kept as compressed files."""
 
 import gzip
 import os
@@ -10,12 +10,12 @@
     return os.path.join(HERE, "kept", scenario.name + ".bin.gz")
 
 
-def kept(scenario):
+def read_recording(scenario):
     with gzip.open(path_of(scenario)) as file:
         return file.read()
 
 
-def keep(scenario, replies):
+def write_recording(scenario, replies):
     os.makedirs(os.path.dirname(path_of(scenario)), exist_ok=True)
     with open(path_of(scenario), "wb") as file:
         file.write(gzip.compress(replies, 9, mtime=0))
--- a/tests/recorded_run/run.py
+++ b/tests/recorded_run/run.py
@@ -1,4 +1,4 @@
-"""Runs one scenario against knotvane_drill and gathers every byte of its replies."""
+"""Runs one scenario against knotvane_drill and collects all bytes of its replies."""
 
 import heapq
 import struct
@@ -8,52 +8,53 @@
 from tests.recorded_run.site import SECOND, Site
 
 
-class Unfit(Exception):
-    """The program ended, or said that it failed, before the run was over."""
+class ProgramFailed(Exception):
+    """The program ended, or sent a fault record, before the run was over."""
 
 
 def read_exactly(stream, size):
     data = stream.read(size)
     if len(data) != size:
-        raise Unfit(f"the program's output ended: {len(data)} of {size} bytes came")
+        raise ProgramFailed(f"the program's output ended after {len(data)} of {size} expected bytes")
     return data
 
 
 def run(program, scenario):
-    """All reply frames of the scenario, one after another."""
+    """Returns the concatenated reply frames of the scenario."""
     site = Site(scenario)
     site.begin()
-    step = round(scenario.step * SECOND)
+    step = round(scenario.time_step * SECOND)
     replies = []
     with subprocess.Popen([program], stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process:
         try:
             while site.queue and site.queue[0][0] < scenario.seconds * SECOND:
-                # A frame at the next whole step at which something happens.
+                # Advance to the next step at which an event is due; each step's events make one frame.
                 site.now = max(-(-site.queue[0][0] // step), site.now // step + 1) * step
                 records, target = [], None
                 while site.queue and site.queue[0][0] <= site.now:
-                    _, _, what, values = heapq.heappop(site.queue)
-                    told = site.happen(what, values)
-                    if told is None:
+                    _, _, event, arguments = heapq.heappop(site.queue)
+                    handled = site.handle(event, arguments)
+                    if handled is None:
                         continue
-                    index, event = told
+                    index, event_records = handled
                     if index != target:
                         target = index
                         records.append(wire.record(wire.TARGET_INSTANCE, "I", index))
-                    records += event
+                    records += event_records
                 process.stdin.write(wire.frame(site.now, records))
                 process.stdin.flush()
-                head = read_exactly(process.stdout, 4)
-                reply = head + read_exactly(process.stdout, struct.unpack("<I", head)[0] - 4)
+                length_field = read_exactly(process.stdout, 4)
+                (length,) = struct.unpack("<I", length_field)
+                reply = length_field + read_exactly(process.stdout, length - 4)
                 replies.append(reply)
                 index = None
                 for action in wire.decode_reply(reply):
                     if action.code == wire.FAULT:
-                        raise Unfit(f"{scenario.name}, frame {len(replies)}: {action}")
+                        raise ProgramFailed(f"{scenario.name}, reply frame {len(replies)}: {action}")
                     if action.code == wire.INSTANCE:
                         index = action.fields["instance"]
                     else:
-                        site.act(index, action)
+                        site.apply(index, action)
         finally:
             process.stdin.close()
     return b"".join(replies)
--- a/tests/recorded_run/scenarios.py
+++ b/tests/recorded_run/scenarios.py
@@ -1,12 +1,12 @@
-"""The recorded runs. Together they reach every branch of the scheduling decisions."""
+"""The scenarios of the recorded runs. Together they cover every branch of the scheduling decisions."""
 
 from tests.recorded_run.site import Plan, Scenario, Workload
 
 READ = Workload()
-WRITE = Workload(effect="deduplicated", writes=True, points=2)
+WRITE = Workload(idempotency="deduplicated", writes=True, value=2)
 
 SCENARIOS = (
-    # Nodes that fail in each way, one after another, and come back.
+    # Nodes have every kind of fault, one after another, and recover.
     Scenario(
         "failing_nodes",
         1,
@@ -14,35 +14,36 @@
         schedulers=3,
         nodes=6,
         rate=70,
-        no_shard=0.3,
+        new_object_fraction=0.3,
         settings={"Extra.ColdUnits": 30},
         faults=(
-            (1.5, 0, "silent"),
+            (1.5, 0, "unresponsive"),
             (2, 1, "refusing"),
             (2.5, 4, "slow"),
-            (3, 2, "full"),
+            (3, 2, "overloaded"),
             (3.5, 3, "resetting"),
             (4, 2, "list_failed"),
             (5, 5, "drain"),
-            (6, 0, "well"),
-            (6.5, 1, "well"),
-            (7, 2, "well"),
-            (7.5, 3, "well"),
+            (6, 0, "healthy"),
+            (6.5, 1, "healthy"),
+            (7, 2, "healthy"),
+            (7.5, 3, "healthy"),
             (8, 5, "ready"),
-            (8.5, 4, "well"),
-            (9, 1, "silent"),
+            (8.5, 4, "healthy"),
+            (9, 1, "unresponsive"),
             (11.5, 1, "restart"),
-            (12, 3, "vanish"),
-            (14, 3, "appear"),
-            (14.5, 4, "gone"),
+            (12, 3, "unlist"),
+            (14, 3, "list"),
+            (14.5, 4, "remove"),
             (15, 0, "refusing"),
             (15.6, 0, "restart"),
             (16, 4, "ready"),
-            (17, 5, "silent"),
-            (17.4, 5, "well"),
+            (17, 5, "unresponsive"),
+            (17.4, 5, "healthy"),
         ),
     ),
-    # Requests that must not run twice; attempts that are lost, within a window and an allowance.
+    # Requests that must not be executed twice, with attempts that are lost: retries within the
+    # deduplication window and scope, and within the retry budget.
     Scenario(
         "repeats",
         2,
@@ -50,15 +51,26 @@
         schedulers=2,
         nodes=6,
         rate=60,
-        no_shard=0.7,
-        odd=(0.08, 0.04, 0.08, 0.02),
-        ends=0.2,
+        new_object_fraction=0.7,
+        failure_fractions=(0.08, 0.04, 0.08, 0.02),
+        final_error_fraction=0.2,
         workloads=(
             READ,
-            Workload(effect="deduplicated", repeat_window=0.25, writes=True, points=2),
-            Workload(effect="deduplicated", group="zone", deadline=2, target=1.5, repeat_window=0.5),
-            Workload(effect="deduplicated", group="cell", deadline=2, repeat_window=1),
-            Workload(effect="at_most_once", writes=True, points=3),
+            Workload(idempotency="deduplicated", deduplication_window=0.25, writes=True, value=2),
+            Workload(
+                idempotency="deduplicated",
+                deduplication_scope="zone",
+                client_timeout=2,
+                latency_objective=1.5,
+                deduplication_window=0.5,
+            ),
+            Workload(
+                idempotency="deduplicated",
+                deduplication_scope="cell",
+                client_timeout=2,
+                deduplication_window=1,
+            ),
+            Workload(idempotency="at_most_once", writes=True, value=3),
         ),
         settings={
             "Permissions.MaxAttempts": 4,
@@ -68,14 +80,14 @@
         },
         faults=(
             (3, 0, "resetting"),
-            (5, 0, "well"),
+            (5, 0, "healthy"),
             (6, 1, "refusing"),
-            (8, 1, "well"),
-            (9, 2, "full"),
-            (10, 2, "well"),
+            (8, 1, "healthy"),
+            (9, 2, "overloaded"),
+            (10, 2, "healthy"),
         ),
     ),
-    # Keys in turn, with rests, and limits that some requests never fit.
+    # Workloads ordered by key, with cooldowns, and volume limits that some requests never fit.
     Scenario(
         "turns_and_limits",
         3,
@@ -84,22 +96,23 @@
         volumes=4,
         rate=60,
         keys=12,
-        hosts=(2, 2, 3),
-        odd=(0.03, 0.03, 0.03, 0.01),
+        sharers=(2, 2, 3),
+        failure_fractions=(0.03, 0.03, 0.03, 0.01),
         workloads=(
-            Workload(in_turn=True, target=0.8),
-            Workload(in_turn=True, effect="at_most_once", writes=True, deadline=2),
+            Workload(ordered_by_key=True, latency_objective=0.8),
+            Workload(ordered_by_key=True, idempotency="at_most_once", writes=True, client_timeout=2),
             READ,
         ),
         plans=(
-            Plan(ceiling=30, burst=20),
-            Plan(ceiling=60, burst=40, shares=3),
+            Plan(limit_rate=30, limit_burst=20),
+            Plan(limit_rate=60, limit_burst=40, weight=3),
             Plan(),
-            Plan(ceiling=20, burst=12),
+            Plan(limit_rate=20, limit_burst=12),
         ),
         settings={"Permissions.Cancel": "false"},
     ),
-    # Far more asked than the nodes bear: requests are late, repeats come, clients leave early.
+    # Far more load than the nodes can serve: requests are late, clients repeat them or disconnect
+    # early.
     Scenario(
         "overload",
         4,
@@ -108,13 +121,13 @@
         nodes=2,
         rate=60,
         surge=(3, 10, 3),
-        leave=0.4,
-        leave_ms=(80, 500),
+        disconnect_fraction=0.4,
+        disconnect_ms=(80, 500),
         unit_ms=15,
-        room=24,
+        node_capacity=24,
         settings={"Extra.ColdUnits": 0},
     ),
-    # As before, but the clients don't mark what they ask again, and all who leave are one volume's.
+    # The same, but clients don't mark repeats, and only clients of one volume disconnect early.
     Scenario(
         "unmarked",
         5,
@@ -123,18 +136,19 @@
         nodes=2,
         rate=60,
         surge=(3, 9, 2.5),
-        leave=0.7,
-        leave_ms=(60, 300),
-        leave_volumes=1,
+        disconnect_fraction=0.7,
+        disconnect_ms=(60, 300),
+        disconnect_volumes=1,
         volumes=3,
-        marks=False,
+        clients_mark_repeats=False,
         keys=1000,
-        ask_again=0.9,
+        repeat_fraction=0.9,
         unit_ms=15,
-        workloads=(READ, Workload(target=1.2, deadline=3, points=3), WRITE),
+        workloads=(READ, Workload(latency_objective=1.2, client_timeout=3, value=3), WRITE),
         settings={"Permissions.RetryAfter": "false"},
     ),
-    # Many schedulers at few nodes: windows below one, which pace, with unlike volumes.
+    # Many schedulers share few nodes: concurrency windows are below one attempt, so that attempts are
+    # paced; the volumes have different plans.
     Scenario(
         "many_schedulers",
         6,
@@ -145,17 +159,23 @@
         surge=(4, 9, 2.5),
         unit_ms=12,
         volumes=8,
-        hosts=(12,),
-        room=12,
+        sharers=(12,),
+        node_capacity=12,
         plans=(
-            Plan(usual=20),
-            Plan(shares=2, usual=10, reserve=20, price=2),
-            Plan(usual=40, reserve=5, price=0.5),
+            Plan(usual_rate=20),
+            Plan(weight=2, usual_rate=10, reserved_rate=20, price=2),
+            Plan(usual_rate=40, reserved_rate=5, price=0.5),
         ),
         settings={"Extra.ColdUnits": 10, "Rules.FallS": 0.5},
-        faults=((2, 0, "restart"), (6, 1, "silent"), (8, 1, "well"), (9, 2, "full"), (10, 2, "restart")),
+        faults=(
+            (2, 0, "restart"),
+            (6, 1, "unresponsive"),
+            (8, 1, "healthy"),
+            (9, 2, "overloaded"),
+            (10, 2, "restart"),
+        ),
     ),
-    # The list is asked for and at times fails; nodes restart and are cold for long.
+    # The endpoint list comes on request, which fails at times; nodes restart and start slowly.
     Scenario(
         "asked_list",
         7,
@@ -163,7 +183,7 @@
         schedulers=2,
         nodes=4,
         rate=60,
-        no_shard=0.2,
+        new_object_fraction=0.2,
         unit_ms=8,
         settings={
             "RegistryMode": "on_request",
@@ -174,7 +194,8 @@
         },
         faults=((2, 0, "restart"), (4, 1, "drain"), (6, 2, "restart"), (8, 1, "ready"), (12, 3, "restart")),
     ),
-    # Quick nodes with many slots: windows grow to their ceiling, turns end by budget and by time.
+    # A node with many slots: the concurrency window grows to its maximum, and services in the fair
+    # queue end because of the budget and because of the time slice.
     Scenario(
         "wide_windows",
         8,
@@ -184,16 +205,19 @@
         rate=220,
         surge=(2, 6, 1.8),
         slots=40,
-        room=200,
+        node_capacity=200,
         unit_ms=60,
         volumes=3,
         keys=100000,
-        ask_again=0.0,
-        leave=0,
-        workloads=(Workload(target=1.2), Workload(target=1.4, writes=True, effect="deduplicated")),
-        odd=(0.002, 0.004, 0.002, 0.0),
+        repeat_fraction=0.0,
+        disconnect_fraction=0,
+        workloads=(
+            Workload(latency_objective=1.2),
+            Workload(latency_objective=1.4, writes=True, idempotency="deduplicated"),
+        ),
+        failure_fractions=(0.002, 0.004, 0.002, 0.0),
     ),
-    # Lists of unanswered requests past their bound.
+    # More unanswered requests than the size at which their table is pruned.
     Scenario(
         "thousands_unanswered",
         9,
@@ -203,14 +227,15 @@
         rate=1500,
         unit_ms=2,
         keys=1000000,
-        marks=False,
-        ask_again=0.5,
-        leave=0,
+        clients_mark_repeats=False,
+        repeat_fraction=0.5,
+        disconnect_fraction=0,
         volumes=40,
-        workloads=(Workload(target=0.2, deadline=0.4), WRITE),
-        step=0.01,
+        workloads=(Workload(latency_objective=0.2, client_timeout=0.4), WRITE),
+        time_step=0.01,
     ),
-    # Clients of a few volumes that leave at much the same wait, where answers take about as long.
+    # Clients of a few volumes disconnect after about the same time, which is close to the time that
+    # answers take.
     Scenario(
         "leavers",
         10,
@@ -219,14 +244,17 @@
         nodes=2,
         rate=45,
         volumes=8,
-        leave=0.25,
-        leave_ms=(260, 330),
-        leave_volumes=5,
+        disconnect_fraction=0.25,
+        disconnect_ms=(260, 330),
+        disconnect_volumes=5,
         unit_ms=22,
         surge=(8, 14, 1.4),
-        workloads=(Workload(target=1.2), Workload(target=1.2, effect="deduplicated", writes=True)),
+        workloads=(
+            Workload(latency_objective=1.2),
+            Workload(latency_objective=1.2, idempotency="deduplicated", writes=True),
+        ),
     ),
-    # The same of one volume alone.
+    # The same, with the clients of one volume only.
     Scenario(
         "leavers_of_one_volume",
         11,
@@ -235,19 +263,23 @@
         nodes=2,
         rate=70,
         volumes=3,
-        leave=0.3,
-        leave_ms=(250, 320),
-        leave_volumes=1,
+        disconnect_fraction=0.3,
+        disconnect_ms=(250, 320),
+        disconnect_volumes=1,
         unit_ms=24,
-        workloads=(Workload(target=1.2), Workload(target=1.2, effect="deduplicated", writes=True)),
+        workloads=(
+            Workload(latency_objective=1.2),
+            Workload(latency_objective=1.2, idempotency="deduplicated", writes=True),
+        ),
     ),
-    # Nodes that replace others of the same shard, and a scheduler that starts while nodes are cold.
+    # Nodes replace others that held the same shard, and a scheduler starts while nodes are in slow
+    # start.
     Scenario(
         "replacements",
         12,
         seconds=16,
         schedulers=3,
-        boots=((2, 4.2),),
+        late_starts=((2, 4.2),),
         nodes=6,
         shards=3,
         rate=40,
@@ -257,17 +289,17 @@
             (2, 0, "restart"),
             (4, 4, "restart"),
             (4.1, 5, "restart"),
-            (6, 3, "gone"),
+            (6, 3, "remove"),
             (7, 0, "restart"),
             (9, 4, "drain"),
             (10, 1, "refusing"),
-            (10.3, 1, "well"),
+            (10.3, 1, "healthy"),
             (12, 2, "refusing"),
             (12.8, 2, "restart"),
             (13, 4, "ready"),
         ),
     ),
-    # Limits whose store is full while much waits; few slots that many schedulers share.
+    # Volume limits whose token bucket is full while many requests wait; the schedulers share few slots.
     Scenario(
         "bursts",
         13,
@@ -278,13 +310,23 @@
         surge=(6, 7, 4),
         volumes=3,
         unit_ms=14,
-        hosts=(1, 2),
-        odd=(0.01, 0.05, 0.05, 0.01),
+        sharers=(1, 2),
+        failure_fractions=(0.01, 0.05, 0.05, 0.01),
         workloads=(
-            Workload(target=0.3, deadline=1),
-            Workload(effect="deduplicated", repeat_window=0.12, writes=True, deadline=2, target=1.8),
+            Workload(latency_objective=0.3, client_timeout=1),
+            Workload(
+                idempotency="deduplicated",
+                deduplication_window=0.12,
+                writes=True,
+                client_timeout=2,
+                latency_objective=1.8,
+            ),
+        ),
+        plans=(
+            Plan(limit_rate=150, limit_burst=30),
+            Plan(limit_rate=40, limit_burst=60),
+            Plan(usual_rate=40, reserved_rate=10),
         ),
-        plans=(Plan(ceiling=150, burst=30), Plan(ceiling=40, burst=60), Plan(usual=40, reserve=10)),
         settings={"Rules.ResendRatio": 0.3, "Rules.BudgetFree": 4, "Rules.ResendSpanS": 1},
     ),
 )
--- a/tests/recorded_run/site.py
+++ b/tests/recorded_run/site.py
@@ -1,7 +1,8 @@
-"""A small site, driven by its own seeded generator: clients that ask, nodes that answer or fail.
+"""A simulated site: clients that send requests and nodes that answer them or fail.
 
-It is closed loop: which outcome comes when depends on the attempts that the program starts. Times are
-whole microseconds and chance is only ever drawn by random(), so that a run is the same everywhere.
+The simulation is closed loop: which results arrive when depends on the attempts that the program starts.
+Times are whole microseconds, and random numbers are drawn only with random() of the site's own seeded
+generator, so that a run is the same on every machine.
 """
 
 import heapq
@@ -16,115 +17,117 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """A class of requests: its settings on the wire, and what its clients ask."""
-
-    target: float = 0.4
-    deadline: float = 1.5
-    points: float = 1
-    late_worth: float = 0.2
-    effect: str = "idempotent"
-    group: str = "all"
-    repeat_window: float = 2
-    in_turn: bool = False
+    """A class of requests: its settings on the wire, and what its clients request. Times in seconds."""
+
+    latency_objective: float = 0.4
+    client_timeout: float = 1.5
+    value: float = 1
+    late_value_fraction: float = 0.2
+    idempotency: str = "idempotent"
+    deduplication_scope: str = "all"
+    deduplication_window: float = 2
+    ordered_by_key: bool = False
     writes: bool = False
 
 
 @dataclass(frozen=True)
 class Plan:
-    shares: float = 1
-    usual: float = 10
-    reserve: float = 0
+    weight: float = 1
+    usual_rate: float = 10
+    reserved_rate: float = 0
     price: float = 1
-    ceiling: float = 0
-    burst: float = 0
+    limit_rate: float = 0
+    limit_burst: float = 0
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One recorded run: how the site is set, how much is asked and what goes wrong."""
+    """One recorded run: the configuration of the site, its load and its faults."""
 
     name: str
     seed: int
     seconds: float = 15
     schedulers: int = 2
-    boots: tuple = ()  # (scheduler, second): those that start later than at 0
+    late_starts: tuple = ()  # (scheduler, second) of those that start later than at 0
     nodes: int = 4
-    shards: int = 0  # fewer than nodes: several nodes hold one shard; 0: one each
+    shards: int = 0  # if fewer than nodes, several nodes hold one shard; 0: one shard per node
     volumes: int = 6
-    rate: float = 60  # requests a second at each scheduler
-    surge: tuple = (0, 0, 1)  # from, until, times the rate
-    unit_ms: float = 20  # work of a unit on one of a node's slots
-    slots: int = 2
-    room: int = 40  # attempts that a node takes before it is full
-    largest: int = 8
-    hosts: tuple = (1,)
+    rate: float = 60  # requests per second at each scheduler
+    surge: tuple = (0, 0, 1)  # start and end in seconds, factor by which the rate is multiplied
+    unit_ms: float = 20  # mean time that one unit takes on one of a node's slots
+    slots: int = 2  # attempts that a node executes at the same time
+    node_capacity: int = 40  # attempts that a node holds before it answers "overloaded"
+    max_units: int = 8
+    sharers: tuple = (1,)  # numbers of sharers of a volume's limit that clients name
     keys: int = 40
-    no_shard: float = 0.0  # part of requests for new objects
-    leave: float = 0.02  # part of clients that leave early
-    leave_ms: tuple = (50, 400)
-    leave_volumes: int = 1000  # only clients of the first so many volumes leave
-    ask_again: float = 0.6
-    ends: float = 0.6  # part of errors that are a request's final answer
-    odd: tuple = (0.01, 0.01, 0.01, 0.005)  # parts of attempts: error, lost, reset, unsent
-    faults: tuple = ()  # (second, node, what)
-    marks: bool = True
-    step: float = 0.002
-    workloads: tuple = (Workload(), Workload(effect="deduplicated", writes=True, points=2))
-    plans: tuple = (Plan(), Plan(shares=2, reserve=6, price=2))
+    new_object_fraction: float = 0.0  # requests for new objects, which have no shard
+    disconnect_fraction: float = 0.02  # clients that disconnect early
+    disconnect_ms: tuple = (50, 400)  # range of the time after which these disconnect
+    disconnect_volumes: int = 1000  # only clients of this many volumes, from number 0, disconnect
+    repeat_fraction: float = 0.6  # requests ended without an answer that clients repeat
+    final_error_fraction: float = 0.6  # errors that are the request's final answer
+    failure_fractions: tuple = (0.01, 0.01, 0.01, 0.005)  # attempts: error, timed out, reset, not sent
+    faults: tuple = ()  # (second, node, kind); the kinds are in Site.on_fault
+    clients_mark_repeats: bool = True
+    time_step: float = 0.002
+    workloads: tuple = (Workload(), Workload(idempotency="deduplicated", writes=True, value=2))
+    plans: tuple = (Plan(), Plan(weight=2, reserved_rate=6, price=2))
     settings: dict = field(default_factory=dict)
 
 
 class Node:
-    """A node of the site: slots that work one attempt after another, and what is wrong with it."""
+    """A node of the site: slots that each execute one attempt after another, and its current fault."""
 
     def __init__(self, number, scenario):
         self.address = bytes((10, 0, number // 200, 1 + number % 200, 0x1B, 0x5B))
         self.shard = number % (scenario.shards or scenario.nodes)
         self.zone = number % 2
         self.state = wire.READY
-        self.started = 0
+        self.started_at = 0
         self.listed = True
-        self.way = "well"
-        self.slots = [0] * scenario.slots
-        self.inside = 0
+        self.condition = "healthy"
+        self.slots = [0] * scenario.slots  # when each slot is free
+        self.in_flight = 0
 
 
 class Site:
+    """The state of the simulation: a queue of future events, and everything that they need."""
+
     def __init__(self, scenario):
         self.scenario = scenario
-        self.chance = random.Random(scenario.seed)
+        self.generator = random.Random(scenario.seed)
         self.now = 0
-        self.queue = []
-        self.order = 0
+        self.queue = []  # heap of (time, number, event, arguments)
+        self.event_count = 0
         self.next_request = 1
         self.nodes = [Node(number, scenario) for number in range(scenario.nodes)]
         self.by_address = {node.address: node for node in self.nodes}
-        self.requests = {}  # by id: a dict of what was asked, with its attempts
-        self.attempts = {}  # (request, attempt) still out: node, time sent
-        self.alarms = {}
-        self.booted = set()
-        self.versions = 0
+        self.requests = {}  # by id: a dict with the request's parameters and progress
+        self.attempts = {}  # (request, attempt) in flight: node, start time
+        self.timers = {}  # (scheduler, timer): when it expires
+        self.started_schedulers = set()
+        self.list_version = 0
 
-    def below(self, most):
-        return int(self.chance.random() * most)
+    def random_below(self, limit):
+        return int(self.generator.random() * limit)
 
-    def between(self, least, most):
-        return least + self.below(most - least + 1)
+    def random_between(self, least, most):
+        return least + self.random_below(most - least + 1)
 
-    def at(self, time, what, *values):
-        self.order += 1
-        heapq.heappush(self.queue, (max(time, self.now), self.order, what, values))
+    def schedule(self, time, event, *arguments):
+        self.event_count += 1
+        heapq.heappush(self.queue, (max(time, self.now), self.event_count, event, arguments))
 
     def settings(self, index):
         scenario = self.scenario
-        told = {
+        settings = {
             "Index": index,
             "Balancers": scenario.schedulers,
-            "StepS": scenario.step,
+            "StepS": scenario.time_step,
             "Rules.GraceToAnswerS": 0.008,
-            "Clients.MarksRetry": str(scenario.marks).lower(),
+            "Clients.MarksRetry": str(scenario.clients_mark_repeats).lower(),
             "Extra.UnitMean": 2,
-            "Extra.UnitsTop": scenario.largest,
+            "Extra.UnitsTop": scenario.max_units,
             "Extra.ShareWorth": 0.3,
             "Extra.SpareWorth": 0.05,
             "Permissions.MaxAttempts": 3,
@@ -140,219 +143,246 @@
             "Contracts.count": len(scenario.plans),
         }
         for number, workload in enumerate(scenario.workloads):
-            at = f"Classes.{number}."
-            told[at + "TargetS"] = workload.target
-            told[at + "DeadlineS"] = workload.deadline
-            told[at + "Points"] = workload.points
-            told[at + "LateWorth"] = workload.late_worth
-            told[at + "Effect"] = workload.effect
-            told[at + "Group"] = workload.group
-            told[at + "RepeatWindowS"] = workload.repeat_window
-            told[at + "InTurn"] = str(workload.in_turn).lower()
+            prefix = f"Classes.{number}."
+            settings[prefix + "TargetS"] = workload.latency_objective
+            settings[prefix + "DeadlineS"] = workload.client_timeout
+            settings[prefix + "Points"] = workload.value
+            settings[prefix + "LateWorth"] = workload.late_value_fraction
+            settings[prefix + "Effect"] = workload.idempotency
+            settings[prefix + "Group"] = workload.deduplication_scope
+            settings[prefix + "RepeatWindowS"] = workload.deduplication_window
+            settings[prefix + "InTurn"] = str(workload.ordered_by_key).lower()
         for number, plan in enumerate(scenario.plans):
-            at = f"Contracts.{number}."
-            told[at + "Shares"] = plan.shares
-            told[at + "UsualRate"] = plan.usual
-            told[at + "Guaranteed"] = plan.reserve
-            told[at + "Price"] = plan.price
-            told[at + "CeilingRate"] = plan.ceiling
-            told[at + "Burst"] = plan.burst
-        told.update(scenario.settings)
-        return told
+            prefix = f"Contracts.{number}."
+            settings[prefix + "Shares"] = plan.weight
+            settings[prefix + "UsualRate"] = plan.usual_rate
+            settings[prefix + "Guaranteed"] = plan.reserved_rate
+            settings[prefix + "Price"] = plan.price
+            settings[prefix + "CeilingRate"] = plan.limit_rate
+            settings[prefix + "Burst"] = plan.limit_burst
+        settings.update(scenario.settings)
+        return settings
 
     def begin(self):
-        """The first events: each scheduler boots, hears of the nodes, and its clients come."""
-        later = dict(self.scenario.boots)
+        """Schedules the first events: schedulers start and get the endpoint list, clients arrive."""
+        late_starts = dict(self.scenario.late_starts)
         for index in range(self.scenario.schedulers):
-            start = int(later.get(index, 0) * SECOND)
-            self.at(start, "boot", index)
+            start = int(late_starts.get(index, 0) * SECOND)
+            self.schedule(start, "start", index)
             if self.scenario.settings.get("RegistryMode") != "on_request":
-                self.at(start, "list", index, wire.LIST_WHOLE)
-            due = start + self.between(0, 20 * MS)
-            self.at(due, "arrival", index, due)
-        for second, number, way in self.scenario.faults:
-            self.at(int(second * SECOND), "fault", number, way)
+                self.schedule(start, "endpoint_list", index, wire.LIST_FULL)
+            due = start + self.random_between(0, 20 * MS)
+            self.schedule(due, "arrival", index, due)
+        for second, number, kind in self.scenario.faults:
+            self.schedule(int(second * SECOND), "fault", number, kind)
 
-    # ---- What is told to the program.
+    # ---- Events. Each handler returns the records for the program and their scheduler, or None.
 
-    def endpoint_list(self, nodes):
-        return wire.census(
-            0, [(node.shard, node.address, node.zone, node.state, node.started) for node in nodes]
+    def endpoint_list_record(self, nodes):
+        return wire.endpoint_list_record(
+            0, [(node.shard, node.address, node.zone, node.state, node.started_at) for node in nodes]
         )
 
-    def happen(self, what, values):
-        """The records for one event, each with the scheduler it is for."""
-        return getattr(self, "on_" + what)(*values)
+    def handle(self, event, arguments):
+        """Returns the number of a scheduler and the event's records for it; None if there are none."""
+        return getattr(self, "on_" + event)(*arguments)
 
-    def on_boot(self, index):
-        self.booted.add(index)
-        return index, [wire.boot(self.scenario.seed * 1000 + index, self.settings(index))]
+    def on_start(self, index):
+        self.started_schedulers.add(index)
+        return index, [wire.start_record(self.scenario.seed * 1000 + index, self.settings(index))]
 
-    def on_list(self, index, kind, nodes=None):
-        self.versions += 1
-        told = nodes if nodes is not None else [node for node in self.nodes if node.listed]
+    def on_endpoint_list(self, index, kind, nodes=None):
+        self.list_version += 1
+        listed = nodes if nodes is not None else [node for node in self.nodes if node.listed]
         if kind == wire.LIST_FAILED:
-            return index, [wire.membership(kind, self.versions, 0)]
-        return index, [self.endpoint_list(told), wire.membership(kind, self.versions, 0)]
+            return index, [wire.endpoint_update_record(kind, self.list_version, 0)]
+        return index, [
+            self.endpoint_list_record(listed),
+            wire.endpoint_update_record(kind, self.list_version, 0),
+        ]
 
     def on_arrival(self, index, due):
         scenario = self.scenario
-        since, until, times = scenario.surge
-        rate = scenario.rate * (times if since * SECOND <= self.now < until * SECOND else 1)
-        due += int(self.chance.random() * 2 * SECOND / rate) + 1
-        self.at(due, "arrival", index, due)
-        volume = self.below(scenario.volumes)
-        units = self.between(1, scenario.largest) if self.below(4) == 0 else self.between(1, 2)
-        asked = {
+        surge_start, surge_end, factor = scenario.surge
+        rate = scenario.rate * (factor if surge_start * SECOND <= self.now < surge_end * SECOND else 1)
+        due += int(self.generator.random() * 2 * SECOND / rate) + 1
+        self.schedule(due, "arrival", index, due)
+        volume = self.random_below(scenario.volumes)
+        units = (
+            self.random_between(1, scenario.max_units)
+            if self.random_below(4) == 0
+            else self.random_between(1, 2)
+        )
+        parameters = {
             "index": index,
-            "workload": self.below(len(scenario.workloads)),
+            "workload": self.random_below(len(scenario.workloads)),
             "volume": volume,
             "plan": volume % len(scenario.plans),
             "shard": -1.0
-            if self.chance.random() < scenario.no_shard
-            else float(self.below(scenario.shards or scenario.nodes)),
-            "key": self.below(scenario.keys),
+            if self.generator.random() < scenario.new_object_fraction
+            else float(self.random_below(scenario.shards or scenario.nodes)),
+            "key": self.random_below(scenario.keys),
             "units": units,
-            "hosts": scenario.hosts[self.below(len(scenario.hosts))],
+            "sharers": scenario.sharers[self.random_below(len(scenario.sharers))],
         }
-        return self.ask(asked, False)
+        return self.send_request(parameters, False)
 
-    def on_again(self, asked):
-        return self.ask(asked, True)
+    def on_repeat(self, parameters):
+        return self.send_request(parameters, True)
 
-    def ask(self, asked, repeated):
+    def send_request(self, parameters, repeated):
         scenario = self.scenario
-        workload = scenario.workloads[asked["workload"]]
+        workload = scenario.workloads[parameters["workload"]]
         request, self.next_request = self.next_request, self.next_request + 1
-        deadline = self.now + int(workload.deadline * SECOND)
-        bits = (wire.REPEATED if repeated and scenario.marks else 0) | (wire.WRITES * workload.writes)
-        self.requests[request] = {"asked": asked, "deadline": deadline, "made": 0, "over": False}
-        if asked["volume"] < scenario.leave_volumes and self.chance.random() < scenario.leave:
-            self.at(self.now + self.between(*scenario.leave_ms) * MS, "leave", request)
-        return asked["index"], [
+        client_timeout = self.now + int(workload.client_timeout * SECOND)
+        flags = (wire.REPEATED if repeated and scenario.clients_mark_repeats else 0) | (
+            wire.WRITES * workload.writes
+        )
+        self.requests[request] = {
+            "parameters": parameters,
+            "client_timeout": client_timeout,
+            "attempt_count": 0,
+            "ended": False,
+        }
+        if (
+            parameters["volume"] < scenario.disconnect_volumes
+            and self.generator.random() < scenario.disconnect_fraction
+        ):
+            wait = self.random_between(*scenario.disconnect_ms) * MS
+            self.schedule(self.now + wait, "disconnect", request)
+        return parameters["index"], [
             wire.record(
-                wire.ASK,
+                wire.REQUEST_RECEIVED,
                 "QBHfQfQIdf",
                 request,
-                bits,
-                asked["workload"],
-                asked["hosts"],
-                asked["volume"],
-                asked["shard"],
-                asked["key"],
-                asked["plan"],
-                wire.seconds(deadline),
-                asked["units"],
+                flags,
+                parameters["workload"],
+                parameters["sharers"],
+                parameters["volume"],
+                parameters["shard"],
+                parameters["key"],
+                parameters["plan"],
+                wire.seconds(client_timeout),
+                parameters["units"],
             )
         ]
 
-    def on_leave(self, request):
-        known = self.requests[request]
-        if known["over"]:
+    def on_disconnect(self, request):
+        entry = self.requests[request]
+        if entry["ended"]:
             return None
-        self.over(request, 100 * MS)
-        return known["asked"]["index"], [wire.record(wire.WITHDRAWN, "Q", request)]
+        self.end_unanswered(request, 100 * MS)
+        return entry["parameters"]["index"], [wire.record(wire.REQUEST_CANCELED, "Q", request)]
 
-    def on_alarm(self, index, alarm, until):
-        if self.alarms.get((index, alarm)) != until:
-            return None
-        return index, [wire.record(wire.ELAPSED, "I", alarm)]
+    def on_timer(self, index, timer, expires_at):
+        if self.timers.get((index, timer)) != expires_at:
+            return None  # the timer was set again
+        return index, [wire.record(wire.TIMER_EXPIRED, "I", timer)]
 
-    def on_outcome(self, request, attempt, outcome, frees):
-        node, sent = self.attempts.get((request, attempt), (None, 0))
+    def on_attempt_completed(self, request, attempt, outcome, leaves_node):
+        node, started_at = self.attempts.get((request, attempt), (None, 0))
         if node is None:
             return None
-        if frees:
-            node.inside -= 1
+        if leaves_node:
+            node.in_flight -= 1
         del self.attempts[request, attempt]
-        known = self.requests[request]
-        last = outcome == wire.ANSWERED or (
-            outcome == wire.ERROR and self.chance.random() < self.scenario.ends
+        entry = self.requests[request]
+        client_answered = outcome == wire.ANSWERED or (
+            outcome == wire.ERROR and self.generator.random() < self.scenario.final_error_fraction
         )
-        if last and not known["over"]:
-            known["over"] = True
-        return known["asked"]["index"], [
-            wire.returned(request, attempt, node.address, outcome, self.now - sent, last)
+        if client_answered and not entry["ended"]:
+            entry["ended"] = True
+        duration = self.now - started_at
+        return entry["parameters"]["index"], [
+            wire.attempt_completed_record(request, attempt, node.address, outcome, duration, client_answered)
         ]
 
-    def on_fault(self, number, way):
-        """A node changes; what the schedulers hear of it by their lists comes a little later."""
+    def on_fault(self, number, kind):
+        """Changes a node's condition. The schedulers' endpoint lists report the change a little later."""
         node = self.nodes[number]
-        told = {"drain": wire.DRAINING, "gone": wire.GONE, "ready": wire.READY}
-        kind = wire.LIST_CHANGES
-        if way in told:
-            node.state = told[way]
-        elif way in ("vanish", "appear"):
-            node.listed, kind = way == "appear", wire.LIST_WHOLE
-        elif way == "restart":
-            node.started, node.way, node.slots = self.now, "well", [self.now] * self.scenario.slots
+        states = {"drain": wire.DRAINING, "remove": wire.REMOVED, "ready": wire.READY}
+        list_kind = wire.LIST_DELTA
+        if kind in states:
+            node.state = states[kind]
+        elif kind in ("unlist", "list"):
+            node.listed, list_kind = kind == "list", wire.LIST_FULL
+        elif kind == "restart":
+            node.started_at, node.condition = self.now, "healthy"
+            node.slots = [self.now] * self.scenario.slots
         else:
-            node.way = way
-            if way != "list_failed":
-                return None
-            node.way, kind = "well", wire.LIST_FAILED
-        for index in sorted(self.booted):
-            nodes = [node] if kind == wire.LIST_CHANGES else None
-            self.at(self.now + self.between(1, 300) * MS, "list", index, kind, nodes)
+            node.condition = kind
+            if kind != "list_failed":
+                return None  # the endpoint list doesn't report it
+            node.condition, list_kind = "healthy", wire.LIST_FAILED
+        for index in sorted(self.started_schedulers):
+            nodes = [node] if list_kind == wire.LIST_DELTA else None
+            delay = self.random_between(1, 300) * MS
+            self.schedule(self.now + delay, "endpoint_list", index, list_kind, nodes)
         return None
 
-    # ---- What the program does.
+    # ---- Actions of the program.
 
-    def over(self, request, wait):
-        known = self.requests[request]
-        known["over"] = True
-        if self.chance.random() < self.scenario.ask_again:
-            self.at(self.now + wait + self.between(0, 50) * MS, "again", known["asked"])
+    def end_unanswered(self, request, wait):
+        """Ends a request without an answer; its client may repeat it after the wait."""
+        entry = self.requests[request]
+        entry["ended"] = True
+        if self.generator.random() < self.scenario.repeat_fraction:
+            repeat_at = self.now + wait + self.random_between(0, 50) * MS
+            self.schedule(repeat_at, "repeat", entry["parameters"])
 
-    def act(self, index, action):
+    def apply(self, index, action):
+        """Applies an action of the scheduler with the given number."""
         fields = action.fields
-        if action.code == wire.SET_ALARM:
-            # A wait of nothing ends with the next step: time must go on.
-            step = round(self.scenario.step * SECOND)
-            until = max(self.now + round(fields["wait"] * SECOND), self.now + step)
-            self.alarms[index, fields["alarm"]] = until
-            self.at(until, "alarm", index, fields["alarm"], until)
-        elif action.code == wire.ROUTE:
-            self.route(fields["request"], self.by_address[bytes.fromhex(fields["node"])])
-        elif action.code == wire.CALL_OFF:
-            self.at(self.now + 1 * MS, "outcome", fields["request"], fields["attempt"], wire.CALLED_OFF, True)
-        elif action.code in (wire.DECLINE, wire.LOSE):
-            wait = fields.get("come_back_after", 0.1)
-            self.over(fields["request"], round(wait * SECOND))
-        elif action.code == wire.LISTEN:
-            kind = wire.LIST_FAILED if self.below(3) == 0 else wire.LIST_WHOLE
-            self.at(self.now + self.between(5, 200) * MS, "list", index, kind)
-
-    def route(self, request, node):
-        known = self.requests[request]
-        attempt, known["made"] = known["made"], known["made"] + 1
+        if action.code == wire.SET_TIMER:
+            # A timer without delay expires one step later: the clock must advance.
+            step = round(self.scenario.time_step * SECOND)
+            expires_at = max(self.now + round(fields["delay"] * SECOND), self.now + step)
+            self.timers[index, fields["timer"]] = expires_at
+            self.schedule(expires_at, "timer", index, fields["timer"], expires_at)
+        elif action.code == wire.START_ATTEMPT:
+            self.start_attempt(fields["request"], self.by_address[bytes.fromhex(fields["node"])])
+        elif action.code == wire.CANCEL_ATTEMPT:
+            result = (fields["request"], fields["attempt"], wire.CANCELED, True)
+            self.schedule(self.now + 1 * MS, "attempt_completed", *result)
+        elif action.code in (wire.REJECT, wire.FAIL):
+            wait = fields.get("retry_after", 0.1)
+            self.end_unanswered(fields["request"], round(wait * SECOND))
+        elif action.code == wire.WATCH_ENDPOINTS:
+            kind = wire.LIST_FAILED if self.random_below(3) == 0 else wire.LIST_FULL
+            self.schedule(self.now + self.random_between(5, 200) * MS, "endpoint_list", index, kind)
+
+    def start_attempt(self, request, node):
+        """Decides the outcome of a new attempt, and schedules its end."""
+        entry = self.requests[request]
+        attempt, entry["attempt_count"] = entry["attempt_count"], entry["attempt_count"] + 1
         self.attempts[request, attempt] = (node, self.now)
-        node.inside += 1
-        units = known["asked"]["units"]
+        node.in_flight += 1
+        units = entry["parameters"]["units"]
         slot = min(range(len(node.slots)), key=node.slots.__getitem__)
-        work = int(units * self.scenario.unit_ms * MS * (0.7 + 0.6 * self.chance.random()))
-        if node.way == "slow":
+        work = int(units * self.scenario.unit_ms * MS * (0.7 + 0.6 * self.generator.random()))
+        if node.condition == "slow":
             work *= 6
-        drawn, outcome = self.chance.random(), wire.ANSWERED
-        for part, odd in zip(self.scenario.odd, (wire.ERROR, wire.TIMED_OUT, wire.RESET, wire.UNSENT)):
-            if drawn < part:
-                outcome = odd
+        drawn, outcome = self.generator.random(), wire.ANSWERED
+        failures = (wire.ERROR, wire.TIMED_OUT, wire.RESET, wire.NOT_SENT)
+        for fraction, failure in zip(self.scenario.failure_fractions, failures):
+            if drawn < fraction:
+                outcome = failure
                 break
-            drawn -= part
-        done = known["deadline"]
-        if node.way == "refusing":
-            outcome, done = wire.UNREACHABLE, self.now + 1 * MS
-        elif node.way == "full" or node.inside > self.scenario.room:
-            outcome, done = wire.FULL, self.now + 1 * MS
-        elif node.way == "resetting":
-            outcome, done = wire.RESET, self.now + self.between(5, 60) * MS
-        elif outcome == wire.UNSENT:
-            done = self.now + 2 * MS
-        elif outcome != wire.TIMED_OUT and node.way != "silent":
+            drawn -= fraction
+        ends_at = entry["client_timeout"]
+        if node.condition == "refusing":
+            outcome, ends_at = wire.UNREACHABLE, self.now + 1 * MS
+        elif node.condition == "overloaded" or node.in_flight > self.scenario.node_capacity:
+            outcome, ends_at = wire.OVERLOADED, self.now + 1 * MS
+        elif node.condition == "resetting":
+            outcome, ends_at = wire.RESET, self.now + self.random_between(5, 60) * MS
+        elif outcome == wire.NOT_SENT:
+            ends_at = self.now + 2 * MS
+        elif outcome != wire.TIMED_OUT and node.condition != "unresponsive":
             node.slots[slot] = max(node.slots[slot], self.now) + work
-            done = node.slots[slot] + 1 * MS
+            ends_at = node.slots[slot] + 1 * MS
         else:
             outcome = wire.TIMED_OUT
-        if done >= known["deadline"]:
-            outcome, done = wire.TIMED_OUT, known["deadline"]
-        self.at(done, "outcome", request, attempt, outcome, True)
+        if ends_at >= entry["client_timeout"]:
+            outcome, ends_at = wire.TIMED_OUT, entry["client_timeout"]
+        self.schedule(ends_at, "attempt_completed", request, attempt, outcome, True)
--- a/tests/recorded_run/wire.py
+++ b/tests/recorded_run/wire.py
@@ -1,52 +1,55 @@
-"""The simulator's wire as knotvane_drill speaks it: frames of records, little-endian, no padding."""
+"""The simulator's wire protocol as knotvane_drill implements it: frames of little-endian records.
+
+The names are those of src/simulator_adapter/records.hpp, which describes the fields.
+"""
 
 import struct
 from dataclasses import dataclass
 
 # Events, to the program.
-BOOT = 256
-MEMBERSHIP = 257
-ASK = 258
-RETURNED = 260
-WITHDRAWN = 261
-ELAPSED = 262
-SHUTDOWN = 265
-CENSUS = 266
+START = 256
+ENDPOINT_UPDATE = 257
+REQUEST_RECEIVED = 258
+ATTEMPT_COMPLETED = 260
+REQUEST_CANCELED = 261
+TIMER_EXPIRED = 262
+KILL = 265
+ENDPOINT_LIST = 266
 TARGET_INSTANCE = 267
 
 # Actions, from the program.
 FAULT = 256
 INSTANCE = 257
-SET_ALARM = 260
-ROUTE = 261
-READ_LIST = 262
-LOSE = 263
-CALL_OFF = 264
-LISTEN = 265
-DECLINE = 268
+SET_TIMER = 260
+START_ATTEMPT = 261
+READ_ENDPOINT_LIST = 262
+FAIL = 263
+CANCEL_ATTEMPT = 264
+WATCH_ENDPOINTS = 265
+REJECT = 268
 
 # How an attempt ended.
-ANSWERED, ERROR, FULL, TIMED_OUT, UNREACHABLE, RESET, CALLED_OFF, UNSENT = range(8)
+ANSWERED, ERROR, OVERLOADED, TIMED_OUT, UNREACHABLE, RESET, CANCELED, NOT_SENT = range(8)
 
-# What a membership record tells.
-LIST_FAILED, LIST_WHOLE, LIST_CHANGES = 1, 2, 3
+# The kind of an ENDPOINT_UPDATE.
+LIST_FAILED, LIST_FULL, LIST_DELTA = 1, 2, 3
 
 # A node's state in an endpoint list.
-DRAINING, GONE, READY = 0, 1, 2
+DRAINING, REMOVED, READY = 0, 1, 2
 
-# The bits of an ASK.
+# Flag bits of a REQUEST_RECEIVED.
 REPEATED, WRITES = 2, 4
 
-# The fields of each action: name and format, in order. An address is six bytes.
+# The name of each action, and the names and struct formats of its fields in order. An address has 6 bytes.
 ACTION_FIELDS = {
     INSTANCE: ("INSTANCE", (("instance", "I"),)),
-    SET_ALARM: ("SET_ALARM", (("alarm", "I"), ("wait", "d"))),
-    ROUTE: ("ROUTE", (("request", "Q"), ("node", "6s"), ("time_out", "d"))),
-    READ_LIST: ("READ_LIST", ()),
-    LOSE: ("LOSE", (("request", "Q"),)),
-    CALL_OFF: ("CALL_OFF", (("request", "Q"), ("attempt", "B"))),
-    LISTEN: ("LISTEN", (("on", "B"),)),
-    DECLINE: ("DECLINE", (("request", "Q"), ("come_back_after", "d"))),
+    SET_TIMER: ("SET_TIMER", (("timer", "I"), ("delay", "d"))),
+    START_ATTEMPT: ("START_ATTEMPT", (("request", "Q"), ("node", "6s"), ("timeout", "d"))),
+    READ_ENDPOINT_LIST: ("READ_ENDPOINT_LIST", ()),
+    FAIL: ("FAIL", (("request", "Q"),)),
+    CANCEL_ATTEMPT: ("CANCEL_ATTEMPT", (("request", "Q"), ("attempt", "B"))),
+    WATCH_ENDPOINTS: ("WATCH_ENDPOINTS", (("on", "B"),)),
+    REJECT: ("REJECT", (("request", "Q"), ("retry_after", "d"))),
 }
 
 
@@ -59,11 +62,12 @@
     fields: dict
 
     def __str__(self):
-        return f"{self.name} ({self.code}) " + ", ".join(f"{k}={v}" for k, v in self.fields.items())
+        fields = ", ".join(f"{field}={value}" for field, value in self.fields.items())
+        return f"{self.name} ({self.code}) {fields}"
 
 
 def seconds(microseconds):
-    """The wire counts seconds in a double; the division is rounded the same way everywhere."""
+    """Converts to the seconds of the wire, a double; the division rounds the same on every machine."""
     return microseconds / 1_000_000
 
 
@@ -77,40 +81,50 @@
     return struct.pack("<Id", 12 + len(body), seconds(clock)) + body
 
 
-def boot(seed, settings):
+def start_record(seed, settings):
     text = "".join(f"{path}={value}\n" for path, value in settings.items()).encode()
-    return record(BOOT, f"QI{len(text)}s", seed, len(text), text)
+    return record(START, f"QI{len(text)}s", seed, len(text), text)
 
 
-def census(number, entries):
-    """An endpoint list; each entry is (shard, address, zone, state, started)."""
+def endpoint_list_record(number, entries):
+    """An endpoint list; each entry is (shard, address, zone, state, started_at)."""
     body = b"".join(
-        struct.pack("<H6sBBfd2x", shard, address, zone, state, 1.0, seconds(started))
-        for shard, address, zone, state, started in entries
+        struct.pack("<H6sBBfd2x", shard, address, zone, state, 1.0, seconds(started_at))
+        for shard, address, zone, state, started_at in entries
     )
-    return record(CENSUS, f"HI{len(body)}s", number, len(entries), body)
+    return record(ENDPOINT_LIST, f"HI{len(body)}s", number, len(entries), body)
 
 
-def membership(kind, version, number):
-    return record(MEMBERSHIP, "BQH", kind, version, number)
+def endpoint_update_record(kind, version, number):
+    return record(ENDPOINT_UPDATE, "BQH", kind, version, number)
 
 
-def returned(request, attempt, address, outcome, took, last):
+def attempt_completed_record(request, attempt, address, outcome, duration, client_answered):
     return record(
-        RETURNED, "QB6sHdBHHB", request, attempt, address, outcome, seconds(took), int(last), 0, 0, 0
+        ATTEMPT_COMPLETED,
+        "QB6sHdBHHB",
+        request,
+        attempt,
+        address,
+        outcome,
+        seconds(duration),
+        int(client_answered),
+        0,
+        0,
+        0,
     )
 
 
 def decode_reply(reply):
-    """The actions of a whole reply frame. Those of an unknown code are kept as bytes."""
-    actions, at = [], 4
-    while at + 6 <= len(reply):
-        code, length = struct.unpack_from("<HI", reply, at)
-        start, at = at + 6, at + 6 + length
-        body = reply[start:at]
+    """Decodes the actions of a complete reply frame. Fields of an unknown layout are kept as bytes."""
+    actions, position = [], 4
+    while position + 6 <= len(reply):
+        code, length = struct.unpack_from("<HI", reply, position)
+        start, position = position + 6, position + 6 + length
+        body = reply[start:position]
         name, layout = ACTION_FIELDS.get(code, ("UNKNOWN", ()))
-        expected = struct.calcsize("<" + "".join(form for _, form in layout))
-        if name == "UNKNOWN" or expected != length:
+        expected_length = struct.calcsize("<" + "".join(form for _, form in layout))
+        if name == "UNKNOWN" or expected_length != length:
             actions.append(Action(code, "FAULT" if code == FAULT else name, {"bytes": body}))
             continue
         values = struct.unpack("<" + "".join(form for _, form in layout), body)
@@ -122,10 +136,10 @@
 
 
 def split_frames(run):
-    """The reply frames of a whole run, in order."""
-    frames, at = [], 0
-    while at < len(run):
-        (length,) = struct.unpack_from("<I", run, at)
-        start, at = at, at + length
-        frames.append(run[start:at])
+    """Splits the reply bytes of a complete run into its frames."""
+    frames, position = [], 0
+    while position < len(run):
+        (length,) = struct.unpack_from("<I", run, position)
+        start, position = position, position + length
+        frames.append(run[start:position])
     return frames
