--- a/src/scheduling/attempt_outcome.cpp
+++ b/src/scheduling/attempt_outcome.cpp
@@ -9,7 +9,8 @@
                       Time now, bool slow) {
     Time started_at = request.attempts[result.attempt.value].started_at;
     double units = effective_units(request);
-    // It took this long at least: without it the window would see the quick answers only, and grow.
+    // The duration is a lower bound of the node's answer time. Without abandoned attempts the
+    // window would be based on fast answers only, and would grow.
     node.window.record_duration(now, units, result.duration, slow);
     if (!node.health.overtaken(started_at))
         node.latency.add_abandoned(now, units, result.duration);
@@ -31,7 +32,7 @@
 bool record_outcome(NodeRecord &node, const Request &request, const AttemptResult &result, Time now,
                     std::uint32_t scheduler_count) {
     Time started_at = request.attempts[result.attempt.value].started_at;
-    // It took half of its latency objective or longer.
+    // The attempt took more than half of the request's latency objective.
     bool slow = 2 * result.duration > request.latency_deadline - request.received_at;
 
     node.units_in_flight -= request.units;
--- a/src/scheduling/early_disconnects.cpp
+++ b/src/scheduling/early_disconnects.cpp
@@ -8,14 +8,14 @@
 namespace knotvane::scheduling {
 namespace {
 
-// Many: so many disconnects within that time.
-constexpr std::size_t many_disconnects = 8;
+// The least number of disconnects within the time window that limits the wait.
+constexpr std::size_t min_disconnects = 8;
 constexpr Time disconnect_window = 2 * sec;
 
-// Disconnects of so many volumes count for all volumes.
-constexpr std::size_t many_volumes = 4;
+// Disconnects of at least this many volumes limit the wait of all volumes.
+constexpr std::size_t min_volumes_for_all = 4;
 
-constexpr double quick_quarter = 0.25;
+constexpr double first_quartile = 0.25;
 
 } // namespace
 
@@ -24,10 +24,10 @@
 }
 
 bool EarlyDisconnects::many_recent(Time now) const {
-    if (disconnects_.size() < many_disconnects)
+    if (disconnects_.size() < min_disconnects)
         return false;
-    const Disconnect &first_of_many = *(disconnects_.end() - many_disconnects);
-    return first_of_many.at > now - disconnect_window;
+    const Disconnect &oldest_needed = *(disconnects_.end() - min_disconnects);
+    return oldest_needed.at > now - disconnect_window;
 }
 
 Time EarlyDisconnects::wait_limit(VolumeId volume, Time now) const {
@@ -42,17 +42,17 @@
         if (disconnect.volume == volume)
             waits_of_volume.add(disconnect.waited);
     }
-    bool counts_for_all = volumes.size() >= many_volumes;
-    const auto &relevant = counts_for_all ? waits : waits_of_volume;
-    if (relevant.size() < many_disconnects)
+    bool limits_all = volumes.size() >= min_volumes_for_all;
+    const auto &relevant = limits_all ? waits : waits_of_volume;
+    if (relevant.size() < min_disconnects)
         return unlimited_wait;
 
-    Time limit = relevant.quantile(quick_quarter);
-    std::size_t stayed_longer = 0;
+    Time limit = relevant.quantile(first_quartile);
+    std::size_t answered_later = 0;
     for (const Answer &answer : answered_)
-        if ((counts_for_all || answer.volume == volume) && answer.waited > limit)
-            ++stayed_longer;
-    return stayed_longer >= relevant.size() ? unlimited_wait : limit;
+        if ((limits_all || answer.volume == volume) && answer.waited > limit)
+            ++answered_later;
+    return answered_later >= relevant.size() ? unlimited_wait : limit;
 }
 
 } // namespace knotvane::scheduling
--- a/src/scheduling/early_disconnects.hpp
+++ b/src/scheduling/early_disconnects.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How long clients wait before they disconnect.
+/// How long clients wait for an answer before they disconnect.
 #pragma once
 
 #include "common/ids.hpp"
@@ -8,24 +8,31 @@
 
 namespace knotvane::scheduling {
 
-/// While many clients disconnect early, requests are given up by when clients go. Guards against
-/// serving just those whose client is about to go.
+/// Estimates, while many clients disconnect before they are answered, how long clients wait.
+/// Requests that can't be answered within that time are given up. Without the limit, a scheduler
+/// that serves requests in turn would mostly serve those whose client is about to disconnect.
 ///
-/// Disconnects of one volume's clients count for that volume alone, those of four or more volumes
-/// of all: a client that hangs up again and again must not shorten the wait of everybody.
-/// Disconnects count only while fewer clients were answered after a longer wait: guards against
-/// clients that leave right after they asked, whatever is done for them.
+/// Disconnects of one volume's clients limit the wait of that volume only, so that a client that
+/// disconnects again and again doesn't shorten the wait of all. Disconnects of four or more volumes
+/// limit the wait of all volumes. There is no limit while at least as many clients were answered
+/// after a longer wait: some clients disconnect right after their request, whatever is done for
+/// them.
 class EarlyDisconnects {
 public:
+    /// A client disconnected before its request was answered.
+    /// @param waited time since the request was received.
     void client_disconnected(Time now, VolumeId volume, Time waited);
 
+    /// A client got its answer.
+    /// @param waited time since the request was received.
     void client_answered(VolumeId volume, Time waited) { answered_.add({volume, waited}); }
 
-    /// @return whether there may be any volume with a limit.
+    /// @return whether there were enough recent disconnects to limit the wait of any volume.
     bool many_recent(Time now) const;
 
-    /// @return how long the volume's clients wait now: the quick quarter of those that disconnected
-    ///     early; unlimited_wait if that isn't known.
+    /// @return how long the volume's clients wait now: the first quartile of the waits of those
+    /// that
+    ///     disconnected early; unlimited_wait if there is no limit.
     Time wait_limit(VolumeId volume, Time now) const;
 
 private:
