--- a/src/scheduling/load_shedding.cpp
+++ b/src/scheduling/load_shedding.cpp
@@ -10,8 +10,8 @@
 
 using Positions = std::set<QueuePosition>;
 
-void add_soon_disconnected(Positions &late, const NodeRecord &node, const RequestTable &requests,
-                           const EarlyDisconnects &disconnects, Time now) {
+void add_expected_disconnects(Positions &late, const NodeRecord &node, const RequestTable &requests,
+                              const EarlyDisconnects &disconnects, Time now) {
     for (const auto &[id, volume] : node.queue.volumes()) {
         Time limit = volume.requests.empty() ? unlimited_wait : disconnects.wait_limit(id, now);
         for (const QueueRank &rank : volume.requests) {
@@ -26,10 +26,10 @@
 
 std::vector<RequestId> requests_to_shed(const NodeRecord &node, const RequestTable &requests,
                                         const EarlyDisconnects &disconnects, Time now) {
-    auto expected = [&](double units) { return node.latency.expected_duration(units); };
-    Positions late = node.waiting_index.find_late(now, expected);
+    auto expected_duration = [&](double units) { return node.latency.expected_duration(units); };
+    Positions late = node.waiting_index.find_late(now, expected_duration);
     if (disconnects.many_recent(now))
-        add_soon_disconnected(late, node, requests, disconnects, now);
+        add_expected_disconnects(late, node, requests, disconnects, now);
 
     const Positions &repeats = node.waiting_index.repeats();
     std::vector<RequestId> result;
--- a/src/scheduling/load_shedding.hpp
+++ b/src/scheduling/load_shedding.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which waiting requests are given up early.
+/// Load shedding: which requests in a node's queue are given up early.
 #pragma once
 
 #include <vector>
@@ -12,12 +12,14 @@
 
 namespace knotvane::scheduling {
 
-/// Requests that wait at the node and can't be in time any more: their latency deadline, or the
-/// time when their client disconnects, comes before the expected answer. And, while the window is
-/// full and first requests wait, all repeats: they earn the part of a late answer at most, and make
-/// room. Guards against a retry storm in which everybody is served late.
+/// Finds the requests in the node's queue that aren't worth an attempt any more:
+/// - those whose expected answer comes after their latency deadline, or after their client is
+///   expected to disconnect;
+/// - while the window is full and first requests wait, all repeats. A repeat earns no more than the
+///   value of a late answer. Otherwise, in a retry storm, repeats would delay first requests until
+///   these are late, too.
 /// @param node whose latency estimate is up to date.
-/// @return in the order in which they are given up.
+/// @return the requests in the order in which to give them up.
 std::vector<RequestId> requests_to_shed(const NodeRecord &node, const RequestTable &requests,
                                         const EarlyDisconnects &disconnects, Time now);
 
--- a/src/scheduling/never.hpp
+++ b/src/scheduling/never.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The time of what isn't due.
+/// Special values of times and durations.
 #pragma once
 
 #include <limits>
@@ -8,10 +8,10 @@
 
 namespace knotvane::scheduling {
 
-/// Later than any time that comes.
+/// The time of an event that isn't scheduled: later than any time that occurs.
 inline constexpr Time never = std::numeric_limits<Time>::max();
 
-/// Longer than any request waits, with room to add a time to it.
+/// A duration without a limit: longer than any request waits. Adding it to a time doesn't overflow.
 inline constexpr Time unlimited_wait = never / 2;
 
 } // namespace knotvane::scheduling
--- a/src/scheduling/node_health.cpp
+++ b/src/scheduling/node_health.cpp
@@ -6,28 +6,30 @@
 namespace knotvane::scheduling {
 namespace {
 
-// After a lost attempt the window has one more place for as long.
-constexpr Time spare_place_duration = 2 * sec;
+// How long the window has one extra slot after an attempt was lost.
+constexpr Time extra_slot_duration = 2 * sec;
 
-// Long enough for a trial attempt to be answered before the next scheduler's slot.
+// Long enough for the node to answer a trial attempt before the next scheduler's slot begins.
 constexpr Time trial_slot = 250 * ms;
-// All schedulers have their slot within what a client waits.
-constexpr Time longest_trial_round = 2 * sec;
+// Each scheduler gets its slot within the time that a client waits.
+constexpr Time max_trial_round = 2 * sec;
 
-// A shorter silence is a pause, not a restart.
-constexpr Time shortest_restart = 2 * sec;
+// A shorter silence counts as a pause of the node, not as a restart.
+constexpr Time min_restart_silence = 2 * sec;
 
-// One lost connection is no sign: where the network drops some, most nodes would pass for new.
-constexpr std::uint32_t unreachable_limit = 2;
+// Two, as a single connection may be lost in the network. If one were enough where the network
+// drops some, most nodes would be taken for restarted.
+constexpr std::uint32_t min_unreachable_in_row = 2;
 
-// One silent attempt may be lost alone.
-constexpr std::size_t unanswered_limit = 2;
+// Two, as a single attempt may be lost while the node works.
+constexpr std::size_t min_unanswered = 2;
 
-// An overtaken attempt is overdue past this many median durations.
-constexpr Time overtaken_limit = 3;
+// An overtaken attempt is overdue when it is older than this many median durations.
+constexpr Time overtaken_multiple = 3;
 
-// Abandoned work is taken for done this many response timeouts after its own.
-constexpr Time abandoned_limit = 3;
+// The node is assumed to have dropped or finished abandoned work once this many further response
+// timeouts have passed after the first one.
+constexpr Time abandoned_multiple = 3;
 
 } // namespace
 
@@ -35,12 +37,12 @@
     std::size_t occupied = in_flight_.size() - overdue_ + abandoned_.size();
     if (in_flight_.empty() || occupied == 0)
         return 0;
-    bool spare_place = now < lost_at_ + spare_place_duration;
-    return spare_place ? occupied - 1 : occupied;
+    bool extra_slot = now < lost_at_ + extra_slot_duration;
+    return extra_slot ? occupied - 1 : occupied;
 }
 
 bool NodeHealth::trial_allowed(Time now, const TrialRotation &rotation) const {
-    Time slot_duration = std::min<Time>(trial_slot, longest_trial_round / rotation.scheduler_count);
+    Time slot_duration = std::min<Time>(trial_slot, max_trial_round / rotation.scheduler_count);
     auto slot = static_cast<std::uint64_t>(now / slot_duration);
     return slot % rotation.scheduler_count == rotation.scheduler.value &&
            now - last_attempt_at_ >= trial_slot;
@@ -48,7 +50,7 @@
 
 void NodeHealth::attempt_started(const AttemptInFlight &attempt) {
     last_attempt_at_ = attempt.started_at;
-    // An idle node has nothing to answer: its silence begins here.
+    // An idle node has nothing to answer, so silence is counted from its first attempt in flight.
     if (in_flight_.empty())
         last_response_at_ = attempt.started_at;
     in_flight_.insert(attempt);
@@ -64,7 +66,7 @@
 
 bool NodeHealth::node_responded(Time now) {
     bool may_have_restarted =
-        connections_refused_ || (unresponsive_ && now - last_response_at_ > shortest_restart);
+        connections_refused_ || (unresponsive_ && now - last_response_at_ > min_restart_silence);
     unresponsive_ = false;
     connections_refused_ = false;
     last_response_at_ = now;
@@ -78,11 +80,11 @@
 }
 
 void NodeHealth::attempt_unreachable(Time started_at) {
-    // A connection that never came up while the node answered others was lost on the way.
+    // The node responded after this attempt started, so the connection was lost in the network.
     if (last_response_at_ > started_at)
         return;
     ++unreachable_in_row_;
-    if (unreachable_in_row_ < unreachable_limit)
+    if (unreachable_in_row_ < min_unreachable_in_row)
         return;
     unresponsive_ = true;
     connections_refused_ = true;
@@ -96,24 +98,25 @@
 void NodeHealth::update(Time now, const LatencyEstimate &latency) {
     Time timeout = latency.response_timeout();
     Time timed_out_before = now - timeout;
-    // The median is worked out only where an attempt was overtaken.
+    // Computes the median only if an attempt was overtaken, for speed.
     Time overtaken_before = 0;
     if (!in_flight_.empty() && overtaken(in_flight_.begin()->started_at))
-        overtaken_before = now - overtaken_limit * latency.median_duration();
+        overtaken_before = now - overtaken_multiple * latency.median_duration();
     overdue_ = 0;
     for (const AttemptInFlight &attempt : in_flight_) {
         bool timed_out = attempt.started_at < timed_out_before;
-        bool passed_by = overtaken(attempt.started_at) && attempt.started_at < overtaken_before;
-        if (timed_out || passed_by)
+        bool overtaken_too_long =
+            overtaken(attempt.started_at) && attempt.started_at < overtaken_before;
+        if (timed_out || overtaken_too_long)
             ++overdue_;
     }
 
     abandoned_.erase(abandoned_.begin(),
-                     abandoned_.lower_bound(timed_out_before - abandoned_limit * timeout));
-    auto abandoned_and_silent =
+                     abandoned_.lower_bound(timed_out_before - abandoned_multiple * timeout));
+    auto abandoned_past_timeout =
         std::distance(abandoned_.begin(), abandoned_.lower_bound(timed_out_before));
-    std::size_t unanswered = overdue_ + static_cast<std::size_t>(abandoned_and_silent);
-    if (unanswered >= unanswered_limit && last_response_at_ < timed_out_before)
+    std::size_t unanswered = overdue_ + static_cast<std::size_t>(abandoned_past_timeout);
+    if (unanswered >= min_unanswered && last_response_at_ < timed_out_before)
         unresponsive_ = true;
 }
 
--- a/src/scheduling/node_record.hpp
+++ b/src/scheduling/node_record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A node as one scheduler sees it.
+/// The state that one scheduler keeps for one node.
 #pragma once
 
 #include <cstdint>
@@ -18,28 +18,31 @@
 
 namespace knotvane::scheduling {
 
-/// Sums of units that are added and taken off again end near 0, not at it: below this nothing is
-/// there.
+/// A sum of units below this counts as 0: adding units and subtracting them again leaves a rounding
+/// error.
 inline constexpr double negligible_units = 1e-9;
 
+/// What one scheduler knows of one node, and what it has queued and in flight there.
 struct NodeRecord {
     /// @param scheduler_count the number of schedulers that share the node.
-    /// @param largest_request in units.
+    /// @param largest_request the units of the largest request.
     NodeRecord(NodeId id, std::uint32_t scheduler_count, double largest_request)
         : queue(largest_request), window(scheduler_count) {
         location.node = id;
     }
 
+    /// @return whether no request waits in the node's queue.
     bool nothing_waits() const { return units_waiting < negligible_units; }
 
-    // By the endpoint list.
+    // From the endpoint list.
     NodeLocation location;
     NodeState state = NodeState::removed;
+    /// When the node's process started.
     Time started_at = 0;
-    /// The list that is being read names it.
+    /// The endpoint list that is being applied names the node.
     bool in_current_list = false;
 
-    // What waits, and what bounds what is in flight.
+    // Requests that wait for the node, and the limits on attempts in flight.
     FairQueue queue;
     WaitingIndex waiting_index;
     ConcurrencyWindow window;
@@ -47,7 +50,7 @@
     double units_waiting = 0;
     double units_in_flight = 0;
 
-    // What attempts showed.
+    // What the outcomes of attempts showed.
     NodeHealth health;
     LatencyEstimate latency;
     NodeSlowStart slow_start;
--- a/src/scheduling/node_table.hpp
+++ b/src/scheduling/node_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The nodes that a scheduler knows, by the endpoint lists.
+/// The nodes that a scheduler knows from endpoint lists.
 #pragma once
 
 #include <map>
@@ -15,27 +15,27 @@
 
 namespace knotvane::scheduling {
 
-/// Nodes by id. A node that was removed is kept: attempts may be in flight there. References to
-/// nodes hold as long as the table.
+/// Node records by id. The record of a removed node is kept, because attempts may still be in
+/// flight there. References to records stay valid for the lifetime of the table.
 class NodeTable {
 public:
-    /// A list begins, whose lines follow.
+    /// Begins an endpoint list; apply_endpoint follows for each of its entries, then end_list.
     void begin_list(EndpointListKind kind);
 
-    /// A line of the list.
-    /// @param config for a node that is new, with defaults filled in.
+    /// Adds or updates the node of an entry of the list.
+    /// @param config settings for a new node, with defaults filled in.
     void apply_endpoint(const Endpoint &endpoint, Time now, const SchedulerConfig &config,
                         const SlowStart &slow_start);
 
-    /// The list ends: a full one has removed the nodes that it doesn't name.
-    /// @return the nodes that drain or are removed, in the order of ids.
+    /// Ends the list. After a full one, nodes that it doesn't name are removed.
+    /// @return the nodes that are draining or removed, in the order of ids.
     std::vector<NodeRecord *> end_list();
 
-    /// There must be one.
+    /// @param id of a node that the table holds.
     NodeRecord &at(NodeId id) { return nodes_.at(id); }
     const NodeRecord &at(NodeId id) const { return nodes_.at(id); }
 
-    /// The nodes that are ready.
+    /// @return the placement over the nodes that are ready.
     const Placement &placement() const { return placement_; }
 
 private:
--- a/src/scheduling/overload_hold.hpp
+++ b/src/scheduling/overload_hold.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How long a node that answered "overloaded" gets nothing.
+/// How long a node gets no attempts after it answered "overloaded".
 #pragma once
 
 #include <algorithm>
@@ -9,24 +9,29 @@
 
 namespace knotvane::scheduling {
 
-/// Exponential backoff of one node: after an overload it gets nothing for one request's expected
-/// time, doubled with each further overload until it answers, at most times the number of
-/// schedulers (then all together send one in that time). Guards against a node that stays full of
-/// work which is too late.
+/// Exponential backoff for one node that rejects attempts as overloaded. After the first rejection
+/// it gets no attempt for the expected duration of one request; the delay doubles with each further
+/// rejection until the node answers. The multiplier is at most the number of schedulers: then all
+/// of them together send one attempt per expected duration. Without the backoff, an overloaded node
+/// would stay full of work that is already too late.
 class OverloadBackoff {
 public:
-    /// @param expected_duration of the request that was rejected.
+    /// The node rejected an attempt.
+    /// @param expected_duration of the rejected request.
+    /// @param scheduler_count the number of schedulers that share the node.
     void node_overloaded(Time now, Time expected_duration, std::uint32_t scheduler_count) {
-        until_ = now + expected_duration * multiplier_;
+        blocked_until_ = now + expected_duration * multiplier_;
         multiplier_ = std::min(multiplier_ * 2, scheduler_count);
     }
 
+    /// The node answered an attempt: the next delay is the shortest again.
     void reset() { multiplier_ = 1; }
 
-    bool active(Time now) const { return now < until_; }
+    /// @return whether the node gets no attempts now.
+    bool active(Time now) const { return now < blocked_until_; }
 
 private:
-    Time until_ = 0;
+    Time blocked_until_ = 0;
     std::uint32_t multiplier_ = 1;
 };
 
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -3,8 +3,8 @@
 namespace knotvane::scheduling {
 namespace {
 
-// Seconds: past any queue, so that such nodes come last, the unresponsive after those in slow
-// start.
+// In seconds: longer than any queue, so that these nodes are chosen last, and unresponsive ones
+// after those in slow start.
 constexpr double unresponsive_cost = 1e9;
 constexpr double slow_start_cost = 1e6;
 
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which node a request goes to.
+/// Chooses the node for a request.
 #pragma once
 
 #include <map>
@@ -12,19 +12,21 @@
 
 namespace knotvane::scheduling {
 
-/// The nodes that are ready. A request for data that exists goes to the node that holds its shard;
-/// one for a new object goes to the better of two nodes drawn at random: so schedulers that know
-/// nothing of each other's choices don't all choose the same node.
+/// Places requests on the nodes that are ready. A request for existing data goes to the node that
+/// holds its shard. A request for a new object goes to the cheaper of two nodes drawn at random:
+/// schedulers don't know each other's choices, and would all choose the cheapest node otherwise.
 class Placement {
 public:
+    /// Removes all nodes.
     void clear();
 
-    /// Adds a node that is ready; the caller keeps it alive until the next clear. Of nodes with one
-    /// shard the one that started last holds it: it replaces the others.
+    /// Adds a node that is ready. Of several nodes with the same shard, the one that started last
+    /// holds it.
+    /// @param node which the caller keeps alive until the next clear.
     void add(NodeRecord &node);
 
     /// @param shard no_shard for a new object.
-    /// @return nullptr if no node is ready for it.
+    /// @return the node; nullptr if none is ready, or none that holds the shard.
     NodeRecord *choose_node(ShardId shard, Time now, RandomGenerator &random) const;
 
 private:
@@ -32,8 +34,9 @@
     std::map<ShardId, NodeRecord *> shard_holders_;
 };
 
-/// @return the seconds that the scheduler's own requests take at the node, with one more; much more
-///     for a node in slow start, and more still for an unresponsive one.
+/// @return the expected seconds until the node has served this scheduler's requests, queued and in
+///     flight, and one unit more. Nodes in slow start cost more than any others, and unresponsive
+///     nodes cost still more.
 double placement_cost(const NodeRecord &node, Time now);
 
 } // namespace knotvane::scheduling
--- a/src/scheduling/recent_samples.hpp
+++ b/src/scheduling/recent_samples.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The last few samples of a figure, oldest first.
+/// A fixed-size buffer of the most recent samples.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace knotvane::scheduling {
 
-/// Keeps the last `Capacity` samples. Asks for no memory: samples are made and dropped many times
-/// for each request.
+/// Keeps the last `Capacity` samples, oldest first. It allocates no heap memory, because buffers
+/// are created and discarded many times for each request.
 template <class T, std::size_t Capacity>
 class RecentSamples {
 public:
@@ -39,8 +39,8 @@
     /// @return the smallest sample; T{} if there is none.
     T minimum() const { return empty() ? T{} : *std::min_element(begin(), end()); }
 
-    /// @param fraction of the samples that the result lies above, 0 to 1.
-    /// @return T{} if there is no sample.
+    /// @param fraction of the samples that are below the result, 0 to 1.
+    /// @return the sample at that quantile; T{} if there is none.
     T quantile(double fraction) const {
         if (empty())
             return T{};
@@ -53,7 +53,8 @@
     }
 
 private:
-    // Twice as many places as samples, so that they are moved up only once in `Capacity` additions.
+    // Twice the capacity, so that the samples are moved to the front only once per `Capacity`
+    // additions.
     std::array<T, 2 * Capacity> samples_;
     std::uint32_t begin_ = 0;
     std::uint32_t end_ = 0;
--- a/src/scheduling/repeat_detector.cpp
+++ b/src/scheduling/repeat_detector.cpp
@@ -6,21 +6,22 @@
 namespace knotvane::scheduling {
 namespace {
 
-// Past the longest Retry-After that clients keep to, and their own pauses.
-constexpr Time longest_repeat_pause = 4 * sec;
+// How long after the first request's latency deadline a repeat may come: longer than the longest
+// Retry-After that clients obey, and than the pauses that clients make on their own.
+constexpr Time max_repeat_delay = 4 * sec;
 
-// With fewer entries there is nothing to gain from a look at all of them.
-constexpr std::size_t prune_above = 4096;
+// With fewer entries, scanning all of them isn't worth its time.
+constexpr std::size_t min_entries_to_prune = 4096;
 
 } // namespace
 
 void RepeatDetector::record_unanswered(const Request &request) {
-    unanswered_[likeness(request)] = request.first_latency_deadline;
+    unanswered_[signature_of(request)] = request.first_latency_deadline;
 }
 
 void RepeatDetector::detect_repeat(Request &request, bool clients_mark_repeats) {
     request.first_latency_deadline = request.latency_deadline;
-    auto earlier = unanswered_.extract(likeness(request));
+    auto earlier = unanswered_.extract(signature_of(request));
     if (!earlier || request.key == no_key || request.repeated != clients_mark_repeats)
         return;
     request.first_latency_deadline = std::min(earlier.mapped(), request.latency_deadline);
@@ -30,12 +31,12 @@
 }
 
 void RepeatDetector::prune(Time now) {
-    if (unanswered_.size() > prune_above)
+    if (unanswered_.size() > min_entries_to_prune)
         std::erase_if(unanswered_,
-                      [&](const auto &entry) { return entry.second < now - longest_repeat_pause; });
+                      [&](const auto &entry) { return entry.second < now - max_repeat_delay; });
 }
 
-RepeatDetector::Likeness RepeatDetector::likeness(const Request &request) {
+RepeatDetector::Signature RepeatDetector::signature_of(const Request &request) {
     return {request.volume, request.key, request.workload, request.units};
 }
 
--- a/src/scheduling/repeat_detector.hpp
+++ b/src/scheduling/repeat_detector.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that repeat an earlier one which got no answer.
+/// Detects requests that a client sends again because an earlier one wasn't answered.
 #pragma once
 
 #include <compare>
@@ -11,36 +11,38 @@
 
 namespace knotvane::scheduling {
 
-/// Remembers requests that ended without an answer. A request like one of them is its client's
-/// repeat: its latency deadline is still that of the client's first request, also where clients
-/// don't mark repeats. The price: requests alike in volume, key, workload and units pass for one.
+/// Remembers requests that ended without an answer. A later request with the same signature
+/// (volume, key, workload and units) is taken for a repeat by the same client, and its latency
+/// deadline stays that of the client's first request, even if clients don't mark repeats. The
+/// drawback: different requests with the same signature are taken for one.
 class RepeatDetector {
 public:
-    /// The request ended and its client may ask again.
+    /// The request ended without an answer, and its client may send it again.
     void record_unanswered(const Request &request);
 
-    /// Sets the deadlines of a request that was just received, and whether it is repeated.
-    /// @param clients_mark_repeats then only a request that says so is one.
+    /// Sets the latency deadlines of a request that was just received, and its `repeated` flag.
+    /// @param clients_mark_repeats only requests that their client marked count as repeats; if
+    ///     false, any request may.
     void detect_repeat(Request &request, bool clients_mark_repeats);
 
-    /// Forgets requests that no client repeats any more.
+    /// Forgets unanswered requests that are too old to be repeated.
     void prune(Time now);
 
 private:
-    // What a repeat has in common with its first request.
-    struct Likeness {
+    // What a repeat has in common with the client's first request.
+    struct Signature {
         VolumeId volume;
         KeyId key;
         WorkloadId workload;
         double units = 0;
 
-        auto operator<=>(const Likeness &) const = default;
+        auto operator<=>(const Signature &) const = default;
     };
 
-    static Likeness likeness(const Request &request);
+    static Signature signature_of(const Request &request);
 
-    // With the latency deadline of the client's first request.
-    std::map<Likeness, Time> unanswered_;
+    // The latency deadline of the client's first request, by signature.
+    std::map<Signature, Time> unanswered_;
 };
 
 } // namespace knotvane::scheduling
--- a/src/scheduling/slow_start.hpp
+++ b/src/scheduling/slow_start.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a node that just started gets: this scheduler's share of what the node bears then.
+/// Limits what a scheduler sends to a node that just started.
 #pragma once
 
 #include <cstdint>
@@ -10,70 +10,75 @@
 
 namespace knotvane::scheduling {
 
-/// What a request is admitted by, in units.
-struct SlowStartLoad {
-    /// Sent to the node in the window.
-    double sent = 0;
+/// The inputs of slow_start_admits. All figures but `draw` are in units.
+struct SlowStartAdmission {
+    /// Sent to the node by this scheduler in the window.
+    double sent_units = 0;
     /// Of the request.
-    double units = 0;
-    /// This scheduler's share of what the node bears in the window.
+    double request_units = 0;
+    /// This scheduler's share of what the node can serve in the window.
     double share = 0;
     /// Of the largest request.
-    double largest_request = 1;
-    /// Requested of this scheduler for the node in a window, in the mean of a longer time.
-    double requested = 0;
-    /// The request's lot, 0 to 1.
-    double lot = 0;
+    double largest_request_units = 1;
+    /// Requested of this scheduler for the node per window, averaged over a longer time.
+    double requested_units = 0;
+    /// A random number from 0 to 1 that belongs to the request.
+    double draw = 0;
 };
 
-/// Whether a node in slow start bears one more request within this scheduler's share. Guards
-/// against schedulers that each send what the node bears alone, and fall it together.
+/// Whether a node in slow start gets one more request within this scheduler's share. Without
+/// shares, each scheduler would send as much as the node can serve alone, and together they would
+/// overload it until it fails.
 ///
-/// A share that holds the largest request is kept exactly. A smaller one would leave the node idle
-/// or let any one request pass it: there requests are admitted by lot, one a window, with the
-/// chance at which the share is met in the mean.
-bool slow_start_admits(const SlowStartLoad &load);
+/// A share that holds the largest request is a strict limit. A smaller one can't be: it would
+/// either leave the node idle or be exceeded by a single request. There, requests are admitted at
+/// random, at most one per window, with the probability at which the mean of what is sent is the
+/// share.
+bool slow_start_admits(const SlowStartAdmission &admission);
 
-/// What one scheduler knows of one node's slow start.
+/// What one scheduler knows about the slow start of one node.
 struct NodeSlowStart {
-    /// The node has its full capacity from then on.
-    Time until = 0;
+    /// The node has its full capacity from this time on.
+    Time ends_at = 0;
     /// Units sent to the node.
-    WindowedSum sent;
-    /// Units requested of this scheduler for the node.
-    WindowedSum requested;
+    WindowedSum sent_units;
+    /// Units that were requested of this scheduler for the node.
+    WindowedSum requested_units;
 
-    bool active(Time now) const { return now < until; }
+    bool active(Time now) const { return now < ends_at; }
 };
 
-/// The share of slow starts, by the settings (docs/design.md).
+/// Computes this scheduler's share of what nodes in slow start can serve (docs/design.md).
 ///
-/// A node bears the configured units at its start and more with its age, as its capacity grows from
-/// the initial part of the whole evenly or faster. The bound on the sum of all schedulers is
-/// N + 2 root N + 2 requests of mean size in a window, N being what the node bears by the settings.
-/// Shares kept exactly deal out half of that margin; the other half is left to what requests cost
-/// beyond their units. By lot only the mean is kept, and chance takes the margin.
+/// By the settings, a node can serve `units` per window right after its start. The share grows with
+/// the node's age, for a capacity that rises linearly from the initial part to the whole; a node's
+/// actual capacity may rise faster. All schedulers together may send it at most
+/// N + 2 sqrt(N) + 2 requests of mean size in a window, where N is its capacity in such requests.
+/// Shares that are strict limits add up to N plus half of that margin; the other half is left for
+/// requests that cost more than their units. Random admission keeps only the mean, and its
+/// deviation needs the whole margin.
 class SlowStart {
 public:
     /// @param config with defaults filled in.
     void configure(const SchedulerConfig &config) { config_ = config; }
 
-    /// The scheduler starts.
+    /// This scheduler starts.
     void start(Time now) { started_at_ = now; }
 
-    /// The node's process started then.
+    /// The node's process started at `started_at`.
     void node_started(NodeSlowStart &node, Time started_at) const;
 
-    /// The request that is enqueued at the node for its first attempt.
+    /// A request was enqueued at the node for its first attempt.
     static void request_enqueued(NodeSlowStart &node, Time now, double units);
 
     void attempt_started(NodeSlowStart &node, Time now, double units) const;
 
-    /// @param unresponsive the node doesn't answer: it may start at any moment, so that it bears no
-    ///     more than at its start.
-    /// @param lot of the request, 0 to 1.
-    /// @return whether a node that is in slow start or unresponsive bears the request.
-    bool admits(NodeSlowStart &node, Time now, bool unresponsive, double units, double lot) const;
+    /// Decides whether a node that is in slow start or unresponsive gets a request.
+    /// @param unresponsive the node doesn't respond. As it may restart at any time, it gets no more
+    ///     than a node that just started.
+    /// @param units of the request.
+    /// @param draw a random number from 0 to 1 that belongs to the request.
+    bool admits(NodeSlowStart &node, Time now, bool unresponsive, double units, double draw) const;
 
 private:
     Time window() const;
--- a/src/scheduling/windowed_sum.hpp
+++ b/src/scheduling/windowed_sum.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A sum of what was counted lately.
+/// A sum over a sliding time window.
 #pragma once
 
 #include <deque>
@@ -9,7 +9,7 @@
 
 namespace knotvane::scheduling {
 
-/// Amounts with the time of each. Times never decrease from one call of add to the next.
+/// Sums amounts that were added since a given time. The times passed to add must not decrease.
 class WindowedSum {
 public:
     void add(Time now, double amount) {
@@ -17,14 +17,14 @@
         sum_ += amount;
     }
 
-    /// Forgets what was added before `from`, for later calls too.
-    /// @return the sum of what was added at `from` or later.
+    /// Discards the amounts that were added before `from`; later calls don't include them either.
+    /// @return the sum of the amounts that were added at `from` or later.
     double sum_since(Time from) {
         while (!entries_.empty() && entries_.front().first < from) {
             sum_ -= entries_.front().second;
             entries_.pop_front();
         }
-        // No rounding error outlives its entries.
+        // Clears the rounding error that adding and subtracting leaves.
         if (entries_.empty())
             sum_ = 0;
         return sum_;
--- a/tests/scheduling/placement_test.cpp
+++ b/tests/scheduling/placement_test.cpp
@@ -72,7 +72,7 @@
     queued.latency.update(10 * sec, 0.5); // half a second a unit, no wait any more
     CHECK(placement_cost(queued, 0) == doctest::Approx(1101 * 0.5));
     NodeRecord starting = node_of(2, 2);
-    starting.slow_start.until = sec;
+    starting.slow_start.ends_at = sec;
     NodeRecord unresponsive = node_of(3, 3);
     unresponsive.health.attempt_unreachable(0);
     unresponsive.health.attempt_unreachable(0);
