--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -27,7 +27,7 @@
     tests/scheduling/load_shedding_test.cpp
     tests/scheduling/node_health_test.cpp
     tests/scheduling/node_table_test.cpp
-    tests/scheduling/overload_hold_test.cpp
+    tests/scheduling/overload_backoff_test.cpp
     tests/scheduling/placement_test.cpp
     tests/scheduling/plan_table_test.cpp
     tests/scheduling/quota_share_test.cpp
--- a/src/scheduling/endpoint_list_poll.hpp
+++ b/src/scheduling/endpoint_list_poll.hpp
@@ -4,8 +4,8 @@
 
 #include "common/time.hpp"
 #include "scheduling/config.hpp"
-#include "scheduling/never.hpp"
 #include "scheduling/random.hpp"
+#include "scheduling/time_limits.hpp"
 
 namespace knotvane::scheduling {
 
--- a/src/scheduling/latency_estimate.cpp
+++ b/src/scheduling/latency_estimate.cpp
@@ -1,7 +1,7 @@
 #include "scheduling/latency_estimate.hpp"
 
 #include "scheduling/concurrency_window.hpp"
-#include "scheduling/never.hpp"
+#include "scheduling/time_limits.hpp"
 
 namespace knotvane::scheduling {
 namespace {
--- a/src/scheduling/load_shedding.cpp
+++ b/src/scheduling/load_shedding.cpp
@@ -3,7 +3,7 @@
 #include <cstddef>
 #include <set>
 
-#include "scheduling/never.hpp"
+#include "scheduling/time_limits.hpp"
 
 namespace knotvane::scheduling {
 namespace {
--- a/src/scheduling/node_record.hpp
+++ b/src/scheduling/node_record.hpp
@@ -11,7 +11,7 @@
 #include "scheduling/fair_queue.hpp"
 #include "scheduling/latency_estimate.hpp"
 #include "scheduling/node_health.hpp"
-#include "scheduling/overload_hold.hpp"
+#include "scheduling/overload_backoff.hpp"
 #include "scheduling/request.hpp"
 #include "scheduling/slow_start.hpp"
 #include "scheduling/waiting_index.hpp"
--- a/src/scheduling/request_table.cpp
+++ b/src/scheduling/request_table.cpp
@@ -1,6 +1,6 @@
 #include "scheduling/request_table.hpp"
 
-#include "scheduling/never.hpp"
+#include "scheduling/time_limits.hpp"
 
 namespace knotvane::scheduling {
 
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -10,7 +10,6 @@
 #include "scheduling/endpoint_list_poll.hpp"
 #include "scheduling/key_order.hpp"
 #include "scheduling/latency_estimate.hpp"
-#include "scheduling/never.hpp"
 #include "scheduling/node_record.hpp"
 #include "scheduling/node_table.hpp"
 #include "scheduling/plan_table.hpp"
@@ -22,6 +21,7 @@
 #include "scheduling/retry_policy.hpp"
 #include "scheduling/scheduler.hpp"
 #include "scheduling/slow_start.hpp"
+#include "scheduling/time_limits.hpp"
 #include "scheduling/windowed_sum.hpp"
 
 namespace knotvane::scheduling {
--- a/tests/scheduling/early_disconnects_test.cpp
+++ b/tests/scheduling/early_disconnects_test.cpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 
 #include "scheduler_fixture.hpp"
-#include "scheduling/never.hpp"
+#include "scheduling/time_limits.hpp"
 
 namespace knotvane::scheduling {
 namespace {
--- a/tests/scheduling/overload_hold_test.cpp
+++ b/tests/scheduling/overload_backoff_test.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/overload_hold.hpp"
+#include "scheduling/overload_backoff.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/scheduling/request_table_test.cpp
+++ b/tests/scheduling/request_table_test.cpp
@@ -6,7 +6,7 @@
 
 #include <vector>
 
-#include "scheduling/never.hpp"
+#include "scheduling/time_limits.hpp"
 
 namespace knotvane::scheduling {
 namespace {
