--- a/src/http_gateway/client_connections.hpp
+++ b/src/http_gateway/client_connections.hpp
@@ -84,7 +84,7 @@
     void close_idle(Time now);
 
     /// Parses the pipelined bytes of connections whose request has been answered in the meantime.
-    /// Must not be called from within a call of the scheduler, as it may start a new request.
+    /// Must not be called from within a call of the scheduler, as it passes new requests to it.
     void process_pipelined(Time now);
     bool has_pipelined() const { return !answered_with_pipelined_.empty(); }
 
@@ -112,6 +112,7 @@
         std::string bytes;
     };
 
+    /// The state of a connection.
     struct Client {
         http::Decoder decoder{http::MessageKind::request, max_head_bytes, max_body_bytes};
         /// When its current timeout passes; also in timeouts_.
@@ -142,7 +143,7 @@
     void process_bytes(Time now, Time received_at, ConnectionId id, std::string_view bytes);
     /// Handles the complete message in the client's decoder: a request, health check or error.
     void handle_message(Time now, Time received_at, ConnectionId id, Client &client);
-    /// Puts bytes back in front of the connection's pipelined bytes, up to the limit.
+    /// Puts bytes that aren't parsed yet back in front of the pipelined ones, up to the limit.
     void keep_pipelined(Client &client, Time received_at, std::string_view bytes);
 
     void send(Time now, ConnectionId id, unsigned status, const std::string &headers,
--- a/src/http_gateway/core.hpp
+++ b/src/http_gateway/core.hpp
@@ -42,9 +42,9 @@
 /// Creates a scheduler that acts through the given interface.
 using SchedulerFactory = std::function<std::unique_ptr<Scheduler>(SchedulerActions &)>;
 
-/// Connects the clients' connections, the connections to nodes, discovery and the scheduler. Its
-/// owner passes in the time, connection events and received bytes, and the core acts through the
-/// Transport. After all events of one moment the owner calls settle once.
+/// Combines the connections of clients, the connections to nodes, discovery and the scheduler into
+/// a gateway. Its owner passes in the time, connection events and received bytes, and the core acts
+/// through the Transport. After all events of one moment the owner calls settle once.
 class Core final : public SchedulerActions,
                    public UpstreamAttemptEvents,
                    public ClientRequestEvents,
--- a/src/http_gateway/graceful_shutdown.hpp
+++ b/src/http_gateway/graceful_shutdown.hpp
@@ -35,8 +35,8 @@
     /// Whether the process is to exit even if connections are still open.
     bool past_deadline(Time now) const { return started_ && now >= deadline_; }
 
-    /// Returns the moment at which a client's timeout passes, moved forward to the deadline if that
-    /// comes first.
+    /// Returns the moment until which a request may be answered: when its client's timeout passes,
+    /// or the shutdown's deadline if that comes first.
     Time limit_timeout(Time client_timeout) const;
 
     /// Returns when the schedule is to be checked next, after `now`; the largest Time if the
