--- a/src/http/decoder.cpp
+++ b/src/http/decoder.cpp
@@ -12,20 +12,21 @@
 namespace knotvane::http {
 namespace {
 
-// Headers of a message: ours have ten at most, other programs' seldom more than thirty.
+// Messages of this protocol have at most 10 headers, those of other programs rarely more than 30.
 constexpr std::size_t max_headers = 64;
 
-// A length of more digits doesn't fit the parser's 64 bits.
+// A Content-Length with more digits might not fit into the parser's 64 bits.
 constexpr std::size_t max_length_digits = 18;
 
-// Bytes of a message, against its largest body: room for the wrapping of usual chunks.
-constexpr std::size_t max_wrapping_factor = 8;
+// Limit on the size of a chunked message as a multiple of the body limit. It leaves room for the
+// headers of chunks of the usual size.
+constexpr std::size_t max_encoding_factor = 8;
 
 bool is_token(std::string_view text) {
-    constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
+    constexpr std::string_view special_characters = "!#$%&'*+-.^_`|~";
     return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
         return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-               marks.find(c) != std::string_view::npos;
+               special_characters.find(c) != std::string_view::npos;
     });
 }
 
@@ -50,7 +51,7 @@
 
 } // namespace
 
-/// The message that is being decoded. The parser calls back with each piece of it.
+/// The message that is being decoded. Holds http_parser's state and handles its callbacks.
 class Decoder::Message {
 public:
     Message(MessageKind message_kind, std::size_t max_head_bytes, std::size_t max_body_bytes)
@@ -62,7 +63,7 @@
         http_parser_init(&parser, kind == MessageKind::request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
         state = State::empty;
-        fault = "";
+        error = "";
         error_status = 400;
         target.clear();
         body.clear();
@@ -73,20 +74,21 @@
         raw_bytes = 0;
     }
 
-    /// Returns how many bytes were taken, up to the message's end at most.
+    /// Consumes bytes up to the end of the message at most. Returns how many were consumed.
     std::size_t consume(std::string_view bytes);
 
-    /// Marks the message as broken; the first fault counts. Returns what stops the parser.
+    /// Marks the message as invalid and keeps the first error. Returns the value with which a
+    /// callback stops the parser.
     int fail(const char *reason, unsigned status = 400) {
         if (state != State::invalid) {
-            fault = reason;
+            error = reason;
             error_status = status;
         }
         state = State::invalid;
         return -1;
     }
 
-    /// Returns how many headers have a name.
+    /// Returns how often a header occurs.
     std::size_t count(std::string_view name) const {
         return static_cast<std::size_t>(
             std::count_if(headers.begin(), headers.end(), [&](const auto &header) {
@@ -94,7 +96,7 @@
             }));
     }
 
-    /// Returns the value of the first header of a name; empty if there is none.
+    /// Returns the value of the first header with this name; empty if there is none.
     std::string_view value(std::string_view name) const {
         for (const auto &[header_name, header_value] : headers)
             if (equal_ignoring_case(header_name, name))
@@ -102,7 +104,7 @@
         return {};
     }
 
-    /// The parser's callbacks.
+    /// Returns the table of callbacks for the parser.
     static const http_parser_settings &callbacks();
 
     http_parser parser{};
@@ -110,13 +112,13 @@
     std::size_t max_head;
     std::size_t max_body;
     State state = State::empty;
-    const char *fault = "";
+    const char *error = "";
     unsigned error_status = 400;
     std::string target;
     std::string body;
     std::vector<std::pair<std::string, std::string>> headers;
     bool keep_alive = true;
-    /// Bytes since the message began, or since its body was last taken.
+    /// Bytes consumed since the message began or since take_body() was last called.
     std::size_t raw_bytes = 0;
 
 private:
@@ -126,11 +128,12 @@
     int on_header_value(std::string_view bytes);
     int on_head_complete();
     int on_body(std::string_view bytes);
-    /// Checks what the parser lets pass; each returns 0 or what stops the parser.
+    /// Check what the parser accepts too leniently. Each returns 0, or the value that stops the
+    /// parser.
     int check_headers();
     int check_length();
-    /// Marks the message as broken if it is too long or the parser found a fault.
-    void check_progress(std::size_t taken);
+    /// Marks the message as invalid if it is too long or the parser reported an error.
+    void check_progress(std::size_t consumed);
 
     bool in_header_name_ = false;
     bool head_complete_ = false;
@@ -138,7 +141,7 @@
 
 int Decoder::Message::on_header_name(std::string_view bytes) {
     if (head_complete_)
-        return 0; // a trailer
+        return 0; // ignores trailers
     if (!in_header_name_) {
         if (headers.size() >= max_headers)
             return fail("too many headers", 431);
@@ -151,7 +154,7 @@
 
 int Decoder::Message::on_header_value(std::string_view bytes) {
     if (head_complete_)
-        return 0; // a trailer
+        return 0; // ignores trailers
     if (headers.empty())
         return fail("a header without a name");
     in_header_name_ = false;
@@ -171,13 +174,13 @@
 }
 
 int Decoder::Message::check_length() {
-    auto lengths = count("content-length");
-    auto codings = count("transfer-encoding");
-    if (lengths + codings > 1)
+    auto length_count = count("content-length");
+    auto coding_count = count("transfer-encoding");
+    if (length_count + coding_count > 1)
         return fail("the length is told twice");
-    if (lengths == 1 && !is_length(value("content-length")))
+    if (length_count == 1 && !is_length(value("content-length")))
         return fail("Content-Length is not a number");
-    if (codings == 1 && !equal_ignoring_case(value("transfer-encoding"), "chunked"))
+    if (coding_count == 1 && !equal_ignoring_case(value("transfer-encoding"), "chunked"))
         return fail("Transfer-Encoding is not chunked", 501);
     return 0;
 }
@@ -243,31 +246,32 @@
     while (total < bytes.size() && state != State::complete && state != State::invalid) {
         if (state == State::empty)
             state = State::head;
-        // A head is read in no larger pieces than it may be long.
+        // Passes at most one byte more than the head's limit to the parser until the head is
+        // complete.
         auto max_piece =
             head_complete_ ? std::string_view::npos : max_head + 1 - std::min(raw_bytes, max_head);
         auto piece = bytes.substr(total, max_piece);
-        auto taken = http_parser_execute(&parser, &callbacks(), piece.data(), piece.size());
-        total += taken;
-        raw_bytes += taken;
+        auto consumed = http_parser_execute(&parser, &callbacks(), piece.data(), piece.size());
+        total += consumed;
+        raw_bytes += consumed;
         if (state != State::complete)
-            check_progress(taken);
+            check_progress(consumed);
         else if (kind == MessageKind::response && parser.status_code < 200)
             start();
     }
     return total;
 }
 
-void Decoder::Message::check_progress(std::size_t taken) {
-    auto error = static_cast<enum http_errno>(parser.http_errno);
-    if (error != HPE_OK)
-        fail(http_errno_description(error));
+void Decoder::Message::check_progress(std::size_t consumed) {
+    auto parser_error = static_cast<enum http_errno>(parser.http_errno);
+    if (parser_error != HPE_OK)
+        fail(http_errno_description(parser_error));
     else if (!head_complete_ && raw_bytes > max_head)
         fail("the head is too long", 431);
-    // Tiny chunks, endless chunk extensions or trailers.
-    else if (raw_bytes > max_head + max_wrapping_factor * max_body)
+    // Possible with tiny chunks, or with endless chunk extensions or trailers.
+    else if (raw_bytes > max_head + max_encoding_factor * max_body)
         fail("the body is wrapped in too much", 413);
-    else if (taken == 0)
+    else if (consumed == 0)
         fail("cannot be read");
 }
 
@@ -300,7 +304,7 @@
 }
 
 const char *Decoder::error() const {
-    return message_->fault;
+    return message_->error;
 }
 
 unsigned Decoder::error_status() const {
--- a/src/http/decoder.hpp
+++ b/src/http/decoder.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decodes HTTP/1.1 messages from bytes, without I/O.
+/// Decoder for HTTP/1.1 messages, without I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,23 @@
 
 enum class MessageKind { request, response };
 
-/// How far a message has come.
+/// The progress of decoding a message.
 enum class State {
-    empty,    ///< No byte of it.
-    head,     ///< In its first line or headers.
-    body,     ///< Its head is complete.
-    complete, ///< Complete.
-    invalid   ///< Not a message; see fault. The connection can't be read on.
+    empty,    ///< No byte was consumed.
+    head,     ///< The start line or the headers are incomplete.
+    body,     ///< The head is complete, the body isn't.
+    complete, ///< The whole message was consumed.
+    invalid   ///< Malformed or too long; see error(). The connection can't be read any further.
 };
 
-/// Decodes one message at a time. Stricter than the parser below it where two readers could see two
-/// things in one message, which would let one client's bytes count as another's request.
+/// Decodes one message at a time. It rejects messages that http_parser accepts but that two
+/// implementations could interpret differently: otherwise bytes of one client could be taken for
+/// another client's request (request smuggling).
 class Decoder {
 public:
-    /// Bounds in bytes; a message that is longer is broken as soon as that shows.
+    /// @param max_head limit on the size of the start line and headers, in bytes.
+    /// @param max_body limit on the size of the body, in bytes. A message that exceeds a limit
+    /// becomes invalid as soon as this is known.
     Decoder(MessageKind kind, std::size_t max_head, std::size_t max_body);
     ~Decoder();
     Decoder(const Decoder &) = delete;
@@ -34,35 +37,36 @@
     Decoder(Decoder &&) noexcept;
     Decoder &operator=(Decoder &&) noexcept;
 
-    /// Takes bytes up to the end of one message at most; returns how many. Responses of status 1xx
-    /// are skipped.
+    /// Consumes bytes up to the end of the message at most. Returns how many were consumed.
+    /// Responses with a status of 1xx are skipped.
     std::size_t consume(std::string_view bytes);
-    /// The stream ended in order: a response without a length is whole then; any other message that
-    /// has begun is broken.
+    /// Handles the end of the stream. It completes a response without a length; any other message
+    /// that has begun becomes invalid.
     void finish();
-    /// Starts over with the next message.
+    /// Discards the message and starts with the next one.
     void start_next();
 
     State state() const;
-    /// What is wrong with a broken message; else empty.
+    /// Why the message is invalid; empty for any other message.
     const char *error() const;
-    /// The HTTP status that tells its sender.
+    /// The HTTP status to answer an invalid request with.
     unsigned error_status() const;
 
-    // Of a message whose head is complete:
+    // Valid once the head is complete:
 
     std::string_view method() const;
     const std::string &target() const;
     unsigned status() const;
     /// Whether the connection may be used for another message.
     bool keep_alive() const;
-    /// Returns a header's value, without blanks around it; nothing if it is absent or stands there
-    /// more than once.
+    /// Returns the value of a header, without surrounding whitespace; nothing if the header is
+    /// absent or occurs more than once.
     std::optional<std::string_view> header(std::string_view name) const;
-    /// How often a header stands there.
+    /// Returns how often a header occurs.
     std::size_t header_count(std::string_view name) const;
     const std::string &body() const;
-    /// Takes what came of the body so far. A body that is taken as it comes may be of any length.
+    /// Removes and returns the part of the body received so far. If it is called regularly, the
+    /// limit applies to each part, and the body may be of any length.
     std::string take_body();
 
 private:
@@ -70,13 +74,14 @@
     std::unique_ptr<Message> message_;
 };
 
-/// Reads digits, with decimals or without and a minus in front or without; nothing for other texts.
+/// Parses a decimal number with an optional minus sign and fraction, but no exponent; returns
+/// nothing for any other text.
 std::optional<double> parse_decimal(std::string_view text);
 
-/// Reads sixteen hex digits, no more and no fewer; nothing for other texts.
+/// Parses exactly sixteen hexadecimal digits; returns nothing for any other text.
 std::optional<std::uint64_t> parse_hex64(std::string_view text);
 
-/// Whether two texts are equal but for the case of ASCII letters.
+/// Compares two texts, ignoring the case of ASCII letters.
 bool equal_ignoring_case(std::string_view a, std::string_view b);
 
 } // namespace knotvane::http
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -9,18 +9,19 @@
 namespace knotvane::http_gateway {
 namespace {
 
-// A node's heads are a few hundred bytes. Bodies were seen up to 400 KB, past the protocol's 64
-// KiB, and are good answers all the same; this still keeps all that are read at once within the
-// least memory.
+// The head of a node's response is a few hundred bytes. Valid bodies of up to 400 KB were seen,
+// although the protocol's limit is 64 KiB. The limit of 1 MiB still keeps all responses that are
+// received at the same time within the memory of the smallest host.
 constexpr std::size_t max_head_bytes = 8 << 10;
 constexpr std::size_t max_body_bytes = 1 << 20;
 
-// A connection that has just answered isn't used for this long: a second answer may come some
-// milliseconds behind the first, seen 0.8 to 3.9, and would be read as the next request's.
-constexpr Time settle_time = 10 * ms;
+// A connection is not reused for this long after a response: a node may send a second response to
+// the same request, seen 0.8 to 3.9 ms after the first, and it would be taken for the response to
+// the next request.
+constexpr Time reuse_delay = 10 * ms;
 
-/// Idle connections are closed before the node would close them, as a request that is written while
-/// the node closes is reset.
+/// Returns after how long an idle connection is closed: before the node closes it, because a
+/// request that is written while the node closes the connection fails with a reset.
 Time idle_timeout_before(Time node_idle_timeout) {
     constexpr Time margin = 250 * ms;
     return std::max<Time>(node_idle_timeout - node_idle_timeout / 10 - margin, 0);
@@ -37,12 +38,12 @@
     return AttemptOutcome::error;
 }
 
-/// The outcome of an attempt whose connection's time is over.
-AttemptOutcome outcome_at_due(bool timeout_reached, bool request_handed) {
+/// Returns the outcome of an attempt whose connection has reached its deadline.
+AttemptOutcome timeout_outcome(bool timeout_reached, bool request_submitted) {
     if (timeout_reached)
-        return request_handed ? AttemptOutcome::timed_out : AttemptOutcome::not_sent;
-    // A response that stopped short is spoilt: the node is done with it, and no more will come.
-    return request_handed ? AttemptOutcome::error : AttemptOutcome::unreachable;
+        return request_submitted ? AttemptOutcome::timed_out : AttemptOutcome::not_sent;
+    // The node stopped in the middle of its response, so the rest will not arrive.
+    return request_submitted ? AttemptOutcome::error : AttemptOutcome::unreachable;
 }
 
 } // namespace
@@ -76,12 +77,12 @@
     for (auto &[id, connection] : connections_) {
         if (connection.node != node)
             continue;
-        connection.retired = true;
-        if (connection.busy && !connection.request_handed)
+        connection.close_after_attempt = true;
+        if (connection.busy && !connection.request_submitted)
             unsent.push_back(connection.attempt);
     }
     for (const auto &key : unsent)
-        complete_unsent(now, key);
+        complete_not_sent(now, key);
 }
 
 void ConnectionPool::remove_node(Time now, NodeId node) {
@@ -102,18 +103,18 @@
         return events_.attempt_completed({key, node, AttemptOutcome::not_sent, 0, now, {}});
     Attempt &attempt = attempts_[key];
     attempt = Attempt{node, {}, std::move(request), now, timeout_at};
-    attempt.connection = take_idle(now, it->second);
+    attempt.connection = take_idle_connection(now, it->second);
     if (attempt.connection.value == 0)
         return open_connection(now, key, it->second, attempt);
     Connection &connection = connections_.at(attempt.connection);
     connection.busy = true;
     connection.attempt = key;
-    hand_request(now, attempt.connection, connection);
+    submit_request(now, attempt.connection, connection);
 }
 
-ConnectionId ConnectionPool::take_idle(Time now, Node &node) {
+ConnectionId ConnectionPool::take_idle_connection(Time now, Node &node) {
     auto usable = std::find_if(node.idle.rbegin(), node.idle.rend(), [&](ConnectionId id) {
-        return connections_.at(id).idle_since + settle_time <= now;
+        return connections_.at(id).idle_since + reuse_delay <= now;
     });
     if (usable == node.idle.rend())
         return {};
@@ -122,15 +123,15 @@
     return id;
 }
 
-/// Closes the idle connection that is next to be closed anyway, if there are too many.
-bool ConnectionPool::make_room() {
+bool ConnectionPool::ensure_capacity() {
     if (connections_.size() < max_connections_)
         return true;
-    auto idle = std::find_if(due_.begin(), due_.end(), [&](const auto &entry) {
+    // The idle connection that would time out first.
+    auto idle = std::find_if(deadlines_.begin(), deadlines_.end(), [&](const auto &entry) {
         const Connection &connection = connections_.at(entry.second);
         return connection.connected && !connection.busy;
     });
-    if (idle == due_.end())
+    if (idle == deadlines_.end())
         return false;
     close(idle->second);
     return true;
@@ -138,29 +139,31 @@
 
 void ConnectionPool::open_connection(Time now, const AttemptKey &key, Node &node,
                                      Attempt &attempt) {
-    if (!make_room())
-        return complete(now, key, AttemptOutcome::not_sent);
+    if (!ensure_capacity())
+        return complete_attempt(now, key, AttemptOutcome::not_sent);
     attempt.connection = connection_ids_.next();
     Connection &connection =
         connections_.try_emplace(attempt.connection, Connection(attempt.node, node.address, key))
             .first->second;
     ++node.connection_count;
-    set_due(attempt.connection, connection, std::min(now + connect_timeout_, attempt.timeout_at));
+    set_deadline(attempt.connection, connection,
+                 std::min(now + connect_timeout_, attempt.timeout_at));
     transport_.connect(attempt.connection, connection.address);
 }
 
-void ConnectionPool::hand_request(Time now, ConnectionId id, Connection &connection) {
+void ConnectionPool::submit_request(Time now, ConnectionId id, Connection &connection) {
     const AttemptKey key = connection.attempt;
     const Attempt &attempt = attempts_.at(key);
-    // Since the attempt was decided its connection came up: the client may have left by now, or the
-    // node may drain.
-    if (connection.retired || now >= attempt.timeout_at || !events_.may_send_attempt(now, key))
-        return complete_unsent(now, key);
+    // While the connection was being established, the client may have disconnected or the node may
+    // have started to drain.
+    if (connection.close_after_attempt || now >= attempt.timeout_at ||
+        !events_.may_send_attempt(now, key))
+        return complete_not_sent(now, key);
     auto message = encode(*attempt.request, attempt.timeout_at - now);
     connection.unsent_bytes = message.size();
-    connection.request_handed = true;
+    connection.request_submitted = true;
     connection.decoder.start_next();
-    set_due(id, connection, attempt.timeout_at);
+    set_deadline(id, connection, attempt.timeout_at);
     transport_.send(id, std::move(message));
 }
 
@@ -169,14 +172,14 @@
     if (it == attempts_.end())
         return;
     if (!connections_.at(it->second.connection).request_sent())
-        return complete_unsent(now, key);
+        return complete_not_sent(now, key);
     close(it->second.connection);
-    complete(now, key, AttemptOutcome::canceled);
+    complete_attempt(now, key, AttemptOutcome::canceled);
 }
 
-void ConnectionPool::complete_unsent(Time now, const AttemptKey &key) {
+void ConnectionPool::complete_not_sent(Time now, const AttemptKey &key) {
     close(attempts_.at(key).connection);
-    complete(now, key, AttemptOutcome::not_sent);
+    complete_attempt(now, key, AttemptOutcome::not_sent);
 }
 
 void ConnectionPool::cancel_unsent(Time now, RequestId request) {
@@ -186,11 +189,11 @@
         if (!connections_.at(it->second.connection).request_sent())
             unsent.push_back(it->first);
     for (const auto &key : unsent)
-        complete_unsent(now, key);
+        complete_not_sent(now, key);
 }
 
-void ConnectionPool::complete(Time now, const AttemptKey &key, AttemptOutcome outcome,
-                              std::string body) {
+void ConnectionPool::complete_attempt(Time now, const AttemptKey &key, AttemptOutcome outcome,
+                                      std::string body) {
     auto it = attempts_.find(key);
     const Attempt attempt = std::move(it->second);
     attempts_.erase(it);
@@ -219,10 +222,10 @@
                          .text());
 }
 
-void ConnectionPool::forget(ConnectionId id) {
+void ConnectionPool::remove_connection(ConnectionId id) {
     auto it = connections_.find(id);
     const Connection &connection = it->second;
-    due_.erase({connection.due, id});
+    deadlines_.erase({connection.deadline, id});
     if (auto node = nodes_.find(connection.node); node != nodes_.end()) {
         std::erase(node->second.idle, id);
         --node->second.connection_count;
@@ -233,22 +236,22 @@
 }
 
 void ConnectionPool::close(ConnectionId id) {
-    forget(id);
+    remove_connection(id);
     transport_.close(id);
 }
 
-void ConnectionPool::set_due(ConnectionId id, Connection &connection, Time due) {
-    due_.erase({connection.due, id});
-    connection.due = due;
-    due_.insert({due, id});
+void ConnectionPool::set_deadline(ConnectionId id, Connection &connection, Time deadline) {
+    deadlines_.erase({connection.deadline, id});
+    connection.deadline = deadline;
+    deadlines_.insert({deadline, id});
 }
 
 void ConnectionPool::make_idle(Time now, ConnectionId id, Connection &connection) {
     connection.busy = false;
-    connection.request_handed = false;
+    connection.request_submitted = false;
     connection.decoder.start_next();
     connection.idle_since = now;
-    set_due(id, connection, now + idle_timeout_);
+    set_deadline(id, connection, now + idle_timeout_);
     nodes_.at(connection.node).idle.push_back(id);
 }
 
@@ -265,16 +268,16 @@
         return;
     it->second.connected = true;
     attempts_.at(it->second.attempt).connected_at = now;
-    hand_request(now, id, it->second);
+    submit_request(now, id, it->second);
 }
 
-void ConnectionPool::connect_failed(Time now, ConnectionId id, bool connect_attempted) {
+void ConnectionPool::connect_failed(Time now, ConnectionId id, bool attempted) {
     auto it = connections_.find(id);
     if (it == connections_.end())
         return;
     auto key = it->second.attempt;
-    forget(id);
-    complete(now, key, connect_attempted ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
+    remove_connection(id);
+    complete_attempt(now, key, attempted ? AttemptOutcome::unreachable : AttemptOutcome::not_sent);
 }
 
 void ConnectionPool::disconnected(Time now, ConnectionId id, CloseReason reason) {
@@ -285,17 +288,18 @@
     bool busy = connection.busy;
     bool request_sent = connection.request_sent();
     auto key = connection.attempt;
-    // A response without a length ends with its stream; a connection that broke ends nothing.
+    // The end of the stream completes a response without a length; a reset doesn't.
     if (busy && request_sent && reason == CloseReason::end_of_stream) {
         connection.decoder.finish();
-        connection.retired = true;
+        connection.close_after_attempt = true;
         if (connection.decoder.state() == http::State::complete)
             return response_ended(now, id, false);
     }
-    forget(id);
-    // Before its last byte has left, the node can't have executed it.
+    remove_connection(id);
+    // The node can't have executed a request whose last byte was not written.
     if (busy)
-        complete(now, key, request_sent ? AttemptOutcome::reset : AttemptOutcome::unreachable);
+        complete_attempt(now, key,
+                         request_sent ? AttemptOutcome::reset : AttemptOutcome::unreachable);
 }
 
 void ConnectionPool::sent(Time now, ConnectionId id, std::size_t bytes) {
@@ -313,7 +317,7 @@
     if (it == connections_.end())
         return;
     Connection &connection = it->second;
-    // Nothing was asked: whatever this is, it must not be taken for the next response.
+    // No request is in flight: the bytes must not be taken for the response to the next one.
     if (!connection.busy) {
         if (transport_.tracing())
             transport_.trace(TraceLine("stray")
@@ -330,11 +334,10 @@
     auto state = connection.decoder.state();
     if (state == http::State::complete || state == http::State::invalid)
         return response_ended(now, id, !bytes.empty());
-    set_due(id, connection, std::min(attempt.timeout_at, now + connect_timeout_));
+    set_deadline(id, connection, std::min(attempt.timeout_at, now + connect_timeout_));
 }
 
-/// The response is whole or broken.
-void ConnectionPool::response_ended(Time now, ConnectionId id, bool bytes_behind) {
+void ConnectionPool::response_ended(Time now, ConnectionId id, bool has_trailing_bytes) {
     Connection &connection = connections_.at(id);
     http::Decoder &response = connection.decoder;
     auto key = connection.attempt;
@@ -348,25 +351,27 @@
                              .field("fault", *response.error() ? response.error() : "-")
                              .text());
 
-    bool reusable = response.state() == http::State::complete && !bytes_behind &&
-                    response.keep_alive() && !connection.retired && connection.unsent_bytes == 0;
+    bool reusable = response.state() == http::State::complete && !has_trailing_bytes &&
+                    response.keep_alive() && !connection.close_after_attempt &&
+                    connection.unsent_bytes == 0;
     if (reusable)
         make_idle(now, id, connection);
     else
         close(id);
-    complete(now, key, outcome, std::move(body));
+    complete_attempt(now, key, outcome, std::move(body));
 }
 
 void ConnectionPool::handle_timeouts(Time now) {
-    while (!due_.empty() && due_.begin()->first <= now) {
-        auto id = due_.begin()->second;
+    while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
+        auto id = deadlines_.begin()->second;
         const Connection &connection = connections_.at(id);
         auto key = connection.attempt;
         bool busy = connection.busy;
-        bool request_handed = connection.request_handed;
+        bool request_submitted = connection.request_submitted;
         close(id);
         if (busy)
-            complete(now, key, outcome_at_due(attempts_.at(key).timeout_at <= now, request_handed));
+            complete_attempt(
+                now, key, timeout_outcome(attempts_.at(key).timeout_at <= now, request_submitted));
     }
 }
 
--- a/src/http_gateway/connection_pool.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Upstream connections, without I/O.
+/// Pool of the connections to nodes, without I/O.
 #pragma once
 
 #include <compare>
@@ -22,7 +22,7 @@
 
 namespace knotvane::http_gateway {
 
-/// An attempt of a client's request.
+/// Identifies an attempt of a client's request.
 struct AttemptKey {
     RequestId request;
     AttemptId attempt;
@@ -35,104 +35,113 @@
     AttemptKey key;
     NodeId node;
     AttemptOutcome outcome = AttemptOutcome::error;
-    /// From its start to its end.
+    /// From the start of the attempt to its completion, in nanoseconds.
     Time duration = 0;
     Time completed_at = 0;
-    /// The response's, if it was answered.
+    /// The response's body if the outcome is answered; otherwise empty.
     std::string body;
 };
 
-/// What attempts do, and what is asked of them.
+/// Receives the pool's attempt events. Implemented by the pool's owner.
 class UpstreamAttemptEvents {
 public:
     virtual ~UpstreamAttemptEvents() = default;
 
-    /// Asked before an attempt's first byte is sent, and nowhere else: a connection may have come
-    /// up late. An attempt that may not be sent completes as not_sent.
+    /// Called just before the first byte of an attempt's request is sent, and at no other time. The
+    /// connection may have been established long after the attempt was decided, so the request may
+    /// have ended meanwhile. If it returns false, the attempt completes as not_sent.
     virtual bool may_send_attempt(Time now, const AttemptKey &key) const = 0;
 
-    /// Each attempt that was started completes once.
+    /// Called exactly once for each started attempt.
     virtual void attempt_completed(CompletedAttempt attempt) = 0;
 };
 
 struct ConnectionPoolOptions {
-    /// A connection that isn't up after this has failed, and so has a response that stops for as
-    /// long: both wait for a peer that is there, across the same network. Nanoseconds.
+    /// Timeout for establishing a connection, and for the pause between two pieces of a response
+    /// that has begun: both bound the wait for a peer that is reachable over the same network. In
+    /// nanoseconds.
     Time connect_timeout = 0;
-    /// Nodes close a connection that is idle for so long. Nanoseconds.
+    /// Nodes close a connection that has been idle for this long, in nanoseconds.
     Time node_idle_timeout = 0;
-    /// Connections to all nodes together; 1 at least.
+    /// Limit on the open connections to all nodes together; at least 1.
     std::size_t max_connections = 1;
 };
 
-/// Connections to nodes, one request at a time on each. An attempt takes the idle connection that
-/// was used last, or a new one. Each outcome comes from the event that it names.
+/// Connections to nodes, each with at most one request in flight. An attempt uses the node's most
+/// recently used idle connection or opens a new one. The outcome of each attempt reports the
+/// network event that ended it.
 class ConnectionPool {
 public:
-    /// A timeout past all that is waited for.
+    /// Stands for "no timeout": longer than any wait in the gateway.
     static constexpr Time unbounded_timeout = 3600 * sec;
 
     ConnectionPool(Transport &transport, UpstreamAttemptEvents &events,
                    ConnectionIds &connection_ids, const ConnectionPoolOptions &options);
 
-    /// Where a node listens; connections to its former address aren't used any more.
+    /// Sets the "host:port" at which a node listens. If it changes, connections to the former
+    /// address are drained and not reused.
     void set_address(Time now, NodeId node, const std::string &address);
-    /// Attempts in flight at the node go on; those not sent complete as not_sent and idle
-    /// connections are closed.
+    /// Closes the node's idle connections. Attempts whose request was sent continue; attempts that
+    /// still wait for a connection complete as not_sent.
     void drain_node(Time now, NodeId node);
-    /// Drains a node that isn't in the endpoint list any more.
+    /// Drains a node that is no longer in the endpoint list and forgets its address.
     void remove_node(Time now, NodeId node);
 
-    /// Starts an attempt; it completes, at `timeout_at` at the latest.
+    /// Starts an attempt. It completes at `timeout_at` at the latest.
     void start_attempt(Time now, const AttemptKey &key, NodeId node,
                        std::shared_ptr<const OutboundRequest> request, Time timeout_at);
-    /// Closes the attempt's connection; it completes as canceled, or as not_sent if its request
-    /// hasn't left.
+    /// Closes the attempt's connection. The attempt completes as canceled, or as not_sent if its
+    /// request was not fully written to the socket. Does nothing if the attempt is not in flight.
     void cancel_attempt(Time now, const AttemptKey &key);
-    /// Completes those of a request's attempts as not_sent whose request hasn't left.
+    /// Cancels a request's attempts whose bytes were not fully written to the socket; they
+    /// complete as not_sent.
     void cancel_unsent(Time now, RequestId request);
 
+    /// Whether the connection belongs to this pool. The events below are ignored for any other.
     bool owns(ConnectionId id) const { return connections_.contains(id); }
     void connected(Time now, ConnectionId id);
-    /// @param connect_attempted the attempt to connect left this machine.
-    void connect_failed(Time now, ConnectionId id, bool connect_attempted);
+    /// @param attempted whether a connection was attempted over the network. False if no descriptor
+    /// was available, which says nothing about the node.
+    void connect_failed(Time now, ConnectionId id, bool attempted);
     void received(Time now, ConnectionId id, std::string_view bytes);
     void disconnected(Time now, ConnectionId id, CloseReason reason);
+    /// @param bytes bytes that the socket has accepted since the last call.
     void sent(Time now, ConnectionId id, std::size_t bytes);
 
-    /// When handle_timeouts is due next; the largest Time if nothing is.
+    /// @return when handle_timeouts must be called next; the largest Time if no timeout is set.
     Time next_due() const {
-        return due_.empty() ? std::numeric_limits<Time>::max() : due_.begin()->first;
+        return deadlines_.empty() ? std::numeric_limits<Time>::max() : deadlines_.begin()->first;
     }
-    /// Ends connections and attempts whose time is over.
+    /// Closes connections and completes attempts that have timed out.
     void handle_timeouts(Time now);
 
     std::size_t connection_count() const { return connections_.size(); }
     std::size_t attempts_in_flight() const { return attempts_.size(); }
-    /// Connections with an attempt on them, by node.
+    /// Returns the number of connections with an attempt in flight, by node.
     std::map<NodeId, std::size_t> busy_connections() const;
 
 private:
     struct Connection {
         Connection(NodeId node_id, std::string node_address, const AttemptKey &first_attempt);
 
-        /// Whether the last byte of its attempt's request has left.
-        bool request_sent() const { return request_handed && unsent_bytes == 0; }
+        /// Whether the attempt's request was written to the socket to its last byte.
+        bool request_sent() const { return request_submitted && unsent_bytes == 0; }
 
         NodeId node;
         std::string address;
         bool connected = false;
-        /// Closed after the attempt on it.
-        bool retired = false;
+        /// Whether the connection is closed, not reused, once its attempt completes.
+        bool close_after_attempt = false;
+        /// Whether an attempt is in flight on it.
         bool busy = true;
-        /// Read if busy.
+        /// Valid only while busy.
         AttemptKey attempt;
-        /// Its attempt's request was given to the transport.
-        bool request_handed = false;
-        /// Of that, bytes that have not left.
+        /// Whether the attempt's request was passed to the transport.
+        bool request_submitted = false;
+        /// Bytes of that request that are not yet written to the socket.
         std::size_t unsent_bytes = 0;
-        /// When its time is over; see next_due.
-        Time due = 0;
+        /// When the connection times out: the key of its entry in deadlines_.
+        Time deadline = 0;
         Time idle_since = 0;
         http::Decoder decoder;
     };
@@ -143,7 +152,7 @@
         std::shared_ptr<const OutboundRequest> request;
         Time started_at = 0;
         Time timeout_at = 0;
-        // For the trace; 0 is not yet.
+        // Recorded for the trace; 0 if it has not happened yet.
         Time connected_at = 0;
         Time sent_at = 0;
         Time first_byte_at = 0;
@@ -151,26 +160,33 @@
 
     struct Node {
         std::string address;
-        /// The last used last.
+        /// Idle connections, the most recently used one last.
         std::vector<ConnectionId> idle;
         std::size_t connection_count = 0;
     };
 
-    /// Returns the idle connection to use next, taken out of the idle ones; id 0 for none.
-    ConnectionId take_idle(Time now, Node &node);
-    bool make_room();
+    /// Removes the idle connection to use next from the idle ones and returns it; id 0 if there is
+    /// none.
+    ConnectionId take_idle_connection(Time now, Node &node);
+    /// Closes an idle connection if the limit is reached. Returns whether one more may be opened.
+    bool ensure_capacity();
     void open_connection(Time now, const AttemptKey &key, Node &node, Attempt &attempt);
-    /// Hands the request of its attempt to a connection that is up.
-    void hand_request(Time now, ConnectionId id, Connection &connection);
-    void response_ended(Time now, ConnectionId id, bool bytes_behind);
+    /// Passes the attempt's request to the transport, on an established connection.
+    void submit_request(Time now, ConnectionId id, Connection &connection);
+    /// Completes the attempt after its response has become complete or invalid.
+    /// @param has_trailing_bytes whether bytes followed the response.
+    void response_ended(Time now, ConnectionId id, bool has_trailing_bytes);
     void make_idle(Time now, ConnectionId id, Connection &connection);
-    void complete(Time now, const AttemptKey &key, AttemptOutcome outcome, std::string body = {});
-    /// Ends an attempt whose last byte has not left, and so never will: it was not executed.
-    void complete_unsent(Time now, const AttemptKey &key);
-    /// Forgets a connection that the other side has closed.
-    void forget(ConnectionId id);
+    void complete_attempt(Time now, const AttemptKey &key, AttemptOutcome outcome,
+                          std::string body = {});
+    /// Closes the attempt's connection before the last byte of its request is written, and
+    /// completes the attempt as not_sent: the node never gets the whole request, so it can't
+    /// execute it.
+    void complete_not_sent(Time now, const AttemptKey &key);
+    /// Removes a connection that the other side has closed.
+    void remove_connection(ConnectionId id);
     void close(ConnectionId id);
-    void set_due(ConnectionId id, Connection &connection, Time due);
+    void set_deadline(ConnectionId id, Connection &connection, Time deadline);
     void trace_attempt(Time now, const AttemptKey &key, const Attempt &attempt,
                        AttemptOutcome outcome);
 
@@ -183,7 +199,8 @@
     std::map<ConnectionId, Connection> connections_;
     std::map<NodeId, Node> nodes_;
     std::map<AttemptKey, Attempt> attempts_;
-    std::set<std::pair<Time, ConnectionId>> due_;
+    /// The deadline of each connection, earliest first.
+    std::set<std::pair<Time, ConnectionId>> deadlines_;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -10,45 +10,49 @@
 
 constexpr Time never = std::numeric_limits<Time>::max();
 
-// Pauses before a call is made again.
-struct Pauses {
-    Time first;
-    Time longest;
+// Upper bounds of the random delay before a watch reconnects.
+struct ReconnectDelays {
+    Time initial_max;
+    Time max;
 };
 
-// What the agent has counts as known here from the moment in which it can be reached again: we come
-// back sooner than the shortest grace that a drain was seen with (250 ms). The agent is on this
-// machine, answers at once and costs nothing to ask.
-constexpr Pauses agent_pauses{50 * ms, 150 * ms};
-// A call that brings nothing for this long is made anew: the agent answers at once, or is down.
+// The gateway is expected to know what the agent has from the moment the agent is reachable again,
+// so it reconnects within less than the shortest drain grace period seen (250 ms). The agent runs
+// on this host, answers immediately, and a request costs it nothing.
+constexpr ReconnectDelays agent_delays{50 * ms, 150 * ms};
+// A request that gets no answer for this long is sent again: the agent answers immediately or is
+// down.
 constexpr Time agent_answer_timeout = 500 * ms;
 
-// A service that all schedulers share has calls wait in turn, and rejecting one costs it, too. A
-// crowd of schedulers that come back within 50 ms is rejected again and again, so such calls wait
-// longer and are spread, within the 6 s after which all that discovery has counts as known.
-constexpr Pauses shared_pauses{1 * sec, 4 * sec};
+// A service that all schedulers share queues requests, and even a rejected request costs it work.
+// If many schedulers reconnect within 50 ms, it rejects them again and again. Such requests are
+// therefore delayed longer and spread, but within the 6 s after which the gateway is expected to
+// know what discovery has.
+constexpr ReconnectDelays shared_delays{1 * sec, 4 * sec};
 constexpr Time shared_answer_timeout = 2500 * ms;
 
 constexpr Time connect_timeout = 250 * ms;
 
-// A blank line comes each 2 s: half as long again without one, and the watch is silent. Three of
-// the 6 s are left then for calls that fail.
+// Discovery sends a blank line every 2 s. A watch that receives nothing for 1.5 times as long
+// counts as silent, which leaves 3 of the 6 s for connection attempts that fail.
 constexpr Time silence_timeout = 3 * sec;
 
-// How long a new process waits for discovery before it goes by the list that it was given. Clients
-// come once it is ready, 6 s after its start at the latest.
+// How long a new process waits for discovery before it uses the list that it was given. It must be
+// ready for clients within 6 s of its start.
 constexpr Time first_answer_timeout = 2 * sec;
 
-// What discovery has reaches us 6 s late at most: a discovery that is older than our list for twice
-// as long is not late but new, and counts from the start.
-constexpr Time rebuilt_after = 12 * sec;
+// Lists arrive with a delay of at most 6 s. A discovery whose lists stay older than the
+// published one for twice as long is not late: it was rebuilt and counts its generations from the
+// start again.
+constexpr Time rebuild_threshold = 12 * sec;
 
-// A list of a hundred thousand nodes is a few ten megabytes; ours have ten to two hundred.
+// 4 MiB: ample for the usual 10 to 200 nodes. A list of 100,000 nodes would take some tens of
+// megabytes.
 constexpr std::size_t max_object_bytes = 4 << 20;
 constexpr std::size_t max_head_bytes = 8 << 10;
 
-const Pauses &pauses(const DiscoveryOptions &options) {
-    return options.on_request ? shared_pauses : agent_pauses;
+const ReconnectDelays &reconnect_delays(const DiscoveryOptions &options) {
+    return options.on_request ? shared_delays : agent_delays;
 }
 
 } // namespace
@@ -61,29 +65,29 @@
         zones_[zones[i]] = ZoneId{i};
 }
 
-std::string Discovery::start(Time now, std::string_view known_list, const std::string &address) {
+std::string Discovery::start(Time now, std::string_view initial_list, const std::string &address) {
     std::string error;
-    if (!known_list.empty()) {
-        auto parsed = parse_endpoint_list(known_list, zones_);
+    if (!initial_list.empty()) {
+        auto parsed = parse_endpoint_list(initial_list, zones_);
         if (auto *list = std::get_if<EndpointList>(&parsed)) {
             generation_ = list->generation;
-            known_list_ = std::move(*list);
+            initial_list_ = std::move(*list);
         } else {
             error = std::get<EndpointListError>(parsed).text;
         }
     }
-    known_list_due_ = now + first_answer_timeout;
+    initial_list_deadline_ = now + first_answer_timeout;
     watch(now, address);
     return error;
 }
 
-void Discovery::publish_known(Time now) {
-    if (auto list = std::exchange(known_list_, std::nullopt))
+void Discovery::publish_initial_list(Time now) {
+    if (auto list = std::exchange(initial_list_, std::nullopt))
         publish(now, *list);
 }
 
 void Discovery::publish(Time now, const EndpointList &list) {
-    std::set<std::string> named;
+    std::set<std::string> listed_ids;
     events_.endpoint_list_begin(now, list.kind);
     for (const auto &instance : list.instances) {
         bool removed = instance.state == NodeState::removed;
@@ -94,7 +98,7 @@
             ++last_node_id_;
             it = node_ids_.emplace(instance.id, NodeId{last_node_id_}).first;
         }
-        named.insert(instance.id);
+        listed_ids.insert(instance.id);
         events_.endpoint_listed(
             {it->second, instance.shard, instance.zone, instance.state, instance.started_at},
             instance.address);
@@ -103,14 +107,15 @@
     }
     events_.endpoint_list_end();
     if (list.kind == EndpointListKind::full)
-        std::erase_if(node_ids_, [&](const auto &entry) { return !named.contains(entry.first); });
+        std::erase_if(node_ids_,
+                      [&](const auto &entry) { return !listed_ids.contains(entry.first); });
     generation_ = list.generation;
-    listed_ = true;
+    has_published_list_ = true;
 }
 
-Discovery::Watch Discovery::make_watch(const std::string &address) {
+Discovery::Watch Discovery::create_watch(const std::string &address) {
     ++watch_count_;
-    const Pauses &pause = pauses(options_);
+    const ReconnectDelays &delays = reconnect_delays(options_);
     return Watch{address,
                  {},
                  false,
@@ -119,27 +124,27 @@
                  0,
                  http::Decoder(http::MessageKind::response, max_head_bytes, max_object_bytes),
                  JsonStream(max_object_bytes),
-                 ReconnectBackoff(pause.first, pause.longest, options_.seed + watch_count_)};
+                 ReconnectBackoff(delays.initial_max, delays.max, options_.seed + watch_count_)};
 }
 
-Time Discovery::silent_at(const Watch &watch) const {
+Time Discovery::silence_deadline(const Watch &watch) const {
     Time answer_timeout = options_.on_request ? shared_answer_timeout : agent_answer_timeout;
     return watch.last_received_at + (watch.has_answered ? silence_timeout : answer_timeout);
 }
 
 void Discovery::watch(Time now, const std::string &address) {
     if (current_ && current_->address == address) {
-        if (next_)
-            take_over(*current_);
+        if (replacement_)
+            promote(*current_);
         return;
     }
-    if (next_ && next_->address == address)
+    if (replacement_ && replacement_->address == address)
         return;
-    if (next_ && next_->connection.value != 0)
-        transport_.close(next_->connection);
-    Watch &watch = (current_ ? next_ : current_).emplace(make_watch(address));
-    // All schedulers may start, or be sent elsewhere, in one moment: a shared service isn't called
-    // by all of them at once.
+    if (replacement_ && replacement_->connection.value != 0)
+        transport_.close(replacement_->connection);
+    Watch &watch = (current_ ? replacement_ : current_).emplace(create_watch(address));
+    // All schedulers may start or be redirected at the same time. The random delay keeps them from
+    // connecting to a shared service at the same time.
     if (options_.on_request)
         watch.reconnect_backoff.failed(now);
     else
@@ -165,11 +170,11 @@
 
 void Discovery::connection_lost(Time now, Watch &watch, const std::string &reason) {
     if (!reason.empty())
-        transport_.log_event("discovery at " + watch.address + ": " + reason);
-    // The next one is on its way, to the same place or to the one that counts now.
-    if (&watch == &*current_ && next_) {
-        current_.emplace(std::move(*next_));
-        next_.reset();
+        transport_.log_event("discovery at " + watch.address + ": " + reason + "; reconnecting");
+    // The replacement is already open or connecting, to the same address or to the new one.
+    if (&watch == &*current_ && replacement_) {
+        current_.emplace(std::move(*replacement_));
+        replacement_.reset();
         return;
     }
     watch.connection = {};
@@ -177,20 +182,20 @@
     watch.reconnect_backoff.failed(now);
 }
 
-Discovery::Watch &Discovery::take_over(Watch &watch) {
-    Watch &other = &watch == &*current_ ? *next_ : *current_;
+Discovery::Watch &Discovery::promote(Watch &watch) {
+    Watch &other = &watch == &*current_ ? *replacement_ : *current_;
     if (other.connection.value != 0)
         transport_.close(other.connection);
-    if (&watch == &*next_)
-        current_.emplace(std::move(*next_));
-    next_.reset();
+    if (&watch == &*replacement_)
+        current_.emplace(std::move(*replacement_));
+    replacement_.reset();
     return *current_;
 }
 
 Discovery::Watch *Discovery::find(ConnectionId id) {
     if (current_ && current_->connection == id)
         return &*current_;
-    return next_ && next_->connection == id ? &*next_ : nullptr;
+    return replacement_ && replacement_->connection == id ? &*replacement_ : nullptr;
 }
 
 void Discovery::connected(Time now, ConnectionId id) {
@@ -210,7 +215,7 @@
 
 void Discovery::disconnected(Time now, ConnectionId id) {
     if (Watch *watch = find(id))
-        connection_lost(now, *watch, "the watch ended");
+        connection_lost(now, *watch, "the connection of the watch was closed");
 }
 
 void Discovery::received(Time now, ConnectionId id, std::string_view bytes) {
@@ -227,10 +232,11 @@
     if (state != http::State::body && state != http::State::complete)
         return;
     if (decoder.status() != 200)
-        return close_connection(now, *watch, "it answered " + std::to_string(decoder.status()));
+        return close_connection(
+            now, *watch, "response status " + std::to_string(decoder.status()) + ", expected 200");
     std::string body = decoder.take_body();
     if (handle_body(now, id, body) && state == http::State::complete)
-        close_connection(now, *find(id), "the watch ended");
+        close_connection(now, *find(id), "the response to the watch ended");
 }
 
 bool Discovery::handle_body(Time now, ConnectionId id, std::string_view body) {
@@ -238,30 +244,31 @@
         Watch &watch = *find(id);
         JsonStream &objects = watch.objects;
         body.remove_prefix(objects.consume(body));
-        bool answered = objects.take_blank_line();
+        bool received_anything = objects.take_blank_line();
         if (objects.has_error()) {
             close_connection(now, watch, objects.error());
             return false;
         }
         if (auto object = objects.take_object()) {
-            if (!handle_object(now, watch, *object))
+            if (!handle_endpoint_list(now, watch, *object))
                 return false;
-            answered = true;
+            received_anything = true;
         }
-        if (!answered)
+        if (!received_anything)
             continue;
 
-        publish_known(now);
+        publish_initial_list(now);
         watch.last_received_at = now;
         watch.has_answered = true;
         watch.reconnect_backoff.connect_succeeded();
-        if (next_ && (&watch == &*next_ || next_->address == current_->address))
-            take_over(watch);
+        if (replacement_ &&
+            (&watch == &*replacement_ || replacement_->address == current_->address))
+            promote(watch);
     }
     return true;
 }
 
-bool Discovery::handle_object(Time now, Watch &watch, std::string_view json) {
+bool Discovery::handle_endpoint_list(Time now, Watch &watch, std::string_view json) {
     auto parsed = parse_endpoint_list(json, zones_);
     if (auto *error = std::get_if<EndpointListError>(&parsed)) {
         close_connection(now, watch, error->text);
@@ -269,59 +276,63 @@
     }
     const auto &list = std::get<EndpointList>(parsed);
     if (list.kind == EndpointListKind::delta || list.generation < generation_)
-        publish_known(now);
-    known_list_.reset();
+        publish_initial_list(now);
+    initial_list_.reset();
 
     if (is_stale(list)) {
         if (watch.stale_since == 0)
             watch.stale_since = now;
-        if (now < watch.stale_since + rebuilt_after)
+        if (now < watch.stale_since + rebuild_threshold)
             return true;
-        generation_ = 0; // asked for anew, from the start
-        close_connection(now, watch, "tells of older lists only: taken for one made anew");
+        generation_ = 0; // requests the full list on the next connection
+        close_connection(now, watch,
+                         "only outdated lists for " + std::to_string(rebuild_threshold / sec) +
+                             " s, the last of generation " + std::to_string(list.generation) +
+                             "; assuming that discovery was rebuilt, requesting its full list");
         return false;
     }
     watch.stale_since = 0;
-    bool nothing_new =
-        listed_ && list.kind == EndpointListKind::delta && list.generation == generation_;
-    if (!nothing_new)
+    bool unchanged = has_published_list_ && list.kind == EndpointListKind::delta &&
+                     list.generation == generation_;
+    if (!unchanged)
         publish(now, list);
     return true;
 }
 
 bool Discovery::is_stale(const EndpointList &list) const {
-    return listed_ && list.generation < generation_;
+    return has_published_list_ && list.generation < generation_;
 }
 
 Time Discovery::next_due() const {
-    Time due = known_list_ ? known_list_due_ : never;
-    for (const auto *slot : {&current_, &next_}) {
+    Time due = initial_list_ ? initial_list_deadline_ : never;
+    for (const auto *slot : {&current_, &replacement_}) {
         if (!*slot)
             continue;
         const Watch &watch = **slot;
-        // One that has answered and is silent stays, beside the one that is to take over.
-        bool waits_for_next = slot == &current_ && watch.has_answered && next_;
-        if (!waits_for_next)
-            due = std::min(due,
-                           watch.connected ? silent_at(watch) : watch.reconnect_backoff.deadline());
+        // A silent watch that has answered before has no timeout while its replacement connects.
+        bool has_replacement = slot == &current_ && watch.has_answered && replacement_;
+        if (!has_replacement)
+            due = std::min(due, watch.connected ? silence_deadline(watch)
+                                                : watch.reconnect_backoff.deadline());
     }
     return due;
 }
 
 void Discovery::handle_timeouts(Time now) {
-    if (now >= known_list_due_)
-        publish_known(now);
-    if (current_ && current_->connected && current_->has_answered && now >= silent_at(*current_) &&
-        !next_) {
-        transport_.log_event("discovery at " + current_->address + ": silent");
-        next_.emplace(make_watch(current_->address));
-        connect(now, *next_);
+    if (now >= initial_list_deadline_)
+        publish_initial_list(now);
+    if (current_ && current_->connected && current_->has_answered &&
+        now >= silence_deadline(*current_) && !replacement_) {
+        transport_.log_event("discovery at " + current_->address + ": nothing received for " +
+                             std::to_string(silence_timeout / sec) + " s; opening a second watch");
+        replacement_.emplace(create_watch(current_->address));
+        connect(now, *replacement_);
     }
-    for (auto *slot : {&next_, &current_}) {
+    for (auto *slot : {&replacement_, &current_}) {
         if (!*slot)
             continue;
         Watch &watch = **slot;
-        if (watch.connected && !watch.has_answered && now >= silent_at(watch)) {
+        if (watch.connected && !watch.has_answered && now >= silence_deadline(watch)) {
             close_connection(now, watch, "");
         } else if (!watch.connected && now >= watch.reconnect_backoff.deadline()) {
             if (watch.reconnect_backoff.connecting())
--- a/src/http_gateway/discovery.hpp
+++ b/src/http_gateway/discovery.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The watch of the endpoint list at discovery, without I/O.
+/// Watches the endpoint list at the discovery service, without I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,8 @@
 
 namespace knotvane::http_gateway {
 
-/// The endpoint list, list by list, each whole: begin, a call for each line, end.
+/// Receives the endpoint lists. Each list is reported completely, without other events in between:
+/// begin, one call for each endpoint, end.
 class EndpointListEvents {
 public:
     virtual ~EndpointListEvents() = default;
@@ -30,83 +31,97 @@
 };
 
 struct DiscoveryOptions {
-    /// Lists are asked for, of a service that all schedulers share and that rejects calls when it
-    /// is busy; else an agent on this machine has what was pushed to it.
+    /// True if lists are requested from a service that all schedulers share and that rejects
+    /// requests when it is overloaded. False if an agent on this host serves lists that were pushed
+    /// to it.
     bool on_request = false;
-    /// Of the pauses between calls.
+    /// Seed of the random delays between connection attempts.
     std::uint64_t seed = 0;
 };
 
-/// Watches discovery by one long call that streams lists. What discovery has counts as known here
-/// from that moment, so there is always a call open or on its way, and a watch that fell silent is
-/// opened anew beside it.
+/// Watches discovery by a long-running HTTP request whose response streams lists. The gateway is
+/// expected to know a list as soon as discovery has it, so it always has a watch connected or about
+/// to reconnect. If a watch becomes silent, a replacement is opened beside it.
 class Discovery {
 public:
-    /// @param zones names in the order of their ids.
+    /// @param zones names of the zones in the order of their ids.
     Discovery(Transport &transport, EndpointListEvents &events, ConnectionIds &connection_ids,
               const std::vector<std::string> &zones, const DiscoveryOptions &options);
 
-    /// @param known_list the list as last had, in discovery's form; empty for none. It may be old:
-    /// it counts together with discovery's first word, or alone if discovery doesn't answer.
-    /// @param address where to watch.
-    /// @return why the list was refused; empty if it was not.
-    std::string start(Time now, std::string_view known_list, const std::string &address);
+    /// Opens the first watch. Must be called once, before any other call.
+    /// @param initial_list the last list that is known, as JSON in discovery's format; empty for
+    /// none. As it may be outdated, it is published only once discovery answers for the first time
+    /// (unless that answer is a newer full list) or hasn't answered in time.
+    /// @param address "host:port" of discovery.
+    /// @return why `initial_list` was rejected; empty if it was accepted or is empty.
+    std::string start(Time now, std::string_view initial_list, const std::string &address);
 
-    /// Watches there from now on. A watch that is open elsewhere is closed once this one answers.
+    /// Watches discovery at another address from now on. An open watch at the former address stays
+    /// in use until the new one answers.
     void watch(Time now, const std::string &address);
 
+    /// Whether the connection belongs to a watch. The events below are ignored for any other.
     bool owns(ConnectionId id) const {
-        return (current_ && current_->connection == id) || (next_ && next_->connection == id);
+        return (current_ && current_->connection == id) ||
+               (replacement_ && replacement_->connection == id);
     }
     void connected(Time now, ConnectionId id);
     void connect_failed(Time now, ConnectionId id);
     void received(Time now, ConnectionId id, std::string_view bytes);
     void disconnected(Time now, ConnectionId id);
 
-    /// When handle_timeouts is due next; the largest Time if nothing is.
+    /// @return when handle_timeouts must be called next; the largest Time if no timeout is set.
     Time next_due() const;
+    /// Reconnects watches whose delay is over, closes or replaces those that have timed out, and
+    /// publishes the initial list if discovery hasn't answered in time.
     void handle_timeouts(Time now);
 
-    /// Whether any list was passed on.
-    bool has_endpoint_list() const { return listed_; }
+    /// Whether any list was published.
+    bool has_endpoint_list() const { return has_published_list_; }
 
 private:
-    /// A call to discovery, or the pause before it is made again.
+    /// A streaming request to discovery, or the delay before it is sent again.
     struct Watch {
         std::string address;
         ConnectionId connection{};
         bool connected = false;
-        /// Something came on this connection.
+        /// Whether a list or a blank line was received on this connection.
         bool has_answered = false;
-        /// When it connected or something came last.
+        /// When a list or a blank line was last received, or else when the connection was
+        /// established.
         Time last_received_at = 0;
-        /// Since when it sends older lists than we have; 0 if it doesn't.
+        /// Since when all its lists are older than the published one; 0 if they aren't.
         Time stale_since = 0;
         http::Decoder decoder;
         JsonStream objects;
         ReconnectBackoff reconnect_backoff;
     };
 
-    Watch make_watch(const std::string &address);
+    Watch create_watch(const std::string &address);
     void connect(Time now, Watch &watch);
     Watch *find(ConnectionId id);
-    /// When a watch that is connected counts as silent.
-    Time silent_at(const Watch &watch) const;
-    /// Forgets a watch's connection and starts the pause before the next one.
-    /// @param reason for the log; empty for none.
+    /// Returns when a connected watch counts as silent if nothing is received.
+    Time silence_deadline(const Watch &watch) const;
+    /// Handles the end of a watch's connection: starts the delay before the next attempt, or
+    /// replaces the watch if a replacement is open.
+    /// @param reason written to the log unless empty.
     void connection_lost(Time now, Watch &watch, const std::string &reason);
     void close_connection(Time now, Watch &watch, const std::string &reason);
-    /// Makes this watch the current one and closes the other; returns where it is now.
-    Watch &take_over(Watch &watch);
+    /// Makes this watch the current one and closes the other. Returns the watch, which may have
+    /// moved.
+    Watch &promote(Watch &watch);
 
-    /// Handles what came of the call's body. Returns false if the watch's connection was closed.
+    /// Handles received bytes of the response's body. Returns false if the watch's connection was
+    /// closed.
     bool handle_body(Time now, ConnectionId id, std::string_view body);
-    bool handle_object(Time now, Watch &watch, std::string_view json);
-    /// Whether a list is older than ours: by it a node that drains would look ready.
+    /// Handles a complete JSON object. Returns false if the watch's connection was closed.
+    bool handle_endpoint_list(Time now, Watch &watch, std::string_view json);
+    /// Whether a list is older than the published one. Applying it could show a draining node as
+    /// ready.
     bool is_stale(const EndpointList &list) const;
     void publish(Time now, const EndpointList &list);
-    /// Passes on the list that was known at the start, if it wasn't yet.
-    void publish_known(Time now);
+    /// Publishes the list that was given to start(), unless it was published or superseded.
+    void publish_initial_list(Time now);
 
     Transport &transport_;
     EndpointListEvents &events_;
@@ -114,15 +129,15 @@
     ZoneNames zones_;
     DiscoveryOptions options_;
     std::uint64_t watch_count_ = 0;
-    /// The watch whose lists count, and the one that is to take over.
+    /// The watch in use, and the one that replaces it as soon as it answers.
     std::optional<Watch> current_;
-    std::optional<Watch> next_;
-    std::optional<EndpointList> known_list_;
-    Time known_list_due_ = std::numeric_limits<Time>::max();
+    std::optional<Watch> replacement_;
+    std::optional<EndpointList> initial_list_;
+    Time initial_list_deadline_ = std::numeric_limits<Time>::max();
     std::map<std::string, NodeId> node_ids_;
     std::uint64_t last_node_id_ = 0;
     std::uint64_t generation_ = 0;
-    bool listed_ = false;
+    bool has_published_list_ = false;
 };
 
 } // namespace knotvane::http_gateway
--- a/src/http_gateway/endpoint_list.cpp
+++ b/src/http_gateway/endpoint_list.cpp
@@ -11,11 +11,11 @@
 
 using nlohmann::json;
 
-// Milliseconds; a later start doesn't fit a Time.
+// In milliseconds. Later start times would overflow Time.
 constexpr double max_started_at_ms = 9e12;
 
-/// Returns a field that is text; empty if it isn't there or is something else.
-std::string text_of(const json &object, const char *name) {
+/// Returns the value of a string field; empty if the field is absent or not a string.
+std::string string_field(const json &object, const char *name) {
     if (!object.is_object())
         return {};
     auto it = object.find(name);
@@ -33,27 +33,29 @@
 }
 
 std::variant<ListedInstance, EndpointListError>
-parse_instance(const json &entry, const std::string &path, const ZoneNames &zones) {
+parse_instance(const json &entry, const std::string &path_prefix, const ZoneNames &zones) {
     ListedInstance instance;
-    instance.id = text_of(entry, "instanceId");
+    instance.id = string_field(entry, "instanceId");
     if (instance.id.empty())
-        return EndpointListError{path + "instanceId: not a name"};
+        return EndpointListError{path_prefix + "instanceId: expected a non-empty string"};
 
-    auto state = to_node_state(text_of(entry, "lifecycle"));
+    auto state = to_node_state(string_field(entry, "lifecycle"));
     if (!state)
-        return EndpointListError{path + "lifecycle: not active, leaving or left"};
+        return EndpointListError{path_prefix + "lifecycle: expected active, leaving or left"};
     instance.state = *state;
 
-    instance.address = text_of(entry, "hostPort");
+    instance.address = string_field(entry, "hostPort");
     if (instance.address.empty() && instance.state != NodeState::removed)
-        return EndpointListError{path + "hostPort: not an address"};
+        return EndpointListError{
+            path_prefix +
+            "hostPort: expected a non-empty string, the address of an instance that hasn't left"};
 
     if (auto cell = entry.find("cell"); cell != entry.end() && cell->is_number_integer())
         instance.shard = ShardId{cell->get<std::int32_t>()};
     else if (instance.state != NodeState::removed)
-        return EndpointListError{path + "cell: not a number"};
+        return EndpointListError{path_prefix + "cell: expected an integer"};
 
-    if (auto zone = zones.find(text_of(entry, "zone")); zone != zones.end())
+    if (auto zone = zones.find(string_field(entry, "zone")); zone != zones.end())
         instance.zone = zone->second;
     if (auto started = entry.find("startedAtMs"); started != entry.end() && started->is_number())
         instance.started_at =
@@ -67,20 +69,20 @@
                                                                   const ZoneNames &zones) {
     auto document = json::parse(text, nullptr, false);
     if (document.is_discarded() || !document.is_object())
-        return EndpointListError{"not a JSON object"};
+        return EndpointListError{"endpoint list: expected a JSON object"};
     if (!document.contains("generation") || !document["generation"].is_number_unsigned())
-        return EndpointListError{"generation: not a count"};
+        return EndpointListError{"generation: expected a non-negative integer"};
     if (!document.contains("reset") || !document["reset"].is_boolean())
-        return EndpointListError{"reset: not true or false"};
+        return EndpointListError{"reset: expected true or false"};
     if (!document.contains("instances") || !document["instances"].is_array())
-        return EndpointListError{"instances: not a list"};
+        return EndpointListError{"instances: expected an array"};
 
     EndpointList list;
     list.generation = document["generation"].get<std::uint64_t>();
     list.kind = document["reset"].get<bool>() ? EndpointListKind::full : EndpointListKind::delta;
     for (const auto &entry : document["instances"]) {
-        std::string path = "instances." + std::to_string(list.instances.size()) + ".";
-        auto instance = parse_instance(entry, path, zones);
+        std::string path_prefix = "instances." + std::to_string(list.instances.size()) + ".";
+        auto instance = parse_instance(entry, path_prefix, zones);
         if (auto *error = std::get_if<EndpointListError>(&instance))
             return std::move(*error);
         list.instances.push_back(std::get<ListedInstance>(std::move(instance)));
--- a/src/http_gateway/endpoint_list.hpp
+++ b/src/http_gateway/endpoint_list.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The endpoint list as discovery sends it.
+/// The endpoint list in the JSON format of the discovery service.
 #pragma once
 
 #include <cstdint>
@@ -17,35 +17,37 @@
 
 namespace knotvane::http_gateway {
 
-/// A node in a list of discovery's.
+/// An entry of an endpoint list: the instance of a node.
 struct ListedInstance {
-    /// Discovery's name of it.
+    /// The instance's id at discovery.
     std::string id;
-    /// Empty if it is removed.
+    /// "host:port"; may be empty if the instance was removed.
     std::string address;
     ShardId shard;
     ZoneId zone;
     NodeState state = NodeState::removed;
-    /// By the wall clock; 0 for long ago.
+    /// When the node's process started, in nanoseconds since the epoch; 0 if not given.
     Time started_at = 0;
 };
 
+/// A parsed endpoint list.
 struct EndpointList {
-    /// Grows with each change.
+    /// Increases with each change of the list.
     std::uint64_t generation = 0;
     EndpointListKind kind = EndpointListKind::full;
     std::vector<ListedInstance> instances;
 };
 
-/// Why a text isn't an endpoint list: the field and what is wrong with it.
+/// Why a text is not a valid endpoint list: the path of the field and what was expected.
 struct EndpointListError {
     std::string text;
 };
 
-/// Zones by name.
+/// Zone ids by name.
 using ZoneNames = std::map<std::string, ZoneId, std::less<>>;
 
-/// Reads a list (JSON). A zone without an id reads as zone 0.
+/// Parses a list from JSON text. An instance without a zone, or with one that `zones` doesn't name,
+/// is in zone 0.
 std::variant<EndpointList, EndpointListError> parse_endpoint_list(std::string_view text,
                                                                   const ZoneNames &zones);
 
--- a/src/http_gateway/json_stream.hpp
+++ b/src/http_gateway/json_stream.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cuts a stream of bytes into JSON objects.
+/// Splits a byte stream into JSON objects.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +10,26 @@
 
 namespace knotvane::http_gateway {
 
-/// Finds the ends of JSON objects in a stream that may be cut anywhere, with blanks and line ends
-/// around objects and within. What is in an object is for its reader to check.
+/// Finds the boundaries of the JSON objects in a byte stream that arrives in pieces of any size.
+/// Objects may be separated by whitespace and may contain it. The contents of an object are not
+/// validated; that is left to the JSON parser.
 class JsonStream {
 public:
-    /// @param max_object_bytes an object that is longer is a fault.
+    /// @param max_object_bytes a longer object is an error.
     explicit JsonStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
-    /// Takes bytes up to the end of one object at most; returns how many.
+    /// Consumes bytes up to the end of the next object at most. Returns how many were
+    /// consumed: none after an error, or while a complete object waits for take_object().
     std::size_t consume(std::string_view bytes) {
-        std::size_t taken = 0;
-        while (taken < bytes.size() && !complete_ && !has_error()) {
-            consume_byte(bytes[taken]);
-            ++taken;
+        std::size_t consumed = 0;
+        while (consumed < bytes.size() && !complete_ && !has_error()) {
+            consume_byte(bytes[consumed]);
+            ++consumed;
         }
-        return taken;
+        return consumed;
     }
 
-    /// Returns an object that was taken to its end, once.
+    /// Returns the complete object, if there is one, and starts with the next.
     std::optional<std::string> take_object() {
         if (!complete_)
             return std::nullopt;
@@ -35,11 +37,11 @@
         return std::exchange(object_, {});
     }
 
-    /// Returns whether an empty line between objects came since the last call.
+    /// Returns whether an empty line between objects was consumed since the last call.
     bool take_blank_line() { return std::exchange(blank_line_, false); }
 
     bool has_error() const { return *error_ != '\0'; }
-    /// Why the stream can't be read on; empty while it can.
+    /// Why the stream can't be read any further; empty if there is no error.
     const char *error() const { return error_; }
 
 private:
@@ -49,7 +51,7 @@
         line_empty_ = false;
         object_ += byte;
         if (object_.size() > max_object_bytes_) {
-            error_ = "an object is too long";
+            error_ = "a JSON object exceeds the size limit";
             return;
         }
         if (in_string_) {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Takes a byte between objects.
+    /// Handles a byte between objects. Returns whether it starts an object.
     bool starts_object(char byte) {
         if (byte == '\n') {
             blank_line_ |= line_empty_;
@@ -74,17 +76,19 @@
         if (byte == ' ' || byte == '\t' || byte == '\r' || byte == '\n')
             return false;
         if (byte != '{')
-            error_ = "not a JSON object";
+            error_ = "unexpected character before a JSON object";
         return byte == '{';
     }
 
     std::size_t max_object_bytes_;
+    /// Number of open braces and brackets; 0 between objects.
     std::size_t depth_ = 0;
     std::string object_;
     bool in_string_ = false;
     bool escaped_ = false;
     bool complete_ = false;
     bool blank_line_ = false;
+    /// Whether only whitespace was consumed since the last line end.
     bool line_empty_ = true;
     const char *error_ = "";
 };
--- a/src/http_gateway/outbound_request.hpp
+++ b/src/http_gateway/outbound_request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A request as it goes out to nodes.
+/// A client's request in the form that is sent to nodes.
 #pragma once
 
 #include <string>
@@ -8,18 +8,19 @@
 
 namespace knotvane::http_gateway {
 
-/// What is asked of a node; the same for each attempt of a client's request.
+/// The content of a request to a node; the same for all attempts of a client's request.
 struct OutboundRequest {
     std::string method;
     std::string target;
     std::string trace_id;
-    /// Empty for none.
+    /// Empty if the request has none.
     std::string idempotency_key;
     std::string body;
 };
 
-/// Returns an attempt's HTTP message.
-/// @param remaining time until the attempt's timeout, which the node is told.
+/// Returns the HTTP message of an attempt.
+/// @param remaining time until the attempt's timeout, sent to the node; a negative one is sent as
+/// 0.
 std::string encode(const OutboundRequest &request, Time remaining);
 
 } // namespace knotvane::http_gateway
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -12,15 +12,15 @@
 namespace knotvane::loop {
 namespace {
 
-// What is read at once: a few large requests, or very many small ones.
+// Size of one read: holds a few large requests or very many small ones.
 constexpr std::size_t read_size = 256 << 10;
 
-void lend_buffer(uv_handle_t *, std::size_t, uv_buf_t *buf) {
+void provide_read_buffer(uv_handle_t *, std::size_t, uv_buf_t *buf) {
     thread_local std::vector<char> buffer(read_size);
     *buf = uv_buf_init(buffer.data(), static_cast<unsigned>(buffer.size()));
 }
 
-sockaddr_in parse(const std::string &address) {
+sockaddr_in parse_address(const std::string &address) {
     auto colon = address.rfind(':');
     sockaddr_in out{};
     int port = -1;
@@ -28,42 +28,44 @@
         address.find_first_not_of("0123456789", colon + 1) == std::string::npos)
         port = std::stoi(address.substr(colon + 1));
     if (port < 0 || port > 65535 || uv_ip4_addr(address.substr(0, colon).c_str(), port, &out) != 0)
-        throw std::runtime_error("address '" + address + "': expected one like 127.0.0.1:10809");
+        throw std::runtime_error("address '" + address +
+                                 "': expected an IPv4 address and a port, such as 127.0.0.1:10809");
     return out;
 }
 
-struct Write {
+// A write that libuv has queued. Deletes itself in its callback.
+struct QueuedWrite {
     uv_write_t req;
     std::string bytes;
     std::shared_ptr<Socket> socket;
-    std::size_t *writing;
-    bool told = false; // that it has left
+    std::size_t *writing_bytes;
+    bool reported = false; // to on_written
 };
 
 } // namespace
 
 Time now() {
     using namespace std::chrono;
-    static const Time ahead =
+    static const Time epoch_offset =
         duration_cast<nanoseconds>(system_clock::now().time_since_epoch()).count() -
         static_cast<Time>(uv_hrtime());
-    return static_cast<Time>(uv_hrtime()) + ahead;
+    return static_cast<Time>(uv_hrtime()) + epoch_offset;
 }
 
-struct Loop::Posted {
+struct Loop::PostedCalls {
     moodycamel::ConcurrentQueue<std::function<void()>> queue;
 };
 
-Loop::Loop() : posted_(std::make_unique<Posted>()) {
-    // A write to a connection that its peer has reset raises this, and would end the program; the
-    // write's own error tells it as well. Seen with answers too long to leave in one piece.
+Loop::Loop() : posted_calls_(std::make_unique<PostedCalls>()) {
+    // Writing to a connection that the peer has reset raises SIGPIPE, which would end the program.
+    // The write reports the error as well. Seen with responses too long for a single write.
     std::signal(SIGPIPE, SIG_IGN);
     uv_loop_init(&loop_);
     loop_.data = this;
-    uv_async_init(&loop_, &wake_, [](uv_async_t *a) {
+    uv_async_init(&loop_, &wake_up_, [](uv_async_t *a) {
         auto &self = *static_cast<Loop *>(a->loop->data);
         std::function<void()> call;
-        while (self.posted_->queue.try_dequeue(call))
+        while (self.posted_calls_->queue.try_dequeue(call))
             call();
     });
     uv_timer_init(&loop_, &timer_);
@@ -99,8 +101,8 @@
     uv_run(&loop_, UV_RUN_DEFAULT);
 }
 void Loop::post(std::function<void()> call) {
-    posted_->queue.enqueue(std::move(call));
-    uv_async_send(&wake_);
+    posted_calls_->queue.enqueue(std::move(call));
+    uv_async_send(&wake_up_);
 }
 void Loop::stop() {
     post([this] { uv_stop(&loop_); });
@@ -122,27 +124,27 @@
         std::shared_ptr<Socket> socket;
         std::function<void(bool)> done;
     };
-    auto *c = new Connect{{}, shared_from_this(), std::move(done)};
-    c->req.data = c;
-    int bad = 0;
+    auto *connect = new Connect{{}, shared_from_this(), std::move(done)};
+    connect->req.data = connect;
+    int error = 0;
     try {
-        auto addr = parse(address);
-        bad = uv_tcp_connect(&c->req, &handle_->tcp, reinterpret_cast<sockaddr *>(&addr),
-                             [](uv_connect_t *req, int status) {
-                                 std::unique_ptr<Connect> self(static_cast<Connect *>(req->data));
-                                 if (self->socket->closed_)
-                                     return;
-                                 if (status == 0)
-                                     self->socket->start();
-                                 self->done(status == 0);
-                             });
+        auto addr = parse_address(address);
+        error = uv_tcp_connect(&connect->req, &handle_->tcp, reinterpret_cast<sockaddr *>(&addr),
+                               [](uv_connect_t *req, int status) {
+                                   std::unique_ptr<Connect> self(static_cast<Connect *>(req->data));
+                                   if (self->socket->closed_)
+                                       return;
+                                   if (status == 0)
+                                       self->socket->start();
+                                   self->done(status == 0);
+                               });
     } catch (const std::exception &) {
-        bad = -1;
+        error = -1;
     }
-    connect_attempted_ = bad == 0;
-    if (bad != 0)
-        loop_.post([c] {
-            std::unique_ptr<Connect> self(c);
+    connect_attempted_ = error == 0;
+    if (error != 0)
+        loop_.post([connect] {
+            std::unique_ptr<Connect> self(connect);
             if (!self->socket->closed_)
                 self->done(false);
         });
@@ -151,142 +153,150 @@
 void Socket::start() {
     if (closed_)
         return;
-    up_ = true;
+    connected_ = true;
     handle_->owner = shared_from_this();
     uv_tcp_nodelay(&handle_->tcp, 1);
-    set_reading_paused(held_);
+    set_reading_paused(reading_paused_);
 }
 
-void Socket::set_reading_paused(bool hold) {
-    held_ = hold;
-    if (closed_ || !up_ || reading_ == !hold)
+void Socket::set_reading_paused(bool paused) {
+    reading_paused_ = paused;
+    if (closed_ || !connected_ || reading_ == !paused)
         return;
-    reading_ = !hold;
+    reading_ = !paused;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
-    if (hold) {
+    if (paused) {
         uv_read_stop(stream);
         return;
     }
-    uv_read_start(stream, lend_buffer, [](uv_stream_t *s, ssize_t n, const uv_buf_t *buf) {
-        auto self = static_cast<Handle *>(s->data)->owner;
-        if (!self || self->closed_ || n == 0)
-            return;
-        if (n < 0)
-            return self->gone(n == UV_EOF ? DisconnectReason::end_of_stream
-                                          : DisconnectReason::connection_error);
-        // Once it only ends, nothing is called back any more: whoever owned it may be gone.
-        if (self->on_received && !self->ending_)
-            self->on_received({buf->base, static_cast<std::size_t>(n)});
-    });
+    uv_read_start(stream, provide_read_buffer,
+                  [](uv_stream_t *source, ssize_t count, const uv_buf_t *buf) {
+                      auto self = static_cast<Handle *>(source->data)->owner;
+                      if (!self || self->closed_ || count == 0)
+                          return;
+                      if (count < 0)
+                          return self->handle_disconnect(count == UV_EOF
+                                                             ? DisconnectReason::end_of_stream
+                                                             : DisconnectReason::connection_error);
+                      // After close_when_sent no callback is called: the owner may no longer exist.
+                      if (self->on_received && !self->closing_when_sent_)
+                          self->on_received({buf->base, static_cast<std::size_t>(count)});
+                  });
 }
 
-void Socket::gone(DisconnectReason how) {
+void Socket::handle_disconnect(DisconnectReason reason) {
     if (closed_)
         return;
-    bool silent = ending_;
-    // Who ends in order may still read: only a broken connection has nothing to lose by a reset.
-    close(how == DisconnectReason::connection_error || !pending_.empty());
+    bool silent = closing_when_sent_;
+    // A peer that has finished sending may still read, so it must not get a reset that discards
+    // what was written. A failed connection has nothing to lose by a reset.
+    close(reason == DisconnectReason::connection_error || !unflushed_.empty());
     if (on_disconnected && !silent)
-        on_disconnected(how);
+        on_disconnected(reason);
 }
 
 void Socket::send(std::string bytes) {
     if (!closed_ && !bytes.empty())
-        pending_.push_back(std::move(bytes));
+        unflushed_.push_back(std::move(bytes));
 }
 
 void Socket::flush() {
-    if (closed_ || !up_ || pending_.empty())
+    if (closed_ || !connected_ || unflushed_.empty())
         return;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
-    std::size_t left_now = 0;
-    std::size_t first = 0, within = 0;
-    // While an earlier write is under way, the rest queues behind it.
-    while (writing_ == 0 && first < pending_.size()) {
+    std::size_t written_now = 0;
+    std::size_t first = 0, offset = 0; // the first byte that is not written yet
+    // If libuv still has a queued write, the bytes must be queued behind it.
+    while (writing_bytes_ == 0 && first < unflushed_.size()) {
         uv_buf_t bufs[64];
-        unsigned n = 0;
-        std::size_t wanted = 0;
-        for (std::size_t i = first; i < pending_.size() && n < 64; ++i, ++n) {
-            std::size_t skip = i == first ? within : 0;
-            bufs[n] = uv_buf_init(pending_[i].data() + skip,
-                                  static_cast<unsigned>(pending_[i].size() - skip));
-            wanted += bufs[n].len;
+        unsigned buffer_count = 0;
+        std::size_t requested = 0;
+        for (std::size_t i = first; i < unflushed_.size() && buffer_count < 64;
+             ++i, ++buffer_count) {
+            std::size_t skip = i == first ? offset : 0;
+            bufs[buffer_count] = uv_buf_init(unflushed_[i].data() + skip,
+                                             static_cast<unsigned>(unflushed_[i].size() - skip));
+            requested += bufs[buffer_count].len;
         }
-        int put = uv_try_write(stream, bufs, n);
-        if (put == UV_EAGAIN)
+        int result = uv_try_write(stream, bufs, buffer_count);
+        if (result == UV_EAGAIN)
             break;
-        if (put < 0) {
-            pending_.clear();
-            // Told later: whoever flushes does not expect to lose what it holds.
-            loop_.post(
-                [self = shared_from_this()] { self->gone(DisconnectReason::connection_error); });
+        if (result < 0) {
+            unflushed_.clear();
+            // Reported later: the caller of flush doesn't expect its socket to be closed by it.
+            loop_.post([self = shared_from_this()] {
+                self->handle_disconnect(DisconnectReason::connection_error);
+            });
             return;
         }
-        left_now += static_cast<std::size_t>(put);
-        bool all = static_cast<std::size_t>(put) == wanted;
-        for (auto rest = static_cast<std::size_t>(put); rest > 0 && first < pending_.size();) {
-            std::size_t here = pending_[first].size() - within;
-            if (rest < here) {
-                within += rest;
+        written_now += static_cast<std::size_t>(result);
+        bool all_written = static_cast<std::size_t>(result) == requested;
+        for (auto remaining = static_cast<std::size_t>(result);
+             remaining > 0 && first < unflushed_.size();) {
+            std::size_t unwritten = unflushed_[first].size() - offset;
+            if (remaining < unwritten) {
+                offset += remaining;
                 break;
             }
-            rest -= here, ++first, within = 0;
+            remaining -= unwritten, ++first, offset = 0;
         }
-        if (!all)
+        if (!all_written)
             break;
     }
     std::string rest;
-    for (std::size_t i = first; i < pending_.size(); ++i)
-        rest.append(pending_[i], i == first ? within : 0);
-    pending_.clear();
+    for (std::size_t i = first; i < unflushed_.size(); ++i)
+        rest.append(unflushed_[i], i == first ? offset : 0);
+    unflushed_.clear();
     if (!rest.empty()) {
-        auto *w = new Write{{}, std::move(rest), shared_from_this(), &writing_, false};
-        w->req.data = w;
-        writing_ += w->bytes.size();
-        auto buf = uv_buf_init(w->bytes.data(), static_cast<unsigned>(w->bytes.size()));
-        uv_write(&w->req, stream, &buf, 1, [](uv_write_t *req, int status) {
-            std::unique_ptr<Write> self(static_cast<Write *>(req->data));
-            auto &s = *self->socket;
-            s.writing_ -= self->bytes.size();
-            if (s.closed_)
+        auto *write =
+            new QueuedWrite{{}, std::move(rest), shared_from_this(), &writing_bytes_, false};
+        write->req.data = write;
+        writing_bytes_ += write->bytes.size();
+        auto buf = uv_buf_init(write->bytes.data(), static_cast<unsigned>(write->bytes.size()));
+        uv_write(&write->req, stream, &buf, 1, [](uv_write_t *req, int status) {
+            std::unique_ptr<QueuedWrite> self(static_cast<QueuedWrite *>(req->data));
+            auto &socket = *self->socket;
+            socket.writing_bytes_ -= self->bytes.size();
+            if (socket.closed_)
                 return;
             if (status < 0)
-                return s.gone(DisconnectReason::connection_error);
-            if (s.on_written && !s.ending_ && !self->told)
-                s.on_written(self->bytes.size());
-            if (s.closed_)
+                return socket.handle_disconnect(DisconnectReason::connection_error);
+            if (socket.on_written && !socket.closing_when_sent_ && !self->reported)
+                socket.on_written(self->bytes.size());
+            if (socket.closed_)
                 return;
-            if (s.ending_ && s.writing_ == 0 && s.pending_.empty())
-                return s.close();
-            s.shutdown_if_sent();
+            if (socket.closing_when_sent_ && socket.writing_bytes_ == 0 &&
+                socket.unflushed_.empty())
+                return socket.close();
+            socket.shut_down_if_sent();
         });
-        // It may have left at once, and is called back in the next turn only: until then it would
-        // pass for unsent.
+        // libuv may have written everything already, but calls back in the next iteration of the
+        // loop only. It is reported now, or it would count as unsent until then.
         if (uv_stream_get_write_queue_size(stream) == 0)
-            w->told = true, left_now += w->bytes.size();
+            write->reported = true, written_now += write->bytes.size();
     }
-    if (left_now > 0 && on_written && !ending_)
-        on_written(left_now);
+    if (written_now > 0 && on_written && !closing_when_sent_)
+        on_written(written_now);
 }
 
 void Socket::close_when_sent() {
-    ending_ = true;
+    closing_when_sent_ = true;
     flush();
     if (closed_)
         return;
-    if (writing_ == 0)
+    if (writing_bytes_ == 0)
         return close();
 }
 
 void Socket::finish_sending() {
-    if (closed_ || shutting_)
+    if (closed_ || finishing_sending_)
         return;
     flush();
-    shutting_ = true;
-    shutdown_if_sent();
+    finishing_sending_ = true;
+    shut_down_if_sent();
 }
-void Socket::shutdown_if_sent() {
-    if (!shutting_ || closed_ || !up_ || writing_ > 0 || !pending_.empty())
+void Socket::shut_down_if_sent() {
+    if (!finishing_sending_ || closed_ || !connected_ || writing_bytes_ > 0 || !unflushed_.empty())
         return;
     auto *req = new uv_shutdown_t;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
@@ -304,56 +314,57 @@
     closed_ = true;
     auto *raw_handle = reinterpret_cast<uv_handle_t *>(&handle_->tcp);
     auto end = [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); };
-    // A connection whose sending side is being ended can't be reset.
-    if (!(reset && up_ && uv_tcp_close_reset(&handle_->tcp, end) == 0) &&
+    // libuv can't reset a connection whose sending side is being closed.
+    if (!(reset && connected_ && uv_tcp_close_reset(&handle_->tcp, end) == 0) &&
         !uv_is_closing(raw_handle))
         uv_close(raw_handle, end);
 }
 
 Listener::Listener(Loop &loop, const std::string &address,
-                   std::function<void(std::shared_ptr<Socket>)> on_came)
-    : loop_(loop), handle_(new Handle{{}, this}), on_came_(std::move(on_came)) {
+                   std::function<void(std::shared_ptr<Socket>)> on_accept)
+    : loop_(loop), handle_(new Handle{{}, this}), on_accept_(std::move(on_accept)) {
     sockaddr_in addr{};
     try {
-        addr = parse(address);
+        addr = parse_address(address);
     } catch (...) {
         delete handle_;
         throw;
     }
     uv_tcp_init(loop_.raw(), &handle_->tcp);
     handle_->tcp.data = handle_;
-    int bad = uv_tcp_bind(&handle_->tcp, reinterpret_cast<sockaddr *>(&addr), 0);
-    // Reconnects after a restart come all at once: a longer backlog than the usual keeps them from
-    // being lost.
+    int error = uv_tcp_bind(&handle_->tcp, reinterpret_cast<sockaddr *>(&addr), 0);
+    // After a restart all clients reconnect at the same time. A longer backlog than usual keeps
+    // their connection attempts from being dropped.
     constexpr int backlog = 1024;
-    if (bad == 0)
-        bad = uv_listen(reinterpret_cast<uv_stream_t *>(&handle_->tcp), backlog,
-                        [](uv_stream_t *s, int status) {
-                            auto *self = static_cast<Handle *>(s->data)->owner;
-                            if (!self || status < 0)
-                                return;
-                            auto socket = std::make_shared<Socket>(self->loop_);
-                            if (uv_accept(s, reinterpret_cast<uv_stream_t *>(socket->raw())) == 0) {
-                                socket->up_ = true;
-                                self->on_came_(socket);
-                            } else {
-                                socket->close();
-                            }
-                        });
-    sockaddr_in got{};
-    int size = sizeof got;
-    if (bad == 0)
-        bad = uv_tcp_getsockname(&handle_->tcp, reinterpret_cast<sockaddr *>(&got), &size);
-    if (bad != 0) {
+    if (error == 0)
+        error =
+            uv_listen(reinterpret_cast<uv_stream_t *>(&handle_->tcp), backlog,
+                      [](uv_stream_t *s, int status) {
+                          auto *self = static_cast<Handle *>(s->data)->owner;
+                          if (!self || status < 0)
+                              return;
+                          auto socket = std::make_shared<Socket>(self->loop_);
+                          if (uv_accept(s, reinterpret_cast<uv_stream_t *>(socket->raw())) == 0) {
+                              socket->connected_ = true;
+                              self->on_accept_(socket);
+                          } else {
+                              socket->close();
+                          }
+                      });
+    sockaddr_in bound{};
+    int size = sizeof bound;
+    if (error == 0)
+        error = uv_tcp_getsockname(&handle_->tcp, reinterpret_cast<sockaddr *>(&bound), &size);
+    if (error != 0) {
         handle_->owner = nullptr;
         uv_close(reinterpret_cast<uv_handle_t *>(&handle_->tcp),
                  [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
         throw std::runtime_error("address " + address +
-                                 " can't be listened on: " + uv_strerror(bad));
+                                 ": can't listen on it: " + uv_strerror(error));
     }
     char text[64];
-    uv_ip4_name(&got, text, sizeof text);
-    address_ = std::string(text) + ":" + std::to_string(ntohs(got.sin_port));
+    uv_ip4_name(&bound, text, sizeof text);
+    address_ = std::string(text) + ":" + std::to_string(ntohs(bound.sin_port));
 }
 Listener::~Listener() {
     handle_->owner = nullptr;
@@ -363,10 +374,10 @@
 
 FileWatcher::FileWatcher(Loop &loop, const std::string &path, std::function<void()> on_change)
     : handle_(new Handle{{}, this}), on_change_(std::move(on_change)) {
-    // The folder is watched: a file that is replaced by another takes a watch on itself along with
-    // it.
+    // Watches the directory: a watch on the file itself would be lost when the file is replaced by
+    // another one.
     auto slash = path.rfind('/');
-    std::string folder =
+    std::string directory =
         slash == std::string::npos ? "." : path.substr(0, std::max<std::size_t>(slash, 1));
     name_ = slash == std::string::npos ? path : path.substr(slash + 1);
     uv_fs_event_init(loop.raw(), &handle_->event);
@@ -378,7 +389,7 @@
             if (self && (!file || self->name_ == file))
                 self->on_change_();
         },
-        folder.c_str(), 0);
+        directory.c_str(), 0);
 }
 FileWatcher::~FileWatcher() {
     handle_->owner = nullptr;
--- a/src/loop/outgoing_connection.cpp
+++ b/src/loop/outgoing_connection.cpp
@@ -6,44 +6,44 @@
 
 void OutgoingConnection::connect() {
     disconnect();
-    auto s = socket_ = std::make_shared<Socket>(loop_);
-    auto *mine = s.get();
-    s->on_received = [this](std::string_view in) { on_received(in); };
-    s->on_disconnected = [this](DisconnectReason) {
+    auto socket = socket_ = std::make_shared<Socket>(loop_);
+    auto *expected = socket.get();
+    socket->on_received = [this](std::string_view bytes) { on_received(bytes); };
+    socket->on_disconnected = [this](DisconnectReason) {
         socket_.reset();
-        up_ = false;
+        connected_ = false;
         on_disconnected();
     };
-    s->connect(address_, [this, mine](bool well) {
-        if (socket_.get() != mine)
-            return; // hung up meanwhile
-        if (!well) {
+    socket->connect(address_, [this, expected](bool succeeded) {
+        if (socket_.get() != expected)
+            return; // disconnected or connecting again meanwhile
+        if (!succeeded) {
             disconnect();
             return on_disconnected();
         }
-        up_ = true;
-        if (held_)
+        connected_ = true;
+        if (reading_paused_)
             socket_->set_reading_paused(true);
         on_connected();
     });
 }
 void OutgoingConnection::disconnect() {
-    if (auto s = std::exchange(socket_, nullptr))
-        s->close();
-    up_ = false;
+    if (auto socket = std::exchange(socket_, nullptr))
+        socket->close();
+    connected_ = false;
 }
 void OutgoingConnection::send(std::string bytes) {
-    if (up_ && socket_)
+    if (connected_ && socket_)
         socket_->send(std::move(bytes));
 }
 void OutgoingConnection::flush() {
-    if (auto s = socket_; s && up_ && s->has_unflushed())
-        s->flush();
+    if (auto socket = socket_; socket && connected_ && socket->has_unflushed())
+        socket->flush();
 }
-void OutgoingConnection::set_reading_paused(bool hold) {
-    held_ = hold;
-    if (up_ && socket_)
-        socket_->set_reading_paused(hold);
+void OutgoingConnection::set_reading_paused(bool paused) {
+    reading_paused_ = paused;
+    if (connected_ && socket_)
+        socket_->set_reading_paused(paused);
 }
 
 } // namespace knotvane::loop
--- a/src/loop/outgoing_connection.hpp
+++ b/src/loop/outgoing_connection.hpp
@@ -1,4 +1,4 @@
-// One outgoing connection that is dialled again and again to the same address.
+// A connection to a fixed address that its owner may establish again and again.
 #pragma once
 
 #include <functional>
@@ -10,28 +10,33 @@
 
 namespace knotvane::loop {
 
+// Its owner decides when to connect; it does not reconnect by itself.
 class OutgoingConnection {
 public:
-    std::function<void()> on_connected,
-        on_disconnected; // down: a try failed, or the other side is gone
+    std::function<void()> on_connected;
+    // A connection attempt has failed, or the other side has closed the connection.
+    std::function<void()> on_disconnected;
     std::function<void(std::string_view)> on_received;
 
     OutgoingConnection(Loop &loop, std::string address)
         : loop_(loop), address_(std::move(address)) {}
     ~OutgoingConnection() { disconnect(); }
+    // Closes the present connection, if there is one, and starts to connect.
     void connect();
-    // Nothing is called back for it.
+    // Closes the connection without calling on_disconnected.
     void disconnect();
+    // Queues bytes; dropped while not connected.
     void send(std::string bytes);
+    // Writes the queued bytes.
     void flush();
-    // Whether to leave what comes in unread.
-    void set_reading_paused(bool hold);
+    // Pauses or resumes reading, for the present connection and all later ones.
+    void set_reading_paused(bool paused);
 
 private:
     Loop &loop_;
     std::string address_;
     std::shared_ptr<Socket> socket_;
-    bool up_ = false, held_ = false;
+    bool connected_ = false, reading_paused_ = false;
 };
 
 } // namespace knotvane::loop
--- a/src/loop/socket_map.hpp
+++ b/src/loop/socket_map.hpp
@@ -1,5 +1,4 @@
-// A shell's sockets by the id that its core knows them by. What is sent goes out at flush, at the
-// end of a moment; what is closed is forgotten first, so that nothing is called back for it.
+// Maps ids of connections to their sockets.
 #pragma once
 
 #include <map>
@@ -12,39 +11,45 @@
 
 namespace knotvane::loop {
 
-template <class IdOf>
+// The sockets of a server, by the id under which its core knows each connection. Sent bytes are
+// written by flush, at the end of a moment. A socket is removed before it is closed, so that none
+// of its callbacks reaches the core afterwards.
+template <class ConnectionId>
 class SocketMap {
 public:
+    // Resets all connections.
     ~SocketMap() {
-        for (auto &[id, s] : sockets_)
-            s->close(true);
+        for (auto &[id, socket] : sockets_)
+            socket->close(true);
     }
-    void add(IdOf id, std::shared_ptr<Socket> socket) { sockets_[id] = std::move(socket); }
-    // Nothing for an id that is not there.
-    std::shared_ptr<Socket> find(IdOf id) const {
+    void add(ConnectionId id, std::shared_ptr<Socket> socket) { sockets_[id] = std::move(socket); }
+    // Returns null for an unknown id.
+    std::shared_ptr<Socket> find(ConnectionId id) const {
         auto it = sockets_.find(id);
         return it == sockets_.end() ? nullptr : it->second;
     }
-    // Forgets it and gives what it was.
-    std::shared_ptr<Socket> remove(IdOf id) {
-        auto s = find(id);
+    // Removes the socket without closing it and returns it; null for an unknown id.
+    std::shared_ptr<Socket> remove(ConnectionId id) {
+        auto socket = find(id);
         sockets_.erase(id);
-        return s;
+        return socket;
     }
-    void send(IdOf id, std::string bytes) {
-        if (auto s = find(id))
-            s->send(std::move(bytes)), out_.insert(id);
+    // Queues bytes until flush; ignored for an unknown id.
+    void send(ConnectionId id, std::string bytes) {
+        if (auto socket = find(id))
+            socket->send(std::move(bytes)), unflushed_.insert(id);
     }
-    bool has_unflushed() const { return !out_.empty(); }
+    bool has_unflushed() const { return !unflushed_.empty(); }
+    // Writes the queued bytes of all sockets.
     void flush() {
-        for (auto id : std::exchange(out_, {}))
-            if (auto s = find(id))
-                s->flush();
+        for (auto id : std::exchange(unflushed_, {}))
+            if (auto socket = find(id))
+                socket->flush();
     }
 
 private:
-    std::map<IdOf, std::shared_ptr<Socket>> sockets_;
-    std::set<IdOf> out_; // with something to send
+    std::map<ConnectionId, std::shared_ptr<Socket>> sockets_;
+    std::set<ConnectionId> unflushed_; // ids with queued bytes
 };
 
 } // namespace knotvane::loop
