--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,5 +1,6 @@
-// What a task costs the decisions alone, as more wait: 4 nodes, 100 volumes, a stated number
-// waiting. Each round takes one task, ends one shot and settles.
+// Measures the time that the scheduler needs per request while many requests wait: 4 nodes, 100
+// volumes, and the number of waiting requests as argument. Each iteration receives one request,
+// completes one attempt and calls settle.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -10,41 +11,44 @@
 
 namespace {
 
-struct Sink final : SchedulerActions {
-    std::deque<std::pair<RequestId, NodeId>> out;
-    std::uint64_t ended = 0;
-    void start_attempt(RequestId t, NodeId n, Time) override { out.emplace_back(t, n); }
+// Keeps started attempts until they are completed, and counts requests that were given up.
+struct QueuedActions final : SchedulerActions {
+    std::deque<std::pair<RequestId, NodeId>> attempts_in_flight;
+    std::uint64_t given_up = 0;
+    void start_attempt(RequestId request, NodeId node, Time) override {
+        attempts_in_flight.emplace_back(request, node);
+    }
     void cancel_attempt(RequestId, AttemptId) override {}
-    void reject(RequestId, Time) override { ++ended; }
-    void fail(RequestId) override { ++ended; }
+    void reject(RequestId, Time) override { ++given_up; }
+    void fail(RequestId) override { ++given_up; }
     void set_timer(TimerId, Time) override {}
     void watch_endpoints() override {}
 };
 
-void waiting(benchmark::State &state) {
-    Sink did;
-    auto s = make_scheduler(did, 1);
+void settle_with_waiting_requests(benchmark::State &state) {
+    QueuedActions actions;
+    auto scheduler = make_scheduler(actions, 1);
     SchedulerConfig config;
     config.max_retry_after = sec;
     config.units = {2, 8, 0.35, 0.08};
     config.attempts = {3, false, true};
-    s->configure(config);
-    // No request is too late for as long as this runs: what waits stays.
+    scheduler->configure(config);
+    // The latency objective is longer than the benchmark runs, so that no waiting request is shed.
     WorkloadConfig workload;
     workload.latency_objective = 100000 * sec;
     workload.late_value_fraction = 0.1;
-    s->set_workload(WorkloadId{0}, workload);
-    for (std::uint32_t p = 0; p < 2; ++p)
-        s->set_plan(PlanId{p}, {1.0 + p, 100, 50, 1, 0, 0});
-    s->start(0);
-    s->endpoint_list_begin(0, EndpointListKind::full);
-    for (std::uint64_t n = 0; n < 4; ++n)
-        s->endpoint_listed(
-            {NodeId{n + 1}, ShardId{static_cast<std::int32_t>(n)}, ZoneId{0}, NodeState::ready, 0});
-    s->endpoint_list_end();
+    scheduler->set_workload(WorkloadId{0}, workload);
+    for (std::uint32_t plan = 0; plan < 2; ++plan)
+        scheduler->set_plan(PlanId{plan}, {1.0 + plan, 100, 50, 1, 0, 0});
+    scheduler->start(0);
+    scheduler->endpoint_list_begin(0, EndpointListKind::full);
+    for (std::uint64_t node = 0; node < 4; ++node)
+        scheduler->endpoint_listed({NodeId{node + 1}, ShardId{static_cast<std::int32_t>(node)},
+                                    ZoneId{0}, NodeState::ready, 0});
+    scheduler->endpoint_list_end();
     Time now = sec;
     std::uint64_t id = 0;
-    auto take = [&] {
+    auto receive_request = [&] {
         ++id;
         RequestInfo request;
         request.id = RequestId{id};
@@ -54,26 +58,26 @@
         request.key = KeyId{id};
         request.units = 1 + static_cast<double>(id % 4);
         request.client_timeout = now + 200000 * sec;
-        s->request_received(now, request);
+        scheduler->request_received(now, request);
     };
     for (std::int64_t i = 0; i < state.range(0); ++i)
-        take();
-    s->settle(now);
+        receive_request();
+    scheduler->settle(now);
     for (auto _ : state) {
         now += 100 * us;
-        take();
-        if (!did.out.empty()) {
-            auto [task, node] = did.out.front();
-            did.out.pop_front();
-            s->attempt_completed(
-                now, {task, AttemptId{0}, node, AttemptOutcome::answered, 5 * ms, true});
+        receive_request();
+        if (!actions.attempts_in_flight.empty()) {
+            auto [request, node] = actions.attempts_in_flight.front();
+            actions.attempts_in_flight.pop_front();
+            scheduler->attempt_completed(
+                now, {request, AttemptId{0}, node, AttemptOutcome::answered, 5 * ms, true});
         }
-        s->settle(now);
+        scheduler->settle(now);
     }
-    state.counters["given up"] = static_cast<double>(did.ended);
+    state.counters["given up"] = static_cast<double>(actions.given_up);
     state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(waiting)->Arg(64)->Arg(512)->Arg(4096);
+BENCHMARK(settle_with_waiting_requests)->Name("waiting")->Arg(64)->Arg(512)->Arg(4096);
 
 } // namespace
 
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -43,7 +43,7 @@
   LIBS knotvane_scheduling)
 package_tests(
   scheduler_setup
-  SOURCES tests/scheduler_setup/checked_input_test.cpp
+  SOURCES tests/scheduler_setup/input_validation_test.cpp
   LIBS knotvane_scheduler_setup)
 package_tests(
   simulator_adapter
--- a/src/scheduler_setup/checked_input.cpp
+++ b/src/scheduler_setup/input_validation.cpp
@@ -1,4 +1,4 @@
-#include "scheduler_setup/checked_input.hpp"
+#include "scheduler_setup/input_validation.hpp"
 
 #include <cmath>
 
--- a/src/scheduler_setup/options.hpp
+++ b/src/scheduler_setup/options.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "common/time.hpp"
-#include "scheduler_setup/checked_input.hpp"
+#include "scheduler_setup/input_validation.hpp"
 
 namespace knotvane::scheduler_setup {
 
--- a/src/scheduler_setup/setup.cpp
+++ b/src/scheduler_setup/setup.cpp
@@ -9,7 +9,7 @@
 // Error messages quote at most this many bytes of an invalid value.
 constexpr std::size_t max_quoted = 80;
 
-Idempotency idempotency(const std::string &name, const std::string &path) {
+Idempotency parse_idempotency(const std::string &name, const std::string &path) {
     if (name == "idempotent" || name.empty())
         return Idempotency::idempotent;
     if (name == "deduplicated")
@@ -21,7 +21,7 @@
                          name.substr(0, max_quoted));
 }
 
-DeduplicationScope deduplication_scope(const std::string &name, const std::string &path) {
+DeduplicationScope parse_deduplication_scope(const std::string &name, const std::string &path) {
     if (name == "all" || name.empty())
         return DeduplicationScope::all;
     if (name == "zone")
@@ -32,7 +32,7 @@
                          name.substr(0, max_quoted));
 }
 
-WorkloadConfig workload_config(const Options &options, std::uint32_t index) {
+WorkloadConfig read_workload_config(const Options &options, std::uint32_t index) {
     const std::string prefix = "Classes." + std::to_string(index) + ".";
     // Without an objective of its own, a class's answers are in time until its deadline.
     const char *objective = options.has(prefix + "TargetS") ? "TargetS" : "DeadlineS";
@@ -40,9 +40,9 @@
     workload.latency_objective = options.time(prefix + objective);
     workload.value = options.number(prefix + "Points");
     workload.late_value_fraction = options.number(prefix + "LateWorth");
-    workload.idempotency = idempotency(options.text(prefix + "Effect"), prefix + "Effect");
+    workload.idempotency = parse_idempotency(options.text(prefix + "Effect"), prefix + "Effect");
     workload.deduplication_scope =
-        deduplication_scope(options.text(prefix + "Group"), prefix + "Group");
+        parse_deduplication_scope(options.text(prefix + "Group"), prefix + "Group");
     workload.deduplication_window = options.time(prefix + "RepeatWindowS");
     workload.ordered_by_key = options.flag(prefix + "InTurn");
     if (workload.ordered_by_key)
@@ -50,7 +50,7 @@
     return workload;
 }
 
-PlanConfig plan_config(const Options &options, std::uint32_t index) {
+PlanConfig read_plan_config(const Options &options, std::uint32_t index) {
     const std::string prefix = "Contracts." + std::to_string(index) + ".";
     PlanConfig plan;
     plan.weight = options.number(prefix + "Shares", 1);
@@ -64,7 +64,7 @@
     return plan;
 }
 
-RetryBudgetConfig retry_budget_config(const Options &options) {
+RetryBudgetConfig read_retry_budget_config(const Options &options) {
     RetryBudgetConfig budget;
     if (options.has("Rules.ResendSpanS")) {
         budget.retries_per_request = options.number("Rules.ResendRatio");
@@ -74,7 +74,7 @@
     return budget;
 }
 
-SlowStartConfig slow_start_config(const Options &options) {
+SlowStartConfig read_slow_start_config(const Options &options) {
     SlowStartConfig slow_start;
     slow_start.units = options.number("Extra.ColdUnits");
     slow_start.window = options.time("Rules.FallS");
@@ -83,7 +83,7 @@
     return slow_start;
 }
 
-SchedulerConfig scheduler_config(const Options &options) {
+SchedulerConfig read_scheduler_config(const Options &options) {
     SchedulerConfig config;
     config.self = SchedulerId{options.count("Index")};
     config.scheduler_count = std::max(1u, options.count("Balancers", 1));
@@ -98,8 +98,8 @@
     config.attempts.max_attempts = options.count("Permissions.MaxAttempts", 1);
     config.attempts.allow_parallel = options.flag("Permissions.ParallelTries");
     config.attempts.cancel_abandoned = options.flag("Permissions.Cancel");
-    config.retry_budget = retry_budget_config(options);
-    config.slow_start = slow_start_config(options);
+    config.retry_budget = read_retry_budget_config(options);
+    config.slow_start = read_slow_start_config(options);
     config.endpoint_list.on_request = options.text("RegistryMode") == "on_request";
     config.endpoint_list.max_age = options.time("Rules.AskWithinS");
     return config;
@@ -108,11 +108,11 @@
 } // namespace
 
 void configure_scheduler(Scheduler &scheduler, const Options &options) {
-    scheduler.configure(scheduler_config(options));
+    scheduler.configure(read_scheduler_config(options));
     for (std::uint32_t i = 0; i < options.count("Classes.count"); ++i)
-        scheduler.set_workload(WorkloadId{i}, workload_config(options, i));
+        scheduler.set_workload(WorkloadId{i}, read_workload_config(options, i));
     for (std::uint32_t i = 0; i < options.count("Contracts.count"); ++i)
-        scheduler.set_plan(PlanId{i}, plan_config(options, i));
+        scheduler.set_plan(PlanId{i}, read_plan_config(options, i));
 }
 
 } // namespace knotvane::scheduler_setup
--- a/src/scheduling/fair_queue.hpp
+++ b/src/scheduling/fair_queue.hpp
@@ -1,7 +1,7 @@
 /// \file
 /// The order of requests at one node: the B-WF2Q+ scheduling policy of the BFQ paper, "Improving
-/// Application Responsiveness with the BFQ Disk I/O Scheduler", applied to volumes. docs/design.md
-/// tells where it differs.
+/// Application Responsiveness with the BFQ Disk I/O Scheduler", applied to volumes. See
+/// docs/design.md.
 #pragma once
 
 #include <compare>
@@ -80,9 +80,9 @@
     const std::map<VolumeId, Volume> &volumes() const { return volumes_; }
 
     /// @return the estimated service rate of the node in units per second; 0 if still unknown.
-    double rate() const { return rate_estimator_.rate(); }
+    double service_rate() const { return rate_estimator_.rate(); }
 
-    double max_budget() const { return maximum_budget(largest_request_, rate()); }
+    double max_budget() const { return maximum_budget(largest_request_, service_rate()); }
 
     double virtual_time() const { return virtual_time_; }
 
--- a/src/scheduling/quota_share.cpp
+++ b/src/scheduling/quota_share.cpp
@@ -10,23 +10,23 @@
 
 QuotaDecision QuotaShare::try_take(Time now, double units, double sharers) {
     refill(now, granted_ ? sharers_ : std::max(sharers_, sharers));
-    if (units > level_) {
+    if (units > available_units_) {
         // With infinite sharers no share is granted yet: the request waits for the grant.
         bool never_fits = !std::isinf(sharers_) && units > burst_ / sharers_;
         return never_fits ? QuotaDecision::never_fits : QuotaDecision::wait;
     }
-    level_ -= units;
-    reserved_ += units;
+    available_units_ -= units;
+    reserved_units_ += units;
     return QuotaDecision::admitted;
 }
 
 void QuotaShare::units_sent(double units) {
-    reserved_ -= units;
+    reserved_units_ -= units;
 }
 
 void QuotaShare::return_units(double units) {
-    reserved_ -= units;
-    level_ += units;
+    reserved_units_ -= units;
+    available_units_ += units;
 }
 
 void QuotaShare::grant(Time now, double sharers) {
@@ -46,8 +46,8 @@
 
 void QuotaShare::refill(Time now, double sharers) {
     sharers_ = sharers;
-    level_ = std::min(level_ + rate_ / sharers_ * seconds(now - refilled_at_),
-                      burst_ / sharers_ - reserved_);
+    available_units_ = std::min(available_units_ + rate_ / sharers_ * seconds(now - refilled_at_),
+                                burst_ / sharers_ - reserved_units_);
     refilled_at_ = now;
 }
 
--- a/src/scheduling/quota_share.hpp
+++ b/src/scheduling/quota_share.hpp
@@ -52,12 +52,16 @@
 private:
     void refill(Time now, double sharers);
 
+    // Of the whole limit.
     double rate_;
     double burst_;
+    // The number of schedulers that share the limit; this scheduler's share is 1 / sharers_.
     double sharers_ = 1;
-    double level_ = 0;
-    double reserved_ = 0;
+    double available_units_ = 0;
+    // Taken but not yet sent.
+    double reserved_units_ = 0;
     Time refilled_at_;
+    // Whether grant was called.
     bool granted_ = false;
 };
 
--- a/src/scheduling/scheduler_core.cpp
+++ b/src/scheduling/scheduler_core.cpp
@@ -175,7 +175,7 @@
         units.add(now_, request.units);
         units.sum_since(now_ - value_window);
     }
-    QueueRank queue_rank = rank(request);
+    QueueRank queue_rank = rank_of(request);
     node.queue.enqueue(request.volume, plans_.queue_weight(plans_.get(request.plan)), queue_rank);
     node.waiting_index.add(request.units, request.repeated, {request.volume, queue_rank});
 }
@@ -186,7 +186,7 @@
 
 // Requests of higher value go first. A client's repeat is past its latency deadline or close to it,
 // so it is ranked with the value of a late answer.
-QueueRank RequestScheduler::rank(const Request &request) {
+QueueRank RequestScheduler::rank_of(const Request &request) {
     const WorkloadConfig &workload = workloads_[request.workload];
     double fraction = request.repeated ? workload.late_value_fraction : 1;
     return {-workload.value * fraction, request.latency_deadline, request.id};
@@ -311,14 +311,14 @@
         early_disconnects_.client_answered(request->volume, now - request->received_at);
         finish(*request);
     } else if (!request->ended && !request->any_in_flight()) {
-        retry(*request);
+        retry_or_give_up(*request);
     }
     erase_if_done(*request);
 }
 
 // Called when an attempt has ended without an answer to the client: enqueues another one if that is
 // allowed and can be in time, otherwise gives the request up.
-void RequestScheduler::retry(Request &request) {
+void RequestScheduler::retry_or_give_up(Request &request) {
     leave_queue(request);
     request.stage = RequestStage::placement;
     NodeRecord *node = nodes_.placement().choose_node(request.shard, now_, random_);
@@ -393,7 +393,7 @@
     if (request.stage != RequestStage::queue)
         return;
     NodeRecord &node = nodes_.at(request.node);
-    QueueRank queue_rank = rank(request);
+    QueueRank queue_rank = rank_of(request);
     node.queue.remove(request.volume, queue_rank);
     node.waiting_index.remove(request.units, {request.volume, queue_rank});
     node.units_waiting -= request.units;
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -42,7 +42,7 @@
 ///                               start_attempt
 ///     attempt_completed         update the node's record          (attempt_outcome)
 ///                               client answered: finish
-///                               not answered: retry or give_up
+///                               not answered: retry_or_give_up
 ///
 /// A request that can't proceed waits at its stage. It is given up no later than its answer
 /// deadline: rejected with a Retry-After, or failed if it may have been executed.
@@ -83,7 +83,7 @@
     void start_attempt(NodeRecord &node, Request &request);
 
     // From an attempt's outcome to the answer of the request.
-    void retry(Request &request);
+    void retry_or_give_up(Request &request);
     bool may_retry(const Request &request, const NodeRecord &node);
     void give_up(Request &request, Time retry_after);
     void give_up_overdue();
@@ -93,7 +93,7 @@
 
     // Queries used by the steps above.
     bool is_ordered(const Request &request);
-    QueueRank rank(const Request &request);
+    QueueRank rank_of(const Request &request);
     double relative_value(const NodeRecord &node);
     RepeatTarget repeat_target(const NodeRecord &node, Time now) const;
     Time delivery_margin() const;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <string>
 
-#include "scheduler_setup/checked_input.hpp"
+#include "scheduler_setup/input_validation.hpp"
 #include "simulator_adapter/adapter.hpp"
 
 namespace {
--- a/tests/scheduler_setup/checked_input_test.cpp
+++ b/tests/scheduler_setup/input_validation_test.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-#include "scheduler_setup/checked_input.hpp"
+#include "scheduler_setup/input_validation.hpp"
 
 using namespace knotvane;
 using scheduler_setup::MalformedInput;
--- a/tests/scheduling/fair_queue_test.cpp
+++ b/tests/scheduling/fair_queue_test.cpp
@@ -87,7 +87,7 @@
     queue.select(175 * ms); // the slice is over
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(8));
     // 7/8 of the rate before: nothing was sent in the service that timed out.
-    CHECK(queue.rate() == doctest::Approx(1750));
+    CHECK(queue.service_rate() == doctest::Approx(1750));
     queue.request_sent(rank(2), 1, 1);
     queue.select(180 * ms); // no request waits, attempts are in flight
     CHECK(queue.volumes().at(first_volume).budget == doctest::Approx(16));
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -4,7 +4,7 @@
 
 #include <doctest/doctest.h>
 
-#include "scheduler_setup/checked_input.hpp"
+#include "scheduler_setup/input_validation.hpp"
 #include "simulator_adapter/adapter.hpp"
 #include "simulator_adapter/record_writer.hpp"
 #include "simulator_adapter/records.hpp"
