--- a/tests/scheduling/attempt_outcome_test.cpp
+++ b/tests/scheduling/attempt_outcome_test.cpp
@@ -14,11 +14,13 @@
     return request;
 }
 
-struct Outcome {
-    NodeRecord node = NodeRecord(NodeId{1}, 8, 8); // a window of one, half at least
+/// A node with one attempt in flight, whose outcome is recorded.
+struct OutcomeFixture {
+    // Eight schedulers: the window is 1 and at least 0.5.
+    NodeRecord node = NodeRecord(NodeId{1}, 8, 8);
     Request request = request_with_attempt(0);
 
-    Outcome() {
+    OutcomeFixture() {
         QueueRank rank = {0, request.latency_deadline, request.id};
         node.queue.enqueue(request.volume, 1, rank);
         node.queue.select(0);
@@ -33,45 +35,46 @@
     }
 };
 
-TEST_CASE("an attempt that ended is in flight no more, whatever its outcome") {
+TEST_CASE("an attempt that ended isn't in flight any more, whatever its outcome") {
     for (int i = 0; i < 8; ++i) {
-        Outcome outcome;
-        outcome.record(static_cast<AttemptOutcome>(i), 10 * ms);
-        CHECK_FALSE(outcome.node.health.any_in_flight());
-        CHECK(outcome.node.units_in_flight == 0);
-        CHECK(outcome.node.queue.volumes().at(VolumeId{}).attempts_in_flight == 0);
+        OutcomeFixture fixture;
+        fixture.record(static_cast<AttemptOutcome>(i), 10 * ms);
+        CHECK_FALSE(fixture.node.health.any_in_flight());
+        CHECK(fixture.node.units_in_flight == 0);
+        CHECK(fixture.node.queue.volumes().at(VolumeId{}).attempts_in_flight == 0);
     }
 }
 
-TEST_CASE("an attempt given up after half of its objective halves the window, a quick one not") {
-    for (auto given_up : {AttemptOutcome::timed_out, AttemptOutcome::canceled}) {
-        Outcome slow;
-        slow.record(given_up, 501 * ms);
+TEST_CASE(
+    "an abandoned attempt halves the window only if it took over half of its latency objective") {
+    for (auto outcome : {AttemptOutcome::timed_out, AttemptOutcome::canceled}) {
+        OutcomeFixture slow;
+        slow.record(outcome, 501 * ms);
         CHECK(slow.node.window.size() == doctest::Approx(0.5));
-        Outcome quick;
-        quick.record(given_up, 500 * ms);
+        OutcomeFixture quick;
+        quick.record(outcome, 500 * ms);
         CHECK(quick.node.window.size() == doctest::Approx(1));
     }
 }
 
-TEST_CASE("an overloaded node's window halves, and it gets nothing for an expected duration") {
-    Outcome outcome;
-    outcome.node.latency.update(0, 0.01);
-    outcome.record(AttemptOutcome::overloaded, ms);
-    CHECK(outcome.node.window.size() == doctest::Approx(0.5));
-    CHECK(outcome.node.overload_backoff.active(21 * ms - 1));
-    CHECK_FALSE(outcome.node.overload_backoff.active(21 * ms));
+TEST_CASE("an overload halves the window and blocks the node for one expected duration") {
+    OutcomeFixture fixture;
+    fixture.node.latency.update(0, 0.01);
+    fixture.record(AttemptOutcome::overloaded, ms);
+    CHECK(fixture.node.window.size() == doctest::Approx(0.5));
+    CHECK(fixture.node.overload_backoff.active(21 * ms - 1));
+    CHECK_FALSE(fixture.node.overload_backoff.active(21 * ms));
 }
 
-TEST_CASE("only an answer or an error shows that a process is back") {
+TEST_CASE("only an answer or an error shows that an unreachable node responds again") {
     for (int i = 0; i < 8; ++i) {
-        auto kind = static_cast<AttemptOutcome>(i);
-        Outcome outcome;
-        outcome.node.health.attempt_unreachable(0);
-        outcome.node.health.attempt_unreachable(0);
-        bool responds = kind == AttemptOutcome::answered || kind == AttemptOutcome::error;
-        CHECK(outcome.record(kind, 10 * ms) == responds);
-        CHECK(outcome.node.health.unresponsive() != responds);
+        auto outcome = static_cast<AttemptOutcome>(i);
+        OutcomeFixture fixture;
+        fixture.node.health.attempt_unreachable(0);
+        fixture.node.health.attempt_unreachable(0);
+        bool responds = outcome == AttemptOutcome::answered || outcome == AttemptOutcome::error;
+        CHECK(fixture.record(outcome, 10 * ms) == responds);
+        CHECK(fixture.node.health.unresponsive() != responds);
     }
 }
 
--- a/tests/scheduling/early_disconnects_test.cpp
+++ b/tests/scheduling/early_disconnects_test.cpp
@@ -10,9 +10,9 @@
 namespace knotvane::scheduling {
 namespace {
 
-// If requests were served in turn while clients give up after a moment, each answer would go to a
-// client that is about to leave.
-TEST_CASE("while clients disconnect early a request is given up by when they go") {
+// If requests were served in turn while clients disconnect after a short wait, each request would
+// be served just before its client disconnects.
+TEST_CASE("while clients disconnect early, requests that would be answered later are given up") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i < 15; ++i)
@@ -25,14 +25,14 @@
     CHECK(fixture.actions.count("reject") == 3);
 }
 
-// On a live day one client hung up again and again. Its disconnects ended every waiting request of
-// every volume at once.
-TEST_CASE("clients of one volume that disconnect early shorten no other volume's wait") {
+// In one run a client disconnected again and again, and its disconnects made the scheduler
+// give up all waiting requests of all volumes.
+TEST_CASE("early disconnects of one volume's clients don't limit the wait of another volume") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i < 12; ++i)
         fixture.receive(0, i);
-    for (std::uint64_t i = 20; i < 24; ++i) { // another volume's
+    for (std::uint64_t i = 20; i < 24; ++i) { // of another volume
         RequestInfo request;
         request.id = RequestId{i};
         request.volume = VolumeId{6};
@@ -49,9 +49,9 @@
     CHECK(fixture.actions.count("reject 2") == 0);
 }
 
-// Clients that left within 3 ms, whatever was done for them, ended most requests of a day on
-// real sockets, although others waited and were answered.
-TEST_CASE("disconnects shorten no wait while as many clients are answered after a longer one") {
+// In a run over real sockets, clients that always disconnected within 3 ms made the scheduler
+// give up most requests, although other clients waited and were answered.
+TEST_CASE("disconnects limit no wait while as many clients are answered after a longer wait") {
     for (bool others_stay : {false, true}) {
         SchedulerFixture fixture;
         fixture.list_endpoints(0);
@@ -72,9 +72,9 @@
     }
 }
 
-// A request that was split ends as a whole when one part fails. If its other parts counted as
-// clients that left, they would shorten the wait of all.
-TEST_CASE("a request that ends for another reason than a disconnect tells of no wait") {
+// When one part of a split request fails, its other parts are canceled. If those counted as
+// disconnects, they would limit the wait of all clients.
+TEST_CASE("a request that is canceled for another reason doesn't count as a disconnect") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i < 15; ++i)
@@ -88,7 +88,8 @@
 
 constexpr VolumeId volume{1};
 
-TEST_CASE("eight disconnects in two seconds limit the wait to their quick quarter") {
+TEST_CASE(
+    "eight disconnects within two seconds limit the wait to the first quartile of their waits") {
     EarlyDisconnects disconnects;
     for (Time i = 1; i <= 7; ++i)
         disconnects.client_disconnected(0, volume, i * 10 * ms);
@@ -101,7 +102,7 @@
     CHECK(disconnects.wait_limit(volume, 2 * sec) == unlimited_wait);
 }
 
-TEST_CASE("disconnects of four volumes limit the wait of all, of three that of none but theirs") {
+TEST_CASE("disconnects of four volumes limit the wait of other volumes, those of three don't") {
     for (std::uint64_t volumes : {3U, 4U}) {
         EarlyDisconnects disconnects;
         for (std::uint64_t i = 0; i < 12; ++i)
@@ -111,7 +112,7 @@
     }
 }
 
-TEST_CASE("as many clients that were answered after a longer wait lift the limit") {
+TEST_CASE("the limit is lifted once as many clients were answered after a longer wait") {
     EarlyDisconnects disconnects;
     for (int i = 0; i < 8; ++i)
         disconnects.client_disconnected(0, volume, 10 * ms);
--- a/tests/scheduling/endpoint_list_poll_test.cpp
+++ b/tests/scheduling/endpoint_list_poll_test.cpp
@@ -7,7 +7,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("an endpoint list that comes on request is asked for at the start") {
+TEST_CASE("an endpoint list that comes on request is requested at the start") {
     SchedulerFixture fixture;
     fixture.config.endpoint_list = {true, 10 * sec};
     fixture.scheduler->configure(fixture.config);
@@ -15,7 +15,7 @@
     CHECK(fixture.actions.count("watch") == 1);
 }
 
-TEST_CASE("a list on request is asked for again when it is too old") {
+TEST_CASE("a list that comes on request is requested again when it is too old") {
     EndpointListPoll poll;
     poll.configure({true, 10 * sec});
     poll.reset_age(sec);
@@ -24,7 +24,7 @@
     CHECK(poll.next_check() == 11 * sec + ms);
 }
 
-TEST_CASE("a list that is pushed is never asked for") {
+TEST_CASE("a list that is pushed is never requested") {
     EndpointListPoll poll;
     poll.configure({false, 10 * sec});
     poll.reset_age(0);
@@ -32,9 +32,9 @@
     CHECK(poll.next_check() == never);
 }
 
-// If all schedulers asked again at once when a call failed, and in step, failing calls would keep
-// the list's source busy.
-TEST_CASE("after a failed call the next is half a second to one and a half away, by chance") {
+// If all schedulers retried immediately and at the same time after a failed request, the retries
+// would overload the source of the list.
+TEST_CASE("a failed request is retried after a random delay of 0.5 to 1.5 seconds") {
     RandomGenerator random(1);
     Time first_retry = 0;
     bool differ = false;
--- a/tests/scheduling/latency_estimate_test.cpp
+++ b/tests/scheduling/latency_estimate_test.cpp
@@ -7,9 +7,9 @@
 namespace knotvane::scheduling {
 namespace {
 
-// A node that was slow for a moment gets nothing while it is expected to be slow. If its answers
-// counted for good, nothing would ever be sent that could show it to be quick again.
-TEST_CASE("old answers tell of no wait") {
+// A node that was slow for a short time gets no requests while it is expected to be slow. If its
+// slow answers counted forever, no request would ever show that it is fast again.
+TEST_CASE("old answers don't count for the expected wait") {
     LatencyEstimate latency;
     latency.add_answer(0, 2, 900 * ms);
     latency.update(100 * ms, 0.01);
@@ -18,14 +18,14 @@
     CHECK(latency.expected_duration(2) == doctest::Approx(20e6));
 }
 
-TEST_CASE("the wait of a small request isn't multiplied by a large one's units") {
+TEST_CASE("the wait measured with a small request isn't multiplied by the units of a large one") {
     LatencyEstimate latency;
     latency.add_answer(0, 1, 110 * ms);
     latency.update(ms, 0.01);
     CHECK(latency.expected_duration(8) == doctest::Approx(180e6));
 }
 
-TEST_CASE("where eight answers came in four seconds their median time per unit is expected") {
+TEST_CASE("the median time per unit is expected if eight answers came within four seconds") {
     LatencyEstimate latency;
     for (int i = 0; i < 8; ++i)
         latency.add_answer(0, 2, 100 * ms);
@@ -33,9 +33,10 @@
     CHECK(latency.expected_duration(4) == doctest::Approx(200e6));
 }
 
-// At a node that became slow all clients leave before their answer. If only answers counted, the
-// estimate would stay that of the quick ones, and requests would go on that can't be in time.
-TEST_CASE("an attempt whose client left counts in the expected time where it took longer") {
+// When a node becomes slow, all its clients may disconnect before they are answered. If only
+// answers counted, the estimate would stay that of the earlier fast answers, and requests would be
+// sent that can't be answered in time.
+TEST_CASE("a canceled attempt that took longer than expected raises the expected duration") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     fixture.receive(0, 1);
@@ -46,7 +47,7 @@
     CHECK(fixture.actions.count("reject 2") == 1);
 }
 
-TEST_CASE("an abandoned attempt counts only where it took longer than expected") {
+TEST_CASE("an abandoned attempt counts only if it took longer than expected") {
     LatencyEstimate latency;
     latency.update(0, 0.1);
     REQUIRE(latency.expected_duration(1) == 100 * ms);
@@ -59,7 +60,7 @@
     CHECK(latency.expected_duration(1) == 300 * ms);
 }
 
-TEST_CASE("a node may be silent for three times its slowest answer, and for half a second") {
+TEST_CASE("the response timeout is three times the slowest answer, but at least half a second") {
     LatencyEstimate latency;
     CHECK(latency.response_timeout() == 500 * ms);
     latency.add_answer(0, 1, 400 * ms);
--- a/tests/scheduling/load_shedding_test.cpp
+++ b/tests/scheduling/load_shedding_test.cpp
@@ -10,7 +10,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("a waiting request that can't be in time any more is given up at once") {
+TEST_CASE("a waiting request that can't be answered in time any more is given up immediately") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i < 10; ++i)
@@ -20,8 +20,8 @@
     CHECK(fixture.actions.count("reject") == 7); // two of nine are in flight, the rest wait
 }
 
-// If repeats gave way to nothing, a node with repeats alone would stand idle.
-TEST_CASE("repeats give way only to first requests that wait, and only while the window is full") {
+// If repeats were always given up, a node for which only repeats wait would be idle.
+TEST_CASE("repeats are given up only while first requests wait and the window is full") {
     constexpr Time far = 3600 * sec;
     const QueuePosition repeat = {VolumeId{1}, {0, far, RequestId{1}}};
     const QueuePosition first = {VolumeId{1}, {0, far, RequestId{2}}};
--- a/tests/scheduling/node_health_test.cpp
+++ b/tests/scheduling/node_health_test.cpp
@@ -7,9 +7,9 @@
 namespace knotvane::scheduling {
 namespace {
 
-// A node that hangs keeps its connections and answers nothing. Without a bound the scheduler would
-// fill it with requests that are all late when it wakes.
-TEST_CASE("a node with two overdue attempts gets no more than trial attempts") {
+// A node that hangs keeps its connections open but answers nothing. Without a limit the scheduler
+// would fill it with requests that are all late when the node resumes.
+TEST_CASE("a node with two overdue attempts gets only trial attempts") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     fixture.receive(0, 1);
@@ -21,9 +21,9 @@
     CHECK(fixture.actions.count("start") <= 3);
 }
 
-// A network that drops some answers loses single attempts at nodes that live. If one were enough,
-// most nodes would pass for hanging, and lost attempts would fill the window.
-TEST_CASE("one lost attempt neither takes a place of the window nor makes its node unresponsive") {
+// In a network that drops some messages, single attempts at healthy nodes are lost. If one were
+// enough, most nodes would count as unresponsive, and lost attempts would fill the window.
+TEST_CASE("one lost attempt neither occupies the window nor makes its node unresponsive") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     fixture.receive(0, 1);
@@ -34,7 +34,7 @@
     CHECK(fixture.actions.count("start") == 3);
 }
 
-TEST_CASE("after a lost attempt the window has one more place") {
+TEST_CASE("the window has one extra slot after a lost attempt") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     fixture.receive(0, 1);
@@ -46,12 +46,12 @@
     for (std::uint64_t i = 3; i < 10; ++i)
         fixture.receive(901 * ms, i);
     fixture.scheduler->settle(901 * ms);
-    CHECK(fixture.actions.count("start") == 5); // two, then a window of two and one more place
+    CHECK(fixture.actions.count("start") == 5); // two, then a window of two and one extra slot
 }
 
-// Clients leave a node that hangs, so that no attempt stays in flight long enough to be overdue.
-// The attempts that they left count instead.
-TEST_CASE("abandoned attempts with no response make a node unresponsive, too") {
+// When clients disconnect early, no attempt at a node that hangs stays in flight long enough to be
+// overdue. The attempts that were canceled then count instead.
+TEST_CASE("two abandoned attempts without any response also make a node unresponsive") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     fixture.receive(0, 1);
@@ -65,13 +65,13 @@
     CHECK(fixture.actions.count("start") == 2);
 }
 
-// Where connections come up late or never, two that were lost together made a node that answered
-// others pass for one that had just started.
-TEST_CASE("connections lost while the node answers others don't start its slow start") {
+// In a network that delays or drops connections, two failed connections at the same time made a
+// node count as restarted although it answered other attempts.
+TEST_CASE("failed connections don't start a slow start if the node answers others meanwhile") {
     for (bool answers : {true, false}) {
         SchedulerFixture fixture;
         fixture.list_endpoints(0);
-        for (std::uint64_t i = 1; i < 40; ++i) { // until more than two may be in flight
+        for (std::uint64_t i = 1; i < 40; ++i) { // until the window exceeds two
             fixture.receive(3 * sec, i);
             fixture.scheduler->settle(3 * sec);
             fixture.complete(3 * sec + ms, i, AttemptOutcome::answered, ms);
@@ -95,33 +95,33 @@
     }
 }
 
-// Now and then one connection is lost. When one was enough, most nodes of a day passed for new.
-TEST_CASE("one unreachable attempt doesn't start a slow start; two in a row do") {
-    for (int lost : {1, 2}) {
+// Single connections fail now and then. When one was enough, most nodes counted as restarted.
+TEST_CASE("two unreachable attempts in a row start a slow start, a single one doesn't") {
+    for (int failures : {1, 2}) {
         SchedulerFixture fixture;
         fixture.list_endpoints(0);
         fixture.receive(3 * sec, 1);
         fixture.scheduler->settle(3 * sec);
-        for (std::uint32_t i = 0; i < static_cast<std::uint32_t>(lost); ++i) {
+        for (std::uint32_t i = 0; i < static_cast<std::uint32_t>(failures); ++i) {
             fixture.complete(3 * sec, 1, AttemptOutcome::unreachable, us, i);
             fixture.scheduler->settle(3 * sec + 600 * ms * i);
         }
         fixture.scheduler->settle(4 * sec);
         fixture.complete(4 * sec, 1, AttemptOutcome::answered, ms,
-                         static_cast<std::uint32_t>(lost));
-        // Its share in slow start is 16 units within two seconds; the window allows more.
+                         static_cast<std::uint32_t>(failures));
+        // In slow start the node gets 16 units within two seconds; the window allows more.
         for (std::uint64_t i = 10; i < 30; ++i) {
             fixture.receive(4 * sec, i, 1, 0, 4);
             fixture.scheduler->settle(4 * sec);
             fixture.complete(4 * sec + ms, i, AttemptOutcome::answered, ms);
         }
-        CHECK((fixture.actions.count("start") >= 20) == (lost == 1));
+        CHECK((fixture.actions.count("start") >= 20) == (failures == 1));
     }
 }
 
-// A node goes on working on a request whose client has left. If its place were free at once, the
-// node would fill with work that nobody waits for.
-TEST_CASE("an attempt that its client left keeps its place in the window") {
+// A node may still work on a request whose client disconnected. If its window slot were free
+// immediately, the node would fill with work that nobody waits for.
+TEST_CASE("a canceled attempt still occupies its window slot") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     for (std::uint64_t i = 1; i < 6; ++i)
@@ -136,7 +136,7 @@
     return {started_at, RequestId{request}, AttemptId{0}};
 }
 
-TEST_CASE("two overdue attempts with nothing heard make a node unresponsive, one doesn't") {
+TEST_CASE("two overdue attempts without any response make a node unresponsive, one doesn't") {
     LatencyEstimate latency; // the response timeout is half a second
     NodeHealth health;
     health.attempt_started(attempt_at(0, 1));
@@ -152,21 +152,21 @@
     CHECK_FALSE(health.unresponsive());
 }
 
-TEST_CASE("an overtaken attempt is overdue past three median durations") {
+TEST_CASE("an overtaken attempt is overdue after three median durations") {
     LatencyEstimate latency;
     latency.add_answer(0, 1, 10 * ms);
     NodeHealth health;
     health.attempt_started(attempt_at(0, 1));
     health.update(31 * ms, latency);
     CHECK(health.in_flight_not_overdue() == 1);
-    health.attempt_answered(5 * ms); // one that started later
+    health.attempt_answered(5 * ms); // an attempt that started later
     health.update(30 * ms, latency);
     CHECK(health.in_flight_not_overdue() == 1);
     health.update(30 * ms + 1, latency);
     CHECK(health.in_flight_not_overdue() == 0);
 }
 
-TEST_CASE("abandoned work takes a place until a later attempt is answered") {
+TEST_CASE("abandoned work occupies a window slot until a later attempt is answered") {
     NodeHealth health;
     health.attempt_started(attempt_at(10 * ms));
     health.attempt_abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
@@ -180,13 +180,13 @@
     CHECK(health.occupied_window_slots(30 * ms) == 1);
 }
 
-TEST_CASE("with nothing in flight one attempt may always go") {
+TEST_CASE("with nothing in flight, abandoned work doesn't stop the next attempt") {
     NodeHealth health;
     health.attempt_abandoned(20 * ms, 5 * ms, 15 * ms, 500 * ms);
     CHECK(health.occupied_window_slots(20 * ms) == 0);
 }
 
-TEST_CASE("a lost attempt gives the window one more place for two seconds") {
+TEST_CASE("a lost attempt gives the window one extra slot for two seconds") {
     NodeHealth health;
     health.attempt_answered(10 * ms);
     health.attempt_started(attempt_at(600 * ms));
@@ -196,7 +196,7 @@
     CHECK(health.occupied_window_slots(2600 * ms) == 1);
 }
 
-TEST_CASE("an answer after refused connections or a long silence may be a new process's") {
+TEST_CASE("an answer after refused connections or a long silence may come from a new process") {
     NodeHealth refused;
     refused.attempt_unreachable(0);
     refused.attempt_unreachable(0);
@@ -214,25 +214,25 @@
     }
 }
 
-TEST_CASE("schedulers send trial attempts in turns") {
+TEST_CASE("schedulers take turns in sending trial attempts") {
     NodeHealth health;
     const TrialRotation first = {SchedulerId{0}, 2};
     const TrialRotation second = {SchedulerId{1}, 2};
     CHECK(health.trial_allowed(500 * ms, first));
     CHECK_FALSE(health.trial_allowed(500 * ms, second));
     CHECK(health.trial_allowed(750 * ms, second));
-    // All of twenty schedulers have their turn, of 100 ms, within two seconds.
+    // Twenty schedulers get a slot of 100 ms each, so that all have one within two seconds.
     CHECK(health.trial_allowed(1900 * ms, {SchedulerId{19}, 20}));
     CHECK_FALSE(health.trial_allowed(1900 * ms, {SchedulerId{18}, 20}));
-    // But one scheduler's trials are a turn of 250 ms apart.
+    // Two trial attempts of the same scheduler are at least 250 ms apart.
     health.attempt_started(attempt_at(500 * ms));
     CHECK_FALSE(health.trial_allowed(749 * ms, {SchedulerId{0}, 1}));
     CHECK(health.trial_allowed(750 * ms, {SchedulerId{0}, 1}));
 }
 
-// A node that had nothing to do for a while was not silent: after a short pause it must not pass
-// for one that restarted.
-TEST_CASE("a node's silence begins with the first attempt in flight") {
+// A node that was idle for a while wasn't silent: if it then pauses for a short time, it must not
+// count as restarted.
+TEST_CASE("a node's silence is counted from the first attempt in flight") {
     NodeHealth health;
     health.attempt_started(attempt_at(10 * sec, 1));
     health.attempt_started(attempt_at(10 * sec, 2));
@@ -241,7 +241,7 @@
     CHECK_FALSE(health.node_responded(11 * sec));
 }
 
-TEST_CASE("abandoned work is taken for done four response timeouts after its start") {
+TEST_CASE("abandoned work stops counting four response timeouts after its start") {
     NodeHealth health;
     health.attempt_abandoned(ms, 0, ms, 500 * ms);
     health.attempt_started(attempt_at(1900 * ms));
@@ -251,7 +251,7 @@
     CHECK(health.occupied_window_slots(2 * sec + 1) == 1);
 }
 
-TEST_CASE("a new process isn't unresponsive for what its predecessor left unanswered") {
+TEST_CASE("a new process isn't unresponsive because of what its predecessor left unanswered") {
     NodeHealth health;
     health.attempt_started(attempt_at(0, 1));
     health.attempt_started(attempt_at(0, 2));
--- a/tests/scheduling/node_table_test.cpp
+++ b/tests/scheduling/node_table_test.cpp
@@ -11,7 +11,7 @@
     return {NodeId{id}, ShardId{static_cast<std::int32_t>(id)}, ZoneId{0}, state, started_at};
 }
 
-TEST_CASE("a full list removes the nodes that it doesn't name, a delta keeps them") {
+TEST_CASE("a full list removes the nodes that it doesn't name, a delta list keeps them") {
     for (auto kind : {EndpointListKind::full, EndpointListKind::delta}) {
         NodeTable nodes;
         RandomGenerator random(1);
@@ -29,7 +29,7 @@
     }
 }
 
-TEST_CASE("a later start in the list is a new process: responsive, and in slow start") {
+TEST_CASE("a later start time in the list makes a node responsive and starts its slow start") {
     SchedulerConfig config;
     config.slow_start = {8, sec, 10 * sec, 0.5};
     SlowStart slow_start;
--- a/tests/scheduling/overload_backoff_test.cpp
+++ b/tests/scheduling/overload_backoff_test.cpp
@@ -7,9 +7,9 @@
 namespace knotvane::scheduling {
 namespace {
 
-// If every scheduler tried a full node again as soon as it could, the node would stay full of work
-// that is late already.
-TEST_CASE("a node that is overloaded again is held for longer") {
+// If every scheduler retried an overloaded node as soon as possible, the node would stay full of
+// work that is already late.
+TEST_CASE("a node that is overloaded again gets no attempts for a longer time") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0);
     fixture.receive(0, 1);
@@ -27,7 +27,7 @@
     CHECK(fixture.actions.count("start 2") == 3);
 }
 
-TEST_CASE("each overload doubles the hold, up to the number of schedulers; an answer ends that") {
+TEST_CASE("each overload doubles the backoff up to the scheduler count, an answer resets it") {
     OverloadBackoff backoff;
     CHECK_FALSE(backoff.active(0));
     for (Time multiplier : {1, 2, 3, 3}) {
--- a/tests/scheduling/placement_test.cpp
+++ b/tests/scheduling/placement_test.cpp
@@ -9,7 +9,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("a new object goes to a node that is ready") {
+TEST_CASE("a request for a new object goes to a node that is ready") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0, NodeState::draining);
     fixture.receive(0, 1, -1);
@@ -24,7 +24,7 @@
     return node;
 }
 
-TEST_CASE("of nodes with one shard the one that started last holds it") {
+TEST_CASE("of two nodes with the same shard, the one that started last holds it") {
     NodeRecord older = node_of(1, 5, sec);
     NodeRecord newer = node_of(2, 5, 2 * sec);
     RandomGenerator random(1);
@@ -35,14 +35,15 @@
     CHECK(placement.choose_node(ShardId{6}, 0, random) == nullptr);
 }
 
-TEST_CASE("where no node is ready nothing is placed, and nothing is drawn") {
+TEST_CASE("without a ready node no node is chosen, and no random number is drawn") {
     RandomGenerator random(1);
     RandomGenerator unused(1);
     CHECK(Placement().choose_node(no_shard, 0, random) == nullptr);
     CHECK(random == unused);
 }
 
-TEST_CASE("a new object goes to the cheaper of two nodes drawn, and both draws are used") {
+TEST_CASE(
+    "a new object goes to the cheaper of two random nodes, and two random numbers are drawn") {
     NodeRecord cheap = node_of(1, 1);
     NodeRecord costly = node_of(2, 2);
     for (NodeRecord *node : {&cheap, &costly})
@@ -64,12 +65,12 @@
     }
 }
 
-TEST_CASE("a node in slow start costs more than any queue, an unresponsive one more still") {
+TEST_CASE("a node in slow start costs more than a long queue, and an unresponsive node even more") {
     NodeRecord queued = node_of(1, 1);
     queued.units_waiting = 1000;
     queued.units_in_flight = 100;
     queued.latency.add_answer(0, 1, 10 * ms);
-    queued.latency.update(10 * sec, 0.5); // half a second a unit, no wait any more
+    queued.latency.update(10 * sec, 0.5); // half a second per unit, and no wait
     CHECK(placement_cost(queued, 0) == doctest::Approx(1101 * 0.5));
     NodeRecord starting = node_of(2, 2);
     starting.slow_start.ends_at = sec;
--- a/tests/scheduling/recent_samples_test.cpp
+++ b/tests/scheduling/recent_samples_test.cpp
@@ -7,7 +7,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("the last samples are kept, oldest first") {
+TEST_CASE("the buffer keeps the last samples, oldest first") {
     RecentSamples<int, 3> samples;
     CHECK(samples.empty());
     CHECK(samples.maximum() == 0);
@@ -21,7 +21,7 @@
     }
 }
 
-TEST_CASE("a quantile is the sample that the fraction lies under") {
+TEST_CASE("a quantile is the sample that the given fraction of the samples is below") {
     RecentSamples<int, 5> samples;
     for (int sample : {50, 10, 40, 20, 30})
         samples.add(sample);
--- a/tests/scheduling/repeat_detector_test.cpp
+++ b/tests/scheduling/repeat_detector_test.cpp
@@ -9,9 +9,10 @@
 namespace knotvane::scheduling {
 namespace {
 
-// After a jam all clients ask again. Served in turn, repeats that can only earn a late answer's
-// value would make every first request behind them late as well.
-TEST_CASE("a repeat whose first request is past its deadline makes room for first requests") {
+// After an overload all clients send their requests again. If these repeats, which can only earn
+// the value of a late answer, were served in order, all first requests behind them would be late as
+// well.
+TEST_CASE("a repeat of a request past its latency deadline is given up while first requests wait") {
     SchedulerFixture fixture;
     fixture.scheduler->set_workload(WorkloadId{0}, SchedulerFixture::workload(100 * ms));
     fixture.list_endpoints(0);
@@ -36,7 +37,7 @@
     return request;
 }
 
-TEST_CASE("a request like one that ended unanswered keeps its first latency deadline") {
+TEST_CASE("a repeat of an unanswered request keeps the latency deadline of the first one") {
     RepeatDetector detector;
     Request first = request_at(0);
     detector.detect_repeat(first, false);
@@ -56,7 +57,7 @@
     CHECK(late_repeat.latency_deadline == 200 * ms);
 }
 
-TEST_CASE("where clients mark repeats only a marked request is one") {
+TEST_CASE("if clients mark repeats, only a marked request counts as one") {
     for (bool marked : {false, true}) {
         RepeatDetector detector;
         Request first = request_at(0);
@@ -69,7 +70,7 @@
     }
 }
 
-TEST_CASE("requests without a key, and those that differ in units, repeat nothing") {
+TEST_CASE("requests without a key and requests with other units aren't taken for repeats") {
     RepeatDetector detector;
     Request first = request_at(0, no_key);
     detector.detect_repeat(first, false);
@@ -87,18 +88,18 @@
     CHECK_FALSE(larger.repeated);
 }
 
-TEST_CASE("of more than 4096 unanswered requests those past any repeat are forgotten") {
+TEST_CASE("above 4096 unanswered requests, those too old to be repeated are forgotten") {
     RepeatDetector detector;
     for (std::uint64_t key = 1; key <= 4097; ++key) {
         Request request = request_at(0, KeyId{key});
         detector.detect_repeat(request, false);
         detector.record_unanswered(request);
     }
-    detector.prune(4 * sec + 100 * ms); // the deadline is four seconds ago
+    detector.prune(4 * sec + 100 * ms); // exactly four seconds after the deadline
     Request repeat = request_at(4 * sec + 100 * ms, KeyId{1});
     detector.detect_repeat(repeat, false);
     CHECK(repeat.repeated);
-    detector.prune(4 * sec + 100 * ms + 1); // not more than 4096 are left
+    detector.prune(4 * sec + 100 * ms + 1); // only 4096 are left, so none is pruned
     repeat = request_at(5 * sec, KeyId{2});
     detector.detect_repeat(repeat, false);
     CHECK(repeat.repeated);
--- a/tests/scheduling/slow_start_test.cpp
+++ b/tests/scheduling/slow_start_test.cpp
@@ -16,20 +16,20 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("a share that holds the largest request is kept exactly") {
+TEST_CASE("a share that holds the largest request is a strict limit") {
     CHECK(slow_start_admits({8, 8, 16, 8, 0, 1}));
     CHECK_FALSE(slow_start_admits({8, 9, 16, 8, 0, 0}));
 }
 
-TEST_CASE("a share below the largest request is met in the mean: by lot, one request a window") {
+TEST_CASE("a share below the largest request admits at random, at most one request per window") {
     CHECK(slow_start_admits({0, 8, 1, 8, 4, 0.25}));
     CHECK_FALSE(slow_start_admits({0, 8, 1, 8, 4, 0.26}));
     CHECK_FALSE(slow_start_admits({1, 1, 1, 8, 4, 0}));
 }
 
-// A scheduler that restarts has forgotten what it sent. If it sent its share again at once, the
-// node would get twice the share within one window.
-TEST_CASE("a scheduler just started sends nothing to a node in slow start") {
+// A scheduler that restarts doesn't know what it sent before. If it used its share again
+// immediately, the node would get twice the share within one window.
+TEST_CASE("a scheduler that just started sends nothing to a node in slow start") {
     SchedulerFixture fixture;
     fixture.scheduler->start(100 * sec);
     fixture.list_endpoints(100 * sec, NodeState::ready, 99 * sec);
@@ -48,7 +48,7 @@
     CHECK(fixture.actions.count("start") == 1);
 }
 
-TEST_CASE("a node in slow start gets the share of its units and of half the margin in a window") {
+TEST_CASE("per window, a node in slow start gets the share of its units plus half of the margin") {
     SchedulerFixture fixture;
     fixture.list_endpoints(0, NodeState::ready, 5 * sec);
     for (std::uint64_t i = 1; i < 40; ++i) {
@@ -56,28 +56,28 @@
         fixture.scheduler->settle(5 * sec);
         fixture.complete(5 * sec, i, AttemptOutcome::answered, ms);
     }
-    // 32 units and 2 x (4 + 1) over two schedulers: 21 units, in attempts of 4.
+    // 32 units and a margin of 2 * (4 + 1), divided by two schedulers: 21 units, in attempts of 4.
     CHECK(fixture.actions.count("start") == 5);
 }
 
-// The node of the test below, by the settings, and its load.
+// The settings of the node in the test below, and the load on it.
 constexpr double node_units = 72;
 constexpr double mean_units = 2;
 constexpr double initial_capacity = 0.24;
 constexpr Time window = 2 * sec;
 constexpr Time slow_start_duration = 18 * sec;
-// Past what a scheduler waits out after its own start.
+// After the time in which schedulers send nothing because they just started.
 constexpr Time node_started_at = 3 * sec;
-constexpr Time end = 18 * sec;
-constexpr Time step = 20 * ms;
+constexpr Time end_time = 18 * sec;
+constexpr Time time_step = 20 * ms;
 
-struct Sent {
+struct SentRequest {
     Time at;
-    /// Requests of mean size.
-    double requests;
+    /// Its size in requests of mean size.
+    double mean_requests;
 };
 
-/// Some schedulers of one node in slow start, and all that they send to it.
+/// A number of schedulers that share one node in slow start, and the requests that they send to it.
 class SchedulerGroup {
 public:
     SchedulerGroup(std::uint32_t count, std::uint32_t seed)
@@ -94,9 +94,9 @@
         }
     }
 
-    std::vector<Sent> run() {
-        for (Time now = node_started_at; now < end; now += step) {
-            // Two hundred requests a second, eleven times what the node bears at first.
+    std::vector<SentRequest> run() {
+        for (Time now = node_started_at; now < end_time; now += time_step) {
+            // 200 requests per second, eleven times what the node can serve at first.
             for (int i = 0; i < 4; ++i)
                 receive_one(now);
             for (std::size_t i = 0; i < schedulers_.size(); ++i)
@@ -106,12 +106,12 @@
     }
 
 private:
-    // Half of the requests come through a third of the schedulers.
+    // Half of the requests go to the first third of the schedulers, the others to any.
     void receive_one(Time now) {
         std::size_t count = schedulers_.size();
-        bool through_any = random_() % 2 != 0;
-        std::size_t scheduler = random_() % (through_any ? count : count / 3 + 1);
-        double units = 1; // 2.3 in the mean
+        bool to_any_scheduler = random_() % 2 != 0;
+        std::size_t scheduler = random_() % (to_any_scheduler ? count : count / 3 + 1);
+        double units = 1; // 2.4 in the mean
         if (random_() % 4 == 0)
             units = 4;
         else if (random_() % 8 == 0)
@@ -138,45 +138,46 @@
     std::vector<SchedulerFixture> schedulers_;
     std::vector<std::size_t> lines_read_;
     std::ranlux24_base random_;
-    // Of each request, by its id less one.
+    // The units of each request; its index is the request's id minus one.
     std::vector<double> units_;
-    std::vector<Sent> sent_;
+    std::vector<SentRequest> sent_;
 };
 
-/// How many requests more than N + 2 root N + 2 were sent in the window that begins at `first`, at
-/// most at any time in it.
-double excess_in_window(const std::vector<Sent> &sent, std::size_t first) {
+/// @param first index of the request that begins the window.
+/// @return by how many requests of mean size the sum of the window exceeds N + 2 sqrt(N) + 2: the
+///     largest excess at any time in the window; negative if it stays below the bound.
+double excess_in_window(const std::vector<SentRequest> &sent, std::size_t first) {
     double excess = -1e9;
     double sum = 0;
     for (std::size_t i = first; i < sent.size() && sent[i].at <= sent[first].at + window; ++i) {
-        sum += sent[i].requests;
+        sum += sent[i].mean_requests;
         double age = seconds(sent[i].at - node_started_at) / seconds(slow_start_duration);
         double growth = 1 + age * (1 - initial_capacity) / initial_capacity;
-        double node_bears = node_units / mean_units * growth;
-        excess = std::max(excess, sum - (node_bears + 2 * std::sqrt(node_bears) + 2));
+        double node_capacity = node_units / mean_units * growth;
+        excess = std::max(excess, sum - (node_capacity + 2 * std::sqrt(node_capacity) + 2));
     }
     return excess;
 }
 
-void check_sum_of_shares(std::uint32_t schedulers, std::uint32_t seed) {
-    CAPTURE(schedulers);
+void check_sum_of_shares(std::uint32_t scheduler_count, std::uint32_t seed) {
+    CAPTURE(scheduler_count);
     CAPTURE(seed);
-    std::vector<Sent> sent = SchedulerGroup(schedulers, seed).run();
+    std::vector<SentRequest> sent = SchedulerGroup(scheduler_count, seed).run();
     double largest_excess = -1e9;
     double served = 0;
     for (std::size_t i = 0; i < sent.size(); ++i) {
         largest_excess = std::max(largest_excess, excess_in_window(sent, i));
-        served += sent[i].requests;
+        served += sent[i].mean_requests;
     }
     CHECK(largest_excess <= 0);
-    // And the node isn't left idle.
-    double windows = seconds(end - node_started_at) / seconds(window);
+    // The limit must not leave the node idle, either.
+    double windows = seconds(end_time - node_started_at) / seconds(window);
     CHECK(served > 0.4 * node_units / mean_units * windows);
 }
 
-// The shares of three schedulers added up to twice what the node bears. By lot the sum had its mean
-// at the bound.
-TEST_CASE("all schedulers together send a node in slow start no more than N + 2 root N + 2") {
+// The shares of three schedulers once added up to twice the node's capacity, and with random
+// admission the mean of the sum was as high as the bound.
+TEST_CASE("all schedulers together send a node in slow start at most N + 2 sqrt(N) + 2 requests") {
     check_sum_of_shares(3, 1);
     for (std::uint32_t seed = 1; seed <= 3; ++seed)
         check_sum_of_shares(30, seed);
@@ -184,7 +185,7 @@
         check_sum_of_shares(300, seed);
 }
 
-TEST_CASE("a node that doesn't answer bears no more than at its start") {
+TEST_CASE("an unresponsive node gets no more than a node that just started") {
     SchedulerConfig config;
     config.units = {1, 2, 1, 0};
     config.slow_start = {8, sec, 10 * sec, 0.1};
@@ -192,13 +193,14 @@
     slow_start.configure(config);
     NodeSlowStart node;
     slow_start.node_started(node, 0);
-    // 8 units, and root 8 and 1 of the margin: 11 at the start, twenty and more in half a second.
+    // 8 units plus half of the margin, sqrt(8) + 1: 11 units at the start. After 5 seconds a node
+    // that responds can serve 44 units.
     CHECK_FALSE(slow_start.admits(node, 5 * sec, true, 12, 0));
     CHECK(slow_start.admits(node, 5 * sec, true, 11, 0));
     CHECK(slow_start.admits(node, 5 * sec, false, 12, 0));
 }
 
-TEST_CASE("without a bound in the settings a node in slow start bears any request") {
+TEST_CASE("a node in slow start gets any request if the settings set no limit") {
     SlowStart slow_start;
     slow_start.configure(SchedulerConfig());
     NodeSlowStart node;
--- a/tests/scheduling/windowed_sum_test.cpp
+++ b/tests/scheduling/windowed_sum_test.cpp
@@ -5,7 +5,7 @@
 namespace knotvane::scheduling {
 namespace {
 
-TEST_CASE("a sum holds what was added at its begin or later, and forgets the rest") {
+TEST_CASE("a sum includes what was added at its start or later, and discards the rest") {
     WindowedSum sum;
     sum.add(1, 0.1);
     sum.add(2, 0.2);
@@ -13,7 +13,7 @@
     CHECK(sum.sum_since(1) == doctest::Approx(0.7));
     CHECK(sum.sum_since(2) == doctest::Approx(0.6));
     CHECK(sum.sum_since(1) == doctest::Approx(0.6));
-    // No rounding error is left.
+    // Exactly 0: no rounding error remains.
     CHECK(sum.sum_since(4) == 0);
 }
 
