--- a/src/scheduling/plan_table.hpp
+++ b/src/scheduling/plan_table.hpp
@@ -26,11 +26,10 @@
     /// @return the plan, with PlanConfig's defaults if it was never set.
     const PlanConfig &get(PlanId id) { return plans_[id]; }
 
-    /// @return the weight of the plan's volumes in fair queues: the plan's weight, plus its
-    /// reserved
-    ///     rate converted to a weight and scaled by the value of a reserved unit relative to a
-    ///     usual one. With the plan's weight alone a volume with a large reserved rate would be
-    ///     served no better than one with none.
+    /// @return the weight of the plan's volumes in fair queues: the plan's weight, plus a weight
+    ///     for its reserved rate in which a reserved unit counts by its value relative to a usual
+    ///     one. With the plan's weight alone a volume with a large reserved rate would be served no
+    ///     better than one with none.
     double queue_weight(const PlanConfig &plan) const;
 
     /// @param requested rate of the volume in units per second, over all schedulers; above 0.
--- a/src/scheduling/retry_policy.hpp
+++ b/src/scheduling/retry_policy.hpp
@@ -16,8 +16,8 @@
 /// @return whether the outcome proves that the node did not execute the attempt.
 bool proves_not_executed(AttemptOutcome outcome);
 
-/// @return whether the client may be told that the request was not executed and that it may send it
-///     again. False if the repeat could be executed a second time.
+/// @return whether the request may be rejected, which tells the client that it may send it again.
+///     False if its effect could then happen twice.
 bool may_reject(const Request &request, const WorkloadConfig &workload);
 
 /// Where and when a repeat would be executed.
@@ -34,9 +34,8 @@
 bool is_repeat_safe(const Request &request, std::size_t previous_attempts,
                     const WorkloadConfig &workload, const RepeatTarget &target);
 
-/// @return whether one more attempt of the request may start: neither the limits on its attempts
-/// nor
-///     is_repeat_safe forbids it.
+/// @return whether one more attempt of the request may start: the limits on its attempts allow it
+///     and is_repeat_safe holds for the target.
 bool may_start_attempt(const Request &request, const WorkloadConfig &workload,
                        const AttemptConfig &limits, const RepeatTarget &target);
 
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -24,7 +24,7 @@
     /// Ends an attempt in flight. attempt_completed still follows: with the outcome canceled, or
     /// with the attempt's own outcome if that came first.
     virtual void cancel_attempt(RequestId request, AttemptId attempt) = 0;
-    /// Answers the client that the request was not executed and that it may send it again.
+    /// Answers the client that the request has no result and that it is safe to send it again.
     /// @param retry_after how long the client should wait before that.
     virtual void reject(RequestId request, Time retry_after) = 0;
     /// Answers the client with an error; the request may have been executed.
--- a/src/scheduling/scheduler_core.hpp
+++ b/src/scheduling/scheduler_core.hpp
@@ -45,7 +45,8 @@
 ///                               not answered: retry_or_give_up
 ///
 /// A request that can't proceed waits at its stage. It is given up no later than its answer
-/// deadline: rejected with a Retry-After, or failed if it may have been executed.
+/// deadline: rejected with a Retry-After, or failed if a repeat by the client could take effect
+/// twice.
 class RequestScheduler final : public Scheduler {
 public:
     /// @param actions must outlive the scheduler.
--- a/tests/scheduling/retry_policy_test.cpp
+++ b/tests/scheduling/retry_policy_test.cpp
@@ -19,9 +19,9 @@
     return request;
 }
 
-// If a client were told that its request was not executed while an attempt was still running, it
-// would repeat the request and its write would be executed twice.
-TEST_CASE("a request that may have been executed isn't rejected unless all nodes drop repeats") {
+// A rejected client repeats its request. If an attempt may still be executed and its node doesn't
+// drop the repeat, the client's write is executed twice.
+TEST_CASE("a write that may have been executed is rejected only if all nodes drop repeats") {
     Request request = request_with({});
     CHECK_FALSE(may_reject(request, workload_of(Idempotency::at_most_once)));
     CHECK_FALSE(
