--- a/tests/http/decoder_test.cpp
+++ b/tests/http/decoder_test.cpp
@@ -1,5 +1,5 @@
-// HTTP messages out of bytes: any split reads alike, bounds hold, and what two readers could take
-// in two ways is broken.
+// Decoding of HTTP messages: the result doesn't depend on how the bytes are split, limits hold, and
+// messages that two implementations could interpret differently are invalid.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -10,41 +10,43 @@
 
 namespace {
 
-std::string get(const std::string &headers) {
+std::string get_request(const std::string &headers) {
     return "GET /a?b=c HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n";
 }
-Decoder read(std::string_view in, MessageKind side = MessageKind::request, std::size_t head = 512,
-             std::size_t body = 64) {
-    Decoder d(side, head, body);
-    while (!in.empty() && d.state() != State::complete && d.state() != State::invalid)
-        in.remove_prefix(d.consume(in));
-    return d;
+Decoder decode(std::string_view bytes, MessageKind kind = MessageKind::request,
+               std::size_t max_head = 512, std::size_t max_body = 64) {
+    Decoder decoder(kind, max_head, max_body);
+    while (!bytes.empty() && decoder.state() != State::complete &&
+           decoder.state() != State::invalid)
+        bytes.remove_prefix(decoder.consume(bytes));
+    return decoder;
 }
 
 } // namespace
 
-TEST_CASE("a request is read alike in whatever pieces it comes, and no further than its end") {
-    const std::string in =
+TEST_CASE(
+    "a request is decoded alike in pieces of any size, and no byte after its end is consumed") {
+    const std::string request =
         "PUT /w HTTP/1.1\r\nHost: x\r\nX-Trace-Id:  7 \r\nContent-Length: 5\r\n\r\nhello";
-    rc::check("pieces", [&] {
-        Decoder d(MessageKind::request, 512, 64);
-        std::string all = in + "GET / HT";
-        std::size_t at = 0;
-        while (d.state() != State::complete)
-            at +=
-                d.consume(std::string_view(all).substr(at, *rc::gen::inRange<std::size_t>(1, 30)));
-        RC_ASSERT(at == in.size());
-        RC_ASSERT(d.method() == "PUT");
-        RC_ASSERT(d.target() == "/w");
-        RC_ASSERT(d.header("x-trace-id") == "7");
-        RC_ASSERT(d.body() == "hello");
-        d.start_next();
-        RC_ASSERT(d.state() == State::empty);
-        RC_ASSERT(!d.header("x-trace-id"));
+    rc::check("pieces of any size", [&] {
+        Decoder decoder(MessageKind::request, 512, 64);
+        std::string bytes = request + "GET / HT";
+        std::size_t consumed = 0;
+        while (decoder.state() != State::complete)
+            consumed += decoder.consume(
+                std::string_view(bytes).substr(consumed, *rc::gen::inRange<std::size_t>(1, 30)));
+        RC_ASSERT(consumed == request.size());
+        RC_ASSERT(decoder.method() == "PUT");
+        RC_ASSERT(decoder.target() == "/w");
+        RC_ASSERT(decoder.header("x-trace-id") == "7");
+        RC_ASSERT(decoder.body() == "hello");
+        decoder.start_next();
+        RC_ASSERT(decoder.state() == State::empty);
+        RC_ASSERT(!decoder.header("x-trace-id"));
     });
 }
-TEST_CASE("two lengths, odd lengths and odd names are broken") {
-    for (std::string h :
+TEST_CASE("conflicting or malformed lengths and malformed headers are invalid") {
+    for (std::string headers :
          {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
           "Content-Length: 3\r\nContent-Length: 3\r\n", "Content-Length: -3\r\n",
           "Content-Length: 3, 3\r\n", "Content-Length: 0x3\r\n", "Content-Length:\r\n",
@@ -52,89 +54,92 @@
           "Transfer-Encoding: chunked, identity\r\n",
           "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "No colon\r\n",
           "Bad name: 1\r\n", "Upgrade: x\r\nConnection: upgrade\r\n", "X: a\x01z\r\n"}) {
-        CAPTURE(h);
-        CHECK(read(get(h) + "abcdefgh").state() == State::invalid);
+        CAPTURE(headers);
+        CHECK(decode(get_request(headers) + "abcdefgh").state() == State::invalid);
     }
-    CHECK(read(get("Content-Length: 3\r\n") + "abc").state() == State::complete);
-    CHECK(read("GET / HTTP/9.1\r\n\r\n").state() == State::invalid);
-    CHECK(read("\x16\x03\x01\x02\x03").state() == State::invalid);
+    CHECK(decode(get_request("Content-Length: 3\r\n") + "abc").state() == State::complete);
+    CHECK(decode("GET / HTTP/9.1\r\n\r\n").state() == State::invalid);
+    CHECK(decode("\x16\x03\x01\x02\x03").state() == State::invalid);
 }
-TEST_CASE("bounds: a long head, a long body, many headers, bad and endless chunks") {
-    auto told = read(get("Content-Length: 60000000\r\n"));
-    CHECK(told.state() == State::invalid); // at its head, with no byte of the body here
-    CHECK(told.error_status() == 413);
-    CHECK(read(get("X: " + std::string(600, 'a') + "\r\n")).error_status() == 431);
-    CHECK(read("GET /" + std::string(5000, 'a')).error_status() == 431);
-    std::string many;
+TEST_CASE("a head or body over its limit, too many headers and malformed or endless chunks "
+          "are invalid") {
+    auto announced = decode(get_request("Content-Length: 60000000\r\n"));
+    CHECK(announced.state() == State::invalid); // as soon as the head is complete
+    CHECK(announced.error_status() == 413);
+    CHECK(decode(get_request("X: " + std::string(600, 'a') + "\r\n")).error_status() == 431);
+    CHECK(decode("GET /" + std::string(5000, 'a')).error_status() == 431);
+    std::string many_headers;
     for (int i = 0; i < 65; ++i)
-        many += "A: 1\r\n";
-    CHECK(read(get(many), MessageKind::request, 4096).error_status() == 431);
-    const std::string chunked = get("Transfer-Encoding: chunked\r\n");
-    CHECK(read(chunked + "3\r\nabc\r\n0\r\n\r\n").body() == "abc");
-    CHECK(read(chunked + "zz\r\nabc").state() == State::invalid);
-    CHECK(read(chunked + "41\r\n" + std::string(65, 'b')).error_status() == 413);
-    CHECK(read(chunked + "1;" + std::string(3000, 'e')).state() == State::invalid);
-    CHECK(read(chunked + "ffffffffffffffff1\r\n").state() == State::invalid);
+        many_headers += "A: 1\r\n";
+    CHECK(decode(get_request(many_headers), MessageKind::request, 4096).error_status() == 431);
+    const std::string chunked = get_request("Transfer-Encoding: chunked\r\n");
+    CHECK(decode(chunked + "3\r\nabc\r\n0\r\n\r\n").body() == "abc");
+    CHECK(decode(chunked + "zz\r\nabc").state() == State::invalid);
+    CHECK(decode(chunked + "41\r\n" + std::string(65, 'b')).error_status() == 413);
+    CHECK(decode(chunked + "1;" + std::string(3000, 'e')).state() == State::invalid);
+    CHECK(decode(chunked + "ffffffffffffffff1\r\n").state() == State::invalid);
 }
-TEST_CASE("answers: 1xx are passed over; endless or unreadable is broken") {
-    auto d = read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\nHTTP/1.1 200 "
-                  "OK\r\nContent-Length: 2\r\n\r\nok",
-                  MessageKind::response);
-    CHECK(d.state() == State::complete);
-    CHECK(d.status() == 200);
-    CHECK(d.body() == "ok");
-    CHECK(!d.header("Link"));
-    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", MessageKind::response)
+TEST_CASE("responses of status 1xx are skipped, and malformed or too long responses are invalid") {
+    auto decoder =
+        decode("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\nHTTP/1.1 200 "
+               "OK\r\nContent-Length: 2\r\n\r\nok",
+               MessageKind::response);
+    CHECK(decoder.state() == State::complete);
+    CHECK(decoder.status() == 200);
+    CHECK(decoder.body() == "ok");
+    CHECK(!decoder.header("Link"));
+    CHECK(decode("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", MessageKind::response)
               .state() == State::invalid);
-    CHECK(read("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), MessageKind::response).state() ==
-          State::invalid);
-    CHECK(read("\x01\x02 noise", MessageKind::response).state() == State::invalid);
-    CHECK(read("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", MessageKind::response).state() ==
+    CHECK(
+        decode("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), MessageKind::response).state() ==
+        State::invalid);
+    CHECK(decode("\x01\x02 noise", MessageKind::response).state() == State::invalid);
+    CHECK(decode("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", MessageKind::response).state() ==
           State::body);
-    CHECK(!read("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
-                MessageKind::response)
+    CHECK(!decode("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+                  MessageKind::response)
                .keep_alive());
 }
-TEST_CASE("an answer without a length is whole at the end of its stream and not before; none else "
-          "becomes whole by it") {
-    auto end = [](const std::string &in) {
-        auto d = read(in, MessageKind::response);
-        CHECK(d.state() != State::complete);
-        d.finish();
-        return d;
+TEST_CASE("the end of the stream completes only a response without a length") {
+    auto decode_stream = [](const std::string &bytes) {
+        auto decoder = decode(bytes, MessageKind::response);
+        CHECK(decoder.state() != State::complete);
+        decoder.finish();
+        return decoder;
     };
-    auto d = end("HTTP/1.1 200 OK\r\nX: 1\r\n\r\nbytes");
-    CHECK(d.state() == State::complete);
-    CHECK(d.body() == "bytes");
-    CHECK(!d.keep_alive());
-    CHECK(end("HTTP/1.1 200 OK\r\n\r\n").state() == State::complete);
-    CHECK(end("HTTP/1.1 200 OK\r\n\r\n" + std::string(65, 'b')).state() == State::invalid);
-    for (auto cut : {"HTTP/1.1 200 OK\r\nX: 1\r\n", "HTTP/1.1 2",
-                     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab",
-                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"})
-        CHECK(end(cut).state() == State::invalid);
-    CHECK(end("").state() == State::empty);
-    CHECK(end("HTTP/1.1 100 Continue\r\n\r\n").state() == State::empty);
+    auto decoder = decode_stream("HTTP/1.1 200 OK\r\nX: 1\r\n\r\nbytes");
+    CHECK(decoder.state() == State::complete);
+    CHECK(decoder.body() == "bytes");
+    CHECK(!decoder.keep_alive());
+    CHECK(decode_stream("HTTP/1.1 200 OK\r\n\r\n").state() == State::complete);
+    CHECK(decode_stream("HTTP/1.1 200 OK\r\n\r\n" + std::string(65, 'b')).state() ==
+          State::invalid);
+    for (auto truncated : {"HTTP/1.1 200 OK\r\nX: 1\r\n", "HTTP/1.1 2",
+                           "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab",
+                           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"})
+        CHECK(decode_stream(truncated).state() == State::invalid);
+    CHECK(decode_stream("").state() == State::empty);
+    CHECK(decode_stream("HTTP/1.1 100 Continue\r\n\r\n").state() == State::empty);
 }
-TEST_CASE("a body without an end is taken as it comes") {
-    Decoder d(MessageKind::response, 512, 16);
-    std::string all;
-    std::string in = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+TEST_CASE("an endless body can be taken in parts") {
+    Decoder decoder(MessageKind::response, 512, 16);
+    std::string body;
+    std::string bytes = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (int i = 0; i < 50; ++i)
-        in += "8\r\n1234567\n\r\n";
-    for (std::size_t at = 0; at < in.size();) {
-        at += d.consume(std::string_view(in).substr(at, 13));
-        REQUIRE(d.state() != State::invalid);
-        all += d.take_body();
+        bytes += "8\r\n1234567\n\r\n";
+    for (std::size_t consumed = 0; consumed < bytes.size();) {
+        consumed += decoder.consume(std::string_view(bytes).substr(consumed, 13));
+        REQUIRE(decoder.state() != State::invalid);
+        body += decoder.take_body();
     }
-    CHECK(all.size() == 400);
+    CHECK(body.size() == 400);
 }
-TEST_CASE("numbers and ids: whole or nothing") {
+TEST_CASE("numbers and ids are parsed only if the whole text is valid") {
     CHECK(parse_decimal("0.480") == 0.48);
     CHECK(parse_decimal("-1") == -1);
-    for (auto s : {"", "nan", "inf", "1e9", "1x", " 1", "0x1", "--1"})
-        CHECK(!parse_decimal(s));
+    for (auto text : {"", "nan", "inf", "1e9", "1x", " 1", "0x1", "--1"})
+        CHECK(!parse_decimal(text));
     CHECK(parse_hex64("00000003b4d60021") == 0x3b4d60021);
-    for (auto s : {"", "3b4d60021", "00000003b4d6002g", "+0000003b4d60021", "00000003b4d600211"})
-        CHECK(!parse_hex64(s));
+    for (auto text : {"", "3b4d60021", "00000003b4d6002g", "+0000003b4d60021", "00000003b4d600211"})
+        CHECK(!parse_hex64(text));
 }
