--- a/src/scheduling/concurrency_window.hpp
+++ b/src/scheduling/concurrency_window.hpp
@@ -32,9 +32,9 @@
     /// @param since_last time since the last attempt started.
     /// @param expected_duration of the next attempt.
     /// @param relative_value the value of the volumes that wait at the node, relative to the mean
-    /// of
-    ///     the plans. It shortens the pause of a window below one attempt, so that the plans'
-    ///     weights also hold between schedulers that share the node. Used only if pacing().
+    ///     of the plans. It shortens the pause of a window below one attempt, so that
+    ///     the plans' weights also hold between schedulers that share the node. Used only if
+    ///     pacing().
     /// @return whether one more attempt may start.
     bool has_capacity(std::size_t in_flight, Time since_last, Time expected_duration,
                       double relative_value) const;
@@ -46,8 +46,7 @@
     bool pacing() const { return size_ < 1; }
 
     /// @return the window in attempts; below 1 it is the fraction of time in which one attempt is
-    /// in
-    ///     flight.
+    ///     in flight.
     double size() const { return size_; }
 
     /// Adapts the window to an attempt that was answered or abandoned.
@@ -55,8 +54,7 @@
     /// @param duration of the attempt; for an abandoned one, which would have taken longer, a lower
     ///     bound.
     /// @param slow the attempt took more than half of its request's latency objective. Decides
-    /// alone
-    ///     until there is a measurement, and while the window is at most one attempt.
+    ///     alone until there is a measurement, and while the window is at most one attempt.
     void record_duration(Time now, double units, Time duration, bool slow);
 
     /// Halves the window, unless it did so within the last round trip: all attempts that were
--- a/src/scheduling/early_disconnects.hpp
+++ b/src/scheduling/early_disconnects.hpp
@@ -31,8 +31,7 @@
     bool many_recent(Time now) const;
 
     /// @return how long the volume's clients wait now: the first quartile of the waits of those
-    /// that
-    ///     disconnected early; unlimited_wait if there is no limit.
+    ///     that disconnected early; unlimited_wait if there is no limit.
     Time wait_limit(VolumeId volume, Time now) const;
 
 private:
--- a/src/scheduling/repeat_detector.cpp
+++ b/src/scheduling/repeat_detector.cpp
@@ -10,8 +10,8 @@
 // Retry-After that clients obey, and than the pauses that clients make on their own.
 constexpr Time max_repeat_delay = 4 * sec;
 
-// With fewer entries, scanning all of them isn't worth its time.
-constexpr std::size_t min_entries_to_prune = 4096;
+// Up to this number of entries, scanning all of them for old ones isn't worth the time.
+constexpr std::size_t max_entries_unpruned = 4096;
 
 } // namespace
 
@@ -31,7 +31,7 @@
 }
 
 void RepeatDetector::prune(Time now) {
-    if (unanswered_.size() > min_entries_to_prune)
+    if (unanswered_.size() > max_entries_unpruned)
         std::erase_if(unanswered_,
                       [&](const auto &entry) { return entry.second < now - max_repeat_delay; });
 }
