--- a/src/http/decoder.cpp
+++ b/src/http/decoder.cpp
@@ -56,13 +56,13 @@
 public:
     Message(MessageKind message_kind, std::size_t max_head_bytes, std::size_t max_body_bytes)
         : kind(message_kind), max_head(max_head_bytes), max_body(max_body_bytes) {
-        start();
+        reset();
     }
 
-    void start() {
+    void reset() {
         http_parser_init(&parser, kind == MessageKind::request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
-        state = State::empty;
+        state = MessageState::empty;
         error = "";
         error_status = 400;
         target.clear();
@@ -80,11 +80,11 @@
     /// Marks the message as invalid and keeps the first error. Returns the value with which a
     /// callback stops the parser.
     int fail(const char *reason, unsigned status = 400) {
-        if (state != State::invalid) {
+        if (state != MessageState::invalid) {
             error = reason;
             error_status = status;
         }
-        state = State::invalid;
+        state = MessageState::invalid;
         return -1;
     }
 
@@ -111,7 +111,7 @@
     MessageKind kind;
     std::size_t max_head;
     std::size_t max_body;
-    State state = State::empty;
+    MessageState state = MessageState::empty;
     const char *error = "";
     unsigned error_status = 400;
     std::string target;
@@ -122,7 +122,9 @@
     std::size_t raw_bytes = 0;
 
 private:
-    static Message &of(http_parser *source) { return *static_cast<Message *>(source->data); }
+    static Message &from_parser(http_parser *source) {
+        return *static_cast<Message *>(source->data);
+    }
 
     int on_header_name(std::string_view bytes);
     int on_header_value(std::string_view bytes);
@@ -200,7 +202,7 @@
         return fail("the body is too long", 413);
     keep_alive = http_should_keep_alive(&parser) != 0;
     head_complete_ = true;
-    state = State::body;
+    state = MessageState::body;
     return 0;
 }
 
@@ -212,40 +214,41 @@
 }
 
 const http_parser_settings &Decoder::Message::callbacks() {
-    static const http_parser_settings all = [] {
+    static const http_parser_settings callbacks = [] {
         http_parser_settings settings;
         http_parser_settings_init(&settings);
         settings.on_url = [](http_parser *source, const char *bytes, std::size_t size) {
-            of(source).target.append(bytes, size);
+            from_parser(source).target.append(bytes, size);
             return 0;
         };
         settings.on_header_field = [](http_parser *source, const char *bytes, std::size_t size) {
-            return of(source).on_header_name({bytes, size});
+            return from_parser(source).on_header_name({bytes, size});
         };
         settings.on_header_value = [](http_parser *source, const char *bytes, std::size_t size) {
-            return of(source).on_header_value({bytes, size});
+            return from_parser(source).on_header_value({bytes, size});
         };
         settings.on_headers_complete = [](http_parser *source) {
-            return of(source).on_head_complete();
+            return from_parser(source).on_head_complete();
         };
         settings.on_body = [](http_parser *source, const char *bytes, std::size_t size) {
-            return of(source).on_body({bytes, size});
+            return from_parser(source).on_body({bytes, size});
         };
         settings.on_message_complete = [](http_parser *source) {
-            of(source).state = State::complete;
+            from_parser(source).state = MessageState::complete;
             http_parser_pause(source, 1);
             return 0;
         };
         return settings;
     }();
-    return all;
+    return callbacks;
 }
 
 std::size_t Decoder::Message::consume(std::string_view bytes) {
     std::size_t total = 0;
-    while (total < bytes.size() && state != State::complete && state != State::invalid) {
-        if (state == State::empty)
-            state = State::head;
+    while (total < bytes.size() && state != MessageState::complete &&
+           state != MessageState::invalid) {
+        if (state == MessageState::empty)
+            state = MessageState::head;
         // Passes at most one byte more than the head's limit to the parser until the head is
         // complete.
         auto max_piece =
@@ -254,10 +257,10 @@
         auto consumed = http_parser_execute(&parser, &callbacks(), piece.data(), piece.size());
         total += consumed;
         raw_bytes += consumed;
-        if (state != State::complete)
+        if (state != MessageState::complete)
             check_progress(consumed);
         else if (kind == MessageKind::response && parser.status_code < 200)
-            start();
+            reset();
     }
     return total;
 }
@@ -288,18 +291,18 @@
 
 void Decoder::finish() {
     Message &message = *message_;
-    if (message.state != State::head && message.state != State::body)
+    if (message.state != MessageState::head && message.state != MessageState::body)
         return;
     http_parser_execute(&message.parser, &Message::callbacks(), nullptr, 0);
-    if (message.state != State::complete)
+    if (message.state != MessageState::complete)
         message.fail("it ended in the middle");
 }
 
 void Decoder::start_next() {
-    message_->start();
+    message_->reset();
 }
 
-State Decoder::state() const {
+MessageState Decoder::state() const {
     return message_->state;
 }
 
--- a/src/http/decoder.hpp
+++ b/src/http/decoder.hpp
@@ -14,7 +14,7 @@
 enum class MessageKind { request, response };
 
 /// The progress of decoding a message.
-enum class State {
+enum class MessageState {
     empty,    ///< No byte was consumed.
     head,     ///< The start line or the headers are incomplete.
     body,     ///< The head is complete, the body isn't.
@@ -46,7 +46,7 @@
     /// Discards the message and starts with the next one.
     void start_next();
 
-    State state() const;
+    MessageState state() const;
     /// Why the message is invalid; empty for any other message.
     const char *error() const;
     /// The HTTP status to answer an invalid request with.
--- a/src/http_gateway/client_connections.cpp
+++ b/src/http_gateway/client_connections.cpp
@@ -111,7 +111,7 @@
     Time idle = now - client.idle_since;
     if (!client.has_sent_bytes)
         return idle >= typical_first_byte_time ? 0 : 4;
-    if (client.decoder.state() != http::State::empty)
+    if (client.decoder.state() != http::MessageState::empty)
         return 2;
     return idle >= min_idle_time ? 1 : 3;
 }
@@ -199,14 +199,14 @@
     while (!bytes.empty()) {
         Client &client = clients_.at(id);
         http::Decoder &decoder = client.decoder;
-        if (decoder.state() == http::State::empty)
+        if (decoder.state() == http::MessageState::empty)
             set_timeout(id, client,
                         client.has_been_answered ? now + later_request_timeout
                                                  : client.idle_since + first_request_timeout);
         bytes.remove_prefix(decoder.consume(bytes));
-        if (decoder.state() == http::State::invalid)
+        if (decoder.state() == http::MessageState::invalid)
             return send_error(now, id, {decoder.error_status(), decoder.error()});
-        if (decoder.state() != http::State::complete) {
+        if (decoder.state() != http::MessageState::complete) {
             // The rest of this request was discarded. Bytes that arrive from now on must not be
             // parsed as its end.
             if (client.ignores_input && client.pipelined.empty())
@@ -332,7 +332,7 @@
     while (!timeouts_.empty() && timeouts_.begin()->first <= now) {
         auto id = timeouts_.begin()->second;
         Client &client = clients_.at(id);
-        bool idle = client.decoder.state() == http::State::empty;
+        bool idle = client.decoder.state() == http::MessageState::empty;
         if (client.half_closed)
             close(id);
         else if (idle && client.has_sent_bytes && keep_idle_)
--- a/src/http_gateway/connection_pool.cpp
+++ b/src/http_gateway/connection_pool.cpp
@@ -28,7 +28,7 @@
 }
 
 AttemptOutcome outcome_of(const http::Decoder &response) {
-    if (response.state() != http::State::complete)
+    if (response.state() != http::MessageState::complete)
         return AttemptOutcome::error;
     auto status = response.status();
     if (status == 200)
@@ -292,8 +292,8 @@
     if (busy && request_sent && reason == CloseReason::end_of_stream) {
         connection.decoder.finish();
         connection.close_after_attempt = true;
-        if (connection.decoder.state() == http::State::complete)
-            return response_ended(now, id, false);
+        if (connection.decoder.state() == http::MessageState::complete)
+            return handle_response_end(now, id, false);
     }
     remove_connection(id);
     // The node can't have executed a request whose last byte was not written.
@@ -332,12 +332,12 @@
         attempt.first_byte_at = now;
     bytes.remove_prefix(connection.decoder.consume(bytes));
     auto state = connection.decoder.state();
-    if (state == http::State::complete || state == http::State::invalid)
-        return response_ended(now, id, !bytes.empty());
+    if (state == http::MessageState::complete || state == http::MessageState::invalid)
+        return handle_response_end(now, id, !bytes.empty());
     set_deadline(id, connection, std::min(attempt.timeout_at, now + connect_timeout_));
 }
 
-void ConnectionPool::response_ended(Time now, ConnectionId id, bool has_trailing_bytes) {
+void ConnectionPool::handle_response_end(Time now, ConnectionId id, bool has_trailing_bytes) {
     Connection &connection = connections_.at(id);
     http::Decoder &response = connection.decoder;
     auto key = connection.attempt;
@@ -351,7 +351,7 @@
                              .field("fault", *response.error() ? response.error() : "-")
                              .text());
 
-    bool reusable = response.state() == http::State::complete && !has_trailing_bytes &&
+    bool reusable = response.state() == http::MessageState::complete && !has_trailing_bytes &&
                     response.keep_alive() && !connection.close_after_attempt &&
                     connection.unsent_bytes == 0;
     if (reusable)
--- a/src/http_gateway/connection_pool.hpp
+++ b/src/http_gateway/connection_pool.hpp
@@ -175,7 +175,7 @@
     void submit_request(Time now, ConnectionId id, Connection &connection);
     /// Completes the attempt after its response has become complete or invalid.
     /// @param has_trailing_bytes whether bytes followed the response.
-    void response_ended(Time now, ConnectionId id, bool has_trailing_bytes);
+    void handle_response_end(Time now, ConnectionId id, bool has_trailing_bytes);
     void make_idle(Time now, ConnectionId id, Connection &connection);
     void complete_attempt(Time now, const AttemptKey &key, AttemptOutcome outcome,
                           std::string body = {});
--- a/src/http_gateway/discovery.cpp
+++ b/src/http_gateway/discovery.cpp
@@ -223,19 +223,19 @@
     if (!watch)
         return;
     http::Decoder &decoder = watch->decoder;
-    while (!bytes.empty() && decoder.state() != http::State::complete &&
-           decoder.state() != http::State::invalid)
+    while (!bytes.empty() && decoder.state() != http::MessageState::complete &&
+           decoder.state() != http::MessageState::invalid)
         bytes.remove_prefix(decoder.consume(bytes));
     auto state = decoder.state();
-    if (state == http::State::invalid)
+    if (state == http::MessageState::invalid)
         return close_connection(now, *watch, decoder.error());
-    if (state != http::State::body && state != http::State::complete)
+    if (state != http::MessageState::body && state != http::MessageState::complete)
         return;
     if (decoder.status() != 200)
         return close_connection(
             now, *watch, "response status " + std::to_string(decoder.status()) + ", expected 200");
     std::string body = decoder.take_body();
-    if (handle_body(now, id, body) && state == http::State::complete)
+    if (handle_body(now, id, body) && state == http::MessageState::complete)
         close_connection(now, *find(id), "the response to the watch ended");
 }
 
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -62,16 +62,16 @@
     std::signal(SIGPIPE, SIG_IGN);
     uv_loop_init(&loop_);
     loop_.data = this;
-    uv_async_init(&loop_, &wake_up_, [](uv_async_t *a) {
-        auto &self = *static_cast<Loop *>(a->loop->data);
+    uv_async_init(&loop_, &wake_up_, [](uv_async_t *async) {
+        auto &self = *static_cast<Loop *>(async->loop->data);
         std::function<void()> call;
         while (self.posted_calls_->queue.try_dequeue(call))
             call();
     });
     uv_timer_init(&loop_, &timer_);
     uv_prepare_init(&loop_, &prepare_);
-    uv_prepare_start(&prepare_, [](uv_prepare_t *p) {
-        auto &self = *static_cast<Loop *>(p->loop->data);
+    uv_prepare_start(&prepare_, [](uv_prepare_t *prepare) {
+        auto &self = *static_cast<Loop *>(prepare->loop->data);
         if (!self.before_wait_)
             return;
         Time due = self.before_wait_();
@@ -88,9 +88,9 @@
 Loop::~Loop() {
     uv_walk(
         &loop_,
-        [](uv_handle_t *h, void *) {
-            if (!uv_is_closing(h))
-                uv_close(h, nullptr);
+        [](uv_handle_t *handle, void *) {
+            if (!uv_is_closing(handle))
+                uv_close(handle, nullptr);
         },
         nullptr);
     while (uv_run(&loop_, UV_RUN_NOWAIT) != 0) {
@@ -300,7 +300,7 @@
         return;
     auto *req = new uv_shutdown_t;
     auto *stream = reinterpret_cast<uv_stream_t *>(&handle_->tcp);
-    if (uv_shutdown(req, stream, [](uv_shutdown_t *r, int) { delete r; }) != 0)
+    if (uv_shutdown(req, stream, [](uv_shutdown_t *finished, int) { delete finished; }) != 0)
         delete req;
 }
 
@@ -313,11 +313,11 @@
         return;
     closed_ = true;
     auto *raw_handle = reinterpret_cast<uv_handle_t *>(&handle_->tcp);
-    auto end = [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); };
+    auto delete_handle = [](uv_handle_t *handle) { delete static_cast<Handle *>(handle->data); };
     // libuv can't reset a connection whose sending side is being closed.
-    if (!(reset && connected_ && uv_tcp_close_reset(&handle_->tcp, end) == 0) &&
+    if (!(reset && connected_ && uv_tcp_close_reset(&handle_->tcp, delete_handle) == 0) &&
         !uv_is_closing(raw_handle))
-        uv_close(raw_handle, end);
+        uv_close(raw_handle, delete_handle);
 }
 
 Listener::Listener(Loop &loop, const std::string &address,
@@ -337,20 +337,20 @@
     // their connection attempts from being dropped.
     constexpr int backlog = 1024;
     if (error == 0)
-        error =
-            uv_listen(reinterpret_cast<uv_stream_t *>(&handle_->tcp), backlog,
-                      [](uv_stream_t *s, int status) {
-                          auto *self = static_cast<Handle *>(s->data)->owner;
-                          if (!self || status < 0)
-                              return;
-                          auto socket = std::make_shared<Socket>(self->loop_);
-                          if (uv_accept(s, reinterpret_cast<uv_stream_t *>(socket->raw())) == 0) {
-                              socket->connected_ = true;
-                              self->on_accept_(socket);
-                          } else {
-                              socket->close();
-                          }
-                      });
+        error = uv_listen(
+            reinterpret_cast<uv_stream_t *>(&handle_->tcp), backlog,
+            [](uv_stream_t *server, int status) {
+                auto *self = static_cast<Handle *>(server->data)->owner;
+                if (!self || status < 0)
+                    return;
+                auto socket = std::make_shared<Socket>(self->loop_);
+                if (uv_accept(server, reinterpret_cast<uv_stream_t *>(socket->raw())) == 0) {
+                    socket->connected_ = true;
+                    self->on_accept_(socket);
+                } else {
+                    socket->close();
+                }
+            });
     sockaddr_in bound{};
     int size = sizeof bound;
     if (error == 0)
@@ -358,7 +358,7 @@
     if (error != 0) {
         handle_->owner = nullptr;
         uv_close(reinterpret_cast<uv_handle_t *>(&handle_->tcp),
-                 [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
+                 [](uv_handle_t *handle) { delete static_cast<Handle *>(handle->data); });
         throw std::runtime_error("address " + address +
                                  ": can't listen on it: " + uv_strerror(error));
     }
@@ -369,7 +369,7 @@
 Listener::~Listener() {
     handle_->owner = nullptr;
     uv_close(reinterpret_cast<uv_handle_t *>(&handle_->tcp),
-             [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
+             [](uv_handle_t *handle) { delete static_cast<Handle *>(handle->data); });
 }
 
 FileWatcher::FileWatcher(Loop &loop, const std::string &path, std::function<void()> on_change)
@@ -384,8 +384,8 @@
     handle_->event.data = handle_;
     uv_fs_event_start(
         &handle_->event,
-        [](uv_fs_event_t *e, const char *file, int, int) {
-            auto *self = static_cast<Handle *>(e->data)->owner;
+        [](uv_fs_event_t *event, const char *file, int, int) {
+            auto *self = static_cast<Handle *>(event->data)->owner;
             if (self && (!file || self->name_ == file))
                 self->on_change_();
         },
@@ -394,7 +394,7 @@
 FileWatcher::~FileWatcher() {
     handle_->owner = nullptr;
     uv_close(reinterpret_cast<uv_handle_t *>(&handle_->event),
-             [](uv_handle_t *h) { delete static_cast<Handle *>(h->data); });
+             [](uv_handle_t *handle) { delete static_cast<Handle *>(handle->data); });
 }
 
 } // namespace knotvane::loop
--- a/tests/http/decoder_test.cpp
+++ b/tests/http/decoder_test.cpp
@@ -16,8 +16,8 @@
 Decoder decode(std::string_view bytes, MessageKind kind = MessageKind::request,
                std::size_t max_head = 512, std::size_t max_body = 64) {
     Decoder decoder(kind, max_head, max_body);
-    while (!bytes.empty() && decoder.state() != State::complete &&
-           decoder.state() != State::invalid)
+    while (!bytes.empty() && decoder.state() != MessageState::complete &&
+           decoder.state() != MessageState::invalid)
         bytes.remove_prefix(decoder.consume(bytes));
     return decoder;
 }
@@ -32,7 +32,7 @@
         Decoder decoder(MessageKind::request, 512, 64);
         std::string bytes = request + "GET / HT";
         std::size_t consumed = 0;
-        while (decoder.state() != State::complete)
+        while (decoder.state() != MessageState::complete)
             consumed += decoder.consume(
                 std::string_view(bytes).substr(consumed, *rc::gen::inRange<std::size_t>(1, 30)));
         RC_ASSERT(consumed == request.size());
@@ -41,7 +41,7 @@
         RC_ASSERT(decoder.header("x-trace-id") == "7");
         RC_ASSERT(decoder.body() == "hello");
         decoder.start_next();
-        RC_ASSERT(decoder.state() == State::empty);
+        RC_ASSERT(decoder.state() == MessageState::empty);
         RC_ASSERT(!decoder.header("x-trace-id"));
     });
 }
@@ -55,16 +55,16 @@
           "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "No colon\r\n",
           "Bad name: 1\r\n", "Upgrade: x\r\nConnection: upgrade\r\n", "X: a\x01z\r\n"}) {
         CAPTURE(headers);
-        CHECK(decode(get_request(headers) + "abcdefgh").state() == State::invalid);
+        CHECK(decode(get_request(headers) + "abcdefgh").state() == MessageState::invalid);
     }
-    CHECK(decode(get_request("Content-Length: 3\r\n") + "abc").state() == State::complete);
-    CHECK(decode("GET / HTTP/9.1\r\n\r\n").state() == State::invalid);
-    CHECK(decode("\x16\x03\x01\x02\x03").state() == State::invalid);
+    CHECK(decode(get_request("Content-Length: 3\r\n") + "abc").state() == MessageState::complete);
+    CHECK(decode("GET / HTTP/9.1\r\n\r\n").state() == MessageState::invalid);
+    CHECK(decode("\x16\x03\x01\x02\x03").state() == MessageState::invalid);
 }
 TEST_CASE("a head or body over its limit, too many headers and malformed or endless chunks "
           "are invalid") {
     auto announced = decode(get_request("Content-Length: 60000000\r\n"));
-    CHECK(announced.state() == State::invalid); // as soon as the head is complete
+    CHECK(announced.state() == MessageState::invalid); // as soon as the head is complete
     CHECK(announced.error_status() == 413);
     CHECK(decode(get_request("X: " + std::string(600, 'a') + "\r\n")).error_status() == 431);
     CHECK(decode("GET /" + std::string(5000, 'a')).error_status() == 431);
@@ -74,28 +74,28 @@
     CHECK(decode(get_request(many_headers), MessageKind::request, 4096).error_status() == 431);
     const std::string chunked = get_request("Transfer-Encoding: chunked\r\n");
     CHECK(decode(chunked + "3\r\nabc\r\n0\r\n\r\n").body() == "abc");
-    CHECK(decode(chunked + "zz\r\nabc").state() == State::invalid);
+    CHECK(decode(chunked + "zz\r\nabc").state() == MessageState::invalid);
     CHECK(decode(chunked + "41\r\n" + std::string(65, 'b')).error_status() == 413);
-    CHECK(decode(chunked + "1;" + std::string(3000, 'e')).state() == State::invalid);
-    CHECK(decode(chunked + "ffffffffffffffff1\r\n").state() == State::invalid);
+    CHECK(decode(chunked + "1;" + std::string(3000, 'e')).state() == MessageState::invalid);
+    CHECK(decode(chunked + "ffffffffffffffff1\r\n").state() == MessageState::invalid);
 }
 TEST_CASE("responses of status 1xx are skipped, and malformed or too long responses are invalid") {
     auto decoder =
         decode("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\nHTTP/1.1 200 "
                "OK\r\nContent-Length: 2\r\n\r\nok",
                MessageKind::response);
-    CHECK(decoder.state() == State::complete);
+    CHECK(decoder.state() == MessageState::complete);
     CHECK(decoder.status() == 200);
     CHECK(decoder.body() == "ok");
     CHECK(!decoder.header("Link"));
     CHECK(decode("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", MessageKind::response)
-              .state() == State::invalid);
+              .state() == MessageState::invalid);
     CHECK(
         decode("HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x'), MessageKind::response).state() ==
-        State::invalid);
-    CHECK(decode("\x01\x02 noise", MessageKind::response).state() == State::invalid);
+        MessageState::invalid);
+    CHECK(decode("\x01\x02 noise", MessageKind::response).state() == MessageState::invalid);
     CHECK(decode("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", MessageKind::response).state() ==
-          State::body);
+          MessageState::body);
     CHECK(!decode("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
                   MessageKind::response)
                .keep_alive());
@@ -103,23 +103,23 @@
 TEST_CASE("the end of the stream completes only a response without a length") {
     auto decode_stream = [](const std::string &bytes) {
         auto decoder = decode(bytes, MessageKind::response);
-        CHECK(decoder.state() != State::complete);
+        CHECK(decoder.state() != MessageState::complete);
         decoder.finish();
         return decoder;
     };
     auto decoder = decode_stream("HTTP/1.1 200 OK\r\nX: 1\r\n\r\nbytes");
-    CHECK(decoder.state() == State::complete);
+    CHECK(decoder.state() == MessageState::complete);
     CHECK(decoder.body() == "bytes");
     CHECK(!decoder.keep_alive());
-    CHECK(decode_stream("HTTP/1.1 200 OK\r\n\r\n").state() == State::complete);
+    CHECK(decode_stream("HTTP/1.1 200 OK\r\n\r\n").state() == MessageState::complete);
     CHECK(decode_stream("HTTP/1.1 200 OK\r\n\r\n" + std::string(65, 'b')).state() ==
-          State::invalid);
+          MessageState::invalid);
     for (auto truncated : {"HTTP/1.1 200 OK\r\nX: 1\r\n", "HTTP/1.1 2",
                            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab",
                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"})
-        CHECK(decode_stream(truncated).state() == State::invalid);
-    CHECK(decode_stream("").state() == State::empty);
-    CHECK(decode_stream("HTTP/1.1 100 Continue\r\n\r\n").state() == State::empty);
+        CHECK(decode_stream(truncated).state() == MessageState::invalid);
+    CHECK(decode_stream("").state() == MessageState::empty);
+    CHECK(decode_stream("HTTP/1.1 100 Continue\r\n\r\n").state() == MessageState::empty);
 }
 TEST_CASE("an endless body can be taken in parts") {
     Decoder decoder(MessageKind::response, 512, 16);
@@ -129,7 +129,7 @@
         bytes += "8\r\n1234567\n\r\n";
     for (std::size_t consumed = 0; consumed < bytes.size();) {
         consumed += decoder.consume(std::string_view(bytes).substr(consumed, 13));
-        REQUIRE(decoder.state() != State::invalid);
+        REQUIRE(decoder.state() != MessageState::invalid);
         body += decoder.take_body();
     }
     CHECK(body.size() == 400);
