--- a/src/control/decode.cpp
+++ b/src/control/decode.cpp
@@ -76,9 +76,9 @@
         }
     }
 
-    template <class Kind, class Rep>
-    static void convert(const msgpack::object &from, Id<Kind, Rep> &id) {
-        id.value = from.as<Rep>();
+    template <class Kind, class Representation>
+    static void convert(const msgpack::object &from, Id<Kind, Representation> &id) {
+        id.value = from.as<Representation>();
     }
 
     static void convert(const msgpack::object &from, double &number) {
@@ -94,8 +94,8 @@
                                 ", expected " + std::to_string(ProtocolVersion::current));
     }
 
-    template <class Kind, class Rep>
-    static void convert(const msgpack::object &from, std::vector<Id<Kind, Rep>> &ids) {
+    template <class Kind, class Representation>
+    static void convert(const msgpack::object &from, std::vector<Id<Kind, Representation>> &ids) {
         if (from.type != msgpack::type::ARRAY)
             throw ProtocolError("expected an array of ids");
         for (std::uint32_t i = 0; i < from.via.array.size; ++i)
--- a/src/control/encode.cpp
+++ b/src/control/encode.cpp
@@ -22,8 +22,8 @@
         packer.pack(field);
 }
 
-template <class Kind, class Rep>
-void pack(Packer &packer, const Id<Kind, Rep> &id) {
+template <class Kind, class Representation>
+void pack(Packer &packer, const Id<Kind, Representation> &id) {
     packer.pack(id.value);
 }
 
@@ -31,8 +31,8 @@
     packer.pack(version.value);
 }
 
-template <class Kind, class Rep>
-void pack(Packer &packer, const std::vector<Id<Kind, Rep>> &ids) {
+template <class Kind, class Representation>
+void pack(Packer &packer, const std::vector<Id<Kind, Representation>> &ids) {
     packer.pack_array(static_cast<std::uint32_t>(ids.size()));
     for (auto id : ids)
         packer.pack(id.value);
--- a/src/planner/snapshot_coordinator.hpp
+++ b/src/planner/snapshot_coordinator.hpp
@@ -81,7 +81,7 @@
     void edge_disconnected(Time now, EdgeId edge);
     void node_disconnected(NodeId node);
 
-    /// A node has registered. Sends it the pending drops of its shard.
+    /// A node has registered. Sends it the orders for the pending drops of its shard.
     void node_connected(NodeId node, ShardId shard);
 
     /// Sets the shards that exist. Pending drops at other shards count as done.
--- a/src/planner/snapshot_operations.cpp
+++ b/src/planner/snapshot_operations.cpp
@@ -269,7 +269,7 @@
 
 void SnapshotOperations::begin_committed() {
     for (auto &[id, pending] : pending_) {
-        if (std::exchange(pending.begun, true))
+        if (std::exchange(pending.started, true))
             continue;
         std::string error;
         auto nodes = participating_nodes(error);
@@ -338,7 +338,7 @@
                                  " failed, nodes drop its data: " + pending.error);
     if (pending.retry && ++pending.attempts < max_attempts) {
         pending.failed = false;
-        pending.begun = false;
+        pending.started = false;
         pending.retry = false;
         prepare(std::move(pending));
         return;
--- a/src/planner/snapshot_operations.hpp
+++ b/src/planner/snapshot_operations.hpp
@@ -30,7 +30,7 @@
         std::uint32_t attempts = 0;
         Time began_at = 0;
         bool is_clone = false;
-        bool begun = false;
+        bool started = false;
         bool completed = false;
         bool failed = false;
         bool retry = false; ///< another attempt may succeed
@@ -124,7 +124,7 @@
     DiffQueries diff_queries_;
     std::map<VolumeId, Pending> pending_;
     std::map<VolumeId, Incomplete> incomplete_; // the same as in the store
-    std::vector<VolumeId> drops_to_commit_;     // dropped at nodes once their deletion is durable
+    std::vector<VolumeId> drops_to_commit_;     // nodes drop them once their deletion is durable
     std::uint64_t last_id_ = 0;
 };
 
