--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -26,8 +26,8 @@
     void connect_planner() override {}
     void disconnect_planner() override {}
     void send_planner(std::string) override {}
-    void store_plan(std::string bytes, bool anew) override {
-        if (!edge::write_plan(path, bytes, anew))
+    void store_cluster_state(std::string bytes, bool replace) override {
+        if (!edge::write_cluster_state(path, bytes, replace))
             std::printf("can't write %s\n", path.c_str());
     }
     std::string path = (std::filesystem::temp_directory_path() / "knotvane-plan-bench").string();
--- a/src/edge/plan_cache_file.cpp
+++ b/src/edge/plan_cache_file.cpp
@@ -5,12 +5,12 @@
 
 namespace knotvane::edge {
 
-bool write_plan(const std::string &path, const std::string &bytes, bool anew) {
-    const auto target = anew ? path + ".new" : path;
-    std::ofstream out(target, std::ios::binary | (anew ? std::ios::trunc : std::ios::app));
+bool write_cluster_state(const std::string &path, const std::string &bytes, bool replace) {
+    const auto target = replace ? path + ".new" : path;
+    std::ofstream out(target, std::ios::binary | (replace ? std::ios::trunc : std::ios::app));
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     out.close();
-    return out.good() && (!anew || std::rename(target.c_str(), path.c_str()) == 0);
+    return out.good() && (!replace || std::rename(target.c_str(), path.c_str()) == 0);
 }
 
 } // namespace knotvane::edge
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -17,7 +17,7 @@
 // A planner that answers nothing for so many renewals is taken for hung, and the connection for
 // lost.
 constexpr Time silent_renewals = 5;
-// Past so much on the disk the full state is asked for again, which starts the file anew.
+// Past so much on the disk the full state is asked for again, which replaces the file.
 constexpr std::size_t max_stored_bytes = 8 << 20;
 // Read at once: about three hundred volumes, under a third of a millisecond.
 constexpr std::size_t max_bytes_read_at_once = 16 << 10;
@@ -35,19 +35,19 @@
 
 // ---- The state on the disk.
 
-void PlannerClient::start(Time now, std::string_view stored_plan) {
+void PlannerClient::start(Time now, std::string_view stored_state) {
     now_ = now;
     reconnect_backoff_.retry_now(now);
-    if (stored_plan.empty())
+    if (stored_state.empty())
         return;
     restoring_ = true;
-    restore_plan(stored_plan);
+    restore_state(stored_state);
     restoring_ = false;
 }
 
-void PlannerClient::restore_plan(std::string_view stored_plan) {
+void PlannerClient::restore_state(std::string_view stored_state) {
     try {
-        decoder_.decode(stored_plan, *this);
+        decoder_.decode(stored_state, *this);
     } catch (const control::ProtocolError &) {
         // Whole updates before the damage count. The replica drops one that is there in part, as
         // if its end were lost on the way.
@@ -67,13 +67,13 @@
                            std::to_string(replica_.term().value) + ", version " +
                            std::to_string(replica_.version().value) + ", " +
                            std::to_string(age / sec) + "s old");
-        rewrite_stored_plan();
+        rewrite_stored_state();
         state_changed(true, true);
     }
 }
 
 // What is added after a piece that was cut short would never be read.
-void PlannerClient::rewrite_stored_plan() {
+void PlannerClient::rewrite_stored_state() {
     const auto &state = replica_.cluster_state();
     auto bytes = control::encode(control::UpdateBegin{replica_.term(), replica_.instance(),
                                                       replica_.lineage(), replica_.version(),
@@ -90,7 +90,7 @@
         state.plans.size() + state.volumes.size() + state.nodes.size() + state.quota_shares.size();
     bytes += control::encode(control::UpdateEnd{replica_.version(), entries});
     stored_bytes_ = bytes.size();
-    actions_.store_plan(std::move(bytes), true);
+    actions_.store_cluster_state(std::move(bytes), true);
 }
 
 // ---- The connection.
@@ -130,7 +130,7 @@
     actions_.planner_lost();
 }
 
-void PlannerClient::leave(const std::string &why) {
+void PlannerClient::close_connection(const std::string &why) {
     actions_.log_event("planner: connection closed: " + why);
     actions_.disconnect_planner();
     connected_ = false;
@@ -161,11 +161,11 @@
     now_ = now;
     last_received_ = now;
     unread_.append(bytes);
-    read_some();
+    decode_next_piece();
 }
 
 // Guards against a full state that comes at once: clients would wait for all of it to be read.
-void PlannerClient::read_some() {
+void PlannerClient::decode_next_piece() {
     auto piece = std::string_view(unread_).substr(read_bytes_, max_bytes_read_at_once);
     if (piece.empty())
         return;
@@ -183,7 +183,7 @@
     if (why.empty())
         why = error_;
     if (!why.empty() && connected_)
-        leave(why);
+        close_connection(why);
 }
 
 void PlannerClient::handle_unexpected(std::string_view message) {
@@ -220,16 +220,16 @@
         return;
     case control::UpdateResult::full_state_applied:
     case control::UpdateResult::changes_applied:
-        update_taken(result, std::move(bytes));
+        update_applied(result, std::move(bytes));
         break;
     }
     send_renewal(); // acknowledges what is held now
 }
 
-void PlannerClient::update_taken(control::UpdateResult result, std::string bytes) {
+void PlannerClient::update_applied(control::UpdateResult result, std::string bytes) {
     bool whole = result == control::UpdateResult::full_state_applied;
     stored_bytes_ = bytes.size() + (whole ? 0 : stored_bytes_);
-    actions_.store_plan(std::move(bytes), whole);
+    actions_.store_cluster_state(std::move(bytes), whole);
     if (!whole && stored_bytes_ >= max_stored_bytes) {
         send(control::encode(control::FullStateRequest{}));
         stored_bytes_ = 0;
@@ -360,7 +360,7 @@
 void PlannerClient::tick(Time now) {
     now_ = now;
     if (connected_)
-        read_some();
+        decode_next_piece();
     if (auto stage = lease_.stage(now); std::exchange(announced_stage_, stage) != stage) {
         actions_.log_event(stage == QuotaLease::Stage::faded
                                ? "planner: the lease ran out; a quarter of each quota share is "
@@ -372,7 +372,7 @@
     if (has_replaced_state_)
         has_replaced_state_ = replica_.free_replaced_state();
     if (connected_ && now - last_received_ >= silent_renewals * config_.renewal_interval)
-        return leave("it has answered nothing for long");
+        return close_connection("it has answered nothing for long");
     if (connected_ && now >= renew_at_)
         send_renewal();
     if (connected_ || now < reconnect_backoff_.deadline())
--- a/src/edge/planner_client.hpp
+++ b/src/edge/planner_client.hpp
@@ -46,8 +46,8 @@
     virtual void send_planner(std::string bytes) = 0;
 
     /// Keep bytes for the next start.
-    /// \param anew  replaces what was kept; else they go after it
-    virtual void store_plan(std::string bytes, bool anew) = 0;
+    /// \param replace  replaces what was kept; else they go after it
+    virtual void store_cluster_state(std::string bytes, bool replace) = 0;
     virtual void log_event(std::string text) = 0;
 
     /// An update was taken.
@@ -89,9 +89,10 @@
     /// \param actions  must outlive this
     PlannerClient(PlannerClientActions &actions, PlannerClientConfig config);
 
-    /// \param stored_plan  what store_plan kept, or nothing. Calls cluster_state_changed where it
+    /// \param stored_state  what store_cluster_state kept, or nothing. Calls cluster_state_changed
+    /// where it
     ///                     holds a state that may be used.
-    void start(Time now, std::string_view stored_plan);
+    void start(Time now, std::string_view stored_state);
     void connected(Time now);
 
     /// The connection failed or went.
@@ -151,14 +152,14 @@
         update_bytes_ += control::encode(entry);
         replica_.apply(entry);
     }
-    void restore_plan(std::string_view stored_plan);
-    void rewrite_stored_plan();
-    void read_some();
+    void restore_state(std::string_view stored_state);
+    void rewrite_stored_state();
+    void decode_next_piece();
     void send(std::string bytes);
     void report_reachability(NodeId node, bool reachable);
     void send_renewal();
-    void leave(const std::string &why);
-    void update_taken(control::UpdateResult result, std::string bytes);
+    void close_connection(const std::string &why);
+    void update_applied(control::UpdateResult result, std::string bytes);
     void state_changed(bool nodes, bool plans);
     std::map<NodeId, Time> node_starts();
     void announce_quota_shares();
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -89,7 +89,7 @@
     planner_ = std::make_unique<loop::OutgoingConnection>(loop_, settings.address);
     planner_client_ = std::make_unique<PlannerClient>(
         *this, PlannerClientConfig{control::EdgeId{id_}, listener_->address(), seed,
-                                   settings.renew_every, settings.max_plan_age});
+                                   settings.renew_every, settings.max_cache_age});
     planner_->on_connected = [this] { planner_client_->connected(loop::now()); };
     planner_->on_disconnected = [this] { planner_client_->disconnected(loop::now()); };
     planner_->on_received = [this](std::string_view in) {
@@ -147,14 +147,14 @@
     apply_endpoint_list(list);
 }
 
-void Server::store_plan(std::string bytes, bool anew) {
+void Server::store_cluster_state(std::string bytes, bool replace) {
     if (plan_path_.empty())
         return;
-    bool well = write_plan(plan_path_, bytes, anew);
-    if (!well && !std::exchange(said_unkept_, true))
+    bool well = write_cluster_state(plan_path_, bytes, replace);
+    if (!well && !std::exchange(store_failure_logged_, true))
         log_event(plan_path_ + ": the last plan can't be kept there");
     if (well)
-        said_unkept_ = false;
+        store_failure_logged_ = false;
 }
 
 void Server::load_endpoint_file() {
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -58,7 +58,7 @@
     void connect_planner() override { planner_->connect(); }
     void disconnect_planner() override { planner_->disconnect(); }
     void send_planner(std::string bytes) override { planner_->send(std::move(bytes)); }
-    void store_plan(std::string bytes, bool anew) override;
+    void store_cluster_state(std::string bytes, bool replace) override;
     void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
                                const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId volume, double sharers) override;
@@ -84,7 +84,7 @@
     std::unique_ptr<loop::OutgoingConnection> planner_;
     std::unique_ptr<PlannerClient> planner_client_; // with a planner
     std::uint64_t lists_ = 0;
-    bool said_unkept_ = false;
+    bool store_failure_logged_ = false;
     loop::SocketMap<ClientId> clients_;
     loop::SocketMap<NodeConnectionId> node_connections_;
 };
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -225,7 +225,7 @@
     planner.address = section.text("planner", "");
     planner.plan_file = section.text("plan_file", "");
     planner.renew_every = section.time("renew_every", sec);
-    planner.max_plan_age = section.time("trust", 24 * hour);
+    planner.max_cache_age = section.time("trust", 24 * hour);
     if (planner.renew_every <= 0)
         section.fault("renew_every", "expected above 0");
     if (planner.address.empty() && section.has("plan_file"))
--- a/src/edge/settings.hpp
+++ b/src/edge/settings.hpp
@@ -34,7 +34,7 @@
     /// How often the lease is renewed.
     Time renew_every = 0;
     /// How old a plan from the file may be.
-    Time max_plan_age = 0;
+    Time max_cache_age = 0;
 };
 
 struct LayoutSettings {
--- a/src/edge/snapshot_participant.cpp
+++ b/src/edge/snapshot_participant.cpp
@@ -9,7 +9,7 @@
 
 void SnapshotParticipant::hold(Time now, const SnapshotTarget &target, Time max_hold) {
     auto &volume = volumes_[target.volume];
-    if (volume.lapsed == target.snapshot)
+    if (volume.missed_snapshot == target.snapshot)
         return step_done_(target.snapshot, SnapshotStep::hold_expired);
     if (target.epoch <= volume.epoch)
         return step_done_(target.snapshot, SnapshotStep::resumed); // a repeated message
@@ -22,8 +22,8 @@
     auto &volume = volumes_[target.volume];
     bool held =
         volume.hold && volume.hold->snapshot == target.snapshot && now < volume.hold->expires_at;
-    if (!held && (volume.lapsed == target.snapshot || target.epoch > volume.epoch)) {
-        lapse(target.volume, volume, target.snapshot);
+    if (!held && (volume.missed_snapshot == target.snapshot || target.epoch > volume.epoch)) {
+        give_up_snapshot(target.volume, volume, target.snapshot);
         return step_done_(target.snapshot, SnapshotStep::hold_expired);
     }
     if (held) {
@@ -39,13 +39,13 @@
 
 void SnapshotParticipant::release(VolumeId volume, VolumeId snapshot) {
     if (auto it = volumes_.find(volume); it != volumes_.end())
-        lapse(volume, it->second, snapshot);
+        give_up_snapshot(volume, it->second, snapshot);
 }
 
 void SnapshotParticipant::planner_lost() {
     for (auto id : std::set<VolumeId>(holding_)) {
         auto &volume = volumes_.at(id);
-        lapse(id, volume, volume.hold->snapshot);
+        give_up_snapshot(id, volume, volume.hold->snapshot);
     }
 }
 
@@ -90,7 +90,7 @@
         if (now < volume.hold->expires_at)
             continue;
         auto snapshot = volume.hold->snapshot;
-        lapse(id, volume, snapshot);
+        give_up_snapshot(id, volume, snapshot);
         step_done_(snapshot, SnapshotStep::hold_expired);
     }
 }
@@ -101,8 +101,8 @@
     released_.insert(id);
 }
 
-void SnapshotParticipant::lapse(VolumeId id, Volume &volume, VolumeId snapshot) {
-    volume.lapsed = snapshot;
+void SnapshotParticipant::give_up_snapshot(VolumeId id, Volume &volume, VolumeId snapshot) {
+    volume.missed_snapshot = snapshot;
     if (volume.hold && volume.hold->snapshot == snapshot)
         end_hold(id, volume);
 }
--- a/src/edge/snapshot_participant.hpp
+++ b/src/edge/snapshot_participant.hpp
@@ -42,7 +42,7 @@
     /// No change of the volume begins for `max_hold`, or until resume or release.
     void hold(Time now, const SnapshotTarget &target, Time max_hold);
     /// Changes begin again, in the new epoch. Where the hold has expired, or never was, the
-    /// snapshot can't be consistent and the step is `lapsed`.
+    /// snapshot can't be consistent and the step is `hold_expired`.
     void resume(Time now, const SnapshotTarget &target);
     /// The snapshot was given up: changes begin again, in the old epoch.
     void release(VolumeId volume, VolumeId snapshot);
@@ -81,13 +81,13 @@
     struct Volume {
         std::uint32_t epoch = 0;
         std::optional<Hold> hold;
-        VolumeId lapsed{};                              // the last snapshot taken without this edge
+        VolumeId missed_snapshot{};                     // the last snapshot taken without this edge
         VolumeId draining{};                            // whose drained step is still to come
         std::map<std::uint32_t, std::size_t> in_flight; // changes by the epoch they began in
     };
 
     void end_hold(VolumeId id, Volume &volume);
-    void lapse(VolumeId id, Volume &volume, VolumeId snapshot);
+    void give_up_snapshot(VolumeId id, Volume &volume, VolumeId snapshot);
     void report_if_drained(Volume &volume);
 
     StepDone step_done_;
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -99,7 +99,7 @@
     void connect_planner() override;
     void disconnect_planner() override;
     void send_planner(std::string bytes) override;
-    void store_plan(std::string, bool) override {}
+    void store_cluster_state(std::string, bool) override {}
     void cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
                                const std::map<NodeId, Time> &started) override;
     void quota_share_changed(VolumeId v, double hosts) override;
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -51,8 +51,8 @@
         void connect_planner() override { w.dial(*this); }
         void disconnect_planner() override { w.hang_up(side, true), side = SessionId{0}; }
         void send_planner(std::string bytes) override { w.to_planner(side, std::move(bytes)); }
-        void store_plan(std::string bytes, bool anew) override {
-            disk = anew ? std::move(bytes) : disk + bytes;
+        void store_cluster_state(std::string bytes, bool replace) override {
+            disk = replace ? std::move(bytes) : disk + bytes;
         }
         void log_event(std::string) override {}
         void cluster_state_changed(const control::ClusterState &table, bool, bool,
--- a/tests/edge/planner_client_test.cpp
+++ b/tests/edge/planner_client_test.cpp
@@ -24,7 +24,9 @@
     void connect_planner() override { ++connects; }
     void disconnect_planner() override { ++disconnects; }
     void send_planner(std::string bytes) override { sent += bytes; }
-    void store_plan(std::string bytes, bool anew) override { disk = anew ? bytes : disk + bytes; }
+    void store_cluster_state(std::string bytes, bool replace) override {
+        disk = replace ? bytes : disk + bytes;
+    }
     void log_event(std::string text) override { logged.push_back(std::move(text)); }
     void cluster_state_changed(const control::ClusterState &cluster_state, bool, bool,
                                const std::map<NodeId, Time> &when) override {
--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -16,7 +16,7 @@
     void connect_planner() override {}
     void disconnect_planner() override { ++hung_up; }
     void send_planner(std::string) override {}
-    void store_plan(std::string, bool) override {}
+    void store_cluster_state(std::string, bool) override {}
     void log_event(std::string) override { ++logged; }
     void cluster_state_changed(const control::ClusterState &, bool, bool,
                                const std::map<NodeId, Time> &) override {
