--- a/src/edge/attempt_tracker.cpp
+++ b/src/edge/attempt_tracker.cpp
@@ -118,7 +118,7 @@
 bool AttemptTracker::may_reject(const ClientRequest &client_request, RequestId rejected) {
     if (!is_change(client_request.command))
         return true;
-    if (client_request.part_done)
+    if (client_request.has_executed_part)
         return false;
     return std::all_of(client_request.pending.begin(), client_request.pending.end(), [&](auto id) {
         return id == rejected || state_.scheduled.at(id).attempts.empty();
@@ -189,7 +189,7 @@
     for (auto other : client_request->pending)
         if (other != completion.request && !state_.scheduled.at(other).attempts.empty())
             return false;
-    if (client_request->part_done)
+    if (client_request->has_executed_part)
         return false;
     auto epoch = state_.snapshots.epoch(volume);
     if (epoch <= client_request->epoch)
@@ -217,7 +217,7 @@
     auto &session = *client_request->session;
     const auto &node_request = *request.node_request;
     auto &unflushed = session.volume()->unflushed;
-    client_request->part_done = true;
+    client_request->has_executed_part = true;
     switch (client_request->command) {
     case Command::read:
         session.nbd().reply_data(client_request->cookie, node_request.offset, answer.payload);
--- a/src/edge/open_volumes.cpp
+++ b/src/edge/open_volumes.cpp
@@ -38,20 +38,20 @@
 }
 
 void OpenVolumes::refresh(OpenVolume &volume) {
-    if (volume.charged_to == VolumeId{}) {
-        volume.charged_to = volume.id;
-        volume.placed_as = volume.id;
+    if (volume.quota_volume == VolumeId{}) {
+        volume.quota_volume = volume.id;
+        volume.layout_volume = volume.id;
     }
     auto it = state_->volumes.find(volume.id);
     if (it != state_->volumes.end()) {
         const auto &known = it->second;
         volume.plan = known.plan;
-        volume.placed_as = known.resolve_layout_volume(volume.id);
-        volume.charged_to = known.resolve_quota_volume(volume.id);
+        volume.layout_volume = known.resolve_layout_volume(volume.id);
+        volume.quota_volume = known.resolve_quota_volume(volume.id);
         volume.is_snapshot = known.is_snapshot_or_clone();
         volume.dropped = false;
         // One that is charged to its source goes by the source's plan as it is now.
-        if (auto payer = state_->volumes.find(volume.charged_to); payer != state_->volumes.end())
+        if (auto payer = state_->volumes.find(volume.quota_volume); payer != state_->volumes.end())
             volume.plan = payer->second.plan;
         snapshots_.learn_epoch(volume.id, known.epoch);
     } else {
@@ -59,7 +59,7 @@
         // a snapshot or a clone are gone.
         volume.dropped = volume.is_snapshot;
     }
-    if (auto share = state_->quota_shares.find(volume.charged_to);
+    if (auto share = state_->quota_shares.find(volume.quota_volume);
         share != state_->quota_shares.end())
         volume.sharers = std::max(1u, share->second.sharers);
 }
@@ -109,8 +109,8 @@
     refresh(volume);
     if (++volume.clients == 1) {
         acquire(id);
-        if (volume.charged_to != id)
-            acquire(volume.charged_to);
+        if (volume.quota_volume != id)
+            acquire(volume.quota_volume);
     }
     return volume;
 }
@@ -119,8 +119,8 @@
     if (--volume.clients > 0)
         return;
     release(volume.id);
-    if (volume.charged_to != volume.id)
-        release(volume.charged_to);
+    if (volume.quota_volume != volume.id)
+        release(volume.quota_volume);
 }
 
 // The planner grants shares of a limit to the edges that use the volume, and what is charged to a
--- a/src/edge/open_volumes.hpp
+++ b/src/edge/open_volumes.hpp
@@ -29,9 +29,9 @@
     std::size_t clients = 0;
     UnflushedWrites unflushed;
     /// The volume by whose id its bytes are placed.
-    VolumeId placed_as;
+    VolumeId layout_volume;
     /// The volume whose limit its requests count against.
-    VolumeId charged_to;
+    VolumeId quota_volume;
     /// A snapshot or a clone.
     bool is_snapshot = false;
     /// A snapshot or a clone that doesn't exist any more.
--- a/src/edge/request_splitter.cpp
+++ b/src/edge/request_splitter.cpp
@@ -18,7 +18,7 @@
         auto request = std::make_shared<NodeRequest>();
         request->kind = FrameKind::read;
         request->volume = volume.id;
-        request->shard = state_.layout.shard_of(volume.placed_as, offset);
+        request->shard = state_.layout.shard_of(volume.layout_volume, offset);
         request->offset = offset;
         request->length = part;
         request->units = state_.units(part);
@@ -35,7 +35,7 @@
     auto id = requests_.open(session, cookie, command, change.data.size());
     auto volume = session.volume()->id;
     if (state_.snapshots.is_holding(volume))
-        held_writes_[volume].push_back({id, change, std::string(change.data), state_.clock.now});
+        held_changes_[volume].push_back({id, change, std::string(change.data), state_.clock.now});
     else
         start_change(id, session, change, state_.clock.now);
 }
@@ -44,12 +44,12 @@
     for (auto volume : state_.snapshots.take_released()) {
         if (state_.snapshots.is_holding(volume))
             continue;
-        auto it = held_writes_.find(volume);
-        if (it == held_writes_.end())
+        auto it = held_changes_.find(volume);
+        if (it == held_changes_.end())
             continue;
-        auto held_writes = std::move(it->second);
-        held_writes_.erase(it);
-        for (auto &held : held_writes) {
+        auto held_changes = std::move(it->second);
+        held_changes_.erase(it);
+        for (auto &held : held_changes) {
             auto *request = requests_.find(held.request);
             if (!request)
                 continue; // its client left
@@ -80,7 +80,7 @@
         auto request = std::make_shared<NodeRequest>();
         request->kind = change.zeroes ? FrameKind::zero : FrameKind::write;
         request->volume = volume.id;
-        request->shard = state_.layout.shard_of(volume.placed_as, offset);
+        request->shard = state_.layout.shard_of(volume.layout_volume, offset);
         request->offset = offset;
         request->length = part;
         request->units = units_of(volume, change, offset, part);
@@ -138,7 +138,7 @@
     auto request = std::make_shared<NodeRequest>();
     request->kind = FrameKind::block_status;
     request->volume = volume.id;
-    request->shard = state_.layout.shard_of(volume.placed_as, offset);
+    request->shard = state_.layout.shard_of(volume.layout_volume, offset);
     request->offset = offset;
     // An answer may be shorter than what was asked: only the first extent is looked at.
     request->length = state_.layout.split_length(offset, length, false);
@@ -159,7 +159,7 @@
 
     RequestInfo info;
     info.workload = workload->workload;
-    info.volume = volume.charged_to;
+    info.volume = volume.quota_volume;
     info.plan = volume.plan;
     info.shard = node_request->shard;
     info.key = key;
--- a/src/edge/request_splitter.hpp
+++ b/src/edge/request_splitter.hpp
@@ -50,7 +50,7 @@
 
 private:
     /// A change that came while its volume was held.
-    struct HeldWrite {
+    struct HeldChange {
         ClientRequestId request;
         Change change;
         std::string data; // that change.data refers to
@@ -68,7 +68,7 @@
 
     EdgeState &state_;
     RequestTable &requests_;
-    std::map<VolumeId, std::deque<HeldWrite>> held_writes_;
+    std::map<VolumeId, std::deque<HeldChange>> held_changes_;
 };
 
 } // namespace knotvane::edge
--- a/src/edge/request_table.hpp
+++ b/src/edge/request_table.hpp
@@ -25,7 +25,7 @@
     /// Counted by admission control.
     std::size_t buffered_bytes = 0;
     /// A scheduled request of it was answered well.
-    bool part_done = false;
+    bool has_executed_part = false;
     /// Scheduled requests that have not ended.
     std::set<RequestId> pending;
     /// Of a flush: which writes it covers.
