--- a/src/cli/store.cpp
+++ b/src/cli/store.cpp
@@ -1,4 +1,4 @@
-// What operators ask of a node's store.
+// The subcommand `store`: offline checks of a node's store.
 #include "cli/commands.hpp"
 
 #include <cstdio>
@@ -16,23 +16,25 @@
 
 int check(const std::string &path) {
     if (!std::filesystem::is_regular_file(path)) {
-        std::fprintf(stderr, "%s: there is no such store\n", path.c_str());
+        std::fprintf(stderr, "%s: not a file; expected a node's store\n", path.c_str());
         return 2;
     }
     try {
-        // Opening a store writes to it; here what is written goes nowhere.
+        // Opening a store writes to it, so it is opened through an overlay that keeps writes in
+        // memory.
         auto file = store::file_medium(path, false);
-        auto over = store::overlay_medium(*file);
-        store::Store s(*over);
-        auto found = s.check();
-        for (auto &f : found)
-            std::printf("%s\n", f.c_str());
+        auto overlay = store::overlay_medium(*file);
+        store::Store examined(*overlay);
+        auto findings = examined.check();
+        for (auto &finding : findings)
+            std::printf("%s\n", finding.c_str());
         std::printf("%s: %s; %llu blocks in use, nothing was changed\n", path.c_str(),
-                    found.empty() ? "good" : (std::to_string(found.size()) + " findings").c_str(),
-                    static_cast<unsigned long long>(s.blocks_used()));
-        return found.empty() ? 0 : 1;
-    } catch (const std::exception &e) {
-        std::printf("%s: %s\n", path.c_str(), e.what());
+                    findings.empty() ? "good"
+                                     : (std::to_string(findings.size()) + " findings").c_str(),
+                    static_cast<unsigned long long>(examined.blocks_used()));
+        return findings.empty() ? 0 : 1;
+    } catch (const std::exception &error) {
+        std::printf("%s: %s\n", path.c_str(), error.what());
         return 1;
     }
 }
@@ -41,14 +43,16 @@
 
 void add_store(CLI::App &app, int &code) {
     auto path = std::make_shared<std::string>();
-    auto *store = app.add_subcommand("store", "look at a node's store");
+    auto *store = app.add_subcommand("store", "inspect a node's store");
     store->require_subcommand(1);
-    auto *cmd = store->add_subcommand(
-        "check", "walk every tree, read every block, count everything; repair nothing");
-    cmd->add_option("FILE", *path, "the store; its node must not run")->required();
-    cmd->footer("Exit codes: 0 good, 1 findings, one line each, 2 usage.\nExample: knotvane store "
-                "check /srv/shard-0.store");
-    cmd->callback([path, &code] { code = check(*path); });
+    auto *check_command = store->add_subcommand(
+        "check", "walk all trees, verify all blocks, recount all references; repairs nothing");
+    check_command->add_option("FILE", *path, "file of the store; its node must not be running")
+        ->required();
+    check_command->footer(
+        "Exit codes: 0 good, 1 findings, one line each, 2 usage.\nExample: knotvane store "
+        "check /srv/shard-0.store");
+    check_command->callback([path, &code] { code = check(*path); });
 }
 
 } // namespace knotvane::cli
--- a/src/store/block_allocator.cpp
+++ b/src/store/block_allocator.cpp
@@ -60,7 +60,7 @@
     }
 }
 
-void BlockAllocator::adopt(std::vector<std::uint32_t> references) {
+void BlockAllocator::set_references(std::vector<std::uint32_t> references) {
     references_ = std::move(references);
     used_ = 0;
     free_.clear();
--- a/src/store/block_allocator.hpp
+++ b/src/store/block_allocator.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which blocks of the medium are in use, by how many leaves of extent maps, and which are free.
-/// Nothing of this is stored: it follows from the extent maps and is counted anew at each opening.
+/// Tracks which blocks of the medium are free, and how many leaves of extent maps refer to each of
+/// the others. None of this is stored: it is recounted from the extent maps when a store is opened.
 #pragma once
 
 #include <cstddef>
@@ -10,61 +10,61 @@
 
 namespace knotvane::store {
 
-/// Unit of checksums, sharing and copying, bytes.
+/// Size in bytes of the unit of checksums, sharing and copying.
 inline constexpr std::uint32_t block_size = 4096;
 
-/// A block's number on the medium, from 1.
+/// A block's number on the medium, counted from 1.
 using Slot = std::uint32_t;
-/// No block: a hole, or no space.
+/// Stands for no block: a hole in a volume, or no space left.
 inline constexpr Slot no_slot = 0;
 
-/// Counts references to blocks and gives free ones out.
+/// Counts references to blocks and allocates free ones.
 ///
-/// A block that nothing refers to any more is free only after two flushes. The first one makes
-/// durable that the extent map no longer names it. Until the second one has made durable that the
-/// first one was, recovery reads the blocks of all records before it and must find them as they
-/// were.
+/// A block that loses its last reference becomes free only after two flushes. The first flush makes
+/// it durable that the extent map no longer refers to the block. The record that confirms the first
+/// flush becomes durable with the second; until then recovery verifies the blocks of all earlier
+/// records and must find them unchanged.
 class BlockAllocator {
 public:
-    /// @param capacity blocks at most.
+    /// @param capacity maximum number of blocks.
     explicit BlockAllocator(std::uint64_t capacity) : capacity_(capacity) {}
 
-    /// Forgets everything.
+    /// Forgets all references and free blocks.
     void reset();
 
-    /// @return a free block, without a reference; no_slot if there is none now.
+    /// @return a free block, with no references yet; no_slot if no block is free now.
     Slot allocate();
-    /// Gives back blocks that were allocated and are not referred to.
+    /// Frees allocated blocks that nothing refers to.
     void return_unused(const std::vector<Slot> &slots);
-    /// Whether allocate finds no block now, but would after at most two flushes.
+    /// Whether allocate would fail now, but would succeed after at most two flushes.
     bool needs_flush() const;
 
-    /// Notes one more reference to a block.
+    /// Adds one reference to a block.
     void add_reference(Slot slot);
-    /// Notes one reference less.
+    /// Removes one reference; with the last one, the block is released.
     void remove_reference(Slot slot);
 
-    /// All that was written is durable.
+    /// Call when a flush made all writes durable: frees the blocks released before the last flush.
     void on_flush();
-    /// The extent maps as they are now are durable.
+    /// Call when a checkpoint made the present extent maps durable: frees all released blocks.
     void on_checkpoint();
 
-    /// Takes over references that were counted anew; all other blocks are free.
-    /// @param references by slot.
-    void adopt(std::vector<std::uint32_t> references);
+    /// Replaces the references by recounted ones; blocks without references become free.
+    /// @param references counts, indexed by slot.
+    void set_references(std::vector<std::uint32_t> references);
 
-    /// Blocks that something refers to.
+    /// Number of blocks with at least one reference.
     std::uint64_t used() const { return used_; }
     std::uint64_t capacity() const { return capacity_; }
-    /// Blocks that can be written before space runs out, those that a flush sets free included.
+    /// Number of blocks that can still be allocated, including those that flushes will free.
     std::uint64_t available() const;
-    /// Blocks that lost their last reference since the last flush.
-    std::size_t released_since_flush() const { return released_.size(); }
-    /// References by slot; the first one is of no block.
+    /// Number of blocks that lost their last reference since the last flush.
+    std::size_t released_since_flush_count() const { return released_.size(); }
+    /// Reference counts, indexed by slot; index 0 (no_slot) is unused.
     const std::vector<std::uint32_t> &references() const { return references_; }
-    /// All blocks that are free or will be.
+    /// All blocks that are free or will be after at most two flushes.
     std::set<Slot> free_slots() const;
-    /// Whether no block is free twice.
+    /// Whether no block is listed as free or released more than once.
     bool is_free_list_sound() const;
     std::size_t memory_bytes() const;
 
--- a/src/store/checkpoint.cpp
+++ b/src/store/checkpoint.cpp
@@ -9,12 +9,12 @@
 namespace knotvane::store {
 namespace {
 
-// Nodes are named by their number, from 1, in the order in which they are written: children before
-// their parents. 0: no node.
+// Nodes refer to each other by number. Numbers count from 1 in the order of writing, children
+// before their parents; 0 stands for no node.
 using NodeNumber = std::uint32_t;
 constexpr NodeNumber no_node = 0;
 
-// How a node begins.
+// The first byte of a node.
 constexpr std::uint8_t leaf_node = 0;
 constexpr std::uint8_t inner_node = 1;
 
@@ -23,7 +23,7 @@
 constexpr std::uint8_t flag_frozen = 2;
 constexpr std::uint8_t flag_open = 4;
 
-// Writes each node once, also if several maps have it.
+// Encodes the nodes of extent maps. A node that several maps share is written once.
 class NodeWriter {
 public:
     NodeNumber write(const ExtentNode *node) {
@@ -62,12 +62,14 @@
     return static_cast<std::uint8_t>(flags);
 }
 
-// A node that an already read one names, or that a volume does.
+// Finds a node that a later node or a volume refers to.
+// @param referrer what contains the reference, for the message.
 const ExtentNodePtr &node_of_number(const std::vector<ExtentNodePtr> &nodes, NodeNumber number,
-                                    const char *namer) {
+                                    const char *referrer) {
     if (number >= nodes.size())
-        throw StoreError(StoreError::Kind::damage,
-                         std::string("store: a ") + namer + " names a node that is not there");
+        throw StoreError(StoreError::Kind::corruption,
+                         std::string("store: a ") + referrer +
+                             " refers to a node that is not in the checkpoint");
     return nodes[number];
 }
 
@@ -79,7 +81,8 @@
         ref.slot = take_value<Slot>(bytes);
         ref.crc = take_value<std::uint32_t>(bytes);
         if (ref.slot > capacity)
-            throw StoreError(StoreError::Kind::damage, "store: a tree names a block past its end");
+            throw StoreError(StoreError::Kind::corruption,
+                             "store: a tree refers to a block beyond the store's capacity");
     }
     for (ExtentNodePtr &child : node->children)
         child = node_of_number(earlier, take_value<NodeNumber>(bytes), "tree");
@@ -127,7 +130,7 @@
 }
 
 CheckpointContent decode_checkpoint(std::string_view bytes, std::uint64_t capacity) {
-    std::vector<ExtentNodePtr> nodes(1); // by number
+    std::vector<ExtentNodePtr> nodes(1); // indexed by number; 0 is no node
     for (auto count = take_value<std::uint32_t>(bytes); count > 0; --count)
         nodes.push_back(take_node(bytes, nodes, capacity));
 
--- a/src/store/checkpoint.hpp
+++ b/src/store/checkpoint.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The trees of an area: all extent maps, volumes and marks of a store in one string of bytes.
+/// Encodes the trees of an area: all extent maps, volumes and marks of a store, as one string.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,16 @@
 /// A volume, a snapshot or a clone.
 struct Volume {
     ExtentMap map;
-    VolumeId source;                ///< Of a snapshot or a clone: what it is a copy of.
-    bool is_copy = false;           ///< It is a snapshot or a clone.
-    bool is_frozen = false;         ///< It can't be written.
-    bool is_open = false;           ///< A snapshot that late changes of its source still go into.
-    std::uint32_t epoch = 0;        ///< Of the changes that begin now.
-    std::uint32_t sealed_epoch = 0; ///< Changes of an earlier one would alter a sealed snapshot.
+    VolumeId source;                ///< Of a snapshot or a clone: the volume that was copied.
+    bool is_copy = false;           ///< Whether it is a snapshot or a clone.
+    bool is_frozen = false;         ///< Whether it is read-only.
+    bool is_open = false;           ///< A snapshot that still receives late changes of its source.
+    std::uint32_t epoch = 0;        ///< The epoch of changes that begin now.
+    std::uint32_t sealed_epoch = 0; ///< A change of an earlier epoch would alter a sealed snapshot.
 };
 using Volumes = std::map<VolumeId, Volume>;
 
-/// What a checkpoint holds.
+/// The decoded content of a checkpoint.
 struct CheckpointContent {
     Volumes volumes;
     DeduplicationMarks marks;
@@ -33,8 +33,8 @@
 
 std::string encode_checkpoint(const Volumes &volumes, const DeduplicationMarks &marks);
 
-/// @param capacity the highest slot that may be named.
-/// @throws StoreError if a reference does not hold.
+/// @param capacity the highest valid slot.
+/// @throws StoreError if the bytes are truncated or a reference is invalid.
 CheckpointContent decode_checkpoint(std::string_view bytes, std::uint64_t capacity);
 
 } // namespace knotvane::store
--- a/src/store/deduplication_marks.cpp
+++ b/src/store/deduplication_marks.cpp
@@ -4,7 +4,7 @@
 
 bool DeduplicationMarks::contains(const DeduplicationMark &mark, Time now) {
     while (!by_not_after_.empty() && by_not_after_.begin()->first < now) {
-        // A mark that was added again stays until its later time.
+        // A mark that was added again with a later time is kept until that time.
         auto it = not_after_.find(by_not_after_.begin()->second);
         if (it != not_after_.end() && it->second < now)
             not_after_.erase(it);
--- a/src/store/deduplication_marks.hpp
+++ b/src/store/deduplication_marks.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Which deduplicated changes were applied, so that a repeat of one is not done again.
+/// Remembers which deduplicated changes were applied, so that a repeated request is not applied
+/// again.
 #pragma once
 
 #include <compare>
@@ -11,7 +12,7 @@
 
 namespace knotvane::store {
 
-/// Identifies a change: an edge's incarnation, and the request's number within it.
+/// Identifies a change by its edge's incarnation and the request's number within that incarnation.
 struct DeduplicationMark {
     std::uint64_t incarnation = 0;
     std::uint64_t request_number = 0;
@@ -19,10 +20,11 @@
     auto operator<=>(const DeduplicationMark &) const = default;
 };
 
-/// The marks of applied changes, each until the time after which its change is refused anyway.
+/// The marks of applied changes. Each is kept until its `not_after` time; later repeats of the
+/// change are rejected anyway.
 class DeduplicationMarks {
 public:
-    /// Whether the mark is remembered. Forgets those whose time is over.
+    /// Whether the mark is remembered. Forgets expired marks.
     bool contains(const DeduplicationMark &mark, Time now);
     void add(const DeduplicationMark &mark, Time not_after);
     void clear();
@@ -32,7 +34,7 @@
     std::size_t memory_bytes() const { return size() * bytes_per_mark; }
 
 private:
-    static constexpr std::size_t bytes_per_mark = 160; // with the nodes of both maps
+    static constexpr std::size_t bytes_per_mark = 160; // estimate, including the nodes of both maps
 
     std::map<DeduplicationMark, Time> not_after_;
     std::multimap<Time, DeduplicationMark> by_not_after_;
--- a/src/store/error.hpp
+++ b/src/store/error.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How a store says that it can't go on.
+/// The exception type of the store package.
 #pragma once
 
 #include <stdexcept>
@@ -7,13 +7,14 @@
 
 namespace knotvane::store {
 
-/// A fault of a store or of its medium. The message says what, where, and what was expected.
+/// A failure of a store or of its medium. The message says what failed, where, and what was
+/// expected.
 class StoreError : public std::runtime_error {
 public:
     enum class Kind {
-        medium, ///< The medium can't be opened, read, written or made durable.
-        damage, ///< What is stored is not what was written: a checksum or a reference does not
-                ///< hold.
+        medium,     ///< The medium can't be opened, read, written or synced.
+        corruption, ///< The stored data is not what was written: a checksum does not match, or a
+                    ///< reference is invalid.
     };
 
     StoreError(Kind kind, const std::string &message) : std::runtime_error(message), kind_(kind) {}
--- a/src/store/extent_map.cpp
+++ b/src/store/extent_map.cpp
@@ -6,24 +6,26 @@
 namespace knotvane::store {
 namespace {
 
-// Which child of a node at a level leads to a block; at level 0, which entry is the block's.
+// Index of the child that leads to a block, in a node of the given level; at level 0, index of the
+// block's own entry.
 std::size_t index_at(std::uint64_t block, int level) {
     return block >> (fan_out_bits * static_cast<unsigned>(level)) & (fan_out - 1);
 }
 
-// A map's root under so many more levels that the tree has this height.
+// Returns a map's root below as many new levels as it takes to reach the given height.
 ExtentNodePtr root_at_height(const ExtentMap &map, int height) {
     ExtentNodePtr root = map.root;
     for (int level = map.height + 1; root && level <= height; ++level) {
-        auto above = make_extent_node(level);
-        above->children[0] = std::move(root);
-        root = std::move(above);
+        auto parent = make_extent_node(level);
+        parent->children[0] = std::move(root);
+        root = std::move(parent);
     }
     return root;
 }
 
-// Walks two trees of one height side by side; nodes that both have are not looked into.
-class Difference {
+// Walks two trees of the same height in parallel and collects the blocks that differ. Nodes that
+// both trees share are skipped.
+class MapComparison {
 public:
     void compare(const ExtentNode *a, const ExtentNode *b, int level, std::uint64_t first_block) {
         if (a == b)
@@ -34,8 +36,9 @@
                     add(first_block + i);
                 continue;
             }
-            std::uint64_t below = std::uint64_t{i} << (fan_out_bits * static_cast<unsigned>(level));
-            compare(child_of(a, i), child_of(b, i), level - 1, first_block + below);
+            std::uint64_t child_offset = std::uint64_t{i}
+                                         << (fan_out_bits * static_cast<unsigned>(level));
+            compare(child_of(a, i), child_of(b, i), level - 1, first_block + child_offset);
         }
     }
 
@@ -99,14 +102,14 @@
     int height = std::max(a.height, b.height);
     auto root_a = root_at_height(a, height);
     auto root_b = root_at_height(b, height);
-    Difference difference;
-    difference.compare(root_a.get(), root_b.get(), height, 0);
-    return std::move(difference.runs);
+    MapComparison comparison;
+    comparison.compare(root_a.get(), root_b.get(), height, 0);
+    return std::move(comparison.runs);
 }
 
-// Makes a node that only this map has, so that it can be changed in place. The nodes above it must
-// be the map's own already.
-ExtentNode &ExtentMaps::writable(ExtentNodePtr &node, int level) {
+// Creates a missing node, or copies a node that another map shares, so that it can be changed in
+// place. The map must already own the nodes above it.
+ExtentNode &ExtentMaps::make_writable(ExtentNodePtr &node, int level) {
     if (!node) {
         node = make_extent_node(level);
         ++node_count_;
@@ -120,23 +123,23 @@
     return *node;
 }
 
-// Makes the tree one level higher.
-void ExtentMaps::raise(ExtentMap &map) {
+// Adds one level above the root.
+void ExtentMaps::add_level(ExtentMap &map) {
     if (map.root) {
-        auto above = make_extent_node(map.height + 1);
+        auto parent = make_extent_node(map.height + 1);
         ++node_count_;
-        above->children[0] = std::move(map.root);
-        map.root = std::move(above);
+        parent->children[0] = std::move(map.root);
+        map.root = std::move(parent);
     }
     ++map.height;
 }
 
 void ExtentMaps::set(ExtentMap &map, std::uint64_t block, BlockRef ref) {
     while (!map.reaches(block))
-        raise(map);
-    ExtentNode *node = &writable(map.root, map.height);
+        add_level(map);
+    ExtentNode *node = &make_writable(map.root, map.height);
     for (int level = map.height; level > 0; --level)
-        node = &writable(node->children[index_at(block, level)], level - 1);
+        node = &make_writable(node->children[index_at(block, level)], level - 1);
 
     BlockRef &entry = node->blocks[index_at(block, 0)];
     if (!ref.is_hole())
@@ -156,7 +159,7 @@
         auto [node, level] = std::move(dropped_.back());
         dropped_.pop_back();
         if (node.use_count() > 1)
-            continue; // another map has it, too
+            continue; // another map still refers to it
         --node_count_;
         for (const BlockRef &ref : node->blocks)
             if (!ref.is_hole())
@@ -170,7 +173,7 @@
 
 void ExtentMaps::recount(const std::vector<const ExtentMap *> &maps) {
     std::vector<std::uint32_t> references(blocks_.references().size(), 0);
-    std::set<const ExtentNode *> seen;
+    std::set<const ExtentNode *> visited;
     std::vector<const ExtentNode *> to_visit;
     for (const ExtentMap *map : maps)
         if (map->root)
@@ -178,7 +181,7 @@
     while (!to_visit.empty()) {
         const ExtentNode *node = to_visit.back();
         to_visit.pop_back();
-        if (!seen.insert(node).second)
+        if (!visited.insert(node).second)
             continue;
         for (const BlockRef &ref : node->blocks) {
             if (references.size() <= ref.slot)
@@ -190,9 +193,9 @@
             if (child)
                 to_visit.push_back(child.get());
     }
-    node_count_ = seen.size();
+    node_count_ = visited.size();
     dropped_.clear();
-    blocks_.adopt(std::move(references));
+    blocks_.set_references(std::move(references));
 }
 
 void ExtentMaps::reset() {
@@ -202,9 +205,10 @@
 }
 
 std::size_t ExtentMaps::memory_bytes() const {
-    // A node's entries are of one size, whichever it has; a shared pointer's counts come with it.
-    constexpr std::size_t counts_bytes = 32;
-    return node_count_ * (sizeof(ExtentNode) + counts_bytes + fan_out * sizeof(BlockRef));
+    // Blocks and children have entries of the same size. Each node also has the reference counts of
+    // its shared pointer.
+    constexpr std::size_t control_block_bytes = 32;
+    return node_count_ * (sizeof(ExtentNode) + control_block_bytes + fan_out * sizeof(BlockRef));
 }
 
 } // namespace knotvane::store
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::uint64_t area_magic = 0x33726f7473766e6b;
-// What a header's checksum covers: all before it.
+// Bytes of a header that its checksum covers: all that precede the checksum.
 constexpr std::size_t checked_header_size = 44;
 constexpr std::size_t record_padding = 3;
 
@@ -34,7 +34,7 @@
     return out;
 }
 
-ReadHeader decode_header(std::string_view bytes) {
+DecodedHeader decode_header(std::string_view bytes) {
     std::uint32_t expected_crc = crc32c(bytes.substr(0, checked_header_size));
     AreaHeader header;
     auto magic = take_value<std::uint64_t>(bytes);
@@ -44,7 +44,7 @@
     header.last_record = take_value<std::uint64_t>(bytes);
     header.trees_crc = take_value<std::uint32_t>(bytes);
 
-    ReadHeader out;
+    DecodedHeader out;
     out.is_blank = magic == 0;
     if (magic == area_magic && take_value<std::uint32_t>(bytes) == expected_crc)
         out.header = header;
@@ -101,8 +101,8 @@
             change.ref.slot = take_value<Slot>(payload);
             change.ref.crc = take_value<std::uint32_t>(payload);
             if (change.ref.slot > capacity)
-                throw StoreError(StoreError::Kind::damage,
-                                 "store: a record names a block past its end");
+                throw StoreError(StoreError::Kind::corruption,
+                                 "store: a record refers to a block beyond the store's capacity");
             blocks.push_back(change);
         }
     }
--- a/src/store/format.hpp
+++ b/src/store/format.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// How a store's headers, records and blocks lie on the medium (docs/store-format.md). Only encodes
-/// and decodes; all integers are little-endian, all positions and sizes bytes.
+/// The layout of a store's headers, records and blocks on the medium (docs/store-format.md). This
+/// file only encodes and decodes. All integers are little-endian; all positions and sizes are in
+/// bytes.
 #pragma once
 
 #include <cstddef>
@@ -19,31 +20,34 @@
 
 namespace knotvane::store {
 
-/// The medium is three lanes, chunk by chunk in turn: two areas, of which one counts, and the
-/// blocks. Each lane may grow for ever; a file is sparse where a lane is short.
+/// The medium interleaves three lanes in chunks of `lane_chunk_size` bytes: lanes 0 and 1 are the
+/// two areas, one of which is active, and lane 2 holds the blocks. Each lane can grow without
+/// limit; where a lane is shorter than the others, the file is sparse.
 inline constexpr std::uint64_t lane_count = 3;
 inline constexpr std::uint64_t block_lane = 2;
-inline constexpr std::uint64_t lane_chunk = 64 << 10;
+inline constexpr std::uint64_t lane_chunk_size = 64 << 10;
 
-/// Where an area's trees begin; its header is before them.
+/// Offset of the trees in an area; the area's header is before them.
 inline constexpr std::uint64_t trees_offset = block_size;
-/// How much is read of an area's header.
+/// Bytes that are read to decode an area's header.
 inline constexpr std::size_t area_header_size = 64;
 inline constexpr std::size_t record_header_size = 20;
-/// A record that claims more is taken for no record.
+/// Maximum payload size of a record. A larger size in a record's header means that there is no
+/// valid record.
 inline constexpr std::uint32_t max_record_size = 64U << 20;
 
-/// @return the medium's position of a lane's byte.
+/// @return the position on the medium of the byte at `offset` in a lane.
 constexpr std::uint64_t lane_position(std::uint64_t lane, std::uint64_t offset) {
-    return (offset / lane_chunk * lane_count + lane) * lane_chunk + offset % lane_chunk;
+    return (offset / lane_chunk_size * lane_count + lane) * lane_chunk_size +
+           offset % lane_chunk_size;
 }
 
-/// @return the medium's position of a block; `slot` is not no_slot.
+/// @return the position on the medium of a block. `slot` must not be no_slot.
 constexpr std::uint64_t block_position(Slot slot) {
     return lane_position(block_lane, std::uint64_t{slot - 1} * block_size);
 }
 
-/// Appends an integer.
+/// Appends the bytes of an integer.
 template <class T>
 void append_value(std::string &to, T value) {
     char raw[sizeof value];
@@ -51,21 +55,21 @@
     to.append(raw, sizeof value);
 }
 
-/// Takes an integer from the front.
-/// @throws StoreError if fewer bytes are left than it has.
+/// Decodes an integer from the front of `from` and removes its bytes.
+/// @throws StoreError if `from` is shorter than the integer.
 template <class T>
 T take_value(std::string_view &from) {
     T value;
     if (from.size() < sizeof value)
-        throw StoreError(StoreError::Kind::damage, "store: a record is cut short");
+        throw StoreError(StoreError::Kind::corruption, "store: a record is truncated");
     std::memcpy(&value, from.data(), sizeof value);
     from.remove_prefix(sizeof value);
     return value;
 }
 
-/// The header of an area: it makes the trees behind it count.
+/// The header of an area. It commits the trees that follow it.
 struct AreaHeader {
-    std::uint64_t generation = 0; ///< From 1; the highest one counts.
+    std::uint64_t generation = 0; ///< Counts from 1; the area with the highest one is active.
     std::uint64_t incarnation = 0;
     std::uint64_t trees_size = 0;
     std::uint64_t last_record = 0; ///< The number of the last record that the trees contain.
@@ -74,82 +78,84 @@
 
 std::string encode_header(const AreaHeader &header);
 
-/// What stands where an area's header would be.
-struct ReadHeader {
-    bool is_blank = false;            ///< Nothing was ever written.
-    std::optional<AreaHeader> header; ///< If it matches its checksum.
+/// The result of decoding an area's header.
+struct DecodedHeader {
+    bool is_blank = false;            ///< No header was ever written there.
+    std::optional<AreaHeader> header; ///< Set if the header matches its checksum.
 };
-/// @param bytes area_header_size of them.
-ReadHeader decode_header(std::string_view bytes);
+/// @param bytes at least area_header_size bytes.
+DecodedHeader decode_header(std::string_view bytes);
 
-/// What a record of the journal tells. The values are those on the medium.
+/// The kind of a journal record. The values are stored on the medium.
 enum class RecordKind : std::uint8_t {
-    write = 1,         ///< Blocks of one or more volumes changed.
-    copy = 2,          ///< A snapshot or a clone was made.
+    write = 1,         ///< Blocks of one or more volumes were changed.
+    copy = 2,          ///< A snapshot or a clone was created.
     drop = 3,          ///< A volume was dropped.
     mark = 4,          ///< A deduplicated change was applied.
-    flushed = 5,       ///< All before it is durable.
-    closed = 6,        ///< Nothing was left to lose.
-    open_snapshot = 7, ///< A snapshot was opened that late changes still go into.
-    seal_snapshot = 8, ///< It was sealed.
+    flushed = 5,       ///< All records before this one are durable.
+    closed = 6,        ///< The store was closed with all changes durable.
+    open_snapshot = 7, ///< A snapshot was opened; late changes are still written to it.
+    seal_snapshot = 8, ///< An open snapshot was sealed.
 };
 
-/// A record's header.
+/// The header of a journal record.
 struct RecordHeader {
     std::uint32_t crc = 0;
-    std::uint32_t size = 0; ///< Of the payload.
+    std::uint32_t size = 0; ///< Size of the payload.
     std::uint64_t number = 0;
     RecordKind kind = RecordKind::write;
 };
 
-/// @param generation of the area: a record of another one does not match its checksum.
-/// @param number follows that of the record before.
+/// @param generation that of the area. The checksum covers it, so a record left over from another
+///     generation does not match.
+/// @param number one more than that of the previous record.
 std::string encode_record(std::uint64_t generation, std::uint64_t number, RecordKind kind,
                           std::string_view payload);
-/// @param bytes record_header_size of them.
+/// @param bytes at least record_header_size bytes.
 RecordHeader decode_record_header(std::string_view bytes);
-/// Whether a record is what was written in this generation.
+/// Whether a record matches its checksum and was written in this generation.
 bool matches_checksum(const RecordHeader &header, std::uint64_t generation,
                       std::string_view payload);
 
-/// Where a block of a volume is after a change.
+/// The new location of one block of a volume.
 struct BlockChange {
     std::uint64_t block = 0;
     BlockRef ref;
 };
-/// All of one change, by volume.
+/// The block changes of one write, by volume.
 using BlockChanges = std::map<VolumeId, std::vector<BlockChange>>;
 
 std::string encode_changes(const BlockChanges &changes);
-/// @param capacity the highest slot that may be named.
-/// @throws StoreError, as the decoders below.
+/// @param capacity the highest valid slot.
+/// @throws StoreError if the payload is truncated or refers to a higher slot. The decoders below
+///     throw if their input is truncated.
 BlockChanges decode_changes(std::string_view payload, std::uint64_t capacity);
 
-/// A snapshot or a clone that is made.
+/// The creation of a snapshot or a clone.
 struct CopyRecord {
     VolumeId source;
     VolumeId copy;
-    bool is_frozen = false;  ///< It can't be written: a snapshot.
-    bool is_open = false;    ///< Late changes of the source go into it until it is sealed.
-    std::uint32_t epoch = 0; ///< Of an open one: that of the source's changes from here on.
+    bool is_frozen = false;  ///< Read-only: a snapshot.
+    bool is_open = false;    ///< Late changes of the source are written to it until it is sealed.
+    std::uint32_t epoch = 0; ///< If open: the epoch of the source's changes from now on.
 };
 
-/// The record's kind follows from `is_open`.
+/// Encodes the payload; `is_open` determines the record's kind.
 std::string encode_copy(const CopyRecord &record);
 CopyRecord decode_copy(RecordKind kind, std::string_view payload);
 
-/// The payload of records that tell of one volume.
+/// The payload of records that consist of one volume's id.
 std::string encode_volume(VolumeId volume);
 VolumeId decode_volume(std::string_view payload);
 
-/// A mark, and until when it is remembered.
+/// A mark, and the time until which it is remembered.
 struct MarkRecord {
     DeduplicationMark mark;
     Time not_after = 0;
 };
 
 std::string encode_mark(const MarkRecord &record);
-/// Takes a mark from the front.
+/// Decodes a mark from the front of `from` and removes its bytes.
 MarkRecord take_mark(std::string_view &from);
 
 } // namespace knotvane::store
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -5,15 +5,15 @@
 namespace knotvane::store {
 namespace {
 
-// A journal longer than this, and than twice the trees, is replaced by a checkpoint: a second or so
-// of writes.
+// A journal that is longer than 4 MiB and longer than twice the trees is replaced by a checkpoint.
+// 4 MiB of journal are about a second of writes.
 constexpr std::uint64_t max_journal_size = 4 << 20;
 constexpr std::uint64_t max_journal_per_trees = 2;
 
-// Bytes of a range that lie in one chunk of a lane.
-std::size_t size_in_chunk(std::uint64_t offset, std::size_t size) {
+// Bytes at the start of a range that are in the same chunk of a lane.
+std::size_t bytes_in_chunk(std::uint64_t offset, std::size_t size) {
     return static_cast<std::size_t>(
-        std::min<std::uint64_t>(size, lane_chunk - offset % lane_chunk));
+        std::min<std::uint64_t>(size, lane_chunk_size - offset % lane_chunk_size));
 }
 
 } // namespace
@@ -21,7 +21,7 @@
 std::string AreaStorage::read(AreaIndex area, std::uint64_t offset, std::size_t size) {
     std::string out(size, '\0');
     for (std::size_t done = 0; done < size;) {
-        std::size_t count = size_in_chunk(offset, size - done);
+        std::size_t count = bytes_in_chunk(offset, size - done);
         medium_.read(lane_position(area, offset), out.data() + done, count);
         offset += count;
         done += count;
@@ -31,7 +31,7 @@
 
 void AreaStorage::write(AreaIndex area, std::uint64_t offset, std::string_view bytes) {
     while (!bytes.empty()) {
-        std::size_t count = size_in_chunk(offset, bytes.size());
+        std::size_t count = bytes_in_chunk(offset, bytes.size());
         medium_.write(lane_position(area, offset), bytes.substr(0, count));
         offset += count;
         bytes.remove_prefix(count);
@@ -82,7 +82,7 @@
 }
 
 void Journal::erase_unflushed() {
-    // Without the first one none of those behind it counts.
+    // Reading stops at the first unreadable record, so it is enough to erase that one.
     areas_.write(area_, flushed_end_, std::string(record_header_size, '\0'));
 }
 
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The area that counts: which one it is, and the journal of records behind its trees.
+/// The active area of a store, and the journal of records that follows its trees.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 using AreaIndex = unsigned;
 inline constexpr AreaIndex area_count = 2;
 
-/// Reads and writes within the two areas of a medium. Throws what the medium does.
+/// Reads and writes by offset within the two areas of a medium. Throws StoreError if the medium
+/// fails.
 class AreaStorage {
 public:
     /// @param medium must outlive it.
@@ -29,14 +30,15 @@
     Medium &medium_;
 };
 
-/// A record that was read.
+/// A record that was read from the journal.
 struct JournalRecord {
     RecordKind kind = RecordKind::write;
     std::string payload;
-    std::uint64_t end = 0; ///< Offset behind it in the area.
+    std::uint64_t end = 0; ///< Offset in the area of the first byte after the record.
 };
 
-/// Appends records behind the trees of the area that counts, and reads them at an opening.
+/// Appends records after the trees of the active area, and reads them back when the store is
+/// opened.
 class Journal {
 public:
     /// @param medium must outlive it.
@@ -47,31 +49,33 @@
     std::uint64_t generation() const { return generation_; }
     std::uint64_t last_number() const { return last_number_; }
 
-    /// There is no area that counts; the first one will be area 0.
+    /// Forgets the active area, so that the next checkpoint goes into area 0.
     void reset();
-    /// Goes on behind the trees of an area; all before is durable.
+    /// Makes an area active and starts an empty journal after its trees, which must be durable.
     void begin(AreaIndex area, const AreaHeader &header);
 
-    /// Appends a record. If the medium fails, the next one is written over it.
+    /// Appends a record. If the medium fails, the next append overwrites the incomplete record.
     void append(RecordKind kind, std::string_view payload);
-    /// Reads all records from the beginning until one is missing or not whole.
+    /// Reads the records from the start of the journal up to the first that is missing or
+    /// incomplete.
     std::vector<JournalRecord> read_records();
-    /// Notes that a record that was read counts; the next one is appended behind it.
+    /// Keeps a record that was read; the next append goes after it.
     void accept(const JournalRecord &record);
-    /// Notes that all records so far are durable.
+    /// Records that all records so far are durable.
     void mark_flushed() { flushed_end_ = end_; }
-    /// Makes the records since the last flush unreadable. Not durable before the next sync.
+    /// Makes the records since the last flush unreadable. Durable only after the next sync.
     void erase_unflushed();
 
-    /// Whether the records take so much more than the trees that a checkpoint is due.
+    /// Whether the journal is so long, compared with the trees, that a checkpoint should replace
+    /// it.
     bool needs_checkpoint() const;
 
 private:
     AreaStorage areas_;
     AreaIndex area_ = 0;
-    std::uint64_t generation_ = 0; // 0: there is no area that counts
+    std::uint64_t generation_ = 0; // 0: there is no active area
     std::uint64_t last_number_ = 0;
-    // Offsets in the area.
+    // Offsets in the area: the journal's begin and end, and the end of its durable part.
     std::uint64_t begin_ = 0;
     std::uint64_t end_ = 0;
     std::uint64_t flushed_end_ = 0;
--- a/src/store/medium.cpp
+++ b/src/store/medium.cpp
@@ -17,7 +17,7 @@
     FileMedium(const std::string &path, bool is_durable) : path_(path), is_durable_(is_durable) {
         fd_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, file_mode);
         if (fd_ < 0)
-            fail("can't be opened");
+            throw_errno("can't be opened");
     }
     ~FileMedium() override { ::close(fd_); }
     FileMedium(const FileMedium &) = delete;
@@ -29,9 +29,9 @@
             if (count < 0 && errno == EINTR)
                 continue;
             if (count < 0)
-                fail("can't be read");
+                throw_errno("can't be read");
             if (count == 0) {
-                std::memset(to, 0, size); // behind the file's end
+                std::memset(to, 0, size); // past the end of the file: zeroes
                 return;
             }
             to += count;
@@ -46,7 +46,7 @@
             if (count < 0 && errno == EINTR)
                 continue;
             if (count < 0)
-                fail("can't be written");
+                throw_errno("can't be written");
             offset += static_cast<std::uint64_t>(count);
             bytes.remove_prefix(static_cast<std::size_t>(count));
         }
@@ -54,13 +54,13 @@
 
     void sync() override {
         if (is_durable_ && ::fdatasync(fd_) != 0)
-            fail("can't be made durable");
+            throw_errno("can't be synced to disk");
     }
 
 private:
-    [[noreturn]] void fail(const char *what) {
+    [[noreturn]] void throw_errno(const char *failure) {
         throw StoreError(StoreError::Kind::medium,
-                         "store file " + path_ + " " + what + ": " + std::strerror(errno));
+                         "store file " + path_ + " " + failure + ": " + std::strerror(errno));
     }
 
     std::string path_;
@@ -95,23 +95,24 @@
     explicit OverlayMedium(Medium &below) : below_(below) {}
 
     void read(std::uint64_t offset, char *to, std::size_t size) override {
-        for_each_page(offset, size, [&](std::uint64_t page, std::size_t within, std::size_t count) {
-            auto it = pages_.find(page);
-            if (it == pages_.end())
-                below_.read(page * page_size + within, to, count);
-            else
-                std::memcpy(to, it->second.data() + within, count);
-            to += count;
-        });
+        for_each_page(offset, size,
+                      [&](std::uint64_t page, std::size_t offset_in_page, std::size_t count) {
+                          auto it = pages_.find(page);
+                          if (it == pages_.end())
+                              below_.read(page * page_size + offset_in_page, to, count);
+                          else
+                              std::memcpy(to, it->second.data() + offset_in_page, count);
+                          to += count;
+                      });
     }
 
     void write(std::uint64_t offset, std::string_view bytes) override {
         for_each_page(offset, bytes.size(),
-                      [&](std::uint64_t page, std::size_t within, std::size_t count) {
+                      [&](std::uint64_t page, std::size_t offset_in_page, std::size_t count) {
                           auto [it, is_new] = pages_.try_emplace(page, page_size, '\0');
                           if (is_new)
                               below_.read(page * page_size, it->second.data(), page_size);
-                          std::memcpy(it->second.data() + within, bytes.data(), count);
+                          std::memcpy(it->second.data() + offset_in_page, bytes.data(), count);
                           bytes.remove_prefix(count);
                       });
     }
@@ -121,20 +122,21 @@
 private:
     static constexpr std::size_t page_size = 4096;
 
-    // Calls `visit(page, offset in the page, bytes)` for each page of a range, in order.
+    // Calls `visit(page number, offset in the page, byte count)` for each page of a range, in
+    // order.
     template <class Visit>
     static void for_each_page(std::uint64_t offset, std::size_t size, Visit visit) {
         while (size > 0) {
-            auto within = static_cast<std::size_t>(offset % page_size);
-            auto count = std::min(size, page_size - within);
-            visit(offset / page_size, within, count);
+            auto offset_in_page = static_cast<std::size_t>(offset % page_size);
+            auto count = std::min(size, page_size - offset_in_page);
+            visit(offset / page_size, offset_in_page, count);
             offset += count;
             size -= count;
         }
     }
 
     Medium &below_;
-    std::map<std::uint64_t, std::string> pages_; // that were written, by number
+    std::map<std::uint64_t, std::string> pages_; // pages written so far, by page number
 };
 
 } // namespace
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,18 +10,19 @@
 namespace knotvane::store {
 namespace {
 
-// The store flushes by itself once so many blocks wait for it to come free, as disks do: 64 MiB.
+// Once more than this many released blocks (64 MiB) wait for a flush to become free, the store
+// flushes on its own, as disks do.
 constexpr std::size_t max_unflushed_releases = 16384;
 
-// A block that was released is free after this many flushes.
+// Number of flushes after which a released block is free.
 constexpr int flushes_until_free = 2;
 
 using BlockBuffer = std::array<char, block_size>;
 
-// The part of a change that lies in one block.
+// The part of a change that falls into one block.
 struct BlockRange {
     std::uint64_t block = 0;
-    std::uint32_t begin = 0;     // bytes into the block
+    std::uint32_t begin = 0;     // offset in the block, bytes
     std::uint32_t length = 0;    // bytes
     const char *bytes = nullptr; // null: zeroes
 
@@ -31,8 +32,8 @@
 
 } // namespace
 
-// Writes the blocks of one change, each into a block that nothing durable names, and collects what
-// the journal is to say of them. Takes its blocks back unless it is committed.
+// Writes the blocks of one change, each to a newly allocated block, and collects the block changes
+// for the journal record. The destructor frees the allocated blocks unless commit was called.
 class Store::ChangeBuilder {
 public:
     ChangeBuilder(Store &store, const std::vector<VolumeId> &volumes)
@@ -43,13 +44,13 @@
 
     // @return false if the rest of a block does not match its checksum, or no space is left.
     bool add(const BlockRange &range) {
-        // Volumes that have one block in common go on with one.
-        std::vector<std::pair<BlockRef, BlockRef>> written; // from what, to what
+        // Volumes that share a block before the change share the new block after it.
+        std::vector<std::pair<BlockRef, BlockRef>> written; // old and new location
         for (VolumeId volume : volumes_) {
             BlockRef old = store_.find(volume, range.block);
             if (range.is_zero() && range.is_whole()) {
                 if (!old.is_hole())
-                    note(volume, range.block, {});
+                    add_change(volume, range.block, {});
                 continue;
             }
             if (range.is_zero() && old.is_hole())
@@ -58,29 +59,30 @@
                 return range.is_whole() || refs.first == old;
             });
             if (same != written.end()) {
-                note(volume, range.block, same->second);
+                add_change(volume, range.block, same->second);
                 continue;
             }
             auto ref = write(range, old);
             if (!ref)
                 return false;
-            note(volume, range.block, *ref);
+            add_change(volume, range.block, *ref);
             written.emplace_back(old, *ref);
         }
         return true;
     }
 
-    // What was added stays.
+    // Keeps the allocated blocks.
     void commit() { allocated_.clear(); }
 
     const BlockChanges &changes() const { return changes_; }
 
 private:
-    void note(VolumeId volume, std::uint64_t block, BlockRef ref) {
+    void add_change(VolumeId volume, std::uint64_t block, BlockRef ref) {
         changes_[volume].push_back({block, ref});
     }
 
-    // Writes a new block: the range, and of what is not written whole the rest.
+    // Writes a new block. If the range covers only part of it, the rest is copied from the old
+    // block.
     std::optional<BlockRef> write(const BlockRange &range, BlockRef old) {
         BlockBuffer buffer;
         std::string_view content(range.bytes, range.is_zero() ? 0 : range.length);
@@ -119,7 +121,8 @@
     return it == volumes_.end() ? BlockRef{} : it->second.map.find(block);
 }
 
-// Reads a whole block. False if it does not match its checksum.
+// Reads a whole block.
+// @return false if it does not match its checksum.
 bool Store::load_block(const BlockRef &ref, char *to) {
     if (ref.is_hole()) {
         std::memset(to, 0, block_size);
@@ -168,8 +171,7 @@
     return change({source, snapshot}, offset, length, nullptr);
 }
 
-// All blocks of a change go into one record of the journal, which is there or not: so a change is
-// done whole or not at all.
+// All blocks of a change go into a single journal record, which makes the change atomic.
 bool Store::change(const std::vector<VolumeId> &volumes, std::uint64_t offset, std::uint64_t length,
                    const char *bytes) {
     if (has_failed_)
@@ -198,18 +200,18 @@
             return true;
         append(RecordKind::write, encode_changes(builder.changes()));
     } catch (const StoreError &) {
-        // Nothing names the blocks; a record that was written in part is written over by the next.
+        // Nothing refers to the blocks, and the next append overwrites an incomplete record.
         return false;
     }
     builder.commit();
     apply(builder.changes());
 
-    if (blocks_.released_since_flush() <= max_unflushed_releases)
+    if (blocks_.released_since_flush_count() <= max_unflushed_releases)
         return true;
     try {
         flush();
     } catch (const StoreError &) {
-        return false; // the change stands, but nothing can be written any more
+        return false; // the change was applied, but no further writes are possible
     }
     return true;
 }
@@ -260,19 +262,21 @@
 
 void Store::flush() {
     if (has_failed_)
-        throw StoreError(StoreError::Kind::medium,
-                         "store: its medium failed to make writes durable; open it anew");
+        throw StoreError(
+            StoreError::Kind::medium,
+            "store: the medium failed in an earlier sync or checkpoint; all writes are "
+            "rejected until the store is reopened");
     try {
         medium_.sync();
     } catch (...) {
-        has_failed_ = true; // what the medium dropped can't be known
+        has_failed_ = true; // unknown which writes the medium lost
         throw;
     }
     blocks_.on_flush();
     if (!has_unflushed_)
         return;
-    // All is durable even if this fails: that it is said so only saves the next opening from
-    // reading blocks.
+    // Everything is durable even if this append fails. The record only saves the next opening from
+    // verifying the blocks of the records before it.
     try_append(RecordKind::flushed, {});
     has_unflushed_ = false;
     journal_.mark_flushed();
@@ -297,7 +301,7 @@
         has_unflushed_ = true;
 }
 
-// False if the medium failed.
+// @return false if the medium failed.
 bool Store::try_append(RecordKind kind, std::string_view payload) {
     try {
         append(kind, payload);
@@ -307,7 +311,7 @@
     return true;
 }
 
-// Writes the trees into the area that does not count, and only then the header that makes it count.
+// Writes the trees to the inactive area, and after that the header that makes this area active.
 void Store::write_checkpoint() {
     AreaIndex other = area_count - 1 - journal_.area();
     auto trees = encode_checkpoint(volumes_, marks_);
@@ -316,11 +320,11 @@
     } catch (const StoreError &) {
         if (journal_.generation() == 0)
             throw;
-        return; // the area that counts is untouched; another time
+        return; // the active area is unchanged; a later flush tries again
     }
 
-    has_failed_ = true; // until all of it came about, which area counts is in doubt
-    // The trees, and the blocks that they name, have to be durable before they count.
+    has_failed_ = true; // until the end of this function it is unknown which area is active
+    // The trees and the blocks they refer to must be durable before the header commits them.
     medium_.sync();
     AreaHeader header;
     header.generation = journal_.generation() + 1;
@@ -346,8 +350,8 @@
 void Store::mark_applied(const DeduplicationMark &mark, Time not_after, Time now) {
     if (was_applied(mark, now))
         return;
-    // A mark that could not be written stands in memory; it is lost with the process, and a repeat
-    // after that may be done again, as after a power failure.
+    // A mark that could not be written is kept in memory only. After a restart a repeat of its
+    // change may be applied again, as after a power failure.
     try_append(RecordKind::mark, encode_mark({mark, not_after}));
     marks_.add(mark, not_after);
 }
@@ -355,7 +359,7 @@
 // ---- Space
 
 bool Store::has_space_for(std::uint64_t bytes) const {
-    // Both ends may lie within a block.
+    // The range may begin and end inside a block.
     constexpr std::uint64_t partial_blocks = 2;
     return blocks_.available() >= bytes / block_size + partial_blocks;
 }
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// A shard's data on one medium: volumes, snapshots and clones that share the blocks they have in
-/// common, and the marks of deduplicated changes that were applied. A store outlives the processes
-/// that serve it. Its format: docs/store-format.md.
+/// Persistent storage of a shard's data on one medium: volumes, snapshots and clones that share
+/// common blocks, and the marks of deduplicated changes that were applied. The format is described
+/// in docs/store-format.md.
 #pragma once
 
 #include <cstddef>
@@ -25,142 +25,152 @@
 
 namespace knotvane::store {
 
-/// How making a snapshot or a clone went. The values are those of the planner protocol.
+/// The result of creating a snapshot or a clone. The values are those of the planner protocol.
 enum class SnapshotResult : std::uint8_t {
     created = 0,
-    already_exists = 1, ///< By this id, from the same source, in the same state: a resend.
-    id_taken = 2,       ///< The id is another volume's, or the epoch is in use.
-    no_space = 3,       ///< The reserve that writes need would be touched.
-    medium_failed = 4,
+    already_exists =
+        1, ///< A copy of the same source in the same state has this id: the order was resent.
+    id_taken = 2,      ///< Another volume has the id, or the source has reached the epoch already.
+    no_space = 3,      ///< Less free space is left than is reserved for writes.
+    medium_failed = 4, ///< The medium failed; nothing was created.
 };
 
-/// A run of bytes that hold data, or read as zeroes because they were never written.
+/// A run of bytes that either all have stored data, or all read as zeroes without any.
 struct DataRun {
     std::uint32_t length = 0; ///< Bytes.
     bool has_data = false;
 };
 
-/// Offset and length, bytes.
+/// Offset and length in bytes.
 using ByteRange = std::pair<std::uint64_t, std::uint64_t>;
 
-/// Offsets and lengths are bytes. A volume need not be made: one that was never written reads as
-/// zeroes. Not safe for use from several threads.
+/// A shard's store. Offsets and lengths are in bytes. Volumes need not be created: a volume that
+/// was never written reads as zeroes. Not thread-safe.
 class Store {
 public:
-    /// Blocks of a store whose size nobody chose: 64 GiB.
+    /// Default capacity in blocks: 64 GiB.
     static constexpr std::uint64_t default_capacity = std::uint64_t{1} << 24;
 
-    /// Opens what is there, or makes an empty store.
+    /// Opens the store on a medium, or creates an empty one if the medium is blank. Writes a
+    /// checkpoint.
     /// @param medium must outlive it.
-    /// @param capacity blocks at most; may grow from one opening to the next.
-    /// @throws StoreError of kind `damage` if the header or the trees do not match their checksums,
+    /// @param capacity maximum number of blocks; may grow from one opening to the next.
+    /// @throws StoreError of kind `corruption` if the header or the trees do not match their
+    /// checksums,
     ///     of kind `medium` if the medium fails.
     explicit Store(Medium &medium, std::uint64_t capacity = default_capacity);
     ~Store() = default;
     Store(const Store &) = delete;
     Store &operator=(const Store &) = delete;
 
-    /// Goes up when what was answered but not flushed may be lost.
+    /// Increases when changes that were acknowledged but not flushed may have been lost.
     std::uint64_t incarnation() const { return incarnation_; }
 
     // ---- Data (store.cpp)
 
-    /// Appends a range of a volume to `to`.
+    /// Reads a range of a volume and appends it to `to`.
     /// @return false if a block does not match its checksum.
     /// @throws StoreError if the medium fails.
     bool read(VolumeId volume, std::uint64_t offset, std::uint32_t length, std::string &to);
-    /// Writes all or nothing. Blocks that are written in part keep the rest.
-    /// @return false if that rest does not match its checksum, no space is left, the medium fails,
-    ///     or the volume is frozen.
+    /// Writes a range atomically. Partly written blocks keep the rest of their content.
+    /// @return false if the rest of a partly written block does not match its checksum, no space is
+    ///     left, the volume is frozen, or the medium fails. If it fails in the flush that a write
+    ///     starts once many blocks were released, the change itself has been applied.
     bool write(VolumeId volume, std::uint64_t offset, std::string_view bytes);
-    /// Makes a range read as zeroes, as write does.
+    /// Zeroes a range atomically; fails in the same cases as write.
     bool zero(VolumeId volume, std::uint64_t offset, std::uint32_t length);
-    /// Writes to a volume and the open snapshot of it: both or none.
+    /// Writes to a volume and to its open snapshot atomically.
     bool write_both(VolumeId source, VolumeId snapshot, std::uint64_t offset,
                     std::string_view bytes);
+    /// Zeroes a range of a volume and of its open snapshot atomically.
     bool zero_both(VolumeId source, VolumeId snapshot, std::uint64_t offset, std::uint32_t length);
-    /// The runs of a range, in order.
+    /// Returns the data and zero runs of a range, in ascending order.
     std::vector<DataRun> data_runs(VolumeId volume, std::uint64_t offset,
                                    std::uint32_t length) const;
-    /// Ranges in which two volumes differ, in order.
+    /// Returns the ranges in which two volumes differ, in ascending order.
     std::vector<ByteRange> diff(VolumeId a, VolumeId b) const;
 
     // ---- Durability (store.cpp)
 
-    /// Makes durable what was written so far.
-    /// @throws StoreError if the medium can't; nothing can be written after that.
+    /// Makes all changes so far durable.
+    /// @throws StoreError if the medium fails; the store rejects all writes after that.
     void flush();
-    /// Flushes and notes that nothing was left to lose: the next opening keeps the incarnation.
+    /// Flushes, and records that all changes are durable, so that the next opening keeps the
+    /// incarnation.
     /// @throws StoreError as flush.
     void close();
-    /// Loses all since the last flush and opens anew, as after a power failure.
+    /// Discards all changes since the last flush and reopens the store, as after a power failure.
     /// @throws StoreError as the constructor.
     void discard_unflushed();
 
-    // ---- Snapshots and clones (store_snapshots.cpp). They take time and space by what changes
-    // later, not by the volume's size.
+    // ---- Snapshots and clones (store_snapshots.cpp). Their time and space depend on later
+    // changes, not on the volume's size.
 
-    /// Makes a copy that can't be written. Durable on return.
+    /// Creates a read-only copy. Durable on return.
     /// @throws StoreError if it can't be made durable.
     SnapshotResult take_snapshot(VolumeId source, VolumeId snapshot);
-    /// Makes a copy that can be written. Durable on return.
+    /// Creates a writable copy. Durable on return.
     /// @throws StoreError if it can't be made durable.
     SnapshotResult clone(VolumeId source, VolumeId copy);
-    /// Begins a snapshot over many stores: it stays open, and late changes of an earlier epoch go
-    /// into both by write_both and zero_both, until it is sealed. Not durable before that.
-    /// @param epoch of the source's changes from here on; above its present one.
+    /// Begins a snapshot that spans several stores. It stays open until it is sealed: late changes
+    /// of an earlier epoch are applied to the source and the snapshot by write_both and zero_both.
+    /// Not durable before it is sealed.
+    /// @param epoch the epoch of the source's changes from now on; above its present epoch.
     SnapshotResult open_snapshot(VolumeId source, VolumeId snapshot, std::uint32_t epoch);
-    /// Freezes an open snapshot and makes it durable; a sealed one stays as it is.
-    /// @return false if there is none, or the medium failed.
+    /// Makes an open snapshot read-only and durable. Has no effect on a sealed one.
+    /// @return false if the snapshot does not exist, is a writable volume, or the medium failed.
     /// @throws StoreError if it can't be made durable.
     bool seal_snapshot(VolumeId snapshot);
-    /// Drops a volume, a snapshot or a clone. Durable on return; its blocks come back by reclaim.
-    /// @return false if there is none, or the medium failed.
+    /// Drops a volume, a snapshot or a clone. Durable on return; its blocks are freed by
+    /// reclaim.
+    /// @return false if it does not exist, or the medium failed.
     /// @throws StoreError if it can't be made durable.
     bool drop(VolumeId volume);
 
     bool contains(VolumeId volume) const { return volumes_.contains(volume); }
     bool is_frozen(VolumeId volume) const;
-    /// All snapshots and clones, open ones too.
+    /// All snapshots and clones, including open snapshots.
     std::vector<VolumeId> snapshots() const;
-    /// The open snapshot of a volume, if there is one.
+    /// The open snapshot of a volume, if it has one.
     std::optional<VolumeId> open_snapshot_of(VolumeId source) const;
     /// The epoch of a volume's changes that begin now.
     std::uint32_t epoch(VolumeId volume) const;
-    /// The epoch of a volume's last sealed snapshot: a change of an earlier one would alter that.
+    /// The epoch of a volume's last sealed snapshot. A change of an earlier epoch would alter that
+    /// snapshot.
     std::uint32_t sealed_epoch(VolumeId volume) const;
 
     // ---- Deduplication
 
-    /// Whether the change with this mark was applied, as far as that is remembered.
+    /// Whether the change with this mark was applied. False once the mark has expired.
     bool was_applied(const DeduplicationMark &mark, Time now);
-    /// Remembers a mark until `not_after`. If the medium fails, only as long as the process lives.
+    /// Remembers a mark until `not_after`. If the medium fails, the mark is kept in memory only.
     void mark_applied(const DeduplicationMark &mark, Time not_after, Time now);
     std::size_t mark_count() const { return marks_.size(); }
 
     // ---- Space
 
-    /// Takes down nodes of dropped volumes, `max_nodes` at most.
-    /// @return false once nothing is left.
+    /// Releases at most `max_nodes` nodes of dropped volumes and their blocks.
+    /// @return false once no dropped nodes are left.
     bool reclaim(std::size_t max_nodes) { return maps_.reclaim(max_nodes); }
     bool has_reclaimable_space() const { return !maps_.dropped().empty(); }
     std::uint64_t blocks_used() const { return blocks_.used(); }
-    /// Blocks at most.
+    /// Maximum number of blocks.
     std::uint64_t capacity() const { return blocks_.capacity(); }
-    /// Whether a write of so many bytes finds room.
+    /// Whether there is space for a write of `bytes` bytes.
     bool has_space_for(std::uint64_t bytes) const;
-    /// Whether the next write to this offset copies what other volumes share.
+    /// Whether the next write to this offset has to copy nodes shared with other volumes.
     bool is_shared(VolumeId volume, std::uint64_t offset) const;
-    /// Memory of maps, counts and marks: by blocks written, not by the sizes of volumes.
+    /// Estimated memory of maps, reference counts and marks. It grows with the number of written
+    /// blocks, not with the sizes of volumes.
     std::size_t memory_bytes() const;
 
     // ---- Verification (store_check.cpp)
 
-    /// Walks every map, reads every block and counts every reference anew.
-    /// @return what does not hold, one line each; the first hundred.
+    /// Walks all maps, verifies the checksum of every block and recounts all references.
+    /// @return the inconsistencies found, one line each; at most 100.
     /// @throws StoreError if the medium fails.
     std::vector<std::string> check();
-    /// Flips one stored bit and leaves its checksum, as a failing disk does.
+    /// Flips one stored bit without updating the checksum, as a failing disk does.
     void flip_bit(VolumeId volume, std::uint64_t offset);
 
 private:
@@ -202,7 +212,7 @@
     Volumes volumes_;
     DeduplicationMarks marks_;
     std::uint64_t incarnation_ = 1;
-    bool has_failed_ = false; // what is durable is in doubt: nothing can be written any more
+    bool has_failed_ = false; // unknown which writes are durable; all further writes are rejected
     bool has_unflushed_ = false;
 };
 
--- a/src/store/store_check.cpp
+++ b/src/store/store_check.cpp
@@ -1,4 +1,4 @@
-// Verification of a store: nothing is taken on trust, and nothing is repaired.
+// Verification of a store: recomputes all counts and checksums, and repairs nothing.
 #include <array>
 #include <set>
 
@@ -32,18 +32,18 @@
             findings_.push_back(std::move(finding));
     }
 
-    // Each node once, by the first volume that has it.
+    // Visits each node once; findings name the first volume that refers to it.
     void visit(const ExtentNodePtr &node, int level, std::uint64_t first_block,
                const std::string &owner) {
-        if (!node || !seen_.insert(node.get()).second)
+        if (!node || !visited_.insert(node.get()).second)
             return;
         if ((level == 0) != node->children.empty())
-            return report(owner + ": a node on a wrong level");
+            return report(owner + ": a node is on the wrong level of the tree");
         for (std::size_t i = 0; i < node->blocks.size(); ++i)
             visit_block(node->blocks[i], owner + ": block " + std::to_string(first_block + i));
         for (std::size_t i = 0; i < node->children.size(); ++i) {
-            auto below = std::uint64_t{i} << (fan_out_bits * static_cast<unsigned>(level));
-            visit(node->children[i], level - 1, first_block + below, owner);
+            auto child_offset = std::uint64_t{i} << (fan_out_bits * static_cast<unsigned>(level));
+            visit(node->children[i], level - 1, first_block + child_offset, owner);
         }
     }
 
@@ -51,7 +51,7 @@
         if (ref.is_hole())
             return;
         if (ref.slot >= references_.size())
-            return report(name + " lies past the store's end");
+            return report(name + " is stored beyond the end of the store");
         ++references_[ref.slot];
         std::array<char, block_size> buffer;
         if (!store_.load_block(ref, buffer.data()))
@@ -59,30 +59,31 @@
     }
 
     void check_references() {
-        const auto &counted = store_.blocks_.references();
+        const auto &counters = store_.blocks_.references();
         for (Slot slot = 1; slot < references_.size(); ++slot)
-            if (references_[slot] != counted[slot])
-                report("block " + std::to_string(slot) + " stands in " +
-                       std::to_string(references_[slot]) + " leaves, counted " +
-                       std::to_string(counted[slot]));
+            if (references_[slot] != counters[slot])
+                report("block " + std::to_string(slot) + " has " +
+                       std::to_string(references_[slot]) + " references, but its counter says " +
+                       std::to_string(counters[slot]));
     }
 
     void check_free_blocks() {
         if (!store_.blocks_.is_free_list_sound())
-            report("a block is free twice");
+            report("a block is listed as free twice");
         auto free = store_.blocks_.free_slots();
         for (Slot slot = 1; slot < references_.size(); ++slot) {
             bool is_used = references_[slot] > 0;
             if (is_used && free.contains(slot))
-                report("block " + std::to_string(slot) + " is in use and free");
+                report("block " + std::to_string(slot) + " is in use and also listed as free");
             if (!is_used && !free.contains(slot))
-                report("block " + std::to_string(slot) + " is lost: in no tree and not free");
+                report("block " + std::to_string(slot) +
+                       " is leaked: no tree refers to it and it is not listed as free");
         }
     }
 
     Store &store_;
-    std::vector<std::uint32_t> references_; // by slot, counted anew
-    std::set<const ExtentNode *> seen_;
+    std::vector<std::uint32_t> references_; // recounted, by slot
+    std::set<const ExtentNode *> visited_;
     std::vector<std::string> findings_;
 };
 
--- a/src/store/store_recovery.cpp
+++ b/src/store/store_recovery.cpp
@@ -1,4 +1,4 @@
-// How a store is opened: the trees of the area that counts, and then the journal behind them.
+// Opening a store: loads the trees of the active area, then replays the journal that follows them.
 #include <algorithm>
 #include <array>
 
@@ -15,9 +15,9 @@
         replay_journal();
         recount();
     }
-    // Always a generation of its own. Behind a record that was lost there may be others of the old
-    // one, and they would count again once a record of the same length stands in the lost one's
-    // place.
+    // Every opening starts a new generation. Valid records of the old generation may follow a lost
+    // record, and they would be replayed later if a new record of the same length took the lost
+    // one's place.
     write_checkpoint();
 }
 
@@ -31,7 +31,8 @@
     has_unflushed_ = false;
 }
 
-// Goes on in the area of the highest generation whose header matches its checksum.
+// Makes the area with the highest generation active, out of those whose header matches its
+// checksum.
 // @return its header; nothing if the medium is blank.
 std::optional<AreaHeader> Store::begin_newest_area() {
     std::optional<AreaHeader> newest;
@@ -45,14 +46,16 @@
         journal_.begin(area, *newest);
     }
     if (!newest && !is_blank)
-        throw StoreError(StoreError::Kind::damage, "store: the header does not match its checksum");
+        throw StoreError(StoreError::Kind::corruption,
+                         "store: no area header matches its checksum");
     return newest;
 }
 
 void Store::load_trees(const AreaHeader &header) {
     auto trees = journal_.areas().read(journal_.area(), trees_offset, header.trees_size);
     if (crc32c(trees) != header.trees_crc)
-        throw StoreError(StoreError::Kind::damage, "store: its trees do not match their checksum");
+        throw StoreError(StoreError::Kind::corruption,
+                         "store: the trees of the active area do not match their checksum");
     auto content = decode_checkpoint(trees, capacity());
     volumes_ = std::move(content.volumes);
     marks_ = std::move(content.marks);
@@ -62,7 +65,8 @@
 
 void Store::replay_journal() {
     auto records = journal_.read_records();
-    // Known first: behind the last flush a record counts only with the blocks that it names.
+    // Found first, because records after the last flush are valid only if the blocks they refer to
+    // match their checksums.
     auto last_flushed = std::find_if(records.rbegin(), records.rend(), [](const auto &record) {
         return record.kind == RecordKind::flushed;
     });
@@ -71,20 +75,21 @@
     for (std::size_t i = 0; i < records.size(); ++i) {
         bool is_durable = i < durable_count;
         if (!replay(records[i], is_durable))
-            break; // nothing counts behind it
+            break; // the records after it depend on it and are discarded
         journal_.accept(records[i]);
         if (is_durable)
             journal_.mark_flushed();
     }
 
-    // What came after the last flush may be gone without a trace, and who was answered must learn
-    // of it. Only a store that was closed had nothing left to lose.
+    // Records after the last flush may be lost without a trace. The new incarnation tells the edges
+    // that acknowledged changes may be gone. Only a store that was closed has certainly lost
+    // nothing.
     if (records.empty() || records.back().kind != RecordKind::closed)
         ++incarnation_;
 }
 
-// Does what a record tells.
-// @return false if the record does not count.
+// Applies a record.
+// @return false if the record is not valid.
 bool Store::replay(const JournalRecord &record, bool is_durable) {
     switch (record.kind) {
     case RecordKind::write:
@@ -115,7 +120,7 @@
 bool Store::replay_write(const JournalRecord &record, bool is_durable) {
     BlockChanges changes = decode_changes(record.payload, capacity());
     if (!is_durable) {
-        // The power may have failed when the record was there and a block of it was not.
+        // After a power failure the record may be on the medium without all of its blocks.
         std::array<char, block_size> buffer;
         for (const auto &[volume, blocks] : changes)
             for (const BlockChange &change : blocks)
--- a/src/store/store_snapshots.cpp
+++ b/src/store/store_snapshots.cpp
@@ -6,8 +6,8 @@
 namespace knotvane::store {
 namespace {
 
-// Copies are refused while less than this part of the blocks is free: the writes that have to copy
-// blocks because of them need it.
+// Copies are refused while less than a tenth of the blocks is free. That reserve is for writes,
+// which need new blocks wherever the old ones are shared with a copy.
 constexpr std::uint64_t reserve_divisor = 10;
 
 } // namespace
@@ -37,8 +37,8 @@
         return existing_copy_result(copy);
     if (has_failed_)
         return SnapshotResult::medium_failed;
-    // Guards against a planner that lost count: changes of this epoch may be on both sides of the
-    // snapshot already.
+    // Guards against a planner that reuses an epoch: changes of this epoch may already exist both
+    // in the snapshot and after it.
     if (copy.is_open && copy.epoch <= epoch(copy.source))
         return SnapshotResult::id_taken;
     std::uint64_t free = capacity() - std::min(blocks_used(), capacity());
@@ -52,7 +52,7 @@
     return SnapshotResult::created;
 }
 
-// What an order means whose id is there already.
+// The result of an order to create a copy whose id already exists.
 SnapshotResult Store::existing_copy_result(const CopyRecord &copy) const {
     const Volume &existing = volumes_.at(copy.copy);
     bool is_same = existing.is_copy && existing.source == copy.source &&
@@ -60,20 +60,20 @@
     return is_same ? SnapshotResult::already_exists : SnapshotResult::id_taken;
 }
 
-// Does nothing if the copy is there already.
+// Does nothing if the copy already exists.
 void Store::apply_copy(const CopyRecord &copy) {
     if (contains(copy.copy))
         return;
-    Volume &source = volumes_[copy.source]; // what was never written is a volume of holes
-    Volume made;
-    made.map = source.map;
-    made.source = copy.source;
-    made.is_copy = true;
-    made.is_frozen = copy.is_frozen;
-    made.is_open = copy.is_open;
+    Volume &source = volumes_[copy.source]; // created as a volume of holes if it was never written
+    Volume created;
+    created.map = source.map;
+    created.source = copy.source;
+    created.is_copy = true;
+    created.is_frozen = copy.is_frozen;
+    created.is_open = copy.is_open;
     if (copy.is_open)
         source.epoch = std::max(source.epoch, copy.epoch);
-    volumes_[copy.copy] = std::move(made);
+    volumes_[copy.copy] = std::move(created);
 }
 
 bool Store::seal_snapshot(VolumeId snapshot) {
@@ -107,7 +107,7 @@
     return true;
 }
 
-// Does nothing if there is none.
+// Does nothing if the volume does not exist.
 void Store::apply_drop(VolumeId volume) {
     auto it = volumes_.find(volume);
     if (it == volumes_.end())
@@ -130,7 +130,8 @@
 }
 
 std::optional<VolumeId> Store::open_snapshot_of(VolumeId source) const {
-    // There are a dozen snapshots, not thousands, and only late changes ask.
+    // A linear search is enough: a store has about a dozen snapshots, and only late changes need
+    // this.
     for (const auto &[id, volume] : volumes_)
         if (volume.is_open && volume.source == source)
             return id;
--- a/tests/store/block_allocator_test.cpp
+++ b/tests/store/block_allocator_test.cpp
@@ -1,4 +1,4 @@
-// When a block that was released may be written over.
+// Tests of when a released block may be reused.
 #include <doctest/doctest.h>
 
 #include "store/block_allocator.hpp"
@@ -6,9 +6,10 @@
 using namespace knotvane::store;
 
 TEST_SUITE("block allocator") {
-    // The power fails right after a flush was made durable and before its record was. The next
-    // opening still reads the blocks of the records before that flush; one that was released and
-    // written over meanwhile would not match its checksum, and flushed changes would be lost.
+    // The power fails after a flush synced the data but before the flush's own record is durable.
+    // Recovery then still verifies the blocks of the records before that flush. If one of them had
+    // been released and overwritten, its checksum would not match and flushed changes would be
+    // lost.
     TEST_CASE("a released block is free after the second flush, not after the first") {
         BlockAllocator blocks(1);
         Slot slot = blocks.allocate();
@@ -16,7 +17,7 @@
         CHECK(blocks.used() == 1);
         blocks.remove_reference(slot);
         CHECK(blocks.used() == 0);
-        CHECK(blocks.released_since_flush() == 1);
+        CHECK(blocks.released_since_flush_count() == 1);
         CHECK(blocks.allocate() == no_slot);
         blocks.on_flush();
         CHECK(blocks.needs_flush());
@@ -26,7 +27,7 @@
         CHECK(blocks.allocate() == slot);
     }
 
-    TEST_CASE("a checkpoint frees what was released; blocks of a failed change are free at once") {
+    TEST_CASE("a checkpoint frees released blocks; blocks of a failed change are free at once") {
         BlockAllocator blocks(2);
         Slot released = blocks.allocate();
         blocks.add_reference(released);
--- a/tests/store/failing_medium.hpp
+++ b/tests/store/failing_medium.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A medium that fails: for good, as when the power does, or once, with an error.
+/// A medium for tests that fails on request: permanently, as in a power failure, or once.
 #pragma once
 
 #include <algorithm>
@@ -16,26 +16,28 @@
 
 constexpr std::size_t sector_size = 512;
 
-/// A disk with a cache: what is written is seen at once, and durable at the next sync. After a
-/// power failure it holds what was synced, and of the sectors written since any may be there.
+/// A disk with a write cache: writes are visible at once and durable after the next sync. After a
+/// power failure it holds all synced writes, and any subset of the sectors written since.
 struct FailingMedium final : Medium {
     struct PowerFailure : StoreError {
-        PowerFailure() : StoreError(Kind::medium, "the power is gone") {}
+        PowerFailure() : StoreError(Kind::medium, "simulated power failure") {}
     };
 
     std::string visible;
     std::string durable;
     std::vector<std::pair<std::uint64_t, std::string>> unsynced;
-    long calls_until_power_failure = -1; // below 0: never
-    long calls_until_error = -1; // of one call; the next ones are well again. Below 0: never
+    long calls_until_power_failure = -1; // negative: never
+    long calls_until_error = -1;         // only one call fails; negative: never
 
+    /// Counts a call, and throws if it is the one to fail.
     void count_call() {
         if (calls_until_power_failure >= 0 && calls_until_power_failure-- == 0) {
             calls_until_power_failure = 0;
             throw PowerFailure();
         }
         if (calls_until_error >= 0 && calls_until_error-- == 0)
-            throw StoreError(StoreError::Kind::medium, "no space left on the medium");
+            throw StoreError(StoreError::Kind::medium,
+                             "simulated error: no space left on the medium");
     }
 
     void read(std::uint64_t offset, char *to, std::size_t size) override {
@@ -57,15 +59,17 @@
         unsynced.clear();
     }
 
-    /// What is there when the power is back.
+    /// @return the bytes on the disk after a power failure, with a random subset of unsynced
+    /// sectors.
     std::string after_power_failure(std::ranlux24_base &random) const {
         std::string out = durable;
         for (const auto &[offset, bytes] : unsynced)
-            for (std::size_t i = 0; i < bytes.size();) {
-                auto count = std::min(sector_size - (offset + i) % sector_size, bytes.size() - i);
+            for (std::size_t done = 0; done < bytes.size();) {
+                auto count =
+                    std::min(sector_size - (offset + done) % sector_size, bytes.size() - done);
                 if (random() % 2 == 0)
-                    replace(out, offset + i, std::string_view(bytes).substr(i, count));
-                i += count;
+                    replace(out, offset + done, std::string_view(bytes).substr(done, count));
+                done += count;
             }
         return out;
     }
--- a/tests/store/format_test.cpp
+++ b/tests/store/format_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of a store: other versions of the program read them.
+// The format of a store on the medium, which other versions of the program read.
 #include <doctest/doctest.h>
 
 #include "node_protocol/crc.hpp"
@@ -8,9 +8,9 @@
 using namespace knotvane::store;
 
 TEST_SUITE("store format") {
-    // A change of the code that alters a stored byte would make stores of the version before
-    // unreadable. The checksums are those of the same changes by an earlier version.
-    TEST_CASE("a store of every kind of record has the bytes of earlier versions") {
+    // A code change that alters any stored byte would make existing stores unreadable. The expected
+    // checksums were computed from the same changes made by an earlier version.
+    TEST_CASE("a store with all kinds of records has the same bytes as with earlier versions") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         {
@@ -37,7 +37,8 @@
         CHECK_FALSE(reopened.contains(VolumeId{2}));
     }
 
-    TEST_CASE("a header and a record are read back; another generation's record is not") {
+    TEST_CASE("a header and a record are decoded as encoded; a record of another generation does "
+              "not match") {
         auto header = encode_header({.generation = 3,
                                      .incarnation = 5,
                                      .trees_size = 7,
@@ -66,22 +67,24 @@
         CHECK_FALSE(matches_checksum(record_header, 3, "payloaf"));
     }
 
-    TEST_CASE("a record that is cut short, or names a block past the end, is refused by name") {
-        auto message = [](std::string_view payload, std::uint64_t capacity) {
+    TEST_CASE(
+        "a truncated record and one with a block beyond the capacity are each rejected by name") {
+        auto error_message = [](std::string_view payload, std::uint64_t capacity) {
             try {
                 decode_changes(payload, capacity);
                 return std::string();
             } catch (const StoreError &error) {
-                CHECK(error.kind() == StoreError::Kind::damage);
+                CHECK(error.kind() == StoreError::Kind::corruption);
                 return std::string(error.what());
             }
         };
         BlockChanges changes;
         changes[VolumeId{1}].push_back({.block = 2, .ref = {.slot = 9, .crc = 1}});
         auto payload = encode_changes(changes);
-        CHECK(message(payload, 9).empty());
-        CHECK(message(payload, 8) == "store: a record names a block past its end");
+        CHECK(error_message(payload, 9).empty());
+        CHECK(error_message(payload, 8) ==
+              "store: a record refers to a block beyond the store's capacity");
         payload.pop_back();
-        CHECK(message(payload, 9) == "store: a record is cut short");
+        CHECK(error_message(payload, 9) == "store: a record is truncated");
     }
 }
--- a/tests/store/model.hpp
+++ b/tests/store/model.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// What a store should hold, by plain arrays, and random changes to both.
+/// A reference model of a store made of plain arrays, and random changes to the store and the
+/// model.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +14,8 @@
 
 namespace knotvane::store {
 
-/// Volumes as arrays of sectors, a letter each, since every write is of one letter; a copy of a
-/// volume is a copy of its array.
+/// The expected content by volume: one letter for each sector, since every write consists of a
+/// single letter. A copy of a volume is a copy of its array.
 using Model = std::map<VolumeId, std::string>;
 
 constexpr std::size_t volume_blocks = 80;
@@ -22,7 +23,7 @@
 constexpr std::size_t volume_sectors = volume_size / sector_size;
 constexpr std::uint64_t model_volumes = 6;
 
-/// A model of volumes that were never written.
+/// Returns the model of a store whose volumes were never written.
 inline Model empty_model() {
     Model model;
     for (std::uint64_t volume = 1; volume <= model_volumes; ++volume)
@@ -30,7 +31,7 @@
     return model;
 }
 
-/// What a store holds, as a model; '?' for a sector of more than one letter.
+/// Reads a store's content as a model; '?' stands for a sector with several letters.
 inline Model model_of(Store &store) {
     Model model;
     for (std::uint64_t volume = 1; volume <= model_volumes; ++volume) {
@@ -38,8 +39,8 @@
         auto &sectors = model[VolumeId{volume}];
         if (!store.read(VolumeId{volume}, 0, volume_size, bytes))
             sectors = "damaged";
-        for (std::size_t at = 0; at < bytes.size(); at += sector_size) {
-            auto sector = std::string_view(bytes).substr(at, sector_size);
+        for (std::size_t offset = 0; offset < bytes.size(); offset += sector_size) {
+            auto sector = std::string_view(bytes).substr(offset, sector_size);
             bool is_uniform = sector.find_first_not_of(sector[0]) == std::string_view::npos;
             sectors += is_uniform ? sector[0] : '?';
         }
@@ -47,23 +48,26 @@
     return model;
 }
 
-/// Makes random changes to a store, and to a model what should come of them.
+/// Makes random changes to a store, and applies their expected results to a model.
 class RandomChanges {
 public:
     RandomChanges(Store &store, std::ranlux24_base &random)
         : model(empty_model()), store_(store), random_(random) {}
 
+    /// The expected content of the store.
     Model model;
-    /// The model with the change that is being made: what may be there if it is cut short.
+    /// The model as it is after the present change; a change that is interrupted leaves this state
+    /// or the one before it.
     Model model_after;
 
-    /// Makes one change.
-    /// @return whether all before it is durable now.
+    /// Makes one random change.
+    /// @return whether all changes so far are durable now.
     bool step() {
         volume_ = VolumeId{1 + random_() % model_volumes};
         other_ = VolumeId{1 + random_() % model_volumes};
-        first_ = random_() % volume_sectors;
-        count_ = std::min<std::uint64_t>(1 + random_() % max_sectors, volume_sectors - first_);
+        first_sector_ = random_() % volume_sectors;
+        sector_count_ =
+            std::min<std::uint64_t>(1 + random_() % max_sectors, volume_sectors - first_sector_);
         switch (random_() % 16) {
         case 0:
             return zero();
@@ -91,14 +95,14 @@
 private:
     static constexpr std::uint64_t max_sectors = 40;
 
-    std::uint64_t offset() const { return first_ * sector_size; }
-    std::uint32_t length() const { return static_cast<std::uint32_t>(count_ * sector_size); }
+    std::uint64_t offset() const { return first_sector_ * sector_size; }
+    std::uint32_t length() const { return static_cast<std::uint32_t>(sector_count_ * sector_size); }
     char random_letter(char first) {
         return static_cast<char>(first + static_cast<int>(random_() % 26));
     }
 
     void fill(Model &in, VolumeId volume, char letter) const {
-        in[volume].replace(first_, count_, count_, letter);
+        in[volume].replace(first_sector_, sector_count_, sector_count_, letter);
     }
 
     bool zero() {
@@ -121,7 +125,7 @@
         return false;
     }
 
-    // A late change, into a volume and the open snapshot of it.
+    // Applies a late change to a volume and to its open snapshot.
     bool write_both() {
         auto snapshot = store_.open_snapshot_of(volume_);
         model_after = model;
@@ -134,15 +138,15 @@
         for (VolumeId id : {volume_, *snapshot})
             if (!store_.is_frozen(volume_))
                 fill(model_after, id, letter);
-        bool is_done = is_zero ? store_.zero_both(volume_, *snapshot, offset(), length())
-                               : store_.write_both(volume_, *snapshot, offset(),
-                                                   std::string(length(), letter));
-        if (is_done)
+        bool succeeded = is_zero ? store_.zero_both(volume_, *snapshot, offset(), length())
+                                 : store_.write_both(volume_, *snapshot, offset(),
+                                                     std::string(length(), letter));
+        if (succeeded)
             model = model_after;
         return false;
     }
 
-    void expect_copy() {
+    void predict_copy() {
         model_after = model;
         if (!store_.contains(other_) && volume_ != other_)
             model_after[other_] = model[volume_];
@@ -150,7 +154,7 @@
 
     bool copy() {
         bool is_frozen = random_() % 2 != 0;
-        expect_copy();
+        predict_copy();
         auto result =
             is_frozen ? store_.take_snapshot(volume_, other_) : store_.clone(volume_, other_);
         if (result == SnapshotResult::created)
@@ -159,7 +163,7 @@
     }
 
     bool open_snapshot() {
-        expect_copy();
+        predict_copy();
         auto result = store_.open_snapshot(volume_, other_, store_.epoch(volume_) + 1);
         if (result == SnapshotResult::created)
             model[other_] = model[volume_];
@@ -194,11 +198,11 @@
 
     Store &store_;
     std::ranlux24_base &random_;
-    // Drawn for each step.
+    // Drawn at random for each step.
     VolumeId volume_;
     VolumeId other_;
-    std::uint64_t first_ = 0; // sector
-    std::uint64_t count_ = 0; // of sectors
+    std::uint64_t first_sector_ = 0;
+    std::uint64_t sector_count_ = 0;
 };
 
 } // namespace knotvane::store
--- a/tests/store/recovery_test.cpp
+++ b/tests/store/recovery_test.cpp
@@ -1,4 +1,5 @@
-// What a store is after its medium failed: whole changes, right counts, or a refusal by name.
+// Tests of a store after failures of its medium: changes are atomic, counts are right, and damage
+// is reported with what is damaged.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -13,8 +14,8 @@
 constexpr std::uint64_t capacity = 2000;
 
 // Makes random changes until the power fails at a random call of the medium.
-// @return the models that may be there after it: as it stood after each change since the last one
-//     that made all durable, and with the change that was cut short.
+// @return the possible states of the store afterwards: the model after each change since the last
+//     one that made everything durable, and with the interrupted change.
 std::vector<Model> change_until_power_failure(FailingMedium &medium, std::ranlux24_base &random) {
     Store store(medium, capacity);
     RandomChanges changes(store, random);
@@ -37,8 +38,10 @@
     return possible;
 }
 
-// @return what is wrong with the store that is opened after a power failure; empty if nothing is.
-std::string power_failure_fault(std::uint64_t seed, std::uint64_t &kept_unflushed) {
+// Opens a store after a simulated power failure and checks its content and counts.
+// @param kept_unflushed incremented if changes that were not flushed survived.
+// @return a description of the first fault; empty if there is none.
+std::string find_power_failure_fault(std::uint64_t seed, std::uint64_t &kept_unflushed) {
     std::ranlux24_base random(static_cast<std::ranlux24_base::result_type>(seed));
     FailingMedium medium;
     auto possible = change_until_power_failure(medium, random);
@@ -50,7 +53,7 @@
         auto model = model_of(store);
         auto found = std::find(possible.begin(), possible.end(), model);
         if (found == possible.end())
-            return name + "what is there is no state since the last flush";
+            return name + "the content is none of the states since the last flush";
         if (found != possible.begin())
             ++kept_unflushed;
         for (const auto &finding : store.check())
@@ -61,7 +64,7 @@
         for (int i = 0; i < 20; ++i)
             changes.step();
         if (model_of(store) != changes.model)
-            return name + "it does not go on well";
+            return name + "changes after the recovery do not read back as expected";
     } catch (const std::exception &error) {
         return name + error.what();
     }
@@ -71,26 +74,28 @@
 } // namespace
 
 TEST_SUITE("store recovery") {
-    // The power fails in the middle of anything: a write, a flush, a checkpoint. All that was
-    // flushed must be there, then a whole number of the changes behind it, and the store must work
-    // on. The environment variable KNOTVANE_CUTS asks for more seeds.
-    TEST_CASE("the power fails at any call: all that was flushed, then a whole number of changes, "
-              "no count wrong") {
+    // The power fails during any operation: a write, a flush, a checkpoint. All flushed changes
+    // must be there, followed by a prefix of the later changes, each of them complete, and the
+    // store must keep working. The environment variable KNOTVANE_CUTS sets the number of seeds.
+    TEST_CASE(
+        "after a power failure at any call, all flushed changes and a prefix of the later ones "
+        "are there, and all counts are right") {
         std::uint64_t kept_unflushed = 0;
-        const char *asked_seeds = std::getenv("KNOTVANE_CUTS");
-        std::uint64_t seeds = asked_seeds ? std::strtoull(asked_seeds, nullptr, 10) : 400;
+        const char *requested_seeds = std::getenv("KNOTVANE_CUTS");
+        std::uint64_t seeds = requested_seeds ? std::strtoull(requested_seeds, nullptr, 10) : 400;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            auto fault = power_failure_fault(seed, kept_unflushed);
+            auto fault = find_power_failure_fault(seed, kept_unflushed);
             REQUIRE_MESSAGE(fault.empty(), fault);
         }
-        // Unflushed changes are kept at times, so that the check sees more than flushed ones.
+        // Some runs must keep unflushed changes; otherwise only flushed states would be tested.
         CHECK(kept_unflushed > seeds / 20);
     }
 
-    // One call of the medium fails, as on a full file system. The change that needed it must be
-    // done whole or not at all; a flush that failed says so, and nothing is written after it.
-    TEST_CASE("an error at any call leaves what was there before, or all of the change, and no "
-              "count wrong") {
+    // One call of the medium fails, as on a full file system. The change that made the call must be
+    // applied completely or not at all. A failed flush throws, and the store rejects writes after
+    // it.
+    TEST_CASE("after an error at any call, the change is applied completely or not at all, and all "
+              "counts are right") {
         for (std::uint64_t seed = 1; seed <= 300; ++seed) {
             std::ranlux24_base random(static_cast<std::ranlux24_base::result_type>(seed));
             FailingMedium medium;
@@ -102,7 +107,7 @@
                 for (int i = 0; i < 50; ++i)
                     changes.step();
                 if (model_of(store) != changes.model)
-                    fault = "it holds something else";
+                    fault = "the content differs from the model";
                 for (const auto &finding : store.check())
                     fault = finding;
             } catch (const StoreError &) {
@@ -112,17 +117,18 @@
         }
     }
 
-    // The file is damaged where the store keeps its own data. It must say so by name and not serve
-    // zeroes; where only the area that does not count is damaged, it must not notice.
-    TEST_CASE("a damaged header or tree is refused by name") {
+    // The headers or trees of both areas are damaged. The store must refuse to open and name the
+    // damage; opening as an empty store would serve zeroes. Damage of the inactive area alone must
+    // have no effect.
+    TEST_CASE("a store with damaged headers or trees does not open; the error names the damage") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         {
             Store store(*medium);
             store.write(VolumeId{1}, 0, std::string(512, 'a'));
         }
-        auto good = bytes;
-        auto opened_with = [&](const std::string &content) {
+        auto intact = bytes;
+        auto open_and_read = [&](const std::string &content) {
             bytes = content;
             try {
                 Store store(*medium);
@@ -130,19 +136,20 @@
                 return store.read(VolumeId{1}, 0, 1, data) ? "read " + data
                                                            : std::string("damaged");
             } catch (const StoreError &error) {
-                CHECK(error.kind() == StoreError::Kind::damage);
+                CHECK(error.kind() == StoreError::Kind::corruption);
                 return std::string(error.what());
             }
         };
         constexpr std::size_t second_area = 64 << 10;
-        CHECK(opened_with(good) == "read a");
-        auto damaged = good;
+        CHECK(open_and_read(intact) == "read a");
+        auto damaged = intact;
         damaged[9] ^= 1;
         damaged[second_area + 9] ^= 1;
-        CHECK(opened_with(damaged) == "store: the header does not match its checksum");
-        damaged = good;
+        CHECK(open_and_read(damaged) == "store: no area header matches its checksum");
+        damaged = intact;
         damaged[4096] ^= 1;
         damaged[second_area + 4096] ^= 1;
-        CHECK(opened_with(damaged) == "store: its trees do not match their checksum");
+        CHECK(open_and_read(damaged) ==
+              "store: the trees of the active area do not match their checksum");
     }
 }
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -1,4 +1,4 @@
-// The store against a plain model; damage, durability and incarnations.
+// Compares the store with a reference model; tests of damage, durability and incarnations.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -8,8 +8,8 @@
 using namespace knotvane::store;
 
 TEST_SUITE("store") {
-    TEST_CASE("any writes, snapshots, clones and drops read back as arrays would hold them, also "
-              "opened again") {
+    TEST_CASE("after random writes, snapshots, clones and drops the content equals the model, also "
+              "after reopening") {
         CHECK(rc::check([](std::uint16_t seed) {
             std::ranlux24_base random(seed);
             std::string bytes;
@@ -28,9 +28,10 @@
         }));
     }
 
-    // A disk flips a bit of a block. A read of that block must fail and not return the wrong bytes,
-    // and a write of a part of it must not give the damaged rest a valid checksum.
-    TEST_CASE("a flipped bit is found, and only there; a check names it") {
+    // The disk flips a bit of a block. Reads of that block must fail rather than return wrong
+    // bytes, and a write to part of it must not give the damaged rest a valid checksum.
+    TEST_CASE(
+        "a flipped bit fails reads and partial writes of its block only, and check reports it") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         Store store(*medium);
@@ -46,7 +47,7 @@
         CHECK(store.check().empty());
     }
 
-    TEST_CASE("an overlay shows what a store holds and changes no byte of it") {
+    TEST_CASE("a store opened through an overlay reads the same data and changes no byte") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         {
@@ -63,10 +64,11 @@
         CHECK(bytes == before);
     }
 
-    // A node loses power between two flushes. What was flushed is there, with its marks; what was
-    // not is gone with its marks, so that a repeat is done again; and the incarnation tells the
-    // edges that something they had an answer for may be lost.
-    TEST_CASE("unflushed changes are discarded with their marks, under another incarnation") {
+    // A node loses power between two flushes. Flushed changes and their marks must remain.
+    // Unflushed changes must be lost together with their marks, so that repeats are applied again.
+    // The new incarnation tells the edges that acknowledged changes may be lost.
+    TEST_CASE(
+        "discarding unflushed changes also discards their marks and increases the incarnation") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         Store store(*medium);
@@ -87,7 +89,7 @@
         CHECK(store.incarnation() == incarnation + 1);
     }
 
-    TEST_CASE("a close keeps the incarnation; a process that just ended does not") {
+    TEST_CASE("closing a store keeps the incarnation; ending without a close increases it") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         std::uint64_t incarnation = 0;
@@ -106,7 +108,7 @@
         CHECK(Store(*medium).incarnation() == incarnation + 1);
     }
 
-    TEST_CASE("marks outlive the process and are forgotten after their time") {
+    TEST_CASE("marks survive reopening and are forgotten after their expiry time") {
         std::string bytes;
         auto medium = memory_medium(bytes);
         Store store(*medium);
