--- a/src/node/background_schedule.hpp
+++ b/src/node/background_schedule.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// When a node may do background work: a bounded share of its time, behind queued requests, but
-/// never not at all. No I/O.
+/// Schedules a node's background work: it takes a bounded share of the node's time, gives queued
+/// requests precedence, and still makes progress on a node that is always busy. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -13,43 +13,44 @@
 
 /// How busy a node is with requests.
 struct RequestLoad {
-    std::size_t executing = 0; ///< Requests in execution.
-    std::size_t slots = 0;     ///< How many can be in execution at once.
-    std::size_t queued = 0;    ///< Requests that wait for a slot.
+    std::size_t executing = 0; ///< Requests that are executing.
+    std::size_t slots = 0;     ///< Requests that can execute at the same time.
+    std::size_t queued = 0;    ///< Requests waiting for a slot.
 };
 
-/// Paces background work, which is done a short step at a time.
+/// Limits the rate of background work, which is done in short steps.
 class BackgroundSchedule {
 public:
-    /// Whether a step may begin now.
+    /// Whether a step may begin at `now`.
     bool may_begin(Time now, const RequestLoad &load) const { return now >= next_due(load); }
 
-    /// When the next step may begin if the load stays as it is.
+    /// The earliest time at which the next step may begin if the load does not change.
     Time next_due(const RequestLoad &load) const {
         bool is_busy = load.queued > 0 || load.executing + 1 >= load.slots;
         return is_busy ? std::max(next_at_, last_at_ + busy_interval) : next_at_;
     }
 
-    /// Notes that a step began which takes `cost`.
+    /// Records that a step began at `now` that takes `cost` nanoseconds of one slot.
     void step_began(Time now, Time cost) {
         last_at_ = now;
         next_at_ = now + std::max<Time>(cost * interval_per_cost, min_interval);
     }
 
-    /// A new process: nothing is known of earlier steps.
+    /// Forgets earlier steps, as after a restart of the process.
     void reset() {
         next_at_ = 0;
         last_at_ = 0;
     }
 
 private:
-    /// Steps take at most a tenth of the time: a tenth of one slot is a fortieth of a node with
-    /// four, below the one percent of service that background work may take while requests wait.
+    /// Steps take at most a tenth of one slot's time, which is a fortieth of a node with four
+    /// slots. Meant to stay below the one percent of service time that background work may take
+    /// while requests wait.
     static constexpr Time interval_per_cost = 10;
-    /// Steps that cost next to nothing do not wake a node more often than this.
+    /// Minimum interval between steps, so that very cheap steps do not wake the node too often.
     static constexpr Time min_interval = ms;
-    /// While requests wait, a step goes this often: space must come back on a node that is never
-    /// idle.
+    /// Interval between steps while the node is busy. Without it, a node that is never idle would
+    /// not reclaim any space.
     static constexpr Time busy_interval = 50 * ms;
 
     Time next_at_ = 0;
--- a/src/node/connection.hpp
+++ b/src/node/connection.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A storage node's end of one connection.
+/// The storage node's side of one edge's connection.
 #pragma once
 
 #include "node/storage_node.hpp"
@@ -13,8 +13,8 @@
 
     ConnectionId id() const { return id_; }
 
-    /// Takes the next received bytes.
-    /// @return what is wrong with the stream; empty if nothing is.
+    /// Decodes the next received bytes and handles each complete frame.
+    /// @return a description of the protocol error; empty if there is none.
     std::string received(Time now, std::string_view bytes) {
         now_ = now;
         return reader_.feed(bytes, *this);
@@ -22,14 +22,14 @@
 
     bool on_frame(const node_protocol::Frame &frame) override;
 
-    /// Nothing more is sent on it: an injected fault.
+    /// Set by an injected fault: nothing more is sent on this connection.
     bool is_silenced = false;
 
 private:
     StorageNode &node_;
     ConnectionId id_;
-    Time now_ = 0;             // of the bytes that are being read
-    bool has_greeted_ = false; // its hello came
+    Time now_ = 0;             // time of the `received` call in progress
+    bool has_greeted_ = false; // whether the edge's hello was received
     node_protocol::FrameReader reader_;
 };
 
--- a/src/node/fault_injection.hpp
+++ b/src/node/fault_injection.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Faults that a storage node is told to have, for tests and rehearsals.
+/// Faults that are injected into a storage node, for tests and fault drills.
 #pragma once
 
 #include <array>
@@ -12,65 +12,68 @@
 
 namespace knotvane::node {
 
-/// What goes wrong. In the order of `fault_kind_names`.
+/// What the fault does. The values are in the order of `fault_kind_names`.
 enum class FaultKind {
-    go_silent, ///< Stops in the middle of an answer and sends nothing more on that connection.
-    hang,      ///< Accepts requests and starts none; they are executed when the fault ends.
-    slow,      ///< Execution takes `magnitude` times as long.
-    reset_connection,   ///< Resets the connection on which a request comes.
-    refuse_connections, ///< Accepts no connection and resets those that are open.
+    go_silent,          ///< Sends half of an answer and then nothing more on that connection.
+    hang,               ///< Queues requests and starts none; they are executed when the fault ends.
+    slow,               ///< Execution takes `magnitude` times as long.
+    reset_connection,   ///< Resets the connection on which a request arrives.
+    refuse_connections, ///< Resets the open connections and every new one.
     reject_requests,    ///< Rejects requests as if the queue were full.
     fail_requests,      ///< Answers with an error; the request is not executed.
-    truncate_answer,    ///< Closes the connection in the middle of an answer.
-    corrupt_answer,     ///< One bit of an answer is flipped on the way.
-    delay_answer,       ///< Answers leave `magnitude` seconds late.
-    corrupt_block,      ///< One stored bit of the range is flipped before a read.
+    truncate_answer,    ///< Sends half of an answer and closes the connection.
+    corrupt_answer,     ///< Flips one bit of an answer before it is sent.
+    delay_answer,       ///< Sends answers `magnitude` seconds late.
+    corrupt_block,      ///< Flips one stored bit of the range before a read.
 };
 
-/// The kinds by the names that scenarios call them.
+/// The names of the fault kinds in scenario files.
 inline constexpr std::array<std::string_view, 11> fault_kind_names = {
     "mute", "hang", "slow", "reset", "refuse", "full", "fail", "cut", "garble", "late", "rot"};
 
-/// @return nothing if no kind has this name.
+/// @return the fault kind of this name; nothing if there is none.
 std::optional<FaultKind> fault_kind_from_name(std::string_view name);
 
-/// One fault, for a span of time.
+/// One fault, in force from `from` (inclusive) until `until` (exclusive).
 struct FaultInjection {
     FaultKind kind = FaultKind::hang;
     Time from = 0;
     Time until = 0;
-    /// How many requests or answers it meets; 0: all in its time.
+    /// Number of requests or answers it affects; 0: all while it is in force.
     std::uint64_t count = 0;
-    /// Of `slow` a factor, of `delay_answer` seconds.
+    /// For `slow` a factor, for `delay_answer` seconds; unused by the other kinds.
     double magnitude = 0;
 };
 
-/// The faults that one node has been told to have.
+/// The faults injected into one node.
 class FaultInjector {
 public:
     void inject(const FaultInjection &fault);
 
-    /// Whether a fault of this kind is in force. Counts nothing.
+    /// Whether a fault of this kind is in force. Does not use up its count.
     bool is_active(FaultKind kind, Time now) const;
 
-    /// Applies the first fault of this kind that is in force to one request or answer.
+    /// Applies the first fault of this kind that is in force to one request or answer, and
+    /// decrements its remaining count.
     /// @return its magnitude; nothing if there is none.
     std::optional<double> apply(FaultKind kind, Time now);
 
-    /// Forgets the faults that are over.
+    /// Removes the faults whose time has ended or whose count is used up.
     void remove_ended(Time now);
 
-    /// Whether a refusal of connections begins now. True once for each.
+    /// Whether a `refuse_connections` fault has just begun. True once for each such fault.
     bool begin_refusal(Time now);
 
-    /// When a fault next begins or ends by itself; `never` if none does.
+    /// The next time at which the node has to act on a fault's begin or end; the maximum of Time if
+    /// there is none.
+    /// @param has_queued whether requests wait for a `hang` to end.
     Time next_due(bool has_queued) const;
 
 private:
     struct Injected {
         FaultInjection fault;
-        std::uint64_t remaining = 0; // of its count
-        bool begun = false;          // of a refusal: open connections were reset
+        std::uint64_t remaining = 0; // requests or answers it still affects, if `count` > 0
+        bool begun = false;          // for refuse_connections: open connections were reset
 
         bool is_used_up() const { return fault.count > 0 && remaining == 0; }
         bool is_active(FaultKind kind, Time now) const {
--- a/src/node/pause_schedule.cpp
+++ b/src/node/pause_schedule.cpp
@@ -8,7 +8,7 @@
 
 constexpr Time never = std::numeric_limits<Time>::max();
 
-// A random part of a pause's interval is drawn in steps of a 1024th.
+// The random part of the interval between pauses is a multiple of 1/1024 of the interval.
 constexpr Time random_steps = 1024;
 
 } // namespace
--- a/src/node/planner_registration.cpp
+++ b/src/node/planner_registration.cpp
@@ -6,12 +6,12 @@
 namespace knotvane::node {
 namespace {
 
-// Nodes are fewer than edges, but a hall of them may start together: the first attempts after a
-// loss spread over a quarter of a second.
+// There are fewer nodes than edges, but a whole data hall may start at the same time: the first
+// reconnects after a lost connection are spread over a quarter of a second.
 constexpr Time first_reconnect_within = 250 * ms;
 constexpr Time max_reconnect_within = 2 * sec;
 constexpr Time connect_timeout = 2 * sec;
-// Ranges in one DiffReport: a message of some tens of kilobytes.
+// Maximum number of ranges in one DiffReport, for a message of some tens of kilobytes.
 constexpr std::size_t max_ranges_per_report = 4096;
 
 const char *name(NodeState state) {
@@ -81,7 +81,8 @@
     }
     if (why.empty())
         return;
-    actions_.log_event("planner: connection closed: " + why);
+    actions_.log_event("closing the planner connection after a protocol error, will reconnect: " +
+                       why);
     actions_.disconnect();
     disconnected(now);
 }
@@ -92,10 +93,11 @@
 
 void PlannerRegistration::handle(const control::NodeStateNotice &message) {
     if (std::exchange(state_, message.state) != message.state)
-        actions_.log_event(std::string("the planner has this node as ") + name(message.state));
+        actions_.log_event(std::string("the planner changed the state of this node to ") +
+                           name(message.state));
 }
 
-// ---- Snapshots. A failure of the medium leaves the store as it was, and is reported.
+// ---- Snapshots. If the medium fails, the store stays as it was and the failure is reported.
 
 void PlannerRegistration::report(VolumeId snapshot, control::SnapshotStep step,
                                  control::SnapshotResult result) const {
--- a/src/node/planner_registration.hpp
+++ b/src/node/planner_registration.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A node's side of its connection to the planner: it registers, renews its registration, and does
-/// the planner's orders on snapshots. No I/O.
+/// The node's side of its connection to the planner: registers the node, renews the registration,
+/// and carries out the planner's snapshot commands. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,44 +16,47 @@
 
 namespace knotvane::node {
 
-/// Who the node is, and how often it says so.
+/// What the node registers with, and how often it renews the registration.
 struct PlannerRegistrationConfig {
     NodeId node;
     ShardId shard;
     ZoneId zone;
-    /// Where edges reach it.
+    /// The address at which edges connect to the node.
     std::string address;
-    /// Spreads the reconnects of many nodes; any number.
+    /// Random seed that spreads the reconnects of many nodes over time; any number.
     std::uint64_t seed = 1;
-    /// Between two renewals. Well below the planner's patience for a silent node; shorter loads
-    /// the planner more.
+    /// Time between two renewals. Must be well below the time after which the planner takes a
+    /// node as silent; a shorter interval means more load on the planner.
     Time renewal_interval = 500 * ms;
 };
 
-/// Keeps a node registered with its planner. Its owner carries bytes and time, and calls `tick`
-/// when `next_due` says.
+/// Keeps a node registered with its planner. The owner transports the bytes, supplies the time, and
+/// calls `tick` at the time that `next_due` returns.
 class PlannerRegistration final : control::MessageHandler {
 public:
-    /// What it asks of its owner. Those of the store may be empty; then they count as failed.
+    /// Callbacks to the owner. Those for snapshots and clones may be empty; the operation is then
+    /// reported as failed. With an empty `diff` the volumes are reported as equal.
     struct Actions {
-        /// Try to connect; answered by connected or disconnected.
+        /// Begins to connect; the owner answers by calling `connected` or `disconnected`.
         std::function<void()> connect;
-        /// End the connection, or the attempt to connect; not answered.
+        /// Ends the connection or the attempt to connect. The owner does not call `disconnected`.
         std::function<void()> disconnect;
         std::function<void(std::string bytes)> send;
         std::function<void(std::string text)> log_event;
-        /// Opens `snapshot` of `volume`: all writes of before `epoch`, of which those of
-        /// `late_writers` may still come.
+        /// Opens `snapshot` of `volume`. It holds the changes that began before `epoch`; such
+        /// changes may still arrive from `late_writers`.
         std::function<control::SnapshotResult(
             VolumeId volume, VolumeId snapshot, std::uint32_t epoch,
             const std::vector<control::EdgeIncarnation> &late_writers)>
             open_snapshot{};
-        /// Makes a snapshot whole and durable. False where the medium failed.
+        /// Freezes a snapshot and makes it durable. Returns false if there is no such snapshot or
+        /// the medium failed.
         std::function<bool(VolumeId volume, VolumeId snapshot)> seal_snapshot{};
-        /// Drops a snapshot or clone. False where the medium failed.
+        /// Drops a snapshot or clone. Returns false if the medium failed.
         std::function<bool(VolumeId snapshot)> drop_snapshot{};
         std::function<control::SnapshotResult(VolumeId source, VolumeId clone)> open_clone{};
-        /// Offsets and lengths of the ranges in which two volumes differ, in order of offsets.
+        /// Returns offset and length, in bytes, of the ranges in which two volumes differ, in order
+        /// of offsets.
         std::function<std::vector<std::pair<std::uint64_t, std::uint64_t>>(VolumeId first,
                                                                            VolumeId second)>
             diff{};
@@ -61,19 +64,19 @@
 
     PlannerRegistration(Actions actions, PlannerRegistrationConfig config);
 
-    /// The node's process began, as a new incarnation.
-    /// \param started  when, by the clock of `now`
+    /// Starts registering: the node's process began as a new incarnation.
+    /// @param started when the process began, by the same clock as `now`
     void start(Time now, std::uint64_t incarnation, Time started);
 
-    /// The node goes down: the connection ends, nobody is told.
+    /// Ends the connection because the node goes down. The planner is not notified.
     void stop(Time now);
     void connected(Time now);
 
-    /// The connection failed or went.
+    /// The connection was lost or could not be established.
     void disconnected(Time now);
     void received(Time now, std::string_view bytes);
 
-    /// The maximum of Time where nothing is due.
+    /// When `tick` is due next; the maximum of Time if nothing is due.
     Time next_due() const;
     void tick(Time now);
 
@@ -93,13 +96,13 @@
     PlannerRegistrationConfig config_;
     ReconnectBackoff reconnect_backoff_;
     control::MessageDecoder decoder_;
-    std::string error_; // why the connection has to be closed
+    std::string error_; // protocol error for which the connection is closed; empty: none
     Time renew_at_ = 0;
     Time started_ = 0;
     std::uint64_t incarnation_ = 0;
     bool connected_ = false;
     bool running_ = false;
-    NodeState state_ = NodeState::removed; // as the planner has it
+    NodeState state_ = NodeState::removed; // as the planner last announced it
 };
 
 } // namespace knotvane::node
--- a/src/node/request_execution.cpp
+++ b/src/node/request_execution.cpp
@@ -1,4 +1,4 @@
-// How a storage node executes a request and answers it.
+// Execution of requests and sending of answers.
 #include "node/connection.hpp"
 #include "node/storage_node.hpp"
 
@@ -8,13 +8,14 @@
 using node_protocol::FrameKind;
 using node_protocol::Status;
 
-// What a block status answer says of a run of bytes, as NBD's base:allocation counts.
+// Flags of a run of bytes in a block status answer, with the values of NBD's base:allocation
+// context.
 constexpr std::uint32_t run_of_data = 0;
 constexpr std::uint32_t run_of_zeroes = 3;
 
 constexpr double ns_per_second = 1e9;
 
-// The bit of a byte that a corrupted answer has flipped.
+// Mask of the bit that is flipped in one byte of a corrupted answer.
 constexpr char corrupted_bit = 4;
 
 void append_little_endian(std::string &to, std::uint32_t value) {
@@ -33,8 +34,8 @@
     ++served_;
     if (faults_.apply(FaultKind::fail_requests, now))
         return answer(now, request, Status::error);
-    // Guards against a snapshot that was dropped while an edge has it open: it would read as
-    // zeroes.
+    // A snapshot may be dropped while an edge has it open. Without this check, its reads would
+    // return zeroes.
     if (has_flag(request.frame, node_protocol::flag_snapshot) &&
         !store_.contains(request.frame.volume))
         return answer(now, request, Status::error);
@@ -66,14 +67,15 @@
     answer(now, request, Status::ok, data);
 }
 
-// Deadline, deduplication and epoch are checked here, as the change is executed, and nowhere
-// earlier: what holds when a request comes may not hold after it waited.
+// Deadline, deduplication mark and epoch are checked only here, right before the change is
+// executed: the result of a check on arrival may be outdated after the request waited in the queue.
 void StorageNode::execute_mutation(Time now, const PendingRequest &request) {
     const auto &frame = request.frame;
-    // Guards against a delayed copy that overwrites what was written after its edge gave it up.
+    // Prevents a delayed copy from overwriting data that was written after the edge gave up this
+    // attempt.
     if (frame.not_after > 0 && now > frame.not_after)
         return answer(now, request, Status::expired);
-    // Guards against the same change done twice, with another one between.
+    // Prevents a change from being applied a second time, over a later change of the same range.
     bool is_deduplicated = has_flag(frame, node_protocol::flag_deduplicated);
     store::DeduplicationMark mark{frame.incarnation, frame.request_number};
     if (is_deduplicated && store_.was_applied(mark, now))
@@ -100,8 +102,8 @@
     if (change.epoch >= epoch)
         return {};
 
-    // Guards against a request of which one part is in a sealed snapshot and the other is not: an
-    // edge that was left out of one snapshot and drains for the next one could bring it.
+    // Prevents a sealed snapshot from holding only one part of a request. The other part could come
+    // from an edge that did not drain for the sealed snapshot and drains for the next one.
     if (auto sealed = store_.sealed_epoch(change.volume); change.epoch < sealed)
         return {Status::stale_epoch, sealed, std::nullopt};
 
@@ -111,9 +113,10 @@
                        draining->second.contains(control::EdgeIncarnation{change.incarnation});
     if (is_draining)
         return {Status::ok, 0, open_snapshot};
-    // Guards against a change that is in the snapshot here and not at another node. While the
-    // snapshot is open, an edge that is not known to have stopped has to wait: told of the epoch,
-    // it would begin changes of it at nodes that have not opened the snapshot yet.
+    // Prevents a change from being in the snapshot on this node and not on another. While the
+    // snapshot is open, an edge that is not known to have stopped beginning changes of the old
+    // epoch is rejected. If the answer told it the new epoch, it would begin changes of that epoch
+    // on nodes that have not opened the snapshot yet.
     if (open_snapshot)
         return {Status::rejected, 0, std::nullopt};
     return {Status::stale_epoch, epoch, std::nullopt};
@@ -159,7 +162,7 @@
                                         .shard = shard_,
                                         .payload = payload,
                                         .epoch = epoch});
-    // The faults of answers are for requests that were admitted.
+    // Faults that affect answers apply only to requests that were admitted to the queue.
     if (status == Status::rejected)
         transport_.send(request.connection, std::move(bytes));
     else
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -7,10 +7,11 @@
 namespace knotvane::node {
 namespace {
 
-// A quarter of the planner's default node_silent (2 s): a node may miss three renewals.
+// A quarter of the planner's default `node_silent` (2 s), so that three renewals may be lost before
+// the planner takes the node as silent.
 constexpr Time renewal_interval = 500 * ms;
 
-// The store's results travel as the control protocol's.
+// The store's results are cast to those of the control protocol, so their values have to agree.
 template <class Result>
 constexpr int number(Result result) {
     return static_cast<int>(result);
@@ -41,7 +42,7 @@
     listen(true);
     if (!settings.planner_address.empty())
         connect_planner(settings);
-    loop_.set_before_wait_callback([this] { return end_of_iteration(); });
+    loop_.set_before_wait_callback([this] { return process_due_and_flush(); });
 }
 
 Server::~Server() {
@@ -72,20 +73,21 @@
             [this](VolumeId source, VolumeId copy) {
                 return static_cast<control::SnapshotResult>(storage_node_->clone(source, copy));
             },
-            [this](VolumeId a, VolumeId b) { return store_->diff(a, b); }},
+            [this](VolumeId first, VolumeId second) { return store_->diff(first, second); }},
         PlannerRegistrationConfig{id_, shard_, settings.zone, address_,
                                   settings.random_seed + id_.value, renewal_interval});
     planner_->on_connected = [this] { registration_->connected(loop::now()); };
     planner_->on_disconnected = [this] { registration_->disconnected(loop::now()); };
-    planner_->on_received = [this](std::string_view in) {
-        registration_->received(loop::now(), in);
+    planner_->on_received = [this](std::string_view bytes) {
+        registration_->received(loop::now(), bytes);
     };
     start_registration();
 }
 
 void Server::start_registration() {
     Time started_at = storage_node_->started_at();
-    // The start time in nanoseconds is another number at each start: it serves as the incarnation.
+    // The start time in nanoseconds differs between any two starts, so it serves as the
+    // incarnation.
     registration_->start(loop::now(), static_cast<std::uint64_t>(started_at), started_at);
 }
 
@@ -102,7 +104,7 @@
         start_registration();
     listener_ = std::make_unique<loop::Listener>(
         loop_, address_, [this](const std::shared_ptr<loop::Socket> &socket) { accept(socket); });
-    address_ = listener_->address(); // the same port again after a restart
+    address_ = listener_->address(); // keeps a port chosen by the system for later restarts
 }
 
 void Server::accept(const std::shared_ptr<loop::Socket> &socket) {
@@ -137,7 +139,7 @@
     log::write(log::warn, text, {{"node", std::to_string(id_.value)}});
 }
 
-Time Server::end_of_iteration() {
+Time Server::process_due_and_flush() {
     storage_node_->tick(loop::now());
     if (registration_) {
         registration_->tick(loop::now());
--- a/src/node/server.hpp
+++ b/src/node/server.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The storage node program: a StorageNode on sockets, a store file and a planner's connection.
+/// The server of the storage node program: runs a StorageNode with sockets, a store file and a
+/// connection to the planner.
 #pragma once
 
 #include <memory>
@@ -14,14 +15,15 @@
 
 namespace knotvane::node {
 
-/// One node. Lives on the thread of its loop.
+/// One storage node. To be used only on the thread of its event loop.
 class Server final : public Transport {
 public:
-    /// Opens the store and listens, by settings that were checked.
-    /// @throws std::runtime_error if the address can't be listened on or the store can't be opened.
+    /// Opens the store and begins to listen. `file` must hold settings that were checked.
+    /// @throws std::runtime_error if the server can't listen on the address or can't open the
+    /// store.
     Server(loop::Loop &loop, settings::File &file);
-    /// Closes the store. If that fails, it is logged, and the next opening finds a store that may
-    /// have lost something.
+    /// Closes the store. A failure is logged; the store may then have lost data when it is opened
+    /// again.
     ~Server() override;
 
     const std::string &address() const { return address_; }
@@ -29,10 +31,10 @@
     ShardId shard() const { return shard_; }
     const Store &store() const { return *store_; }
 
-    /// For use on the loop's thread; process_due has to follow.
+    /// For use on the loop's thread. After the calls on it, call process_due.
     StorageNode &storage_node() { return *storage_node_; }
-    /// Does what became due by calls from outside the loop's events.
-    void process_due() { end_of_iteration(); }
+    /// Does the work that became due through calls made outside the loop's events.
+    void process_due() { process_due_and_flush(); }
 
     void send(ConnectionId connection, std::string bytes) override;
     void close(ConnectionId connection, bool reset) override;
@@ -43,7 +45,7 @@
     void connect_planner(const Settings &settings);
     void start_registration();
     void accept(const std::shared_ptr<loop::Socket> &socket);
-    Time end_of_iteration();
+    Time process_due_and_flush();
 
     loop::Loop &loop_;
     NodeId id_;
@@ -54,7 +56,7 @@
     std::unique_ptr<StorageNode> storage_node_;
     std::unique_ptr<loop::Listener> listener_;
     std::unique_ptr<loop::OutgoingConnection> planner_;
-    std::unique_ptr<PlannerRegistration> registration_; // with a planner
+    std::unique_ptr<PlannerRegistration> registration_; // null without a planner
     std::uint64_t last_connection_ = 0;
     loop::SocketMap<ConnectionId> connections_;
 };
--- a/src/node/service_model.hpp
+++ b/src/node/service_model.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How a modelled storage node performs. With the defaults nothing is modelled: every request is
-/// executed as soon as it comes.
+/// Parameters of a storage node's simulated performance. With the defaults nothing is simulated:
+/// every request is executed on arrival.
 #pragma once
 
 #include <cstdint>
@@ -9,41 +9,44 @@
 
 namespace knotvane::node {
 
-/// How fast requests are executed, and how many at once.
+/// Execution speed of requests, and the limits on how many execute and wait.
 struct ServiceModel {
-    /// Time that a work unit takes on a warm node, on a core that it does not share. 0: execution
+    /// Execution time of one work unit on a warm node, on a core that is not shared. 0: execution
     /// takes no time, and the other fields have no effect.
     Time unit_time = 0;
-    /// Requests that run at full speed side by side; more than these share the cores.
+    /// Number of requests that execute in parallel at full speed; if there are more, they share the
+    /// cores.
     std::uint32_t cores = 1;
-    /// Requests in execution at most.
+    /// Maximum number of requests in execution.
     std::uint32_t slots = 1;
-    /// Requests that wait for a slot at most; one more is rejected.
+    /// Maximum number of requests waiting for a slot; further ones are rejected.
     std::uint32_t queue_capacity = 0;
 };
 
-/// How a node warms up after its start, and the overload at which it crashes before it is warm.
+/// How a node's capacity grows after its start, and the overload at which it crashes meanwhile.
 struct SlowStartModel {
-    /// Share of its full capacity at the start, 0 to 1; it grows evenly over `duration`.
+    /// Share of the full capacity at the start, 0 to 1; grows linearly to 1 over `duration`.
     double initial_capacity = 1;
-    /// 0: warm from the start.
+    /// Time until the node is warm. 0: it is warm from the start.
     Time duration = 0;
-    /// Requests of the last so much time are counted for the overload.
+    /// Length of the window in which arriving work is counted to detect overload.
     Time overload_window = 0;
-    /// Crashes if it gets more than so many times what it can do in the window. 0: never.
+    /// The node crashes if more work arrives in the window than this factor times the work it can
+    /// do in it. 0: it never crashes.
     double overload_factor = 0;
 };
 
-/// Pauses in which no request is started, as of a garbage collection.
+/// Pauses in which no request is started, as in a garbage collection.
 struct PauseModel {
-    Time interval = 0; ///< From half to one and a half of it lies between two pauses. 0: none.
-    Time length = 0;   ///< Of one pause.
+    Time interval = 0; ///< Mean time between the starts of two pauses; varies from half
+                       ///< to one and a half of it. 0: no pauses.
+    Time length = 0;   ///< Duration of one pause.
 };
 
-/// Work of writes that is done later and all at once, as a compaction.
+/// Part of the work of writes that is deferred and done in one go, as in a compaction.
 struct DeferredWorkModel {
     double fraction = 0; ///< Share of a write's units that is deferred, 0 to 1.
-    Time interval = 0;   ///< Between two times at which it is done. 0: never.
+    Time interval = 0;   ///< Time between two runs of deferred work. 0: it is never done.
 };
 
 } // namespace knotvane::node
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -45,7 +45,7 @@
     model.duration = section.time("warm_after", 0);
     model.overload_window = section.time("span", 0);
     if (model.overload_factor > 0 && model.overload_window <= 0)
-        section.fault("multiple", "needs a span");
+        section.fault("multiple", "needs a span greater than 0");
     return model;
 }
 
--- a/src/node/settings.hpp
+++ b/src/node/settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A storage node program's settings.
+/// Settings of the storage node program.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,29 @@
 
 namespace knotvane::node {
 
-/// All that a settings file tells a node.
+/// The contents of a node's settings file.
 struct Settings {
     NodeId id{};
     ShardId shard{};
     ZoneId zone{};
     std::string listen_address;
     std::string store_path;
-    bool sync = true; ///< Whether a flush makes the store's file durable.
+    bool sync = true; ///< Whether a flush syncs the store's file to the medium.
     std::uint64_t random_seed = 1;
-    /// How long ago the node is taken to have started: one that is older than its slow start is
-    /// warm.
+    /// Time since the assumed start of the node. If it exceeds the duration of the slow start, the
+    /// node is warm at once.
     Time age = 0;
-    std::string planner_address; ///< Empty: it works without a planner.
+    std::string planner_address; ///< Empty: the node runs without a planner.
     ServiceModel service;
     SlowStartModel slow_start;
     PauseModel pauses;
     DeferredWorkModel deferred_work;
 };
 
-/// Reads a node's settings. What is wrong with them is noted in the file (File::faults).
+/// Reads a node's settings. Errors are collected in `file` (File::faults).
 Settings read_settings(settings::File &file);
 
-/// Reads a node's settings only to find what is wrong with them.
+/// Checks a node's settings. Errors are collected in `file` (File::faults).
 void check(settings::File &file);
 
 } // namespace knotvane::node
--- a/src/node/slow_start.cpp
+++ b/src/node/slow_start.cpp
@@ -3,7 +3,8 @@
 namespace knotvane::node {
 namespace {
 
-// The largest request, units: the rules allow one of slack for chance.
+// Work units that may arrive beyond the limit: the size of the largest request. One such request
+// is allowed as slack because arrivals are random.
 constexpr double overload_slack_units = 8;
 
 } // namespace
--- a/src/node/slow_start.hpp
+++ b/src/node/slow_start.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A node's capacity while it warms up, and the overload that it does not survive meanwhile.
+/// A node's reduced capacity while it warms up, and the overload that crashes it meanwhile.
 #pragma once
 
 #include <deque>
@@ -9,21 +9,22 @@
 
 namespace knotvane::node {
 
-/// One node's warming up, from the start of its process.
+/// The warm-up of one node, from the start of its process.
 class SlowStart {
 public:
     explicit SlowStart(Time started_at) : started_at_(started_at) {}
 
     void configure(const SlowStartModel &model) { model_ = model; }
 
-    /// The process began anew.
+    /// Begins the warm-up again, after a restart of the process.
     void restart(Time now);
 
     /// The share of its full capacity that the node has now, 0 to 1.
     double capacity(Time now) const;
 
-    /// Counts a request of so many units.
-    /// @return false if the node is warming up and got more than it survives.
+    /// Counts a request of `units` work units that arrives at `now`.
+    /// @return false if the node is still warming up and this request overloads it so that it
+    ///     crashes.
     bool survives(Time now, double units, const ServiceModel &service);
 
 private:
--- a/src/node/storage_node.cpp
+++ b/src/node/storage_node.cpp
@@ -14,13 +14,14 @@
 
 constexpr Time never = std::numeric_limits<Time>::max();
 
-// A step of reclaiming space: tree nodes, and the time that they take where none is modelled.
+// A step of reclaiming space: the number of tree nodes that it frees, and the time that it counts
+// for if the node has no service model.
 constexpr std::size_t reclaim_step_nodes = 64;
 constexpr Time reclaim_step_time = 200 * us;
-// A modelled core spends this part of a unit's time on a step.
+// With a service model, a step takes a unit's time divided by this.
 constexpr Time reclaim_steps_per_unit = 4;
 
-// No request costs less, so that many empty ones are not free.
+// Minimum cost of a request, so that a large number of empty requests is not free.
 constexpr double min_units = 0.1;
 constexpr double milliunits_per_unit = 1000;
 
@@ -29,11 +30,12 @@
 bool StorageNode::Connection::on_frame(const node_protocol::Frame &frame) {
     if (frame.kind == FrameKind::hello) {
         has_greeted_ = true;
-        node_.welcome(now_, id_);
+        node_.send_welcome(now_, id_);
         return true;
     }
     if (!has_greeted_) {
-        node_.transport_.log_event("a request came before the hello; the connection is closed");
+        node_.transport_.log_event(
+            "closing a connection: received a request before the hello frame");
         node_.close_connection(id_, false);
         return false;
     }
@@ -72,8 +74,8 @@
     return result;
 }
 
-// A medium that can't make a snapshot durable serves nothing after that: the planner hears that the
-// snapshot failed, and the clients' next flushes fail.
+// If the medium can't make the snapshot durable, the store stops serving: the planner gets a
+// failure report for the snapshot, and the clients' next flushes fail.
 bool StorageNode::seal_snapshot(VolumeId source, VolumeId snapshot) {
     try {
         if (!store_.seal_snapshot(snapshot))
@@ -118,10 +120,10 @@
     auto it = connections_.find(connection);
     if (it == connections_.end())
         return;
-    auto reading = it->second; // outlives its own end while its bytes are read
-    std::string fault = reading->received(now, bytes);
+    auto receiving = it->second; // keeps it alive if it is closed while its bytes are decoded
+    std::string fault = receiving->received(now, bytes);
     if (!fault.empty() && connections_.contains(connection)) {
-        transport_.log_event("protocol error on a connection: " + fault);
+        transport_.log_event("closing a connection after a protocol error: " + fault);
         close_connection(connection, false);
     }
     start_queued(now);
@@ -137,7 +139,7 @@
         close_connection(connections_.begin()->first, true);
 }
 
-void StorageNode::welcome(Time now, ConnectionId connection) {
+void StorageNode::send_welcome(Time now, ConnectionId connection) {
     transport_.send(connection,
                     node_protocol::encode({.kind = FrameKind::welcome,
                                            .tag = id_.value,
@@ -148,7 +150,7 @@
 }
 
 void StorageNode::cancel(Time now, ConnectionId connection, std::uint64_t tag) {
-    // Only what is queued is canceled: what is in execution goes on.
+    // Only a queued request is canceled; a request in execution continues.
     auto it = std::find_if(queued_.begin(), queued_.end(), [&](const PendingRequest &request) {
         return request.connection == connection && request.frame.tag == tag;
     });
@@ -172,7 +174,7 @@
 }
 
 void StorageNode::crash() {
-    transport_.log_event("crashed: overloaded while it was warming up");
+    transport_.log_event("crashed: overloaded during warm-up; not listening until a restart");
     has_crashed_ = true;
     queued_.clear();
     executing_.clear();
@@ -196,13 +198,13 @@
     }
 }
 
-// How long a request takes that begins now.
+// The execution time of a request that starts at `now`.
 Time StorageNode::execution_time(Time now, const PendingRequest &request) {
     double units = std::max(request.frame.milliunits / milliunits_per_unit, min_units);
     double slowdown = faults_.apply(FaultKind::slow, now).value_or(1);
     if (request.frame.kind == FrameKind::write)
         units = pauses_.defer_fraction_of(units);
-    // More requests than cores share them.
+    // If there are more requests than cores, they share the cores.
     double sharing = std::max(1.0, static_cast<double>(executing_.size() + 1) / service_.cores);
     auto time = static_cast<Time>(static_cast<double>(service_.unit_time) * units * slowdown *
                                   sharing / slow_start_.capacity(now));
@@ -268,7 +270,8 @@
 void StorageNode::restart(Time now, bool discard_unflushed) {
     if (discard_unflushed) {
         store_.discard_unflushed();
-        transport_.log_event("restarted; what was not flushed is lost");
+        transport_.log_event(
+            "restarted as after a power failure: data that was not flushed is lost");
     }
     queued_.clear();
     executing_.clear();
--- a/src/node/storage_node.hpp
+++ b/src/node/storage_node.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// A model of a storage node on a real store, without I/O of its own: bytes of connections and the
-/// time go in, bytes come out. It executes requests as its service model says, queues or rejects
-/// what comes beyond that, pauses, warms up, and has the faults that are injected.
+/// A storage node with simulated performance on a real store. Does no socket I/O and reads no
+/// clock: the caller passes in received bytes and the time, and a Transport sends the answers. The
+/// node executes requests at the speed of its service model, queues or rejects further ones,
+/// pauses, warms up, and shows injected faults.
 #pragma once
 
 #include <cstdint>
@@ -34,13 +35,13 @@
 using store::SnapshotResult;
 using store::Store;
 
-/// One node: its connections, its queue, and what is in execution. All times are nanoseconds since
-/// the epoch by the caller's clock.
+/// One node: its connections, its queue, and the requests in execution. All times are nanoseconds
+/// since the Unix epoch, by the caller's clock.
 class StorageNode {
 public:
-    /// @param store, transport must outlive the node.
-    /// @param random_seed of pauses and of the bits that faults flip.
-    /// @param started_at the start of its process, from which it warms up.
+    /// @param store, transport not owned; must outlive the node.
+    /// @param random_seed seed for the times of pauses and the positions of corrupted bytes.
+    /// @param started_at when the node's process began and its warm-up starts.
     StorageNode(NodeId id, ShardId shard, Store &store, Transport &transport,
                 std::uint64_t random_seed, Time started_at);
 
@@ -51,48 +52,49 @@
         pauses_.configure_deferred_work(model, started_at_);
     }
 
-    /// Opens a snapshot of a volume, as the planner orders; ordering it again is harmless. Not
+    /// Opens a snapshot of a volume on the planner's command. Idempotent. The snapshot is not
     /// durable before it is sealed.
-    /// @param epoch of the changes that begin after the snapshot.
-    /// @param draining_edges the edges that have stopped to begin changes of an earlier epoch: what
-    ///     they had begun goes into the volume and the snapshot. Any other edge's is rejected.
+    /// @param epoch the epoch of changes that begin after the snapshot.
+    /// @param draining_edges the edges that no longer begin changes of an earlier epoch. Changes of
+    ///     theirs that are still under way are applied to the volume and to the snapshot. Changes
+    ///     of an earlier epoch by any other edge are rejected.
     SnapshotResult open_snapshot(VolumeId source, VolumeId snapshot, std::uint32_t epoch,
                                  std::set<control::EdgeIncarnation> draining_edges);
-    /// Freezes a snapshot and makes it durable; sealing it again is harmless.
-    /// @return false if there is none, or the medium failed, which is logged.
+    /// Freezes a snapshot and makes it durable. Idempotent.
+    /// @return false if there is no such snapshot, or if the medium failed, which is logged.
     bool seal_snapshot(VolumeId source, VolumeId snapshot);
-    /// Makes a volume that can be written and begins as a copy of the source. Durable on return.
+    /// Creates a writable copy of a volume or snapshot. The copy is durable on return.
     SnapshotResult clone(VolumeId source, VolumeId copy);
     /// Drops a snapshot or a clone; its space is reclaimed in the background.
-    /// @return true if it is gone, also if it was before; false if the medium failed, which is
-    ///     logged.
+    /// @return true if it no longer exists, even if it did not exist before; false if the medium
+    ///     failed, which is logged.
     bool drop_snapshot(VolumeId snapshot);
 
-    /// An edge's connection was accepted.
+    /// Handles a newly accepted connection of an edge.
     void connected(Time now, ConnectionId connection);
-    /// Bytes came on a connection.
+    /// Handles bytes that were received on a connection.
     void received(Time now, ConnectionId connection, std::string_view bytes);
-    /// A connection ended, not by the node's doing. Its requests are executed all the same: the
-    /// node can't know that nobody waits for them.
+    /// Handles the end of a connection that the node did not close itself. Its requests are still
+    /// executed, as on a real node, which can't know that nobody waits for their answers.
     void disconnected(ConnectionId connection);
 
-    /// When tick is due next; the largest time if nothing is.
+    /// When `tick` is due next; the maximum of Time if nothing is due.
     Time next_due() const;
-    /// Does all that is due.
+    /// Does all work that is due at `now`.
     void tick(Time now);
 
     void inject_fault(const FaultInjection &fault) { faults_.inject(fault); }
-    /// A new process on the same store: connections, queued requests and those in execution are
-    /// gone, and it warms up.
-    /// @param discard_unflushed loses what was not flushed, as in a power failure.
+    /// Simulates a restart of the process on the same store: connections, queued requests and those
+    /// in execution are lost, and the warm-up begins again.
+    /// @param discard_unflushed whether data that was not flushed is lost, as in a power failure.
     void restart(Time now, bool discard_unflushed);
 
     Time started_at() const { return started_at_; }
-    /// Whether it crashed under overload; only restart helps.
+    /// Whether the node crashed under overload. It stays down until `restart`.
     bool has_crashed() const { return has_crashed_; }
     std::size_t executing() const { return executing_.size(); }
     std::size_t queued() const { return queued_.size(); }
-    /// Requests executed since the node was made.
+    /// Number of requests executed since this object was constructed.
     std::uint64_t served() const { return served_; }
 
 private:
@@ -100,18 +102,18 @@
 
     struct PendingRequest {
         ConnectionId connection;
-        node_protocol::Frame frame; // without its payload, which it would only refer to
+        node_protocol::Frame frame; // its payload view is empty; `payload` holds a copy
         std::string payload;
     };
 
-    // Work in a slot: a request, or a step of reclaiming space if there is none.
+    // The work that occupies a slot: a request or, if empty, a step of reclaiming space.
     using Execution = std::optional<PendingRequest>;
 
-    // What an epoch allows a change to do.
+    // The result of checking a change's epoch.
     struct EpochCheck {
         node_protocol::Status status = node_protocol::Status::ok;
-        std::uint32_t epoch_in_force = 0;      // for the answer, if it is stale
-        std::optional<VolumeId> open_snapshot; // that the change goes into, too
+        std::uint32_t epoch_in_force = 0;      // sent in the answer if the status is stale_epoch
+        std::optional<VolumeId> open_snapshot; // if set, the change is applied to this snapshot too
     };
 
     struct DelayedAnswer {
@@ -120,7 +122,7 @@
     };
 
     // storage_node.cpp
-    void welcome(Time now, ConnectionId connection);
+    void send_welcome(Time now, ConnectionId connection);
     void admit(Time now, PendingRequest request);
     void cancel(Time now, ConnectionId connection, std::uint64_t tag);
     void crash();
@@ -159,9 +161,9 @@
     std::uint64_t served_ = 0;
     std::map<ConnectionId, std::shared_ptr<Connection>> connections_;
     std::deque<PendingRequest> queued_;
-    std::multimap<Time, Execution> executing_;           // by the time at which it is done
-    std::multimap<Time, DelayedAnswer> delayed_answers_; // by the time at which it leaves
-    // By volume, while a snapshot of it is open.
+    std::multimap<Time, Execution> executing_;           // by the time of completion
+    std::multimap<Time, DelayedAnswer> delayed_answers_; // by the time of sending
+    // Edges whose late changes are accepted, by volume, while a snapshot of the volume is open.
     std::map<VolumeId, std::set<control::EdgeIncarnation>> draining_edges_;
 };
 
--- a/src/node/transport.hpp
+++ b/src/node/transport.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a storage node asks of its sockets and its log.
+/// The interface through which a storage node uses its sockets and its log.
 #pragma once
 
 #include <string>
@@ -8,21 +8,22 @@
 
 namespace knotvane::node {
 
-/// One edge's connection to the node.
+/// Identifies a connection of an edge to the node.
 using ConnectionId = Id<struct ConnectionKind, std::uint64_t>;
 
-/// Implemented by the server on sockets and by simulations.
+/// Implemented with sockets by the server, and by simulations.
 class Transport {
 public:
     virtual ~Transport() = default;
 
-    /// Sends bytes in the order of the calls.
+    /// Queues bytes to be sent, in the order of the calls.
     virtual void send(ConnectionId connection, std::string bytes) = 0;
-    /// Ends a connection: at once if `reset`, else after all that was sent went out.
+    /// Closes a connection: with a reset and at once if `reset`, otherwise after all queued bytes
+    /// are sent.
     virtual void close(ConnectionId connection, bool reset) = 0;
-    /// Begins or stops to accept connections.
+    /// Begins (`open`) or stops accepting connections.
     virtual void listen(bool open) = 0;
-    /// Logs what an operator should know: a crash, lost data, a protocol error.
+    /// Logs an event that an operator should know of: a crash, lost data, a protocol error.
     virtual void log_event(std::string text) = 0;
 };
 
--- a/tests/node/background_schedule_test.cpp
+++ b/tests/node/background_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When background work is done, and that it is done at all.
+// When background work is scheduled, and that it makes progress on a busy node.
 #include <doctest/doctest.h>
 
 #include "fixture.hpp"
@@ -7,7 +7,9 @@
 using namespace knotvane::node;
 
 TEST_SUITE("background schedule") {
-    TEST_CASE("takes a tenth at most while idle, waits behind requests, and goes on all the same") {
+    TEST_CASE("steps take at most a tenth of the time on an idle node, and one may begin every 50 "
+              "ms on a "
+              "busy one") {
         BackgroundSchedule schedule;
         CHECK(schedule.may_begin(0, {0, 4, 0}));
         schedule.step_began(0, 10 * ms);
@@ -16,35 +18,36 @@
         schedule.step_began(100 * ms, 2 * ms);
         CHECK(schedule.next_due({0, 4, 0}) == 120 * ms);
         CHECK(schedule.next_due({2, 4, 0}) == 120 * ms);
-        CHECK(schedule.next_due({3, 4, 0}) == 150 * ms); // the last slot is for requests
+        CHECK(schedule.next_due({3, 4, 0}) == 150 * ms); // the last free slot is kept for requests
         CHECK(schedule.next_due({0, 4, 1}) == 150 * ms);
         CHECK(schedule.may_begin(150 * ms, {4, 4, 9}));
     }
 
-    // Requests never stop, and a snapshot is dropped. Its space must come back, but a step at a
-    // time, so that the requests are not held up.
-    TEST_CASE("space of a dropped snapshot comes back on a node that is never idle") {
+    // A snapshot is dropped while requests keep arriving. Its space must be reclaimed, but in steps
+    // spread over time, so that the requests are not delayed.
+    TEST_CASE("the space of a dropped snapshot is reclaimed on a node that is never idle") {
         constexpr VolumeId snapshot{90};
         constexpr std::uint64_t leaf_bytes = std::uint64_t{64} * 4096;
-        NodeFixture f;
-        f.node.set_service_model({.unit_time = ms, .cores = 1, .slots = 2, .queue_capacity = 100});
+        NodeFixture fixture;
+        fixture.node.set_service_model(
+            {.unit_time = ms, .cores = 1, .slots = 2, .queue_capacity = 100});
         auto write_all = [&](char letter) {
             for (std::uint64_t i = 0; i < 300; ++i)
-                f.store.write(test_volume, i * leaf_bytes, std::string(4096, letter));
+                fixture.store.write(test_volume, i * leaf_bytes, std::string(4096, letter));
         };
         write_all('x');
-        f.store.take_snapshot(test_volume, snapshot);
+        fixture.store.take_snapshot(test_volume, snapshot);
         write_all('y');
-        CHECK(f.store.blocks_used() == 600);
-        f.node.drop_snapshot(snapshot);
+        CHECK(fixture.store.blocks_used() == 600);
+        fixture.node.drop_snapshot(snapshot);
         Time now = 0;
         std::uint64_t tag = 0;
-        for (; f.store.has_reclaimable_space() && now < 3 * sec; now += ms) {
-            f.read(now, f.a, ++tag);
-            f.read(now, f.a, ++tag);
-            f.node.tick(now);
+        for (; fixture.store.has_reclaimable_space() && now < 3 * sec; now += ms) {
+            fixture.read(now, fixture.first_connection, ++tag);
+            fixture.read(now, fixture.first_connection, ++tag);
+            fixture.node.tick(now);
         }
-        CHECK(f.store.blocks_used() == 300);
+        CHECK(fixture.store.blocks_used() == 300);
         CHECK(now > 200 * ms);
     }
 }
--- a/tests/node/fixture.hpp
+++ b/tests/node/fixture.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A storage node on a store in memory, with two edges' connections, whose answers are written
-/// down.
+/// Test fixture: a storage node on a store in memory, with two connections of edges. Its answers
+/// are recorded.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 using node_protocol::FrameKind;
 using node_protocol::Status;
 
-/// An answer, with the first bytes of its payload.
+/// An answer of the node, with at most the first four bytes of its payload.
 struct Answer {
     std::uint64_t tag = 0;
     Status status = Status::ok;
@@ -31,9 +31,9 @@
     return out << answer.tag << ' ' << static_cast<int>(answer.status) << ' ' << answer.payload;
 }
 
-constexpr std::size_t kept_payload = 4;
+constexpr std::size_t kept_payload_bytes = 4;
 
-/// Notes what a node does on its sockets.
+/// Records what a node does with its connections and its log.
 struct RecordingTransport final : Transport, node_protocol::FrameHandler {
     Answers answers;
     std::vector<std::string> events;
@@ -48,8 +48,8 @@
     void log_event(std::string text) override { events.push_back(std::move(text)); }
     bool on_frame(const node_protocol::Frame &frame) override {
         if (frame.kind == FrameKind::answer)
-            answers.push_back(
-                {frame.tag, frame.status, std::string(frame.payload.substr(0, kept_payload))});
+            answers.push_back({frame.tag, frame.status,
+                               std::string(frame.payload.substr(0, kept_payload_bytes))});
         return true;
     }
 
@@ -57,10 +57,10 @@
     std::map<ConnectionId, node_protocol::FrameReader> readers_;
 };
 
-/// What the tests write and read.
+/// The volume that the tests write and read.
 constexpr VolumeId test_volume{5};
 
-/// A deduplicated write of 512 bytes of one letter.
+/// A write of 512 bytes that all hold the same letter.
 struct TestWrite {
     std::uint64_t tag = 0;
     std::uint64_t request_number = 0; // 0: not deduplicated
@@ -68,21 +68,22 @@
     char letter = 0;
 };
 
+/// A node with two connections that have sent their hello.
 struct NodeFixture {
     std::string bytes;
     std::unique_ptr<Medium> medium = store::memory_medium(bytes);
     Store store{*medium};
     RecordingTransport transport;
     StorageNode node{NodeId{1}, ShardId{0}, store, transport, 7, 0};
-    ConnectionId a{1};
-    ConnectionId b{2};
+    ConnectionId first_connection{1};
+    ConnectionId second_connection{2};
 
     NodeFixture() {
-        connect(0, a);
-        connect(0, b);
+        connect(0, first_connection);
+        connect(0, second_connection);
     }
 
-    /// A connection that has greeted.
+    /// Opens a connection and sends the hello frame on it.
     void connect(Time now, ConnectionId connection) {
         node.connected(now, connection);
         receive(now, connection,
@@ -118,9 +119,9 @@
                  .milliunits = 1000});
     }
 
-    /// A request without a payload on connection `a`.
+    /// Sends a request without a payload on `first_connection`.
     void request(Time now, FrameKind kind, std::uint64_t tag, ShardId shard = ShardId{0}) {
-        receive(now, a,
+        receive(now, first_connection,
                 {.kind = kind,
                  .tag = tag,
                  .volume = test_volume,
@@ -129,7 +130,7 @@
                  .shard = shard});
     }
 
-    /// Lets the time pass in steps of a millisecond.
+    /// Calls the node's `tick` from time 0 until `until` (inclusive), every `step`.
     void run_until(Time until, Time step = ms) {
         for (Time now = 0; now <= until; now += step)
             node.tick(now);
