--- a/tests/node/background_schedule_test.cpp
+++ b/tests/node/background_schedule_test.cpp
@@ -7,9 +7,8 @@
 using namespace knotvane::node;
 
 TEST_SUITE("background schedule") {
-    TEST_CASE("steps take at most a tenth of the time on an idle node, and one may begin every 50 "
-              "ms on a "
-              "busy one") {
+    TEST_CASE("steps take at most a tenth of the time on an idle node, and on a busy node one may "
+              "begin every 50 ms") {
         BackgroundSchedule schedule;
         CHECK(schedule.may_begin(0, {0, 4, 0}));
         schedule.step_began(0, 10 * ms);
