--- a/src/cli/edge_main.cpp
+++ b/src/cli/edge_main.cpp
@@ -1,5 +1,5 @@
-// knotvane-edge: speaks NBD to clients, or the platform's protocol, and schedules their requests
-// over the nodes.
+// knotvane-edge: serves clients over NBD, or over the platform's HTTP protocol with --platform, and
+// schedules their requests to the nodes.
 #include <cstring>
 
 #include "cli/platform.hpp"
@@ -13,13 +13,16 @@
         if (std::strcmp(argv[i], "--platform") == 0)
             return cli::run_platform(argc, argv);
     return cli::run_part(
-        argc, argv, "knotvane-edge: NBD in, scheduled shots to storage nodes out",
-        [](settings::File &f) { edge::check(f); },
-        [](loop::Loop &loop, settings::File &f) -> std::shared_ptr<void> {
-            auto e = std::make_shared<edge::Server>(
-                loop, f,
-                [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); });
-            log::write(log::info, "edge serves", {{"address", e->address()}});
-            return e;
+        argc, argv,
+        "knotvane-edge: serves NBD clients and schedules their requests to storage nodes",
+        [](settings::File &file) { edge::check(file); },
+        [](loop::Loop &loop, settings::File &file) -> std::shared_ptr<void> {
+            auto server = std::make_shared<edge::Server>(
+                loop, file, [](SchedulerActions &actions, std::uint64_t seed) {
+                    return make_scheduler(actions, seed);
+                });
+            log::write(log::info, "edge is listening for clients",
+                       {{"address", server->address()}});
+            return server;
         });
 }
--- a/src/edge/edge_state.hpp
+++ b/src/edge/edge_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the parts of one edge share.
+/// State shared by the components of one edge.
 #pragma once
 
 #include <cstdint>
@@ -32,29 +32,30 @@
           }),
           volumes(shell, snapshots) {}
 
-    /// Units of a request to a node that transfers so many bytes.
+    /// @return the units of a node request that transfers `bytes` bytes.
     double units(std::uint32_t bytes) const {
         return 1 + static_cast<double>(bytes) / static_cast<double>(bytes_per_unit);
     }
 
     Shell &shell;
     Clock clock;
-    /// What nodes know this process by, and the first half of each idempotency key. It holds the
-    /// edge's id, too: guards against two edges that were started at once and would share their
-    /// keys, so that a node would drop one's writes as repeats of the other's.
+    /// Identifies this process to nodes; the first half of each idempotency key. A hash that
+    /// includes the edge's id: two edges started at the same time would otherwise use the same
+    /// keys, and a node would drop the writes of one as repeats of the other's.
     std::uint64_t incarnation;
     std::uint64_t bytes_per_unit;
-    /// Units more for the first write to a span after a snapshot, which the node does to a copy.
+    /// Additional units of the first write to a span after a snapshot, for which the node has to
+    /// copy data.
     double copy_on_write_units = 0;
     Layout layout;
-    /// The first rule that a request fits counts.
+    /// A request belongs to the workload of the first rule that it matches.
     std::vector<WorkloadRule> workloads;
     AdmissionControl admission;
     ScheduledRequests scheduled;
     SchedulerDriver scheduler;
     SnapshotParticipant snapshots;
     OpenVolumes volumes;
-    /// Clients that have something to be sent or whose reading may go on.
+    /// Clients with data to send, or whose paused reading may resume.
     std::set<ClientId> clients_to_flush;
 };
 
--- a/src/edge/endpoint_file.cpp
+++ b/src/edge/endpoint_file.cpp
@@ -24,7 +24,7 @@
     NodeId id;
     std::istringstream name(section.name());
     if (!(name >> id.value) || !name.eof() || id.value == 0 || section.name()[0] == '-')
-        section.fault("", "expected a section like [node 7]: ids are whole numbers from 1");
+        section.fault("", "expected a node id that is a whole number from 1, as in [node 7]");
     return id;
 }
 
@@ -51,23 +51,26 @@
     auto &head = file.one("list", true);
     list.version = head.count("version", 1, max_version);
     auto count = head.count("nodes", 0, max_nodes);
-    // Written last: guards against a file that is cut at the end of a line, where all before it
-    // looks whole.
+    // The section [end] is written last. Without it, a file truncated at the end of a line would
+    // look complete.
     auto &tail = file.one("end", true);
     if (tail.count("version", 1, max_version) != list.version)
-        tail.fault("version", "expected that of [list]: " + std::to_string(list.version));
+        tail.fault("version", "expected the version in [list], " + std::to_string(list.version));
 
-    std::map<std::string, int> lines; // by address
+    std::map<std::string, int> line_by_address;
     for (auto *section : file.all("node")) {
         auto entry = read_entry(*section);
         if (entry.endpoint.state != NodeState::removed)
-            if (auto [it, is_new] = lines.try_emplace(entry.address, section->line()); !is_new)
+            if (auto [it, is_new] = line_by_address.try_emplace(entry.address, section->line());
+                !is_new)
                 section->fault("address",
-                               "the node in line " + std::to_string(it->second) + " has it, too");
+                               "expected a different address for each node; the node in line " +
+                                   std::to_string(it->second) + " has the same one");
         list.entries.push_back(std::move(entry));
     }
     if (list.entries.size() != count)
-        head.fault("nodes", "the file lists " + std::to_string(list.entries.size()) + " nodes");
+        head.fault("nodes",
+                   "the file has " + std::to_string(list.entries.size()) + " [node ID] sections");
 
     for (auto &fault : file.faults())
         faults.push_back(fault);
--- a/src/edge/endpoint_file.hpp
+++ b/src/edge/endpoint_file.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The endpoint list as a file: taken whole or not at all.
+/// Reads and writes the file of the endpoint list. A file is accepted as a whole or not at all.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,26 @@
 namespace knotvane::edge {
 
 struct EndpointEntry {
-    /// Its started_at counts from the Unix epoch.
+    /// `started_at` is in nanoseconds since the Unix epoch.
     Endpoint endpoint;
     std::string address;
 };
 
 struct EndpointList {
-    /// Goes up with each change; 0 for no list.
+    /// Increases with each change; 0 if there is no list.
     std::uint64_t version = 0;
     std::vector<EndpointEntry> entries;
 };
 
-/// @param name what faults call the file.
-/// @param faults gets what is wrong, one line each.
-/// @return the list, or an empty one with any fault: a file that is cut short, counts wrong or
-/// contradicts itself is none.
+/// Parses the text of an endpoint list file.
+/// @param name name of the file for error messages.
+/// @param faults one line for each error is appended.
+/// @return the list, or an empty one if there is any error, such as a truncated file, a wrong count
+/// or contradicting entries.
 EndpointList parse_endpoint_list(const std::string &name, const std::string &text,
                                  std::vector<std::string> &faults);
 
-/// The text that parse_endpoint_list reads.
+/// @return the list in the format that parse_endpoint_list reads.
 std::string format_endpoint_list(const EndpointList &list);
 
 } // namespace knotvane::edge
--- a/src/edge/node_connections.cpp
+++ b/src/edge/node_connections.cpp
@@ -12,8 +12,8 @@
 
 constexpr Time never = std::numeric_limits<Time>::max();
 
-/// Attempts that one connection carries before a second is worth its handshake: a stall of one then
-/// holds few.
+/// Another connection to a node is opened once all of its connections have this many attempts, so
+/// that a stalled connection delays only a few. For fewer attempts the handshake isn't worth it.
 constexpr std::size_t attempts_per_connection = 8;
 
 /// Frames carry units in thousandths.
@@ -31,7 +31,7 @@
     case Status::expired:
     case Status::stale_epoch:
     case Status::misdirected:
-        return AttemptOutcome::not_sent; // the node proves that it did not run and never will
+        return AttemptOutcome::not_sent; // the node guarantees that it did not and will not run
     default:
         return AttemptOutcome::error;
     }
@@ -48,12 +48,12 @@
     NodeConnectionId id;
     NodeId node;
     Stage stage = Stage::connecting;
-    bool draining = false; // gets no new attempts and is closed after its last
+    bool draining = false; // gets no new attempts and is closed after its last one
     Time opened_at;
     Time last_received_at;
     Time next_check = 0;
-    Time now = 0;          // of the bytes that are being read
-    Time clock_offset = 0; // the node's clock less ours, the least that it can be
+    Time now = 0;          // when the bytes being decoded were received
+    Time clock_offset = 0; // lower bound of the node's clock minus this edge's
     std::size_t unsent_bytes = 0;
     std::size_t attempts = 0;
     std::deque<Tag> pending; // not sent yet
@@ -68,10 +68,11 @@
         if (frame.kind == FrameKind::welcome && stage == Stage::greeting)
             return welcomed(NodeId{frame.tag}, frame.not_after);
         if (frame.kind != FrameKind::answer || stage != Stage::established) {
-            fault = "an unexpected frame of kind " + std::to_string(static_cast<int>(frame.kind));
+            fault = "received an unexpected frame of kind " +
+                    std::to_string(static_cast<int>(frame.kind));
             return false;
         }
-        // Else it timed out or was canceled.
+        // An attempt with an unknown tag has timed out or was canceled.
         if (tags.contains(frame.tag))
             owner.complete(
                 frame.tag, outcome_of(frame.status),
@@ -81,17 +82,17 @@
 
     bool welcomed(NodeId answering, Time node_clock) {
         if (answering != node) {
-            fault = node_name(answering) + " answers where " + node_name(node) + " is listed";
+            fault = node_name(answering) + " answered at the address listed for " + node_name(node);
             return false;
         }
         stage = Stage::established;
-        // The welcome took some time: the node's clock is at least this far ahead. A not-after time
-        // by it is never later for the node than for us.
+        // The welcome's transfer took some time, so this is a lower bound of the offset. A
+        // not-after time converted with it is never later on the node's clock than on this edge's.
         clock_offset = node_clock - now;
         return true;
     }
 
-    /// It stopped in the middle of a frame.
+    /// @return whether a frame has been received only in part.
     bool in_frame() const { return reader.buffered_bytes() > 0; }
 };
 
@@ -128,7 +129,8 @@
     return it == connections_.end() ? nullptr : it->second.get();
 }
 
-// The connection with the fewest attempts; a further one while all have some and there may be more.
+// Returns the connection with the fewest attempts, or opens another one if all have
+// attempts_per_connection and max_per_node allows it. Returns null if the node isn't listed.
 NodeConnections::Connection *NodeConnections::choose(Time now, NodeId node) {
     auto it = nodes_.find(node);
     if (it == nodes_.end() || it->second.address.empty())
@@ -266,7 +268,7 @@
     auto tag = it->second;
     const Attempt &attempt = attempts_.at(tag);
     if (!attempt.sent)
-        return complete(tag, AttemptOutcome::not_sent); // nothing went out: that is proof
+        return complete(tag, AttemptOutcome::not_sent); // nothing was sent, so it can't run
     if (auto *connection = find(attempt.connection)) {
         const NodeRequest &canceled = *attempt.request.node_request;
         auto bytes = node_protocol::encode({.kind = FrameKind::cancel_attempt,
@@ -307,11 +309,10 @@
     if (fault.empty())
         fault = connection->fault;
     if (!fault.empty()) {
-        events_.log_event(node_name(connection->node) + ": " + fault +
-                          "; the connection is closed");
+        events_.log_event(node_name(connection->node) + ": " + fault + "; closing the connection");
         return close(id, lost);
     }
-    // In the middle of a frame it is looked at sooner.
+    // Within a frame the stall timeout applies, which may end before the next scheduled check.
     Time stalls_at = now + config_.frame_stall_timeout;
     if (connection->in_frame() && connection->next_check > stalls_at)
         schedule_check(*connection, stalls_at);
@@ -347,7 +348,7 @@
         auto [at, id] = *checks_.begin();
         checks_.erase(checks_.begin());
         auto *connection = find(id);
-        // Else a later call has set another time.
+        // Otherwise the check has been rescheduled.
         if (connection && connection->next_check == at)
             check(now, *connection);
     }
@@ -358,7 +359,8 @@
         auto tag = deadlines_.begin()->second;
         const Attempt &attempt = attempts_.at(tag);
         auto *connection = find(attempt.connection);
-        // Nothing was received on its connection since it was sent: no further attempt goes there.
+        // The connection gets no further attempts if nothing was received on it since this one was
+        // sent.
         if (connection && attempt.sent && connection->last_received_at <= attempt.sent_at)
             drain(*connection);
         complete(tag, attempt.sent ? AttemptOutcome::timed_out : AttemptOutcome::not_sent);
@@ -375,17 +377,17 @@
     Time stalls_at = connection.last_received_at + config_.frame_stall_timeout;
     bool is_established = connection.stage == Stage::established;
     if (!is_established && now >= connects_until) {
-        // Not one byte of an attempt has gone out.
+        // No attempt is sent before the connection is established.
         auto outcome = connection.stage == Stage::connecting ? AttemptOutcome::unreachable
                                                              : AttemptOutcome::not_sent;
         return close(connection.id, {outcome, outcome});
     }
     if (connection.in_frame() && now >= stalls_at) {
-        // Guards against a node that falls silent in the middle of an answer: all behind it on
-        // this connection would wait for what never comes, and the node would look unresponsive
-        // though it is not.
-        events_.log_event(node_name(connection.node) +
-                          ": silent in the middle of a frame; the connection is closed");
+        // The node stopped sending in the middle of an answer. All later answers on this connection
+        // would wait for the rest of it, and the node would seem unresponsive though it is not.
+        events_.log_event(node_name(connection.node) + ": nothing received for " +
+                          std::to_string(config_.frame_stall_timeout / ms) +
+                          " ms in the middle of a frame; closing the connection");
         return close(connection.id, lost);
     }
     bool is_idle = now >= connection.last_received_at + config_.idle_timeout;
@@ -398,7 +400,7 @@
     else if (connection.in_frame())
         next = stalls_at;
     else if (connection.draining)
-        next = never; // its last attempt schedules a check
+        next = never; // completion of its last attempt schedules a check
     connection.next_check = std::max(next, now + 1);
     if (next < never)
         checks_.insert({connection.next_check, connection.id});
--- a/src/edge/node_connections.hpp
+++ b/src/edge/node_connections.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Connections to nodes, without I/O: which attempt goes on which, and what became of it. Every
-/// outcome that the scheduler is told comes from the event that it names.
+/// Connections to nodes, without I/O: assigns attempts to connections and determines their
+/// outcomes. An outcome is only reported if the event that it names has happened.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,8 @@
 
 namespace knotvane::edge {
 
-/// The sockets to nodes. Closing is final: no event of that connection may follow.
+/// Performs the I/O of the connections to nodes. After close, no event of that connection may
+/// follow.
 class Transport {
 public:
     virtual ~Transport() = default;
@@ -32,13 +33,13 @@
     virtual void close(NodeConnectionId connection) = 0;
 };
 
-/// What a node answered to an attempt; as default where it didn't.
+/// A node's answer to an attempt; default values if there was none.
 struct NodeAnswer {
     node_protocol::Status status{};
-    /// Of the store that answered; 0 if none did.
+    /// Incarnation of the store that answered; 0 if none did.
     std::uint64_t store_incarnation = 0;
     std::string payload;
-    /// With a stale answer: the epoch in force.
+    /// The epoch in force, if the status is stale_epoch.
     std::uint32_t epoch = 0;
 };
 
@@ -51,7 +52,7 @@
     NodeAnswer answer;
 };
 
-/// What the connections report. No call may call the connections back.
+/// Receives events from NodeConnections. Implementations must not call back into it.
 class NodeConnectionEvents {
 public:
     virtual ~NodeConnectionEvents() = default;
@@ -59,46 +60,47 @@
     virtual void log_event(std::string text) = 0;
 };
 
-/// An attempt to be sent.
+/// An attempt to send.
 struct NodeAttempt {
     RequestId request;
     AttemptId attempt;
     NodeId node;
     std::shared_ptr<const NodeRequest> node_request;
-    /// Without an answer until then it completes as timed_out, or not_sent if nothing went out.
+    /// If there is no answer by then, the attempt completes as timed_out, or as not_sent if nothing
+    /// of it was sent.
     Time deadline = 0;
 };
 
 /// The connections of one edge to all nodes. Each attempt that is started completes exactly once.
 class NodeConnections {
 public:
-    /// @param transport and events must outlive this.
-    /// @param edge_id and incarnation are what nodes are told of this edge.
+    /// @param transport must outlive this object, as must `events`.
+    /// @param edge_id sent to nodes, with `incarnation`, to identify this edge.
     NodeConnections(Transport &transport, NodeConnectionEvents &events, std::uint64_t edge_id,
                     std::uint64_t incarnation, const NodeConnectionConfig &config);
     ~NodeConnections();
 
-    /// The nodes that may be sent to, all of them; connections to others close after their last
-    /// attempt.
+    /// Replaces the list of nodes that attempts may be sent to. Connections to other nodes or
+    /// addresses close after their last attempt.
     void set_nodes(const std::map<NodeId, std::string> &addresses);
     void start_attempt(Time now, NodeAttempt attempt);
-    /// Nothing happens if the attempt has completed.
+    /// Has no effect if the attempt has completed already.
     void cancel_attempt(RequestId request, AttemptId attempt);
 
-    // Events of a connection; those of one that is unknown are ignored.
+    // Events of a connection. They are ignored if the connection is unknown.
     void connected(Time now, NodeConnectionId id);
     void connect_failed(NodeConnectionId id);
     void received(Time now, NodeConnectionId id, std::string_view bytes);
     void disconnected(NodeConnectionId id);
-    /// So many of the bytes handed to the transport have left.
+    /// The transport has sent `bytes` of the bytes that it was given.
     void sent(Time now, NodeConnectionId id, std::size_t bytes);
 
-    /// When tick has something to do; the largest Time if never.
+    /// @return when tick must be called next; the maximum of Time if never.
     Time next_due() const;
     void tick(Time now);
 
 private:
-    /// Names an attempt on the wire.
+    /// Identifies an attempt in frames.
     using Tag = std::uint64_t;
 
     struct Attempt {
@@ -113,14 +115,14 @@
         std::string address; // empty once it isn't listed
         std::vector<NodeConnectionId> connections;
     };
-    /// How the attempts of a connection that goes away complete.
+    /// The outcomes of attempts whose connection is closed or lost.
     struct LossOutcomes {
         AttemptOutcome sent;
         AttemptOutcome not_sent;
     };
 
-    /// The connection is lost after it was established. Before the node's welcome no attempt is
-    /// sent: `reset` would claim that it may have run.
+    /// Outcomes for a connection that is lost after it was established. No attempt is sent before
+    /// the node's welcome; its outcome must not be `reset`, which says that it may have run.
     static constexpr LossOutcomes lost{AttemptOutcome::reset, AttemptOutcome::not_sent};
 
     Connection *find(NodeConnectionId id);
--- a/src/edge/node_reachability.cpp
+++ b/src/edge/node_reachability.cpp
@@ -5,11 +5,11 @@
 namespace knotvane::edge {
 namespace {
 
-// A node is unreachable after so many failed attempts in a row over at least this time; one answer
-// ends it.
+// A node becomes unreachable after this many consecutive failed attempts over at least this time.
+// One answer makes it reachable again.
 constexpr std::uint32_t min_failures = 3;
 constexpr Time min_failing_time = 500 * ms;
-// An answer of up to this long ago still shows that a node is reachable: a few renewals' time.
+// A node that answered within this time is reported as reachable; a few lease renewal intervals.
 constexpr Time max_answer_age = 5 * sec;
 
 bool is_answer(AttemptOutcome outcome) {
--- a/src/edge/node_reachability.hpp
+++ b/src/edge/node_reachability.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether this edge reaches each node, by what became of its attempts. No I/O.
+/// Determines from the outcomes of attempts whether this edge can reach each node. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,22 @@
 
 namespace knotvane::edge {
 
-/// Counts failures in a row for each node. One node that only the planner, or only some edges,
-/// can't reach must not leave the cluster; so the planner asks the edges.
+/// Counts consecutive failures of attempts for each node. The planner asks the edges for the
+/// result, because a node that only the planner or only some edges can't reach must stay in the
+/// cluster.
 class NodeReachability {
 public:
-    /// \return what to report to the planner: the node became unreachable (false) or reachable
-    ///         again (true); nothing where it is as before
+    /// \return what to report to the planner: false if the node became unreachable, true if it
+    ///         became reachable again, nothing if there is no change
     std::optional<bool> attempt_completed(Time now, NodeId node, AttemptOutcome outcome);
 
-    /// The answer to the planner's question; nothing where this edge has not heard of the node
-    /// lately.
+    /// \return whether the node is reachable; nothing if it is not known to be unreachable and has
+    ///         not answered this edge recently
     std::optional<bool> is_reachable(Time now, NodeId node) const;
 
     std::vector<NodeId> unreachable() const;
 
-    /// Forgets the nodes for which `keep` is false.
+    /// Removes the nodes for which `keep` returns false.
     template <class Predicate>
     void retain(Predicate keep) {
         std::erase_if(nodes_, [&](const auto &entry) { return !keep(entry.first); });
@@ -36,9 +37,10 @@
 
 private:
     struct Entry {
-        std::uint32_t failures = 0; // in a row
+        std::uint32_t failures = 0; // consecutive
         Time first_failure = 0;
-        // Never: far enough back that it is too old at any time, and subtracts without overflow.
+        // The initial value means never. It is too old at any time, and subtracting it from a time
+        // does not overflow.
         Time last_answer = -std::numeric_limits<Time>::max() / 2;
         bool unreachable = false;
     };
--- a/src/edge/planner_client.cpp
+++ b/src/edge/planner_client.cpp
@@ -6,24 +6,25 @@
 namespace knotvane::edge {
 namespace {
 
-// The first attempt after a loss comes within this; each failure doubles it, up to the longest.
-// 280 edges that lose a planner together come back over a quarter of a second, and load a dead
-// one's host with under a hundred attempts a second.
+// Upper limit of the random delay before the first reconnect; it doubles with each failure, up to
+// max_reconnect_within. 280 edges that lose a planner at once reconnect spread over a quarter of a
+// second. While the planner is down, they make fewer than a hundred attempts a second.
 constexpr Time first_reconnect_within = 250 * ms;
 constexpr Time max_reconnect_within = 4 * sec;
 constexpr Time connect_timeout = 2 * sec;
-// As how many failures it counts that a planner was left for what it sent.
+// Number of failed reconnects that closing a connection for a fault of the planner counts as.
 constexpr std::uint32_t failures_of_bad_planner = 4;
-// A planner that answers nothing for so many renewals is taken for hung, and the connection for
-// lost.
+// The connection is closed if nothing is received for this many renewal intervals: the planner
+// hangs or the connection is lost.
 constexpr Time silent_renewals = 5;
-// Past so much on the disk the full state is asked for again, which replaces the file.
+// Once the file reaches this size the full state is requested, which then replaces the file.
 constexpr std::size_t max_stored_bytes = 8 << 20;
-// Read at once: about three hundred volumes, under a third of a millisecond.
+// Bytes decoded in one call: about three hundred volumes, which take less than a third of a
+// millisecond.
 constexpr std::size_t max_bytes_read_at_once = 16 << 10;
-// A state from the disk may be from the future by this, for clocks that are set.
+// A stored state may be this far in the future, because a clock may have been set back.
 constexpr Time clock_slack = 60 * sec;
-// Seeds of neighbouring edges must not give neighbouring sequences.
+// Multiplies the seed, so that edges with adjacent ids and seeds do not use the same random delays.
 constexpr std::uint64_t seed_factor = 7919;
 
 } // namespace
@@ -33,7 +34,7 @@
       reconnect_backoff_(first_reconnect_within, max_reconnect_within,
                          config_.seed * seed_factor + config_.edge.value + 1) {}
 
-// ---- The state on the disk.
+// ---- The stored state.
 
 void PlannerClient::start(Time now, std::string_view stored_state) {
     now_ = now;
@@ -49,30 +50,34 @@
     try {
         decoder_.decode(stored_state, *this);
     } catch (const control::ProtocolError &) {
-        // Whole updates before the damage count. The replica drops one that is there in part, as
-        // if its end were lost on the way.
+        // Complete updates before the damage are used. The replica drops an incomplete one, as if
+        // its end had been lost in transmission.
     }
     decoder_ = {};
     error_.clear();
     auto age = now_ - planner_time_;
     if (replica_.term() == control::Term{0}) {
-        actions_.log_event("the plan on disk is not used: it holds nothing whole");
+        actions_.log_event("stored cluster state not used: it contains no complete update; waiting "
+                           "for the planner");
     } else if (age > config_.max_cache_age || age < -clock_slack) {
-        actions_.log_event("the plan on disk is not used: it is " + std::to_string(age / sec) +
-                           "s old, at most " + std::to_string(config_.max_cache_age / sec) +
-                           "s are trusted");
+        actions_.log_event("stored cluster state not used: its age is " +
+                           std::to_string(age / sec) + " s, expected at most " +
+                           std::to_string(config_.max_cache_age / sec) +
+                           " s and not in the future; waiting for the planner");
         replica_ = {};
     } else {
-        actions_.log_event("started from the plan on disk, stale: term " +
-                           std::to_string(replica_.term().value) + ", version " +
-                           std::to_string(replica_.version().value) + ", " +
-                           std::to_string(age / sec) + "s old");
+        actions_.log_event(
+            "started with the stored cluster state, without quota shares until the planner renews "
+            "the lease: term " +
+            std::to_string(replica_.term().value) + ", version " +
+            std::to_string(replica_.version().value) + ", " + std::to_string(age / sec) + " s old");
         rewrite_stored_state();
         state_changed(true, true);
     }
 }
 
-// What is added after a piece that was cut short would never be read.
+// Replaces the file by the restored state: updates appended after an incomplete one could not be
+// read.
 void PlannerClient::rewrite_stored_state() {
     const auto &state = replica_.cluster_state();
     auto bytes = control::encode(control::UpdateBegin{replica_.term(), replica_.instance(),
@@ -101,8 +106,8 @@
     connected_ = true;
     reconnect_backoff_.connect_succeeded();
     decoder_ = {};
-    unread_.clear();
-    read_bytes_ = 0;
+    received_bytes_.clear();
+    decoded_bytes_ = 0;
     error_.clear();
 
     control::EdgeHello hello;
@@ -115,7 +120,7 @@
     for (const auto &[id, node] : replica_.cluster_state().nodes)
         if (node.state == NodeState::draining)
             hello.draining_nodes.push_back(id);
-    hello.served_volumes = {used_.begin(), used_.end()};
+    hello.served_volumes = {used_volumes_.begin(), used_volumes_.end()};
     send(control::encode(hello));
     for (auto node : reachability_.unreachable())
         report_reachability(node, false);
@@ -130,8 +135,8 @@
     actions_.planner_lost();
 }
 
-void PlannerClient::close_connection(const std::string &why) {
-    actions_.log_event("planner: connection closed: " + why);
+void PlannerClient::close_connection(const std::string &reason) {
+    actions_.log_event("planner: closing the connection and reconnecting later: " + reason);
     actions_.disconnect_planner();
     connected_ = false;
     renew_at_ = never;
@@ -145,13 +150,14 @@
 }
 
 void PlannerClient::send_renewal() {
-    // What the planner seems not to have heard is said again, both ways.
+    // Repeats the messages about used and unused volumes that the planner seems not to have
+    // received.
     const auto &shares = replica_.cluster_state().quota_shares;
-    for (auto volume : used_)
+    for (auto volume : used_volumes_)
         if (!shares.contains(volume))
             send(control::encode(control::VolumeServed{volume, true}));
     for (const auto &[volume, share] : shares)
-        if (!used_.contains(volume))
+        if (!used_volumes_.contains(volume))
             send(control::encode(control::VolumeServed{volume, false}));
     send(control::encode(control::LeaseRenewal{now_, replica_.term(), replica_.version()}));
     renew_at_ = now_ + config_.renewal_interval;
@@ -160,35 +166,36 @@
 void PlannerClient::received(Time now, std::string_view bytes) {
     now_ = now;
     last_received_ = now;
-    unread_.append(bytes);
+    received_bytes_.append(bytes);
     decode_next_piece();
 }
 
-// Guards against a full state that comes at once: clients would wait for all of it to be read.
+// Decodes a limited number of bytes, because clients would have to wait while a full state is
+// decoded in one call.
 void PlannerClient::decode_next_piece() {
-    auto piece = std::string_view(unread_).substr(read_bytes_, max_bytes_read_at_once);
+    auto piece = std::string_view(received_bytes_).substr(decoded_bytes_, max_bytes_read_at_once);
     if (piece.empty())
         return;
-    read_bytes_ += piece.size();
-    std::string why;
+    decoded_bytes_ += piece.size();
+    std::string reason;
     try {
         decoder_.decode(piece, *this);
     } catch (const control::ProtocolError &error) {
-        why = error.what();
+        reason = error.what();
     }
-    if (read_bytes_ == unread_.size()) {
-        unread_.clear();
-        read_bytes_ = 0;
+    if (decoded_bytes_ == received_bytes_.size()) {
+        received_bytes_.clear();
+        decoded_bytes_ = 0;
     }
-    if (why.empty())
-        why = error_;
-    if (!why.empty() && connected_)
-        close_connection(why);
+    if (reason.empty())
+        reason = error_;
+    if (!reason.empty() && connected_)
+        close_connection(reason);
 }
 
 void PlannerClient::handle_unexpected(std::string_view message) {
     if (error_.empty())
-        error_ = std::string(message) + " is not expected from a planner";
+        error_ = std::string(message) + " is not a message that a planner may send";
 }
 
 // ---- Updates.
@@ -211,8 +218,9 @@
     case control::UpdateResult::wrong_planner:
         send(control::encode(control::Superseded{replica_.term()}));
         if (error_.empty())
-            error_ = "it plans with an older term, or twice under one; term " +
-                     std::to_string(replica_.term().value) + " is followed";
+            error_ = "it has an older term than this edge, or another planner has the same term; "
+                     "keeping the state of term " +
+                     std::to_string(replica_.term().value);
         return;
     case control::UpdateResult::version_gap:
     case control::UpdateResult::malformed:
@@ -223,14 +231,14 @@
         update_applied(result, std::move(bytes));
         break;
     }
-    send_renewal(); // acknowledges what is held now
+    send_renewal(); // acknowledges the current version
 }
 
 void PlannerClient::update_applied(control::UpdateResult result, std::string bytes) {
-    bool whole = result == control::UpdateResult::full_state_applied;
-    stored_bytes_ = bytes.size() + (whole ? 0 : stored_bytes_);
-    actions_.store_cluster_state(std::move(bytes), whole);
-    if (!whole && stored_bytes_ >= max_stored_bytes) {
+    bool is_full_state = result == control::UpdateResult::full_state_applied;
+    stored_bytes_ = bytes.size() + (is_full_state ? 0 : stored_bytes_);
+    actions_.store_cluster_state(std::move(bytes), is_full_state);
+    if (!is_full_state && stored_bytes_ >= max_stored_bytes) {
         send(control::encode(control::FullStateRequest{}));
         stored_bytes_ = 0;
     }
@@ -246,9 +254,9 @@
     announce_quota_shares();
 }
 
-// A node's start by this edge's clock. One incarnation keeps the start that was worked out first:
-// told again it would differ by what the message took. A late update makes a node younger, and so
-// its slow start longer, never shorter.
+// Returns the start times of the nodes by this edge's clock. The time computed first for an
+// incarnation is kept, because later results would differ by the messages' transfer times. A
+// delayed update makes a node seem younger, so its slow start gets longer, never shorter.
 std::map<NodeId, Time> PlannerClient::node_starts() {
     const auto &nodes = replica_.cluster_state().nodes;
     std::map<NodeId, Time> out;
@@ -265,8 +273,8 @@
 // ---- Quota shares.
 
 void PlannerClient::handle(const control::LeaseRenewed &message) {
-    // Of a version that this edge does not hold yet, it would prolong shares that have been lowered
-    // since.
+    // If this edge does not have min_version yet, a renewal would extend the lease on shares that
+    // have been reduced since.
     if (restoring_ || message.term != replica_.term() || replica_.version() < message.min_version)
         return;
     lease_.renew(message.sent_at, message.lease, message.fade);
@@ -277,7 +285,7 @@
 
 void PlannerClient::announce_quota_shares() {
     const auto &shares = replica_.cluster_state().quota_shares;
-    for (auto volume : used_) {
+    for (auto volume : used_volumes_) {
         auto it = shares.find(volume);
         auto usable = control::usable_millionths(it == shares.end() ? 0 : it->second.millionths,
                                                  lease_.past(now_), lease_.fade());
@@ -293,12 +301,12 @@
 void PlannerClient::volume_used(Time now, VolumeId volume, bool used) {
     now_ = now;
     if (used) {
-        used_.insert(volume);
+        used_volumes_.insert(volume);
         announce_quota_shares();
     } else {
-        // No request may use it meanwhile: the share may be another's when the volume's next
-        // client comes.
-        used_.erase(volume);
+        // The share must not be used from now on: when the volume's next client connects, it may
+        // belong to another edge.
+        used_volumes_.erase(volume);
         announced_millionths_.erase(volume);
         actions_.quota_share_changed(volume, std::numeric_limits<double>::infinity());
     }
@@ -322,7 +330,7 @@
         report_reachability(message.node, *reachable);
 }
 
-// ---- Snapshots. Bytes from the disk order nothing.
+// ---- Snapshots. Messages in the stored state are ignored.
 
 void PlannerClient::handle(const control::SnapshotHold &message) {
     if (!restoring_)
@@ -352,7 +360,7 @@
                                      last_received_ + silent_renewals * config_.renewal_interval)
                           : reconnect_backoff_.deadline();
     due = std::min(due, lease_.next_change(announced_stage_));
-    if (has_replaced_state_ || read_bytes_ < unread_.size())
+    if (has_replaced_state_ || decoded_bytes_ < received_bytes_.size())
         due = std::min(due, now_);
     return due;
 }
@@ -363,16 +371,17 @@
         decode_next_piece();
     if (auto stage = lease_.stage(now); std::exchange(announced_stage_, stage) != stage) {
         actions_.log_event(stage == QuotaLease::Stage::faded
-                               ? "planner: the lease ran out; a quarter of each quota share is "
-                                 "used, all else as last told"
-                               : "planner: the lease ran out for long; no quota share is used, all "
-                                 "else as last told");
+                               ? "planner: the lease on quota shares has expired; using a quarter "
+                                 "of each share, and all else as of the last update"
+                               : "planner: the lease on quota shares and its fade time have "
+                                 "expired; using no share, and all else as of the last update");
         announce_quota_shares();
     }
     if (has_replaced_state_)
         has_replaced_state_ = replica_.free_replaced_state();
     if (connected_ && now - last_received_ >= silent_renewals * config_.renewal_interval)
-        return close_connection("it has answered nothing for long");
+        return close_connection("nothing was received for " +
+                                std::to_string((now - last_received_) / ms) + " ms");
     if (connected_ && now >= renew_at_)
         send_renewal();
     if (connected_ || now < reconnect_backoff_.deadline())
--- a/src/edge/quota_lease.hpp
+++ b/src/edge/quota_lease.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The lease on an edge's quota shares, as the edge itself counts it. No I/O.
+/// An edge's own view of the lease on its quota shares. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -9,20 +9,21 @@
 
 namespace knotvane::edge {
 
-/// Until when the planner lets this edge use its quota shares. It runs by the edge's clock from
-/// when the renewal was sent; the planner counts from later on, and so never gives a share to
-/// another edge too early.
+/// The time until which the planner allows this edge to use its quota shares. On the edge, a lease
+/// starts when its renewal was sent, by the edge's clock. The planner counts it from a later
+/// moment, so it never gives a share to another edge too early.
 class QuotaLease {
 public:
     enum class Stage {
-        held,    ///< shares are used whole
+        held,    ///< shares are used in full
         faded,   ///< a quarter of each is used
         expired, ///< none is used
     };
 
-    /// \param sent_at  when the renewal was sent that was granted now
-    /// \param length   of the lease, from sent_at on
-    /// \param fade     how long a quarter may be used after that
+    /// Extends the lease after the planner has granted a renewal.
+    /// \param sent_at  when the renewal was sent
+    /// \param length   duration of the lease, from sent_at
+    /// \param fade     how long a quarter of each share may be used after the lease has expired
     void renew(Time sent_at, Time length, Time fade) {
         until_ = std::max(until_, sent_at + length);
         fade_ = fade;
@@ -34,11 +35,11 @@
         return past(now) <= fade_ ? Stage::faded : Stage::expired;
     }
 
-    /// How long ago it ran out; 0 or less while it is held.
+    /// \return the time since the lease expired; 0 or less while it is held.
     Time past(Time now) const { return now - until_; }
     Time fade() const { return fade_; }
 
-    /// When the stage after `current` begins; the maximum of Time where none follows.
+    /// \return when the stage after `current` begins; the maximum of Time if there is none.
     Time next_change(Stage current) const {
         if (current == Stage::expired)
             return std::numeric_limits<Time>::max();
@@ -46,7 +47,8 @@
     }
 
 private:
-    // Never granted: far enough back that it is past every fade, and subtracts without overflow.
+    // The initial value means never granted. It is older than any fade time, and subtracting it
+    // from a time does not overflow.
     Time until_ = -std::numeric_limits<Time>::max() / 2;
     Time fade_ = 0;
 };
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -54,8 +54,8 @@
     follow_planner(read_planner(file), identity.seed);
     if (!planner_client_) {
         load_endpoint_file();
-        watch_ = std::make_unique<loop::FileWatcher>(loop_, endpoint_path_,
-                                                     [this] { load_endpoint_file(); });
+        endpoint_watcher_ = std::make_unique<loop::FileWatcher>(loop_, endpoint_path_,
+                                                                [this] { load_endpoint_file(); });
     }
     loop_.set_before_wait_callback([this] { return end_of_moment(); });
 }
@@ -92,8 +92,8 @@
                                    settings.renew_every, settings.max_cache_age});
     planner_->on_connected = [this] { planner_client_->connected(loop::now()); };
     planner_->on_disconnected = [this] { planner_client_->disconnected(loop::now()); };
-    planner_->on_received = [this](std::string_view in) {
-        planner_client_->received(loop::now(), in);
+    planner_->on_received = [this](std::string_view bytes) {
+        planner_client_->received(loop::now(), bytes);
     };
     core_->follow_cluster_state(planner_client_->replica().cluster_state());
     std::string fault;
@@ -101,9 +101,9 @@
                            plan_path_.empty() ? "" : settings::File::slurp(plan_path_, fault));
 }
 
-void Server::volume_used(VolumeId volume, bool on) {
+void Server::volume_used(VolumeId volume, bool used) {
     if (planner_client_)
-        planner_client_->volume_used(loop::now(), volume, on);
+        planner_client_->volume_used(loop::now(), volume, used);
 }
 
 void Server::snapshot_step_done(VolumeId snapshot, control::SnapshotStep step,
@@ -132,28 +132,30 @@
     core_->quota_share_changed(loop::now(), volume, sharers);
 }
 
-void Server::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
-                                   const std::map<NodeId, Time> &started) {
+void Server::cluster_state_changed(const control::ClusterState &cluster_state, bool nodes,
+                                   bool plans, const std::map<NodeId, Time> &started) {
     if (plans)
-        for (auto &[id, p] : table.plans)
-            core_->set_plan(id, plan_config(p));
+        for (auto &[id, plan] : cluster_state.plans)
+            core_->set_plan(id, plan_config(plan));
     core_->cluster_state_changed(loop::now());
     if (!nodes)
         return;
     EndpointList list;
-    for (auto &[id, n] : table.nodes)
-        list.entries.push_back({{id, n.shard, n.zone, n.state, started.at(id)}, n.address});
-    list.version = ++lists_;
+    for (auto &[id, node] : cluster_state.nodes)
+        list.entries.push_back(
+            {{id, node.shard, node.zone, node.state, started.at(id)}, node.address});
+    list.version = ++last_list_version_;
     apply_endpoint_list(list);
 }
 
 void Server::store_cluster_state(std::string bytes, bool replace) {
     if (plan_path_.empty())
         return;
-    bool well = write_cluster_state(plan_path_, bytes, replace);
-    if (!well && !std::exchange(store_failure_logged_, true))
-        log_event(plan_path_ + ": the last plan can't be kept there");
-    if (well)
+    bool written = write_cluster_state(plan_path_, bytes, replace);
+    if (!written && !std::exchange(store_failure_logged_, true))
+        log_event(plan_path_ + ": writing the cluster state failed; the next update is written "
+                               "again, until then a restart may find an outdated state or none");
+    if (written)
         store_failure_logged_ = false;
 }
 
@@ -170,10 +172,11 @@
         last_faults_.clear();
         return apply_endpoint_list(list);
     }
-    // Each rejection is reported once, not at every look at the same file.
+    // The same faults are logged only once, not each time that the file is read.
     if (faults != last_faults_)
-        for (const auto &each : faults)
-            log::write(log::error, "endpoint list rejected, the last one stays", {{"fault", each}});
+        for (const auto &fault_text : faults)
+            log::write(log::error, "endpoint list rejected; keeping the last accepted one",
+                       {{"fault", fault_text}});
     last_faults_ = std::move(faults);
 }
 
@@ -197,7 +200,8 @@
 Time Server::end_of_moment() {
     if (planner_client_)
         planner_client_->tick(loop::now());
-    // What was written makes room for more, which is sent in the same moment; a few rounds do.
+    // Bytes that were sent make room for more, which are sent in the same moment. A few rounds are
+    // enough.
     for (int round = 0; round < 4; ++round) {
         core_->settle(loop::now());
         if (!clients_.has_unflushed() && !node_connections_.has_unflushed())
@@ -239,8 +243,8 @@
 }
 
 void Server::close(NodeConnectionId id) {
-    if (auto s = node_connections_.remove(id))
-        s->close();
+    if (auto socket = node_connections_.remove(id))
+        socket->close();
 }
 
 void Server::send_client(ClientId id, std::string bytes) {
@@ -248,13 +252,13 @@
 }
 
 void Server::close_client(ClientId id) {
-    if (auto s = clients_.remove(id))
-        s->close_when_sent();
+    if (auto socket = clients_.remove(id))
+        socket->close_when_sent();
 }
 
 void Server::pause_client(ClientId id, bool paused) {
-    if (auto s = clients_.find(id))
-        s->set_reading_paused(paused);
+    if (auto socket = clients_.find(id))
+        socket->set_reading_paused(paused);
 }
 
 void Server::log_event(std::string text) {
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -19,7 +19,7 @@
 constexpr Time hour = 3600 * sec;
 
 constexpr std::uint64_t min_span_bytes = 4096;
-/// A scheduled request is not larger than an extent.
+/// A scheduled request is not larger than an extent, so this limits its size.
 constexpr std::uint64_t max_extent_bytes = 8 << 20;
 
 constexpr std::uint64_t min_largest_request = 64 << 10;
@@ -28,11 +28,11 @@
 /// In the order of Command.
 constexpr std::array<std::string_view, 5> command_names{"read", "write", "zero", "flush", "status"};
 
-/// Plans and volumes of an edge that has no planner, by the names that other sections use.
+/// Plans and volumes of an edge without a planner, by the names that other sections refer to.
 struct NamedSections {
     std::map<std::string, PlanId> plans;
     std::set<std::string> volumes;
-    bool from_planner = false; // there are none here
+    bool from_planner = false; // plans and volumes come from the planner; there are none here
 };
 
 void read_plans(settings::File &file, ServiceSettings &settings, NamedSections &named) {
@@ -56,26 +56,27 @@
         [&](VolumeId id, const std::string &name, std::uint64_t size, std::uint32_t least,
             const std::string &plan, int) {
             named.volumes.insert(name);
-            // A plan that there isn't is a fault already.
+            // An unknown plan has been reported as a fault already.
             auto known = named.plans.find(plan);
             auto plan_id = known == named.plans.end() ? PlanId{} : known->second;
             settings.volumes.push_back({id, {name, size, least, plan_id, sharers[name]}});
         });
 }
 
-/// A copy of a change that may still run must not meet a later change of the same bytes
-/// (docs/design/gateway.md): the key rests for as long.
+/// An attempt of a write that may still run must not overlap a later write to the same bytes
+/// (docs/design/gateway.md), so key_rest must be at least as long.
 void check_key_rest(settings::Section &section, const WorkloadConfig &workload,
                     const WorkloadRule &rule) {
     bool writes = is_change(rule.command);
     Time window = workload.deduplication_window;
-    Time may_run_for = window > 0 ? window : rule.client_timeout;
-    if (writes && workload.key_cooldown < may_run_for)
-        section.fault("key_rest", "expected at least how long a shot may still run, " +
-                                      std::to_string(may_run_for / ms) +
-                                      "ms (window, or client_timeout without one)");
+    Time max_attempt_duration = window > 0 ? window : rule.client_timeout;
+    if (writes && workload.key_cooldown < max_attempt_duration)
+        section.fault("key_rest", "expected at least the time that an attempt may still run, " +
+                                      std::to_string(max_attempt_duration / ms) +
+                                      "ms (window, or client_timeout if there is no window)");
     if (!writes && workload.key_cooldown > 0)
-        section.fault("key_rest", "only writes and zeroes go by turns");
+        section.fault("key_rest",
+                      "expected 0: only writes and zeroes wait for earlier ones to the same span");
 }
 
 void check_workload(settings::Section &section, const WorkloadConfig &workload,
@@ -84,9 +85,10 @@
     if (workload.latency_objective <= 0 || workload.latency_objective > rule.client_timeout)
         section.fault("due", "expected above 0 and at most client_timeout");
     if (deduplicated != (workload.deduplication_window > 0))
-        section.fault("window", "numbered workloads have a window, and no others");
+        section.fault("window",
+                      "expected above 0 with repeat = numbered, and 0 or no window otherwise");
     if (deduplicated && !is_change(rule.command))
-        section.fault("repeat", "only writes and zeroes are numbered");
+        section.fault("repeat", "expected numbered only for the commands write and zero");
     check_key_rest(section, workload, rule);
 }
 
@@ -117,7 +119,7 @@
 
 void read_workloads(settings::File &file, ServiceSettings &settings, const NamedSections &named) {
     std::uint32_t next = 0;
-    std::set<Command> covered; // commands of which each request has a workload
+    std::set<Command> covered; // commands that have a workload for every request
     for (auto *section : file.all("workload")) {
         auto [workload, rule] = read_workload(*section, WorkloadId{next++});
         check_workload(*section, workload, rule);
@@ -129,8 +131,8 @@
     }
     for (std::size_t i = 0; i < command_names.size(); ++i)
         if (!covered.contains(static_cast<Command>(i)))
-            file.fault(0, "no [workload NAME] is for every " + std::string(command_names[i]) +
-                              ": one without up_to and volume is needed");
+            file.fault(0, "no [workload NAME] applies to every " + std::string(command_names[i]) +
+                              " request: expected one without up_to and volume");
 }
 
 void read_units(settings::File &file, ServiceSettings &settings) {
@@ -161,7 +163,8 @@
     config.clients_mark_repeats = section.flag("clients_mark_repeats", false);
     bool has_budget = budget.retries_per_request > 0 || budget.free_retries > 0;
     if (has_budget != (budget.window > 0))
-        section.fault("further_span", "goes with further_each or further_free");
+        section.fault("further_span",
+                      "expected above 0 with further_each or further_free, and 0 without them");
 }
 
 void read_nodes(settings::File &file, ServiceSettings &settings) {
@@ -174,7 +177,8 @@
     slow_start.duration = section.time("warm_after", 0);
     bool has_units = slow_start.units > 0;
     if (has_units != (slow_start.window > 0) || has_units != (slow_start.duration > 0))
-        section.fault("cold_units", "cold_units, cold_span and warm_after go together");
+        section.fault("cold_units",
+                      "expected all of cold_units, cold_span and warm_after above 0, or none");
 
     auto &connections = settings.node_connections;
     connections.max_per_node = section.count("connections", 1, 64, 2);
@@ -193,7 +197,8 @@
     if (largest_request < min_largest_request || largest_request > max_largest_request)
         section.fault("largest_request", "expected 64KiB to 32MiB");
     if (most_bytes < 2 * largest_request)
-        section.fault("most_bytes", "expected at least twice the largest request");
+        section.fault("most_bytes", "expected at least twice largest_request, " +
+                                        std::to_string(2 * largest_request) + " bytes");
     return {static_cast<std::uint32_t>(requests_each), static_cast<std::uint32_t>(largest_request),
             max_scheduled_requests, most_bytes};
 }
@@ -206,7 +211,7 @@
     auto edges = section.count("edges", 1, max_edges, 1);
     if (edge_id >= edges)
         section.fault("id", "expected below edges, " + std::to_string(edges) +
-                                ": they are counted from 0");
+                                ": ids are counted from 0");
     section.count("zone", 0, max_zone, 0); // only checked
     IdentitySettings identity;
     identity.edge_id = edge_id;
@@ -215,7 +220,7 @@
         section.has("planner") ? section.text("nodes", "") : section.text("nodes");
     identity.seed = section.count("seed", 0, std::numeric_limits<std::int64_t>::max(), 1);
     if (section.has("planner") && section.has("nodes"))
-        section.fault("nodes", "goes with no planner: nodes are told by it");
+        section.fault("nodes", "not allowed with a planner, which sends the nodes");
     return identity;
 }
 
@@ -229,7 +234,7 @@
     if (planner.renew_every <= 0)
         section.fault("renew_every", "expected above 0");
     if (planner.address.empty() && section.has("plan_file"))
-        section.fault("plan_file", "goes with a planner");
+        section.fault("plan_file", "not allowed without a planner");
     return planner;
 }
 
@@ -247,7 +252,7 @@
     if (span == 0 || extent % span != 0 || extent == 0)
         section.fault("extent", "expected a multiple of span");
     if (extent > max_extent_bytes)
-        section.fault("extent", "expected at most 8MiB: a task is not larger than one");
+        section.fault("extent", "expected at most 8MiB, the maximum size of a scheduled request");
     if (layout.bytes_per_unit == 0)
         section.fault("unit", "expected above 0");
     for (std::uint64_t shard = 0; shard < shards; ++shard)
@@ -264,7 +269,7 @@
         static_cast<std::uint32_t>(edge.count("edges", 1, max_edges, 1));
     edge.count("zone", 0, max_zone, 0); // only checked
     read_units(file, settings);
-    // With a planner these come from it, and sections here would only contradict it.
+    // With a planner, plans and volumes come from it; sections here could contradict it.
     NamedSections named;
     named.from_planner = edge.has("planner");
     if (!named.from_planner) {
--- a/src/edge/settings.hpp
+++ b/src/edge/settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// An edge's settings: read from its file and checked against each other.
+/// Reads an edge's settings from its file and validates them.
 #pragma once
 
 #include <cstdint>
@@ -22,18 +22,18 @@
     std::string listen;
     /// Path of the endpoint list; empty with a planner.
     std::string endpoint_file;
-    /// Of the scheduler's random choices.
+    /// Seed of the scheduler's random choices.
     std::uint64_t seed = 0;
 };
 
 struct PlannerSettings {
-    /// Address; empty without a planner.
+    /// The planner's address; empty without a planner.
     std::string address;
-    /// Path where the last plan is kept; empty for nowhere.
+    /// Path of the file in which the last cluster state is kept; empty to keep none.
     std::string plan_file;
-    /// How often the lease is renewed.
+    /// Interval between two renewals of the lease.
     Time renew_every = 0;
-    /// How old a plan from the file may be.
+    /// Maximum age of a cluster state from the file.
     Time max_cache_age = 0;
 };
 
@@ -44,7 +44,7 @@
     std::vector<ShardId> shards;
 };
 
-/// What the core and its scheduler are configured with.
+/// Settings of the core and its scheduler.
 struct ServiceSettings {
     SchedulerConfig scheduler;
     std::vector<std::pair<PlanId, PlanConfig>> plans;
@@ -55,18 +55,18 @@
     AdmissionLimits admission;
 };
 
-// Each reads its sections and adds faults to the file. Call all of them, then look at the file's
-// faults; only without any are the results to be used.
+// Each function reads its sections and adds faults to the file. Call all of them and then check the
+// file's faults: the results are valid only if there are none.
 
 IdentitySettings read_identity(settings::File &file);
 PlannerSettings read_planner(settings::File &file);
 LayoutSettings read_layout(settings::File &file);
 ServiceSettings read_service(settings::File &file);
 
-/// All of them, for their faults alone.
+/// Calls all of these functions to add their faults to the file.
 void check(settings::File &file);
 
-/// Sets a core up that has not started.
+/// Applies the settings to a core that has not been started.
 void apply(const ServiceSettings &settings, Core &core);
 
 } // namespace knotvane::edge
--- a/src/edge/snapshot_participant.hpp
+++ b/src/edge/snapshot_participant.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// An edge's side of a snapshot over many nodes, without I/O: which epoch a volume's changes begin
-/// in, when none may begin, and what the planner is told. docs/design/snapshots.md says why it is
-/// safe.
+/// An edge's part in a snapshot over several nodes, without I/O: determines in which epoch a
+/// volume's changes begin, holds them back, and reports steps to the planner.
+/// docs/design/snapshots.md explains why this is safe.
 #pragma once
 
 #include <cstddef>
@@ -20,16 +20,16 @@
 
 /// A snapshot that is being taken.
 struct SnapshotTarget {
-    /// The volume that it is taken of.
+    /// The volume of which the snapshot is taken.
     VolumeId volume;
     /// The snapshot's own id.
     VolumeId snapshot;
-    /// The volume's epoch after it.
+    /// The volume's epoch after the snapshot.
     std::uint32_t epoch = 0;
 };
 
-/// A change belongs to the epoch in which it began, as a whole, however many attempts and nodes it
-/// takes.
+/// Tracks the epochs and holds of all volumes. A change belongs as a whole to the epoch in which it
+/// began, regardless of the number of its attempts and nodes.
 class SnapshotParticipant {
 public:
     using StepDone = std::function<void(VolumeId snapshot, control::SnapshotStep)>;
@@ -37,39 +37,39 @@
     /// @param step_done is called for each step, within the call that completes it.
     explicit SnapshotParticipant(StepDone step_done) : step_done_(std::move(step_done)) {}
 
-    // From the planner.
+    // Orders from the planner.
 
-    /// No change of the volume begins for `max_hold`, or until resume or release.
+    /// Prevents changes of the volume from beginning for `max_hold`, or until resume or release.
     void hold(Time now, const SnapshotTarget &target, Time max_hold);
-    /// Changes begin again, in the new epoch. Where the hold has expired, or never was, the
+    /// Lets changes begin again, in the new epoch. If the hold has expired or there was none, the
     /// snapshot can't be consistent and the step is `hold_expired`.
     void resume(Time now, const SnapshotTarget &target);
-    /// The snapshot was given up: changes begin again, in the old epoch.
+    /// The planner gave up the snapshot: lets changes begin again, in the old epoch.
     void release(VolumeId volume, VolumeId snapshot);
-    /// Ends all holds: nobody will resume them, and the planner takes this edge for one that has
-    /// not stopped.
+    /// Ends all holds, because no resume will arrive. The planner treats this edge as one that has
+    /// not held its changes.
     void planner_lost();
 
-    // Of changes.
+    // Events of changes.
 
     bool is_holding(VolumeId volume) const { return holding_.contains(volume); }
     std::uint32_t epoch(VolumeId volume) const;
     /// Call only while the volume isn't held.
     /// @return the epoch that the change belongs to.
     std::uint32_t change_started(VolumeId id);
-    /// The client has its answer or is gone. Attempts that are still in flight belong to a change
-    /// that failed.
+    /// The client has its response or has disconnected. Attempts that are still in flight then
+    /// belong to a failed change.
     void change_ended(VolumeId id, std::uint32_t epoch);
-    /// A later epoch is in force: the cluster state says so, or a store that has sealed its
-    /// snapshot.
+    /// Adopts a later epoch that is in force according to the cluster state or to a store that has
+    /// taken its part of the snapshot.
     void learn_epoch(VolumeId id, std::uint32_t epoch);
 
-    // Of time.
+    // Expiry of holds.
 
-    /// When the next hold expires; the largest Time if none.
+    /// @return when the next hold expires; the maximum of Time if there is none.
     Time next_due() const;
     void expire_holds(Time now);
-    /// Volumes whose hold has ended since the last call.
+    /// @return the volumes whose hold has ended since the last call.
     std::set<VolumeId> take_released() { return std::exchange(released_, {}); }
 
 private:
@@ -81,8 +81,8 @@
     struct Volume {
         std::uint32_t epoch = 0;
         std::optional<Hold> hold;
-        VolumeId missed_snapshot{};                     // the last snapshot taken without this edge
-        VolumeId draining{};                            // whose drained step is still to come
+        VolumeId missed_snapshot{}; // the last one whose hold expired or was released
+        VolumeId draining{};        // the snapshot whose drained step is still to be reported
         std::map<std::uint32_t, std::size_t> in_flight; // changes by the epoch they began in
     };
 
--- a/tests/edge/endpoint_file_test.cpp
+++ b/tests/edge/endpoint_file_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list as a file: whole or not at all.
+// Reading and writing the file of the endpoint list.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -18,25 +18,25 @@
                      {{NodeId{2}, ShardId{1}, ZoneId{0}, NodeState::draining, 6}, "127.0.0.1:2"}};
         return l;
     }
-    TEST_CASE("an endpoint list is read as it was written") {
+    TEST_CASE("a written endpoint list is read back unchanged") {
         Lines faults;
         auto got = parse_endpoint_list("f", format_endpoint_list(list()), faults);
         CHECK(faults.empty());
         CHECK(got.entries.size() == 2);
         CHECK(got.entries[1].endpoint.state == NodeState::draining);
     }
-    // The file is read while it is written, or was cut by a full disk. A list that lacks nodes must
-    // not be taken: the edge would stop using them.
-    TEST_CASE("a list cut short anywhere is none") {
+    // A file can be read while it is being written, or be truncated because the disk is full. A
+    // list that lacks nodes must not be accepted: the edge would stop using them.
+    TEST_CASE("a file truncated at any byte is rejected") {
         auto text = format_endpoint_list(list());
-        auto whole = text.size() - 1; // without the last line's end it still says all
-        for (std::size_t n = 0; n < whole; ++n) {
+        auto complete_size = text.size() - 1; // still complete without the last line break
+        for (std::size_t size = 0; size < complete_size; ++size) {
             Lines faults;
-            CHECK(parse_endpoint_list("f", text.substr(0, n), faults).entries.empty());
-            CHECK_MESSAGE(!faults.empty(), n);
+            CHECK(parse_endpoint_list("f", text.substr(0, size), faults).entries.empty());
+            CHECK_MESSAGE(!faults.empty(), size);
         }
     }
-    TEST_CASE("contradictions are told with their line") {
+    TEST_CASE("contradicting entries are reported with their line") {
         auto text = format_endpoint_list(list());
         auto with = [&](const std::string &from, const std::string &to) {
             auto t = text;
@@ -48,7 +48,8 @@
                 all += f + "\n";
             return all;
         };
-        CHECK(with("nodes = 2", "nodes = 3") == "f:3: [list] nodes = 3: the file lists 2 nodes\n");
+        CHECK(with("nodes = 2", "nodes = 3") ==
+              "f:3: [list] nodes = 3: the file has 2 [node ID] sections\n");
         CHECK(with("127.0.0.1:2", "127.0.0.1:1").find("f:13:") == 0);
         CHECK(with("state = draining", "state = dreaming")
                   .find("expected one of draining, gone, ready") != std::string::npos);
--- a/tests/edge/settings_test.cpp
+++ b/tests/edge/settings_test.cpp
@@ -1,4 +1,4 @@
-// An edge's settings: each fault with its line.
+// Faults in an edge's settings.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 using namespace knotvane::edge;
 
 TEST_SUITE("an edge's settings") {
-    TEST_CASE("an edge's settings: one line for each fault") {
+    TEST_CASE("each fault in an edge's settings is reported with its line") {
         std::string text = R"([edge]
 id = 1
 edges = 1
@@ -35,9 +35,9 @@
 window = 2500ms
 key_rest = 1s
 )";
-        settings::File f("edge.ini", text);
-        check(f);
-        auto faults = f.faults();
+        settings::File file("edge.ini", text);
+        check(file);
+        auto faults = file.faults();
         auto has = [&](const std::string &what) {
             bool found = std::any_of(faults.begin(), faults.end(),
                                      [&](auto &x) { return x.find(what) != std::string::npos; });
@@ -51,8 +51,9 @@
         has("edge.ini:15: [volume v] size = 1000: expected a multiple of align");
         has("edge.ini:16: [volume v] plan = q: no section [plan q]");
         has("edge.ini:19: [workload w] due = 4s: expected above 0 and at most client_timeout");
-        has("edge.ini:23: [workload w] key_rest = 1s: expected at least how long a shot may still "
-            "run");
-        has("no [workload NAME] is for every read");
+        has("edge.ini:23: [workload w] key_rest = 1s: expected at least the time that an attempt "
+            "may "
+            "still run");
+        has("no [workload NAME] applies to every read request");
     }
 }
