--- a/src/edge/attempt_tracker.cpp
+++ b/src/edge/attempt_tracker.cpp
@@ -9,20 +9,20 @@
 namespace knotvane::edge {
 namespace {
 
-std::uint32_t read_little_endian(std::string_view bytes, std::size_t at) {
+std::uint32_t read_little_endian(std::string_view bytes, std::size_t offset) {
     std::uint32_t value = 0;
     for (std::size_t i = sizeof value; i-- > 0;)
-        value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
+        value = value << 8 | static_cast<unsigned char>(bytes[offset + i]);
     return value;
 }
 
-/// A node's answer to a block status: pairs of length and flags.
+/// Parses a node's answer to a block status request: pairs of length and flags.
 std::vector<nbd::BlockStatusExtent> parse_extents(std::string_view payload) {
     constexpr std::size_t extent_bytes = 2 * sizeof(std::uint32_t);
     std::vector<nbd::BlockStatusExtent> extents;
-    for (std::size_t at = 0; at + extent_bytes <= payload.size(); at += extent_bytes)
-        extents.push_back({read_little_endian(payload, at),
-                           read_little_endian(payload, at + sizeof(std::uint32_t))});
+    for (std::size_t offset = 0; offset + extent_bytes <= payload.size(); offset += extent_bytes)
+        extents.push_back({read_little_endian(payload, offset),
+                           read_little_endian(payload, offset + sizeof(std::uint32_t))});
     return extents;
 }
 
@@ -75,7 +75,7 @@
 void AttemptTracker::start_attempt(const PendingActions::Action &action) {
     auto &request = state_.scheduled.at(action.request);
     auto node = request.attempts[action.attempt.value].node;
-    if (request.ended) { // by another part of its client request, in the same moment
+    if (request.ended) { // another part of its client request ended it in the same moment
         completions_.push_back(
             {action.request, action.attempt, node, AttemptOutcome::not_sent, {}});
         return;
@@ -85,8 +85,9 @@
     if (action.delay > 0)
         deadline = std::min(deadline, now + action.delay);
     if (action.attempt == AttemptId{0} && node_protocol::is_mutation(request.node_request->kind)) {
-        // One moment for all its attempts: past it none is executed, and until it the node
-        // remembers the idempotency key. So there is no time at which a late copy meets neither.
+        // All attempts share one time limit: after it no node executes any of them, and until then
+        // the node remembers the idempotency key. A late copy is therefore always rejected, either
+        // as expired or as a repeat.
         request.node_request->not_after = request.deduplication_window > 0
                                               ? now + request.deduplication_window
                                               : request.deadline;
@@ -98,23 +99,25 @@
 void AttemptTracker::reject_or_fail(const PendingActions::Action &action) {
     auto *request = state_.scheduled.find(action.request);
     if (!request || request->ended)
-        return; // withdrawn in the same moment
+        return; // it was withdrawn in the same moment
     auto id = request->client_request;
     bool reject =
         action.kind == PendingActions::Kind::reject && may_reject(requests_.at(id), action.request);
     auto offset = request->node_request->offset;
     requests_.end_scheduled(action.request);
     if (!reject)
-        return requests_.fail(id, nbd::e_io, "errored: it may have been done or not", offset);
+        return requests_.fail(
+            id, nbd::e_io,
+            "errored: no node confirmed the request; it may or may not have been executed", offset);
     auto retry_after_ms = (action.delay + ms - 1) / ms;
     requests_.fail(id, nbd::e_nomem,
-                   "denied: nothing was done; try again after " + std::to_string(retry_after_ms) +
-                       " ms",
+                   "denied: no part of the request was executed; try again after " +
+                       std::to_string(retry_after_ms) + " ms",
                    offset);
 }
 
-// A rejection says that trying again is harmless, of the whole client request: not where another
-// part of a change was executed or may have been.
+// A rejection tells the client that it is safe to retry the whole client request. That does not
+// hold for a change of which another part was executed or may have been.
 bool AttemptTracker::may_reject(const ClientRequest &client_request, RequestId rejected) {
     if (!is_change(client_request.command))
         return true;
@@ -140,8 +143,8 @@
     if (!had_ended)
         refusal = find_refusal(*request, completion);
 
-    // The scheduler hears of the outcome before the answer leaves: what leaves may bring the next
-    // request.
+    // The scheduler is notified of the outcome before the answer is sent, because the answer may
+    // cause the client's next request.
     bool client_answered = had_ended || answered || refusal;
     state_.scheduler.notify().attempt_completed(now, {completion.request, completion.attempt,
                                                       completion.node, completion.outcome, duration,
@@ -155,7 +158,8 @@
     } else if (answered && !had_ended) {
         complete_request(completion);
     } else if (answered && node_protocol::is_mutation(request->node_request->kind)) {
-        // Written though its client was told otherwise: a later flush must still cover it.
+        // The write was executed although its client has already received an error: a later flush
+        // must still cover it.
         const auto &written = *request->node_request;
         state_.volumes.at(written.volume)
             .unflushed.write_answered(written.shard, completion.answer.store_incarnation);
@@ -167,17 +171,18 @@
 AttemptTracker::find_refusal(const ScheduledRequest &request, const AttemptCompletion &completion) {
     auto status = completion.answer.status;
     if (status == node_protocol::Status::no_space)
-        return Refusal{nbd::e_nospc, "errored: no space is left at its storage node"};
+        return Refusal{nbd::e_nospc, "errored: the storage node has no space left"};
     if (status == node_protocol::Status::stale_epoch && !moves_to_new_epoch(request, completion))
-        return Refusal{
-            nbd::e_io,
-            "errored: a snapshot was taken in the middle of it; a part may have been done"};
+        return Refusal{nbd::e_io, "errored: a snapshot was taken while the change was in progress; "
+                                  "parts of it may have been "
+                                  "executed"};
     return std::nullopt;
 }
 
-// A store has taken a snapshot without a change that began here before. True where the change goes
-// on, in the epoch in force: a change of one part is in the snapshot or not as a whole whatever
-// becomes of it, and so is one of which no other part was sent.
+// Handles the answer that a store has already taken a snapshot which does not contain this change,
+// although the change began in the old epoch. Returns true if the change may continue in the
+// current epoch: that is safe for a change of one part, and for one of which no other part was
+// sent, as it then is in the snapshot as a whole or not at all.
 bool AttemptTracker::moves_to_new_epoch(const ScheduledRequest &request,
                                         const AttemptCompletion &completion) {
     auto volume = request.node_request->volume;
@@ -193,7 +198,7 @@
         return false;
     auto epoch = state_.snapshots.epoch(volume);
     if (epoch <= client_request->epoch)
-        return true; // a repeated answer
+        return true; // the change has already moved to this epoch
     auto old_epoch = std::exchange(client_request->epoch, epoch);
     state_.snapshots.change_started(volume);
     state_.snapshots.change_ended(volume, old_epoch);
@@ -242,8 +247,8 @@
     auto extents = parse_extents(answer.payload);
     requests_.close(id);
     if (extents.empty())
-        return session.nbd().reply_error(cookie, nbd::e_io,
-                                         "errored: the node told nothing of the range");
+        return session.nbd().reply_error(
+            cookie, nbd::e_io, "errored: the node's answer holds no extent of the requested range");
     session.nbd().reply_block_status(cookie, extents);
 }
 
--- a/src/edge/attempt_tracker.hpp
+++ b/src/edge/attempt_tracker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Carries out the scheduler's actions and tells it and the clients what became of attempts.
+/// Executes the scheduler's actions and reports the outcomes of attempts to it and to the clients.
 #pragma once
 
 #include <deque>
@@ -14,26 +14,27 @@
 
 namespace knotvane::edge {
 
+/// Starts and cancels attempts as the scheduler decides, and turns their outcomes into replies.
 class AttemptTracker final : NodeConnectionEvents {
 public:
     /// @param state, requests and splitter must outlive this.
-    /// @param edge_id is what nodes are told of this edge.
+    /// @param edge_id identifies this edge to the nodes.
     AttemptTracker(EdgeState &state, RequestTable &requests, RequestSplitter &splitter,
                    std::uint64_t edge_id);
 
-    /// Call before the first event.
+    /// Replaces the connection settings. Call before the first event.
     void set_node_connections(const NodeConnectionConfig &config);
     NodeConnections &connections() { return *connections_; }
     const NodeConnections &connections() const { return *connections_; }
 
-    /// A completed attempt has not been looked at.
+    /// Whether a completed attempt has not been handled yet.
     bool has_completions() const { return !completions_.empty(); }
-    /// Carries out all actions and looks at all completed attempts, until there are no more.
+    /// Executes all pending actions and handles all completed attempts, until none are left.
     void run();
 
 private:
-    /// A node's final word on a change that was not executed, and of which another attempt would
-    /// hear the same.
+    /// A node's final refusal of a change: it was not executed, and another attempt would get the
+    /// same answer.
     struct Refusal {
         nbd::ErrorCode error;
         const char *message;
--- a/src/edge/client_session.cpp
+++ b/src/edge/client_session.cpp
@@ -9,7 +9,8 @@
 namespace knotvane::edge {
 namespace {
 
-/// A client with more answers than this on the way is not read from. So much keeps any socket busy.
+/// Reading from a client is paused while more than this many bytes of answers are unsent. This is
+/// enough to keep any socket busy.
 constexpr std::size_t max_unsent_bytes = 1 << 20;
 
 } // namespace
@@ -31,8 +32,9 @@
     if (reported_losses_ == losses)
         return nbd_.reply_done(request);
     reported_losses_ = losses;
-    nbd_.reply_error(request, nbd::e_io,
-                     "errored: a node lost writes that were answered and not flushed");
+    nbd_.reply_error(
+        request, nbd::e_io,
+        "errored: a node restarted and lost writes that were answered but not yet flushed");
 }
 
 void ClientSession::flush_output() {
@@ -42,7 +44,7 @@
         state_.admission.add_bytes(output.size());
         state_.shell.send_client(id_, std::move(output));
     }
-    // A client that does not take its answers is not read from.
+    // A client that does not receive its answers must not send further requests.
     bool pause = nbd_.input_paused() || unsent_bytes_ > max_unsent_bytes;
     if (pause == reading_paused_)
         return;
@@ -97,7 +99,7 @@
                                  bool fua, bool no_hole) {
     if (!no_hole || length > state_.admission.limits().max_request_bytes)
         return splitter_.change(*this, request, {offset, length, {}, true, fua});
-    // The zeroes are written out, so that the space is allocated.
+    // Writes actual zero bytes, so that the space stays allocated.
     std::string zeroes(length, '\0');
     splitter_.change(*this, request, {offset, length, zeroes, false, fua});
 }
@@ -112,7 +114,7 @@
 }
 
 void ClientSession::cache(nbd::Cookie request, std::uint64_t, std::uint32_t) {
-    nbd_.reply_done(request); // the command is only advice
+    nbd_.reply_done(request); // the command is only a hint, so nothing is done
 }
 
 void ClientSession::block_status(nbd::Cookie request, std::uint64_t offset, std::uint32_t length) {
@@ -121,7 +123,8 @@
 
 void ClientSession::session_ended(std::string_view fault) {
     if (!fault.empty())
-        state_.shell.log_event("client " + std::to_string(id_.value) + ": " + std::string(fault));
+        state_.shell.log_event("client " + std::to_string(id_.value) +
+                               ": session ended: " + std::string(fault));
     ended_ = true;
 }
 
--- a/src/edge/client_session.hpp
+++ b/src/edge/client_session.hpp
@@ -18,7 +18,7 @@
 
 class RequestSplitter;
 
-/// Passes a client's requests on and sends it the replies.
+/// Passes a client's requests on to the splitter and sends the replies to the client.
 class ClientSession final : public nbd::RequestHandler {
 public:
     /// @param state and splitter must outlive the session.
@@ -26,27 +26,28 @@
 
     ClientId id() const { return id_; }
     nbd::Session &nbd() { return nbd_; }
-    /// The volume that the client has opened; null before.
+    /// The volume that the client has opened; null until it has opened one.
     OpenVolume *volume() { return volume_; }
-    /// Its client requests that have not ended.
+    /// This client's requests that have not ended.
     std::set<ClientRequestId> &requests() { return requests_; }
 
-    /// The client said that it disconnects, or sent what can't be followed.
+    /// Whether the client has announced its disconnect or violated the protocol.
     bool ended() const { return ended_; }
 
-    /// Whether all requests must fail because the client's snapshot was dropped; fails this one.
+    /// Fails the request if the client's snapshot or clone was dropped.
+    /// @return whether the request was failed.
     bool fail_if_dropped(nbd::Cookie request);
-    /// Answers a flush that has reached all stores: with an error where writes were lost since the
-    /// client last heard of a loss.
+    /// Answers a flush that has reached all stores: with an error if writes were lost since the
+    /// last loss that was reported to this client.
     void reply_flushed(nbd::Cookie request);
 
     /// Hands pending output to the shell and pauses or resumes reading.
     void flush_output();
-    /// Hands the rest to the shell before the connection is closed.
+    /// Hands the remaining output to the shell before the connection is closed.
     void flush_last_output();
-    /// So many of the bytes handed to the shell have left.
+    /// Reports that the socket has taken this many of the bytes handed to the shell.
     void output_sent(std::size_t bytes);
-    /// Pauses the client before its first byte.
+    /// Pauses reading before the client's first byte.
     void pause_from_start();
 
     // nbd::RequestHandler.
--- a/src/edge/core.cpp
+++ b/src/edge/core.cpp
@@ -42,7 +42,7 @@
 void Core::cluster_state_changed(Time now) {
     state_.clock.now = now;
     state_.volumes.update();
-    // What clients wait for may go on in the same moment.
+    // Requests that waited for this change may proceed in the same moment.
     state_.scheduler.notify();
 }
 
@@ -206,9 +206,9 @@
     attempts_.connections().tick(now);
     state_.scheduler.expire_timers();
     attempts_.run();
-    // An answer may free a request that was kept back, and that is told to the scheduler in the
-    // same moment. A few rounds catch nearly all; what is left is due at once, after other events
-    // had their turn.
+    // An answer may release a request that was held back, which then reaches the scheduler in the
+    // same moment. A few rounds handle nearly all of them; next_due reports the rest as due at
+    // once, so that they are handled after other events.
     constexpr int max_rounds = 4;
     for (int round = 0; state_.scheduler.needs_settle() && round < max_rounds; ++round) {
         state_.scheduler.settle();
--- a/src/edge/core.hpp
+++ b/src/edge/core.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The edge without I/O: bytes of clients and nodes and the time in, bytes out. Clients' requests
-/// are split into scheduled requests, the scheduler decides what becomes of each, connections carry
-/// the attempts. The edge takes no decision on requests itself.
+/// The edge without I/O: its inputs are received bytes and the time, its output is bytes to send.
+/// Clients' requests are split into scheduled requests, the scheduler decides how each is handled,
+/// and node connections carry the attempts. The edge itself makes no decision on requests.
 #pragma once
 
 #include <cstddef>
@@ -25,12 +25,12 @@
 
 namespace knotvane::edge {
 
-/// The scheduler's view of a plan of the control plane.
+/// Converts a plan of the control plane into the scheduler's form.
 PlanConfig plan_config(const control::Plan &plan);
 
-/// Call order: construct; set-up calls on scheduler(), add_volume, add_workload and the setters in
-/// any order; start; then events as they happen, and settle at the end of each moment. Events of
-/// unknown clients and connections are ignored.
+/// Handles the events of one edge. Call order: construct; set-up calls on scheduler(), add_volume,
+/// add_workload and the setters in any order; start; then events as they happen, and settle at the
+/// end of each moment. Events of unknown clients and connections are ignored.
 class Core {
 public:
     /// @param shell must outlive the core.
@@ -41,24 +41,25 @@
     Scheduler &scheduler() { return state_.scheduler.scheduler(); }
     void set_node_connections(const NodeConnectionConfig &config);
     void set_admission_limits(const AdmissionLimits &limits);
-    /// @param units more for the first write to a span after a snapshot, which the node does to a
-    /// copy.
+    /// @param units extra cost of the first write to a span after a snapshot, for which the node
+    /// copies the blocks.
     void set_copy_on_write_units(double units) { state_.copy_on_write_units = units; }
-    /// Volumes of an edge that has no planner.
+    /// Adds a volume to an edge that has no planner.
     void add_volume(VolumeId id, const VolumeConfig &volume);
-    /// The first rule that a request fits counts.
+    /// Adds a rule; a request belongs to the workload of the first rule that matches it.
     void add_workload(WorkloadRule rule) { state_.workloads.push_back(std::move(rule)); }
     void start(Time now);
 
     // From the planner.
 
-    /// Volumes come from this state from now on, instead of add_volume. Its owner calls
+    /// Takes the volumes from this state from now on, instead of from add_volume. Its owner calls
     /// cluster_state_changed after each change.
     /// @param cluster_state must outlive the core.
     void follow_cluster_state(const control::ClusterState &cluster_state);
     void cluster_state_changed(Time now);
     void set_plan(PlanId id, const PlanConfig &plan);
-    /// This edge's share of a volume's limit is one over `sharers`; infinity for no share.
+    /// Sets this edge's share of a volume's limit to 1 / `sharers`.
+    /// @param sharers infinity for no share.
     void quota_share_changed(Time now, VolumeId volume, double sharers);
 
     /// The steps of a snapshot: see SnapshotParticipant.
@@ -67,10 +68,10 @@
     void release_snapshot(Time now, VolumeId volume, VolumeId snapshot);
     void planner_lost(Time now);
 
-    // The endpoint list, always a whole: begin, a call for each node, end.
+    // The endpoint list, always complete: begin, one call for each node, end.
 
-    /// @return false if the version is not above the last one: then the list is not taken, and
-    /// neither of the other calls may follow.
+    /// @return false if the version is not above the last one: then the list is ignored, and
+    /// endpoint_listed and endpoint_list_end must not be called for it.
     bool endpoint_list_begin(Time now, std::uint64_t version);
     void endpoint_listed(const Endpoint &endpoint, const std::string &address);
     void endpoint_list_end();
@@ -79,7 +80,7 @@
 
     void client_connected(Time now, ClientId id);
     void client_received(Time now, ClientId id, std::string_view bytes);
-    /// So many of the bytes handed to the shell have left.
+    /// Reports that the socket has taken this many of the bytes handed to the shell.
     void client_sent(Time now, ClientId id, std::size_t bytes);
     void client_disconnected(Time now, ClientId id);
 
@@ -93,16 +94,16 @@
 
     // Time.
 
-    /// When settle is due next; the largest Time if never.
+    /// When settle must be called next; the largest Time if never.
     Time next_due() const;
-    /// Ends a moment: what is due is done, waiting requests are dispatched, answers leave.
+    /// Ends a moment: handles what is due, dispatches waiting requests and hands out the answers.
     void settle(Time now);
 
-    // Figures, for logs and tests.
+    // Statistics, for logs and tests.
 
     std::size_t scheduled_requests() const { return state_.scheduled.size(); }
     std::size_t buffered_bytes() const { return state_.admission.buffered_bytes(); }
-    /// This process as nodes know it.
+    /// Identifies this process to the nodes.
     std::uint64_t incarnation() const { return state_.incarnation; }
 
 private:
--- a/src/edge/layout.hpp
+++ b/src/edge/layout.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Where a volume's bytes are placed: extents of one size, each on the shard that rendezvous
-/// hashing picks, the same at every edge that has the same settings. Also how a client's request is
-/// split.
+/// Maps a volume's bytes to shards: a volume consists of extents of one size, and rendezvous
+/// hashing picks the shard of each, with the same result at every edge that has the same settings.
+/// Also determines where a client's request is split.
 #pragma once
 
 #include <cstddef>
@@ -13,23 +13,27 @@
 
 namespace knotvane::edge {
 
-/// Two numbers as one, spread over all 64 bits.
+/// Hashes two numbers into one that is spread over all 64 bits.
 std::uint64_t hash_pair(std::uint64_t first, std::uint64_t second);
 
+/// Placement of volumes on the shards of one edge's settings.
 class Layout {
 public:
     /// @param extent_bytes a multiple of span_bytes.
     /// @param shards must not be empty.
     Layout(std::uint64_t extent_bytes, std::uint64_t span_bytes, std::vector<ShardId> shards);
 
+    /// The shard that stores a byte of a volume.
     ShardId shard_of(VolumeId volume, std::uint64_t offset);
-    /// The key of the span that a byte is in, never no_key. Writes are split at spans, so two that
-    /// overlap have a key in common, equal ranges or not: order by key then keeps them apart.
+    /// The key of the span that contains a byte, never no_key. Writes are split at span boundaries,
+    /// so any two writes that overlap have a key in common, and ordering requests by key
+    /// serializes them.
     KeyId key_of(VolumeId volume, std::uint64_t offset) const;
+    /// The index within the volume of the span that contains a byte.
     std::size_t span_of(std::uint64_t offset) const {
         return static_cast<std::size_t>(offset / span_bytes_);
     }
-    /// How many bytes of a range, from its start, go into one scheduled request.
+    /// How many bytes from the start of a range go into one scheduled request.
     /// @param is_change splits at spans instead of extents.
     std::uint32_t split_length(std::uint64_t offset, std::uint64_t length, bool is_change) const;
     const std::vector<ShardId> &shards() const { return shards_; }
--- a/src/edge/node_request.hpp
+++ b/src/edge/node_request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What is asked of a node.
+/// The request that an edge sends to a node.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,18 @@
     std::uint64_t offset = 0;
     std::uint32_t length = 0;
     double units = 1;
-    /// The answer means that the change is durable.
+    /// The node may answer only once the change is durable.
     bool durable = false;
     /// The scheduled request's id.
     std::uint64_t request_number = 0;
-    /// The number is an idempotency key: nodes drop repeats.
+    /// Whether request_number is an idempotency key by which nodes drop repeats.
     bool deduplicated = false;
-    /// Not to be executed later, by the edge's clock; 0 for no limit.
+    /// The node must not execute the request after this time by the edge's clock; 0 for no limit.
     Time not_after = 0;
     std::string payload;
-    /// Of a change: the volume's epoch when its client request began.
+    /// Only for a change: the volume's epoch in which its client request began.
     std::uint32_t epoch = 0;
-    /// The volume is a snapshot or a clone.
+    /// Whether the volume is a snapshot or a clone.
     bool on_snapshot = false;
 };
 
--- a/src/edge/open_volumes.cpp
+++ b/src/edge/open_volumes.cpp
@@ -50,13 +50,14 @@
         volume.quota_volume = known.resolve_quota_volume(volume.id);
         volume.is_snapshot = known.is_snapshot_or_clone();
         volume.dropped = false;
-        // One that is charged to its source goes by the source's plan as it is now.
-        if (auto payer = state_->volumes.find(volume.quota_volume); payer != state_->volumes.end())
-            volume.plan = payer->second.plan;
+        // A volume that is charged to its source uses the source's current plan.
+        if (auto quota_owner = state_->volumes.find(volume.quota_volume);
+            quota_owner != state_->volumes.end())
+            volume.plan = quota_owner->second.plan;
         snapshots_.learn_epoch(volume.id, known.epoch);
     } else {
-        // A volume that was removed stays as it was for the clients that have it, but the bytes of
-        // a snapshot or a clone are gone.
+        // A removed volume stays unchanged for the clients that have it open, but the bytes of a
+        // removed snapshot or clone no longer exist.
         volume.dropped = volume.is_snapshot;
     }
     if (auto share = state_->quota_shares.find(volume.quota_volume);
@@ -92,8 +93,8 @@
     const auto &volume = state_->volumes.at(id);
     std::uint16_t flags = nbd::flag_send_flush | nbd::flag_send_fua | nbd::flag_send_trim |
                           nbd::flag_send_write_zeroes | nbd::flag_send_df | nbd::flag_send_cache;
-    // A flush here reaches what this edge wrote, on any connection; what another edge wrote it
-    // can't know.
+    // A flush covers all writes of this edge, on any of its connections. It does not cover writes
+    // of other edges, so several connections are offered only if no other edge uses the volume.
     auto share = state_->quota_shares.find(id);
     if (share != state_->quota_shares.end() && share->second.sharers == 1)
         flags |= nbd::flag_can_multi_conn;
@@ -123,18 +124,18 @@
         release(volume.quota_volume);
 }
 
-// The planner grants shares of a limit to the edges that use the volume, and what is charged to a
-// volume needs its share, too.
+// The planner grants shares of a volume's limit only to the edges that use the volume. A snapshot
+// or clone that is charged to another volume therefore counts as a use of that volume, too.
 void OpenVolumes::acquire(VolumeId id) {
-    if (++users_[id] == 1)
+    if (++use_counts_[id] == 1)
         shell_.volume_used(id, true);
 }
 
 void OpenVolumes::release(VolumeId id) {
-    if (--users_[id] > 0)
+    if (--use_counts_[id] > 0)
         return;
     shell_.volume_used(id, false);
-    users_.erase(id);
+    use_counts_.erase(id);
 }
 
 } // namespace knotvane::edge
--- a/src/edge/open_volumes.hpp
+++ b/src/edge/open_volumes.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The volumes that clients have open at this edge, and where volumes are known from.
+/// The volumes that clients have open at this edge, and the state that defines them.
 #pragma once
 
 #include <cstddef>
@@ -20,45 +20,46 @@
 
 namespace knotvane::edge {
 
-/// A volume that has or had a client.
+/// A volume that is or was open at this edge.
 struct OpenVolume {
     VolumeId id;
     PlanId plan;
-    /// Edges that share its limit.
+    /// Number of edges that share its limit.
     std::uint32_t sharers = 1;
     std::size_t clients = 0;
     UnflushedWrites unflushed;
-    /// The volume by whose id its bytes are placed.
+    /// The volume whose id determines the shards of its extents.
     VolumeId layout_volume;
-    /// The volume whose limit its requests count against.
+    /// The volume against whose limit its requests are counted.
     VolumeId quota_volume;
-    /// A snapshot or a clone.
+    /// Whether it is a snapshot or a clone.
     bool is_snapshot = false;
-    /// A snapshot or a clone that doesn't exist any more.
+    /// Whether it is a snapshot or a clone that no longer exists.
     bool dropped = false;
-    /// Spans written in written_epoch: their blocks are the volume's own.
+    /// Spans that were written in written_epoch: the volume no longer shares their blocks with a
+    /// snapshot.
     std::vector<bool> written_spans;
     std::uint32_t written_epoch = 0;
 
-    /// Notes a write to a span.
-    /// @return whether it is the first in this epoch.
+    /// Records a write to a span.
+    /// @return whether it is the span's first write in written_epoch.
     bool note_write(std::size_t span);
 };
 
-/// Follows the cluster state. The time of an update goes by the volumes that are open here, not by
-/// those that exist.
+/// Keeps open volumes up to date with the cluster state. The cost of an update depends on the
+/// number of volumes that are or were open here, not on the number that exist.
 class OpenVolumes {
 public:
-    /// @param shell is told which volumes are in use.
-    /// @param snapshots is told of epochs; both must outlive this.
+    /// @param shell is notified which volumes are in use.
+    /// @param snapshots is notified of epochs; both must outlive this.
     OpenVolumes(Shell &shell, SnapshotParticipant &snapshots)
         : shell_(shell), snapshots_(snapshots) {}
 
-    /// Volumes come from this state from now on; else from add_volume.
+    /// Takes the volumes from this state from now on, instead of from add_volume.
     /// @param state must outlive this.
     void follow(const control::ClusterState &state) { state_ = &state; }
     void add_volume(VolumeId id, const VolumeConfig &config);
-    /// The state that is followed has changed.
+    /// Must be called after each change of the followed state.
     void update();
 
     std::vector<std::string> names() const;
@@ -70,12 +71,12 @@
     /// Whether the volume has this name.
     bool is_named(VolumeId volume, const std::string &name) const;
 
-    /// A client opens it.
-    /// @return valid as long as this.
+    /// Registers a client that opens the volume.
+    /// @return a reference that stays valid as long as this object.
     OpenVolume &open(VolumeId id);
-    /// A client closes it.
+    /// Registers that a client has closed the volume.
     void close(OpenVolume &volume);
-    /// @param id of a volume that has or had a client.
+    /// @param id of a volume that is or was open here.
     OpenVolume &at(VolumeId id) { return volumes_.at(id); }
 
 private:
@@ -85,11 +86,12 @@
 
     Shell &shell_;
     SnapshotParticipant &snapshots_;
-    control::ClusterState configured_; // volumes of the settings
+    control::ClusterState configured_; // volumes from add_volume
     const control::ClusterState *state_ = &configured_;
     std::map<VolumeId, OpenVolume> volumes_;
-    // Clients of each volume and of each that is charged for others.
-    std::map<VolumeId, std::size_t> users_;
+    // Number of open volumes that need each volume's quota share: itself, and its snapshots and
+    // clones.
+    std::map<VolumeId, std::size_t> use_counts_;
 };
 
 } // namespace knotvane::edge
--- a/src/edge/pending_actions.hpp
+++ b/src/edge/pending_actions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The scheduler's actions, queued.
+/// A queue of the scheduler's actions.
 #pragma once
 
 #include <deque>
@@ -18,8 +18,9 @@
     Time now = 0;
 };
 
-/// Keeps the scheduler's actions until the call in which they came is over: an answer may let a
-/// client's next request in, which must not reach the scheduler in the middle of a decision.
+/// Queues the scheduler's actions until the scheduler call that issued them has returned: executing
+/// one may answer a client and so admit its next request, which must not reach the scheduler in the
+/// middle of a decision.
 class PendingActions final : public SchedulerActions {
 public:
     enum class Kind { start_attempt, cancel_attempt, reject, fail };
@@ -27,13 +28,14 @@
     struct Action {
         Kind kind;
         RequestId request;
-        /// Of start_attempt and cancel_attempt.
+        /// Only for start_attempt and cancel_attempt.
         AttemptId attempt;
         /// Timeout of start_attempt, retry-after of reject.
         Time delay = 0;
     };
 
-    /// @param requests records started attempts at once; both must outlive this.
+    /// @param requests records each attempt as soon as the scheduler starts it; both must outlive
+    /// this.
     PendingActions(ScheduledRequests &requests, const Clock &clock)
         : requests_(requests), clock_(clock) {}
 
@@ -49,12 +51,13 @@
     }
     void fail(RequestId request) override { actions_.push_back({Kind::fail, request, {}}); }
     void set_timer(TimerId timer, Time delay) override { timers_[timer] = clock_.now + delay; }
-    /// The list is pushed to the edge; the settings keep a scheduler from asking.
+    /// Does nothing: the endpoint list is pushed to the edge, and the settings keep the scheduler
+    /// from requesting it.
     void watch_endpoints() override {}
 
     bool empty() const { return actions_.empty(); }
 
-    /// Takes the oldest action.
+    /// Removes and returns the oldest action; nothing if there is none.
     std::optional<Action> take() {
         if (actions_.empty())
             return std::nullopt;
--- a/src/edge/request_splitter.cpp
+++ b/src/edge/request_splitter.cpp
@@ -52,7 +52,7 @@
         for (auto &held : held_changes) {
             auto *request = requests_.find(held.request);
             if (!request)
-                continue; // its client left
+                continue; // its client has disconnected
             held.change.data = held.data;
             start_change(held.request, *request->session, held.change, held.received_at);
         }
@@ -98,7 +98,7 @@
 
 double RequestSplitter::units_of(OpenVolume &volume, const Change &change, std::uint64_t offset,
                                  std::uint32_t length) {
-    // Zeroes cost a node little, whatever their length.
+    // Writing zeroes costs a node little, whatever their length.
     double units = change.zeroes ? 1 : state_.units(length);
     bool has_shared_blocks = volume.written_epoch > 0 || volume.is_snapshot;
     if (state_.copy_on_write_units > 0 && has_shared_blocks &&
@@ -140,7 +140,8 @@
     request->volume = volume.id;
     request->shard = state_.layout.shard_of(volume.layout_volume, offset);
     request->offset = offset;
-    // An answer may be shorter than what was asked: only the first extent is looked at.
+    // NBD allows an answer that covers less than the requested range, so only the first extent is
+    // requested from its shard.
     request->length = state_.layout.split_length(offset, length, false);
     schedule(id, std::move(request), no_key, state_.clock.now);
 }
@@ -150,8 +151,9 @@
     auto &client_request = requests_.at(id);
     const auto &volume = *client_request.session->volume();
     const auto *workload = find_workload(client_request.command, *node_request);
-    if (!workload) // the settings are checked for one
-        return requests_.fail(id, nbd::e_io, "errored: no workload is for this request",
+    if (!workload) // can't happen with valid settings: they hold a workload for each request
+        return requests_.fail(id, nbd::e_io,
+                              "errored: no workload of the settings matches this request",
                               node_request->offset);
     bool writes = is_change(client_request.command);
     node_request->deduplicated = writes && workload->deduplication_window > 0;
--- a/src/edge/request_splitter.hpp
+++ b/src/edge/request_splitter.hpp
@@ -18,19 +18,20 @@
 
 namespace knotvane::edge {
 
-/// A write, or zeroes.
+/// A write of data, or of zeroes.
 struct Change {
     std::uint64_t offset = 0;
     std::uint32_t length = 0;
-    /// Of a write; valid during the call.
+    /// Only for a write of data; valid during the call.
     std::string_view data;
+    /// Whether the range is set to zeroes instead of data.
     bool zeroes = false;
-    /// The answer means that the change is durable.
+    /// Force unit access: the change must be durable before it is answered.
     bool fua = false;
 };
 
-/// Opens a client request for each call and hands its parts to the scheduler: one for each extent
-/// of a read, each span of a change, each shard of a flush.
+/// Opens a client request for each call and passes its parts to the scheduler: one part for each
+/// extent of a read, each span of a change and each shard of a flush.
 class RequestSplitter {
 public:
     /// @param state and requests must outlive this.
@@ -39,21 +40,21 @@
 
     void read(ClientSession &session, nbd::Cookie cookie, std::uint64_t offset,
               std::uint32_t length);
-    /// Held back while a snapshot holds the volume.
+    /// Starts a change, or holds it back while a snapshot holds the volume.
     void change(ClientSession &session, nbd::Cookie cookie, const Change &change);
     void flush(ClientSession &session, nbd::Cookie cookie);
     void block_status(ClientSession &session, nbd::Cookie cookie, std::uint64_t offset,
                       std::uint32_t length);
 
-    /// Starts the changes of volumes whose hold has ended, in the order in which they came.
+    /// Starts the held changes of volumes whose hold has ended, in the order of arrival.
     void start_released_changes();
 
 private:
-    /// A change that came while its volume was held.
+    /// A change that was received while a snapshot held its volume.
     struct HeldChange {
         ClientRequestId request;
         Change change;
-        std::string data; // that change.data refers to
+        std::string data; // owns what change.data refers to
         Time received_at;
     };
 
@@ -61,7 +62,7 @@
                       Time received_at);
     double units_of(OpenVolume &volume, const Change &change, std::uint64_t offset,
                     std::uint32_t length);
-    /// Hands one part to the scheduler, or fails the client request if no workload fits.
+    /// Passes one part to the scheduler, or fails the client request if no workload rule matches.
     void schedule(ClientRequestId id, std::shared_ptr<NodeRequest> node_request, KeyId key,
                   Time received_at);
     const WorkloadRule *find_workload(Command command, const NodeRequest &node_request) const;
--- a/src/edge/request_table.cpp
+++ b/src/edge/request_table.cpp
@@ -39,8 +39,8 @@
     if (!request)
         return;
     for (auto scheduled : std::set<RequestId>(request->pending)) {
-        // Not by its client: taken for a client that gave up, a few large requests that fail would
-        // make all requests look late.
+        // The edge abandons these, not the client. If they counted as given up by the client, a few
+        // large requests that fail would make the scheduler believe that all requests are late.
         state_.scheduler.notify().request_canceled(state_.clock.now, scheduled,
                                                    CancelReason::abandoned);
         end_scheduled(scheduled);
@@ -62,9 +62,9 @@
 }
 
 void RequestTable::withdraw_all(ClientSession &session) {
-    // One client leaves once, however much it had at work: its oldest request tells how long it
-    // waited. Told of each of its requests, the scheduler would take one program that ends for many
-    // clients that gave up.
+    // Only the oldest request is reported as canceled by a disconnect, as it shows how long the
+    // client waited; the others count as abandoned. If each were reported so, the scheduler would
+    // mistake one client program that exits for many clients that gave up.
     bool reported = false;
     for (auto id : std::set<ClientRequestId>(session.requests())) {
         for (auto scheduled : std::set<RequestId>(requests_.at(id).pending)) {
--- a/src/edge/request_table.hpp
+++ b/src/edge/request_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Clients' requests and how they end.
+/// Clients' requests, from their arrival to their answer.
 #pragma once
 
 #include <cstddef>
@@ -24,13 +24,13 @@
     Command command = Command::read;
     /// Counted by admission control.
     std::size_t buffered_bytes = 0;
-    /// A scheduled request of it was answered well.
+    /// Whether one of its scheduled requests was answered with success.
     bool has_executed_part = false;
     /// Scheduled requests that have not ended.
     std::set<RequestId> pending;
-    /// Of a flush: which writes it covers.
+    /// Only for a flush: the mark of the writes that it covers, see UnflushedWrites.
     std::uint64_t flush_mark = 0;
-    /// Of a change that has begun, and the volume and epoch that it belongs to.
+    /// Whether this is a change that has begun; if so, its volume and epoch follow.
     bool change_started = false;
     VolumeId volume;
     std::uint32_t epoch = 0;
@@ -42,6 +42,8 @@
     /// @param state must outlive this.
     explicit RequestTable(EdgeState &state) : state_(state) {}
 
+    /// Adds a request.
+    /// @param buffered_bytes that admission control counts until the request is closed.
     ClientRequestId open(ClientSession &session, nbd::Cookie cookie, Command command,
                          std::size_t buffered_bytes);
     bool contains(ClientRequestId id) const { return requests_.contains(id); }
@@ -50,15 +52,15 @@
     /// @return null if there is no such request.
     ClientRequest *find(ClientRequestId id);
 
-    /// The request has its answer or its client is gone.
+    /// Removes a request that was answered or whose client has disconnected.
     void close(ClientRequestId id);
     /// Answers with an error, unless the request has ended; withdraws its scheduled requests.
-    /// @param offset where it went wrong; none if nowhere in particular.
+    /// @param offset of the part that failed; none if the error concerns no particular part.
     void fail(ClientRequestId id, nbd::ErrorCode error, std::string_view message,
               std::optional<std::uint64_t> offset);
-    /// Nothing more is waited for.
+    /// Marks a scheduled request as ended: its result is no longer awaited.
     void end_scheduled(RequestId id);
-    /// The client has left.
+    /// Withdraws all requests of a client that has disconnected.
     void withdraw_all(ClientSession &session);
 
 private:
--- a/src/edge/scheduled_requests.hpp
+++ b/src/edge/scheduled_requests.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The requests that the scheduler decides on, and their attempts.
+/// The requests that the scheduler handles, and their attempts.
 #pragma once
 
 #include <cstddef>
@@ -15,6 +15,7 @@
 
 namespace knotvane::edge {
 
+/// One attempt to execute a scheduled request at a node.
 struct ScheduledAttempt {
     NodeId node;
     Time started_at = 0;
@@ -26,11 +27,11 @@
     std::shared_ptr<NodeRequest> node_request;
     /// When the client stops waiting.
     Time deadline = 0;
-    /// How long nodes drop a repeat; 0 if it isn't deduplicated.
+    /// How long nodes recognize and drop a repeat; 0 if the request isn't deduplicated.
     Time deduplication_window = 0;
-    /// Nothing is waited for; kept until the last attempt has completed.
+    /// The result is no longer awaited; the entry stays until the last attempt has completed.
     bool ended = false;
-    /// By AttemptId.
+    /// Indexed by AttemptId.
     std::vector<ScheduledAttempt> attempts{};
     std::size_t attempts_in_flight = 0;
 };
@@ -54,8 +55,8 @@
         return it == requests_.end() ? nullptr : &it->second;
     }
 
-    /// An attempt counts as in flight from the scheduler's decision on: should the request end
-    /// before the attempt is sent, the scheduler is still owed its outcome.
+    /// Adds an attempt, which counts as in flight from the scheduler's decision on: even if the
+    /// request ends before the attempt is sent, the scheduler must be notified of its outcome.
     /// @throw std::out_of_range if there is no such request.
     AttemptId add_attempt(RequestId id, NodeId node, Time now) {
         auto &request = requests_.at(id);
@@ -65,6 +66,7 @@
         return attempt;
     }
 
+    /// Removes a request that has ended and has no attempt in flight.
     void erase_if_done(RequestId id) {
         auto it = requests_.find(id);
         if (it != requests_.end() && it->second.ended && it->second.attempts_in_flight == 0)
--- a/src/edge/scheduler_driver.hpp
+++ b/src/edge/scheduler_driver.hpp
@@ -15,12 +15,13 @@
 
 using MakeScheduler = std::function<std::unique_ptr<Scheduler>(SchedulerActions &)>;
 
+/// Owns the scheduler and tracks whether it must settle.
 class SchedulerDriver {
 public:
     SchedulerDriver(const MakeScheduler &make, ScheduledRequests &requests, const Clock &clock)
         : clock_(clock), actions_(requests, clock), scheduler_(make(actions_)) {}
 
-    /// For calls that need no settle.
+    /// For calls after which the scheduler need not settle.
     Scheduler &scheduler() { return *scheduler_; }
 
     /// For calls after which the scheduler must settle.
@@ -37,6 +38,7 @@
         scheduler_->settle(clock_.now);
     }
 
+    /// Notifies the scheduler of all timers that have expired.
     void expire_timers() {
         auto &timers = actions_.timers();
         for (auto it = timers.begin(); it != timers.end();) {
@@ -50,7 +52,8 @@
         }
     }
 
-    /// When a timer expires or an action waits; the largest Time if never.
+    /// When the next timer expires, or now if an action or a settle is pending; the largest Time if
+    /// neither.
     Time next_due() const {
         Time due = std::numeric_limits<Time>::max();
         for (const auto &[timer, expires_at] : actions_.timers())
--- a/src/edge/shell.hpp
+++ b/src/edge/shell.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the edge asks of the program that runs it.
+/// The interface through which the edge uses the program that runs it.
 #pragma once
 
 #include <string>
@@ -13,22 +13,22 @@
 
 namespace knotvane::edge {
 
-/// Sockets, log and planner. Closing is final: no event of what was closed may follow.
+/// Sockets, log and planner. Closing is final: no event of a closed connection may follow.
 class Shell : public Transport {
 public:
     virtual void send_client(ClientId client, std::string bytes) = 0;
-    /// Closes once all that was sent has left.
+    /// Closes the connection once all output has been sent.
     virtual void close_client(ClientId client) = 0;
-    /// Whether to stop reading from a client's socket.
+    /// Pauses or resumes reading from a client's socket.
     virtual void pause_client(ClientId client, bool paused) = 0;
-    /// For the log: what happened to a connection.
+    /// Writes an event of a connection to the log.
     virtual void log_event(std::string text) = 0;
-    /// An attempt has ended, for the log and for reports on which nodes are reached.
+    /// Reports that an attempt has ended, for the log and for the reports on node reachability.
     virtual void attempt_completed(RequestId request, NodeId node, AttemptOutcome outcome,
                                    Time duration) = 0;
-    /// A volume has its first client here, or lost its last.
+    /// Reports that a volume has come into use at this edge, or is no longer used.
     virtual void volume_used(VolumeId, bool /*used*/) {}
-    /// This edge has done a step of a snapshot; for the planner.
+    /// Reports to the planner that this edge has completed a step of a snapshot.
     virtual void snapshot_step_done(VolumeId /*snapshot*/, control::SnapshotStep,
                                     control::EdgeIncarnation) {}
 };
--- a/src/edge/unflushed_writes.hpp
+++ b/src/edge/unflushed_writes.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Writes of one volume that were answered and are not yet durable, shard by shard: which stores a
-/// flush has to reach, and whether one of them has lost writes.
+/// Tracks, for each shard, the writes of one volume that were answered but are not yet durable:
+/// which stores a flush has to reach, and whether one of them has lost writes.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,12 @@
 
 namespace knotvane::edge {
 
+/// The unflushed writes of one volume.
 class UnflushedWrites {
 public:
-    /// A write was answered.
-    /// @param incarnation of the store that answered; one other than that of earlier writes means
-    /// that those are lost.
+    /// Records a write that was answered.
+    /// @param incarnation of the store that answered; if it differs from that of earlier unflushed
+    /// writes, those are lost.
     void write_answered(ShardId shard, std::uint64_t incarnation) {
         auto [it, is_new] = unflushed_.try_emplace(shard, Entry{incarnation, 0});
         auto &entry = it->second;
@@ -26,7 +27,7 @@
         entry.last_write = ++writes_;
     }
 
-    /// Shards that a flush must reach.
+    /// The shards with unflushed writes.
     std::vector<ShardId> shards_to_flush() const {
         std::vector<ShardId> shards;
         for (const auto &[shard, entry] : unflushed_)
@@ -34,18 +35,18 @@
         return shards;
     }
 
-    /// What a flush that begins now covers.
+    /// Marks the writes that a flush beginning now covers.
     std::uint64_t flush_mark() const { return writes_; }
 
-    /// A store has made durable what it was sent before the mark was taken.
+    /// Records that a store has made durable all writes up to the mark.
     /// @param incarnation of that store.
     void flush_answered(ShardId shard, std::uint64_t incarnation, std::uint64_t mark) {
         auto it = unflushed_.find(shard);
         if (it == unflushed_.end())
             return;
         if (it->second.incarnation != incarnation) {
-            // Guards against a flush that confirms writes that a restart has lost: the store
-            // answers well, but it is not the incarnation that had them.
+            // Prevents a flush from confirming writes that a restart has lost: the store answers
+            // with success, but it is not the incarnation that received them.
             ++losses_;
             unflushed_.erase(it);
         } else if (it->second.last_write <= mark) {
@@ -53,14 +54,14 @@
         }
     }
 
-    /// How often writes were lost. A client that has not been told of the last loss must hear of it
-    /// from its next flush.
+    /// Number of times that writes were lost. The next flush of each client that has not had the
+    /// last loss reported must fail.
     std::uint64_t losses() const { return losses_; }
 
 private:
     struct Entry {
         std::uint64_t incarnation;
-        std::uint64_t last_write; // its number among all writes
+        std::uint64_t last_write; // value of writes_ after the shard's last write
     };
 
     std::map<ShardId, Entry> unflushed_;
--- a/src/nbd/input_buffer.hpp
+++ b/src/nbd/input_buffer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bytes that were received and not yet consumed.
+/// A buffer of bytes that were received and not yet consumed.
 #pragma once
 
 #include <algorithm>
@@ -9,36 +9,38 @@
 
 namespace knotvane::nbd {
 
-/// A queue of bytes that can also drop bytes which are still to come.
+/// A queue of received bytes that can also drop bytes before they arrive.
 class InputBuffer {
 public:
     void append(std::string_view bytes) {
-        // A rejected write's payload is dropped as it comes and never gathered.
+        // The payload of a rejected write is dropped as it arrives and never buffered.
         std::uint64_t droppable = unread().empty() ? bytes.size() : 0;
-        auto dropped = static_cast<std::size_t>(std::min(to_drop_, droppable));
-        to_drop_ -= dropped;
+        auto dropped = static_cast<std::size_t>(std::min(bytes_to_drop_, droppable));
+        bytes_to_drop_ -= dropped;
         bytes_.append(bytes.substr(dropped));
     }
 
-    /// Valid until the next append of bytes, compact or clear.
+    /// The bytes not yet consumed; valid until the next append, compact or clear.
     std::string_view unread() const { return std::string_view(bytes_).substr(start_); }
 
     /// @param count at most the size of unread().
     void consume(std::size_t count) { start_ += count; }
 
-    /// Drops the next `count` bytes, whether they have come or not.
-    void drop(std::uint64_t count) { to_drop_ += count; }
+    /// Drops the next `count` bytes, whether they have arrived or not.
+    void drop(std::uint64_t count) { bytes_to_drop_ += count; }
 
-    /// @return whether all bytes that were to be dropped have come.
+    /// Drops received bytes as requested by drop().
+    /// @return whether all of them have arrived.
     bool finish_drop() {
-        auto count = static_cast<std::size_t>(std::min<std::uint64_t>(to_drop_, unread().size()));
+        auto count =
+            static_cast<std::size_t>(std::min<std::uint64_t>(bytes_to_drop_, unread().size()));
         consume(count);
-        to_drop_ -= count;
-        return to_drop_ == 0;
+        bytes_to_drop_ -= count;
+        return bytes_to_drop_ == 0;
     }
 
-    /// Frees the room of consumed bytes once they are most of the buffer, so that many small
-    /// messages cost no more than their own bytes.
+    /// Frees the space of consumed bytes once they fill more than half of the buffer. Many small
+    /// messages thus cost time in proportion to their own size.
     void compact() {
         if (start_ <= bytes_.size() / 2)
             return;
@@ -54,7 +56,7 @@
 private:
     std::string bytes_;
     std::size_t start_ = 0;
-    std::uint64_t to_drop_ = 0;
+    std::uint64_t bytes_to_drop_ = 0;
 };
 
 } // namespace knotvane::nbd
--- a/src/nbd/negotiation.cpp
+++ b/src/nbd/negotiation.cpp
@@ -8,23 +8,24 @@
 namespace knotvane::nbd {
 namespace {
 
-/// An option longer than this is answered "too big": names and context queries are far shorter.
+/// A longer option is answered with NBD_REP_ERR_TOO_BIG: names and context queries are far shorter.
 constexpr std::uint32_t max_option_bytes = 64 * 1024;
-/// An option longer than this is no option: the stream can't be trusted any more.
+/// A longer option ends the session: the stream is taken to be corrupt.
 constexpr std::uint32_t max_skipped_option_bytes = 1 << 24;
-/// Options that a client gets before it must have chosen an export: guards against a session that
+/// Number of options after which a client must have chosen an export: prevents a negotiation that
 /// never ends.
 constexpr std::uint32_t max_options = 1024;
-/// Magic, option and length before an option's data.
+/// Size of the magic, option and length fields before an option's data.
 constexpr std::size_t option_header_bytes = 16;
-/// Zeroes after the answer to EXPORT_NAME.
+/// Number of zero bytes after the answer to EXPORT_NAME.
 constexpr std::size_t export_name_padding_bytes = 124;
 
 constexpr std::string_view allocation_context_name = "base:allocation";
 constexpr std::string_view base_namespace = "base:";
 
-constexpr std::string_view cut_short = "option is cut short";
-constexpr std::string_view lengths_disagree = "lengths in the option do not add up";
+constexpr std::string_view truncated_option = "option data is shorter than its fixed fields";
+constexpr std::string_view length_mismatch =
+    "lengths inside the option do not match its total length";
 
 /// The data of LIST_META_CONTEXT and SET_META_CONTEXT.
 struct MetaContextQuery {
@@ -34,27 +35,28 @@
     bool lists_base = false;         ///< One of the queries is "base:".
 };
 
-/// @return what is wrong with the data; empty if nothing.
+/// Parses the data of a meta context option.
+/// @return a description of the error in the data; empty if there is none.
 std::string_view parse(std::string_view data, MetaContextQuery &parsed) {
     if (data.size() < 8)
-        return cut_short;
+        return truncated_option;
     auto name_bytes = get<std::uint32_t>(data, 0);
     if (name_bytes > max_string_bytes || data.size() < 8 + std::size_t{name_bytes})
-        return lengths_disagree;
+        return length_mismatch;
     parsed.export_name = data.substr(4, name_bytes);
     parsed.queries = get<std::uint32_t>(data, 4 + name_bytes);
 
     std::size_t at = 8 + std::size_t{name_bytes};
     for (std::uint32_t i = 0; i < parsed.queries; ++i) {
         if (data.size() - at < 4 || get<std::uint32_t>(data, at) > data.size() - at - 4)
-            return lengths_disagree;
+            return length_mismatch;
         auto query_bytes = get<std::uint32_t>(data, at);
         auto query = data.substr(at + 4, query_bytes);
         parsed.matches_allocation |= query == allocation_context_name;
         parsed.lists_base |= query == base_namespace;
         at += 4 + std::size_t{query_bytes};
     }
-    return at == data.size() ? std::string_view{} : "bytes past the last query";
+    return at == data.size() ? std::string_view{} : "option has bytes after the last query";
 }
 
 } // namespace
@@ -78,8 +80,8 @@
     input.consume(sizeof flags);
     constexpr std::uint32_t known_flags = flag_fixed_newstyle | flag_no_zeroes;
     if ((flags & ~known_flags) != 0 || (flags & flag_fixed_newstyle) == 0) {
-        end("handshake: client flags " + std::to_string(flags) +
-            " where fixed newstyle (1), with no zeroes (2) or without, was expected");
+        end("handshake: unsupported client flags " + std::to_string(flags) +
+            "; expected fixed newstyle (1), optionally with no zeroes (2)");
         return false;
     }
     no_zeroes_ = (flags & flag_no_zeroes) != 0;
@@ -92,29 +94,30 @@
     if (unread.size() < option_header_bytes)
         return false;
     if (get<std::uint64_t>(unread, 0) != option_magic) {
-        end("handshake: an option does not begin with IHAVEOPT");
+        end("handshake: an option does not begin with the magic IHAVEOPT");
         return false;
     }
     auto option = get<std::uint32_t>(unread, 8);
     auto length = get<std::uint32_t>(unread, 12);
     if (length > max_skipped_option_bytes) {
-        end("handshake: an option of " + std::to_string(length) + " bytes; at most " +
-            std::to_string(max_skipped_option_bytes) + " are read over");
+        end("handshake: option has " + std::to_string(length) + " bytes; at most " +
+            std::to_string(max_skipped_option_bytes) + " can be skipped");
         return false;
     }
-    if (++options_ > max_options) {
-        end("handshake: more than " + std::to_string(max_options) +
-            " options and no export chosen");
+    if (++received_options_ > max_options) {
+        end("handshake: client sent more than " + std::to_string(max_options) +
+            " options without choosing an export");
         return false;
     }
     if (length > max_option_bytes && option != opt_export_name) {
         input.consume(option_header_bytes);
         input.drop(length);
-        reply(option, rep_err_too_big, "option is longer than " + std::to_string(max_option_bytes));
+        reply(option, rep_err_too_big,
+              "option is longer than " + std::to_string(max_option_bytes) + " bytes");
         return true;
     }
     if (option == opt_export_name && length > max_string_bytes) {
-        end("handshake: an export's name of " + std::to_string(length) + " bytes; at most " +
+        end("handshake: export name has " + std::to_string(length) + " bytes; at most " +
             std::to_string(max_string_bytes) + " are allowed");
         return false;
     }
@@ -143,14 +146,15 @@
     case opt_set_meta_context:
         return handle_meta_context(option, data);
     default:
-        return reply(option, rep_err_unsup, "option " + std::to_string(option) + " is not offered");
+        return reply(option, rep_err_unsup,
+                     "option " + std::to_string(option) + " is not supported");
     }
 }
 
 void Negotiation::handle_export_name(std::string_view name) {
     auto info = handler_.find_export(name);
     if (!info) {
-        // So much of a name is enough for the log.
+        // Limits how much of a client's input the log repeats.
         constexpr std::size_t max_logged_name_bytes = 80;
         return end("handshake: no export is named '" +
                    std::string(name.substr(0, max_logged_name_bytes)) + "'");
@@ -164,7 +168,7 @@
 
 void Negotiation::handle_list(std::string_view data) {
     if (!data.empty())
-        return reply(opt_list, rep_err_invalid, "LIST takes no data");
+        return reply(opt_list, rep_err_invalid, "option LIST must have no data");
     for (const auto &name : handler_.export_names()) {
         std::string entry;
         put(entry, static_cast<std::uint32_t>(name.size()));
@@ -175,19 +179,19 @@
 
 void Negotiation::handle_info_or_go(std::uint32_t option, std::string_view data) {
     if (data.size() < 6)
-        return reply(option, rep_err_invalid, cut_short);
+        return reply(option, rep_err_invalid, truncated_option);
     auto name_bytes = get<std::uint32_t>(data, 0);
     if (name_bytes > max_string_bytes || data.size() < 6 + std::size_t{name_bytes})
-        return reply(option, rep_err_invalid, lengths_disagree);
-    // The kinds of information that are asked for, two bytes each.
+        return reply(option, rep_err_invalid, length_mismatch);
+    // The number of information requests, two bytes each.
     std::size_t requests = get<std::uint16_t>(data, 4 + name_bytes);
     if (data.size() != 6 + name_bytes + 2 * requests)
-        return reply(option, rep_err_invalid, lengths_disagree);
+        return reply(option, rep_err_invalid, length_mismatch);
 
     auto name = data.substr(4, name_bytes);
     auto info = handler_.find_export(name);
     if (!info)
-        return reply(option, rep_err_unknown, "no such export");
+        return reply(option, rep_err_unknown, "export does not exist");
     put_info(option, *info);
     reply(option, rep_ack, "");
     if (option == opt_go)
@@ -201,7 +205,8 @@
     put(answer, static_cast<std::uint16_t>(info.transmission_flags | flag_has_flags));
     reply(option, rep_info, answer);
 
-    // Sent unasked, as the specification allows: requests are held to it either way.
+    // Sent even if the client did not request it, as the specification allows: the limits apply to
+    // its requests either way.
     answer.clear();
     put(answer, info_block_size);
     put(answer, info.block_sizes.minimum);
@@ -212,7 +217,8 @@
 
 void Negotiation::handle_structured_reply(std::string_view data) {
     if (!data.empty())
-        return reply(opt_structured_reply, rep_err_invalid, "STRUCTURED_REPLY takes no data");
+        return reply(opt_structured_reply, rep_err_invalid,
+                     "option STRUCTURED_REPLY must have no data");
     structured_replies_ = true;
     reply(opt_structured_reply, rep_ack, "");
 }
@@ -222,12 +228,13 @@
     if (selects)
         allocation_context_ = false;
     if (!structured_replies_)
-        return reply(option, rep_err_invalid, "contexts need structured replies first");
+        return reply(option, rep_err_invalid,
+                     "meta contexts require that structured replies are negotiated first");
     MetaContextQuery query;
     if (auto error = parse(data, query); !error.empty())
         return reply(option, rep_err_invalid, error);
     if (!handler_.find_export(query.export_name))
-        return reply(option, rep_err_unknown, "no such export");
+        return reply(option, rep_err_unknown, "export does not exist");
 
     // A list without queries asks for all contexts.
     bool lists_all = !selects && (query.queries == 0 || query.lists_base);
@@ -255,7 +262,7 @@
 void Negotiation::choose(std::string_view name, const ExportInfo &info) {
     export_name_ = name;
     export_ = info;
-    // A context holds for the export that it was selected for and no other.
+    // A context is valid only for the export for which it was selected.
     allocation_context_ = allocation_context_ && allocation_context_export_ == name;
     state_ = State::export_chosen;
 }
--- a/src/nbd/negotiation.hpp
+++ b/src/nbd/negotiation.hpp
@@ -12,28 +12,28 @@
 
 namespace knotvane::nbd {
 
-/// Number of the context base:allocation, the only one, within a session.
+/// Id, within a session, of base:allocation, the only meta context that is supported.
 inline constexpr std::uint32_t allocation_context_id = 1;
-/// The specification's bound on strings, in bytes.
+/// The specification's limit on the length of strings, in bytes.
 inline constexpr std::size_t max_string_bytes = 4096;
 
-/// Negotiates one session; the owner feeds it until it has ended.
+/// Negotiates one session; the owner calls step() until an export is chosen or the session is over.
 class Negotiation {
 public:
     enum class State {
-        client_flags,  ///< The client's handshake flags are expected.
-        options,       ///< Options are expected.
+        client_flags,  ///< Waiting for the client's handshake flags.
+        options,       ///< Waiting for options.
         export_chosen, ///< Requests follow.
         ended          ///< The session is over, see fault().
     };
 
     /// Writes the server's greeting.
-    /// @param handler knows the exports.
+    /// @param handler provides the exports.
     /// @param output receives replies; both must outlive the negotiation.
     Negotiation(RequestHandler &handler, std::string &output);
 
-    /// Handles the next message. Call only while an export is neither chosen nor the session over.
-    /// @return false if the message hasn't come whole, or the session is over.
+    /// Handles the next message. Call only in the states client_flags and options.
+    /// @return false if the message has not fully arrived, or the session is over.
     bool step(InputBuffer &input);
 
     State state() const { return state_; }
@@ -44,7 +44,7 @@
     const std::string &export_name() const { return export_name_; }
     const ExportInfo &chosen_export() const { return export_; }
     bool structured_replies() const { return structured_replies_; }
-    /// The client may ask for the block status.
+    /// Whether the client may request the block status.
     bool allocation_context() const { return allocation_context_; }
 
 private:
@@ -64,11 +64,11 @@
     RequestHandler &handler_;
     std::string &output_;
     State state_ = State::client_flags;
-    std::uint32_t options_ = 0; // received so far
+    std::uint32_t received_options_ = 0;
     bool no_zeroes_ = false;
     bool structured_replies_ = false;
     bool allocation_context_ = false;
-    std::string allocation_context_export_; // that the context was selected for
+    std::string allocation_context_export_; // the export that the context was selected for
     std::string export_name_;
     ExportInfo export_;
     std::string fault_;
--- a/src/nbd/request_handler.hpp
+++ b/src/nbd/request_handler.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What an NBD session asks of its owner.
+/// The interface through which an NBD session passes requests to its owner.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 namespace knotvane::nbd {
 
-/// A request of one session, numbered by the session: a client may use one of its own cookies
-/// twice, these are used once.
+/// Identifies a request within a session. Assigned by the session and never reused, unlike the
+/// client's own cookies, which a client may use twice.
 using Cookie = Id<struct CookieKind, std::uint64_t>;
 
 /// Block sizes of an export in bytes.
 struct BlockSizes {
-    /// Offsets and lengths of requests must be multiples of it.
+    /// Offsets and lengths of requests must be multiples of this.
     std::uint32_t minimum = 1;
     std::uint32_t preferred = 1;
     /// Largest request.
     std::uint32_t maximum = 1;
 };
 
-/// What a client is told of an export.
+/// The properties of an export that are sent to clients.
 struct ExportInfo {
     std::uint64_t size_bytes = 0;
     /// A set of flag_read_only, flag_send_flush and so on; flag_has_flags is added.
@@ -33,8 +33,8 @@
     BlockSizes block_sizes;
 };
 
-/// Receives a client's requests once they are known to be well formed, offered, inside the export
-/// and aligned. Each is to be answered through the session, at once or later.
+/// Receives a client's requests after the session has checked that they are well formed, supported,
+/// inside the export and aligned. Each must be answered through the session, at once or later.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
@@ -44,12 +44,12 @@
     /// @param name empty for the default export.
     /// @return nothing if there is no such export.
     virtual std::optional<ExportInfo> find_export(std::string_view name) = 0;
-    /// The client has chosen an export that find_export knew; requests follow.
+    /// The client has chosen an export that find_export returned; requests follow.
     virtual void export_opened(std::string_view name) = 0;
 
     virtual void read(Cookie request, std::uint64_t offset, std::uint32_t length) = 0;
-    /// @param data lives until the call returns.
-    /// @param fua the answer means that the data is durable.
+    /// @param data valid until the call returns.
+    /// @param fua force unit access: the data must be durable before the answer.
     virtual void write(Cookie request, std::uint64_t offset, std::string_view data, bool fua) = 0;
     /// @param no_hole the space must stay allocated.
     virtual void write_zeroes(Cookie request, std::uint64_t offset, std::uint32_t length, bool fua,
@@ -60,7 +60,7 @@
     virtual void block_status(Cookie request, std::uint64_t offset, std::uint32_t length) = 0;
 
     /// The session has ended.
-    /// @param fault what the client sent that can't be followed; empty after a proper disconnect.
+    /// @param fault the client's violation of the protocol; empty after a regular disconnect.
     virtual void session_ended(std::string_view fault) = 0;
 };
 
--- a/src/nbd/session.cpp
+++ b/src/nbd/session.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t request_header_bytes = 28;
-/// A longer write is no write: the stream can't be trusted any more.
+/// A longer write ends the session: the stream is taken to be corrupt.
 constexpr std::uint32_t max_skipped_write_bytes = 1u << 30;
 
 bool is_change(std::uint16_t command) {
@@ -25,9 +25,9 @@
     if (closed_)
         return;
     input_.append(bytes);
-    // A reply may come while a request is being passed on: the loop that passes it on then goes
-    // on, so that many requests answered at once do not nest, and what a call still reads stays
-    // where it is.
+    // The handler may reply while a request is being passed to it. The loop below that passes it
+    // then continues by itself, so that many requests answered at once do not recurse, and the
+    // input that a call still reads is not moved.
     if (stepping_)
         return;
     stepping_ = true;
@@ -72,14 +72,14 @@
     if (unread.size() < request_header_bytes)
         return false;
     if (get<std::uint32_t>(unread, 0) != request_magic) {
-        close("a request does not begin with the request magic");
+        close("transmission: a request does not begin with the request magic");
         return false;
     }
     RequestHeader header{get<std::uint16_t>(unread, 4), get<std::uint16_t>(unread, 6),
                          get<std::uint64_t>(unread, 8), get<std::uint64_t>(unread, 16),
                          get<std::uint32_t>(unread, 24)};
     if (header.command == cmd_disc) {
-        disconnecting_ = true; // all requests at work are finished first
+        disconnecting_ = true; // takes effect once all requests in flight have ended
         return true;
     }
     std::size_t payload_bytes = header.command == cmd_write ? header.length : 0;
@@ -94,14 +94,14 @@
 
 bool Session::reject_long_write(const RequestHeader &header) {
     if (header.length > max_skipped_write_bytes) {
-        close("a write of " + std::to_string(header.length) + " bytes; at most " +
-              std::to_string(max_request_bytes_) + " are taken");
+        close("transmission: a write has " + std::to_string(header.length) + " bytes; at most " +
+              std::to_string(max_request_bytes_) + " are allowed");
         return false;
     }
     input_.consume(request_header_bytes);
     input_.drop(header.length);
     put_error(header.client_cookie, e_overflow,
-              "a write holds at most " + std::to_string(max_request_bytes_) + " bytes");
+              "a write may have at most " + std::to_string(max_request_bytes_) + " bytes");
     return true;
 }
 
@@ -129,7 +129,7 @@
 }
 
 std::optional<Session::Rejection> Session::check(const RequestHeader &header) const {
-    // By command.
+    // Indexed by command.
     constexpr std::array<std::uint16_t, cmd_block_status + 1> known_flags{
         cmd_flag_df | cmd_flag_fua,
         cmd_flag_fua,
@@ -140,21 +140,24 @@
         cmd_flag_fua | cmd_flag_no_hole | cmd_flag_fast_zero,
         cmd_flag_req_one | cmd_flag_fua};
     if (header.command > cmd_block_status)
-        return Rejection{e_inval, "command " + std::to_string(header.command) + " is not known"};
+        return Rejection{e_inval, "command " + std::to_string(header.command) + " is unknown"};
     if ((header.flags & ~known_flags[header.command]) != 0)
-        return Rejection{e_inval, "flags " + std::to_string(header.flags) + " are not known here"};
+        return Rejection{e_inval, "flags " + std::to_string(header.flags) +
+                                      " are not all defined for command " +
+                                      std::to_string(header.command)};
     if (is_change(header.command) &&
         (negotiation_.chosen_export().transmission_flags & flag_read_only) != 0)
         return Rejection{e_perm, "the export is read-only"};
     if (!is_offered(header))
-        return Rejection{e_inval, "the command or its flag was not offered"};
+        return Rejection{e_inval,
+                         "the command or one of its flags is not supported for this export"};
     return check_range(header);
 }
 
 std::optional<Session::Rejection> Session::check_range(const RequestHeader &header) const {
     if (header.command == cmd_flush) {
         if (header.offset != 0 || header.length != 0)
-            return Rejection{e_inval, "a flush has no range"};
+            return Rejection{e_inval, "a flush must have offset 0 and length 0"};
         return std::nullopt;
     }
     const auto &info = negotiation_.chosen_export();
@@ -163,12 +166,13 @@
         return Rejection{e_inval, "the length is zero"};
     if (header.offset > info.size_bytes || header.length > info.size_bytes - header.offset)
         return Rejection{is_change(header.command) ? e_nospc : e_inval,
-                         "the range ends past the export"};
+                         "the range extends past the end of the export"};
     if (header.offset % alignment != 0 || header.length % alignment != 0)
-        return Rejection{e_inval, "the range is not aligned to " + std::to_string(alignment)};
+        return Rejection{e_inval,
+                         "the range is not aligned to " + std::to_string(alignment) + " bytes"};
     if (header.command == cmd_read && header.length > max_request_bytes_)
-        return Rejection{e_overflow,
-                         "a read holds at most " + std::to_string(max_request_bytes_) + " bytes"};
+        return Rejection{e_overflow, "a read may have at most " +
+                                         std::to_string(max_request_bytes_) + " bytes"};
     return std::nullopt;
 }
 
@@ -207,7 +211,7 @@
 
 void Session::finish_request(Cookie id) {
     requests_.erase(id);
-    receive({}); // what was kept back goes on
+    receive({}); // continues with input that was held back
 }
 
 void Session::close(std::string_view fault) {
--- a/src/nbd/session.hpp
+++ b/src/nbd/session.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// One client's NBD session without any I/O: bytes in, calls out; answers in, bytes out. The same
-/// session runs behind a socket, in virtual time and under the fuzzer.
+/// One client's NBD session without any I/O: it turns received bytes into calls of a handler, and
+/// the handler's replies into bytes to send. The same code runs behind a socket, in virtual time
+/// and under the fuzzer.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +19,10 @@
 
 namespace knotvane::nbd {
 
-/// A run of bytes with one block status.
+/// A range of bytes that has one block status.
 struct BlockStatusExtent {
     std::uint32_t length_bytes = 0;
-    /// 1: a hole; 2: reads as zero.
+    /// Bit 0 (value 1): a hole; bit 1 (value 2): reads as zeroes.
     std::uint32_t flags = 0;
 };
 
@@ -31,43 +32,43 @@
 class Session {
 public:
     /// @param handler must outlive the session.
-    /// @param max_in_flight requests at work at once; past it input is kept unread.
-    /// @param max_request_bytes of one read or write.
+    /// @param max_in_flight requests in flight at once; at this limit no more input is processed.
+    /// @param max_request_bytes the largest read or write.
     Session(RequestHandler &handler, std::uint32_t max_in_flight, std::uint32_t max_request_bytes);
 
     // The negotiation writes to this session's output.
     Session(const Session &) = delete;
     Session &operator=(const Session &) = delete;
 
-    /// Takes what has come from the client, in any pieces.
+    /// Processes bytes from the client, which may be split anywhere.
     void receive(std::string_view bytes);
-    /// Takes out what is to be sent to the client.
+    /// Removes and returns the bytes to be sent to the client.
     std::string take_output() { return std::exchange(output_, {}); }
     std::size_t pending_output_bytes() const { return output_.size(); }
 
-    /// Input is kept back until requests end or the owner lets it go on: nothing more should be
-    /// read from the client.
+    /// Whether input is held back until requests end or the owner resumes it: the owner should not
+    /// read from the client meanwhile.
     bool input_paused() const {
         return !closed_ && (paused_ || requests_.size() >= max_in_flight_);
     }
-    /// Keeps input back, or takes it again, for reasons of the owner's own.
+    /// Holds input back, or resumes it, as the owner requires.
     void pause_input(bool paused);
 
-    /// The session has ended; what is in the output is still to be sent.
+    /// Whether the session has ended; remaining output must still be sent.
     bool closed() const { return closed_; }
     std::size_t in_flight() const { return requests_.size(); }
 
-    /// A part of a read.
+    /// Passes a part of a read's data.
     /// @param offset in the export; parts may come in any order.
     void reply_data(Cookie request, std::uint64_t offset, std::string_view data);
     void reply_done(Cookie request);
-    /// @param offset where it went wrong; none if nowhere in particular.
+    /// @param offset where the error occurred; none if at no particular offset.
     void reply_error(Cookie request, ErrorCode error, std::string_view message,
                      std::optional<std::uint64_t> offset = {});
     void reply_block_status(Cookie request, const std::vector<BlockStatusExtent> &extents);
 
 private:
-    /// A request as it stands on the wire, without its payload.
+    /// The fields of a request on the wire, without its payload.
     struct RequestHeader {
         std::uint16_t flags;
         std::uint16_t command;
@@ -77,10 +78,10 @@
     };
     struct Request {
         RequestHeader header;
-        bool single_reply;    // a read that must go out in one piece
-        std::string gathered; // its data so far
+        bool single_reply;    // a read's data must be sent in one piece
+        std::string gathered; // the data received so far if single_reply is set
     };
-    /// Why a request isn't passed on.
+    /// Why a request is not passed to the handler.
     struct Rejection {
         ErrorCode error;
         std::string message;
--- a/src/nbd/wire.hpp
+++ b/src/nbd/wire.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The numbers of the NBD protocol under the names that its specification gives them (without the
-/// NBD_ prefix), and big-endian fields.
+/// The constants of the NBD protocol, named as in its specification but without the prefix NBD_,
+/// and functions for big-endian fields.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace knotvane::nbd {
 
-/// "NBDMAGIC", the first bytes of a server.
+/// "NBDMAGIC", the first bytes that a server sends.
 inline constexpr std::uint64_t init_magic = 0x4e42444d41474943;
 /// "IHAVEOPT", before the server's handshake flags and before each option.
 inline constexpr std::uint64_t option_magic = 0x49484156454f5054;
@@ -18,7 +18,7 @@
 inline constexpr std::uint32_t simple_reply_magic = 0x67446698;
 inline constexpr std::uint32_t structured_reply_magic = 0x668e33ef;
 
-// Handshake flags, the same bits from either side.
+// Handshake flags, with the same bits in both directions.
 inline constexpr std::uint16_t flag_fixed_newstyle = 1;
 inline constexpr std::uint16_t flag_no_zeroes = 2;
 
@@ -92,14 +92,14 @@
     e_shutdown = 108
 };
 
-/// Appends one field.
+/// Appends an integer as a big-endian field.
 template <class T>
 void put(std::string &to, T value) {
     for (int shift = (static_cast<int>(sizeof value) - 1) * 8; shift >= 0; shift -= 8)
         to.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> shift));
 }
 
-/// Reads one field at a byte offset; the caller has made sure that it is there.
+/// Reads a big-endian field at a byte offset; the caller must ensure that `from` contains it.
 template <class T>
 T get(std::string_view from, std::size_t at) {
     std::uint64_t value = 0;
--- a/tests/edge/helpers.hpp
+++ b/tests/edge/helpers.hpp
@@ -1,4 +1,4 @@
-// What the edge's tests share: wires and a shell written down, and a node's side of them.
+// Helpers of the edge's tests: a transport that records its calls, and a node's frames.
 #pragma once
 
 #include <map>
@@ -11,14 +11,18 @@
 
 namespace knotvane::edge {
 
-// Writes down what links ask for and what they tell.
+// Records the calls and events of NodeConnections.
 struct Wired : Transport, NodeConnectionEvents {
     std::vector<NodeConnectionId> connected, closed;
     std::map<NodeConnectionId, std::string> sent;
     std::vector<std::string> told, said;
-    void connect(NodeConnectionId l, const std::string &) override { connected.push_back(l); }
-    void send(NodeConnectionId l, std::string b) override { sent[l] += b; }
-    void close(NodeConnectionId l) override { closed.push_back(l); }
+    void connect(NodeConnectionId connection, const std::string &) override {
+        connected.push_back(connection);
+    }
+    void send(NodeConnectionId connection, std::string bytes) override {
+        sent[connection] += bytes;
+    }
+    void close(NodeConnectionId connection) override { closed.push_back(connection); }
     void attempt_completed(AttemptCompletion completion) override {
         static constexpr const char *names[] = {"answered",    "error", "full",       "timed_out",
                                                 "unreachable", "reset", "called_off", "unsent"};
@@ -26,7 +30,7 @@
                        names[static_cast<int>(completion.outcome)] + " " +
                        completion.answer.payload);
     }
-    void log_event(std::string t) override { said.push_back(std::move(t)); }
+    void log_event(std::string text) override { said.push_back(std::move(text)); }
 };
 
 inline std::string welcome(std::uint64_t node, Time clock = 0) {
@@ -44,7 +48,7 @@
                                   .payload = payload});
 }
 
-// Links to node 1, greeted on one connection.
+// Connections to node 1, of which one has completed its handshake.
 struct Linked {
     Wired w;
     NodeConnections links;
--- a/tests/edge/unflushed_writes_test.cpp
+++ b/tests/edge/unflushed_writes_test.cpp
@@ -1,4 +1,4 @@
-// What a flush has to reach, and which writes a restart has lost.
+// Which shards a flush has to reach, and the detection of writes that a restart has lost.
 #include <doctest/doctest.h>
 
 #include "edge/unflushed_writes.hpp"
@@ -7,26 +7,26 @@
 using namespace knotvane::edge;
 
 TEST_SUITE("unflushed writes") {
-    TEST_CASE("a flush covers what was written before it, and not what came meanwhile") {
-        UnflushedWrites u;
-        u.write_answered(ShardId{1}, 1);
-        auto mark = u.flush_mark();
-        u.write_answered(ShardId{1}, 1);
-        u.flush_answered(ShardId{1}, 1, mark);
-        CHECK(u.shards_to_flush().size() == 1);
-        u.flush_answered(ShardId{1}, 1, u.flush_mark());
-        CHECK(u.shards_to_flush().empty());
-        CHECK(u.losses() == 0);
+    TEST_CASE("a flush covers the writes before its mark but not those after it") {
+        UnflushedWrites writes;
+        writes.write_answered(ShardId{1}, 1);
+        auto mark = writes.flush_mark();
+        writes.write_answered(ShardId{1}, 1);
+        writes.flush_answered(ShardId{1}, 1, mark);
+        CHECK(writes.shards_to_flush().size() == 1);
+        writes.flush_answered(ShardId{1}, 1, writes.flush_mark());
+        CHECK(writes.shards_to_flush().empty());
+        CHECK(writes.losses() == 0);
     }
-    // A node restarts between a write and the flush that should make it durable. The flush is
-    // answered well by the new process, which never had the write: the loss must be counted.
-    TEST_CASE("a store of another incarnation has lost what was not flushed") {
-        UnflushedWrites u;
-        u.write_answered(ShardId{1}, 1);
-        u.flush_answered(ShardId{1}, 2, u.flush_mark());
-        CHECK(u.losses() == 1);
-        u.write_answered(ShardId{2}, 1);
-        u.write_answered(ShardId{2}, 3);
-        CHECK(u.losses() == 2);
+    // A node restarts between a write and the flush that should make it durable. The new process
+    // answers the flush with success, but it never received the write: the loss must be counted.
+    TEST_CASE("unflushed writes count as lost once the store answers with another incarnation") {
+        UnflushedWrites writes;
+        writes.write_answered(ShardId{1}, 1);
+        writes.flush_answered(ShardId{1}, 2, writes.flush_mark());
+        CHECK(writes.losses() == 1);
+        writes.write_answered(ShardId{2}, 1);
+        writes.write_answered(ShardId{2}, 3);
+        CHECK(writes.losses() == 2);
     }
 }
--- a/tests/fuzz/nbd_fuzz.cpp
+++ b/tests/fuzz/nbd_fuzz.cpp
@@ -1,6 +1,6 @@
-// Any bytes from a client: the session must not crash, must hold no more than its bounds, and must
-// end every request that it passed on at most once. Built with libFuzzer, or with a fixed corpus
-// for the tests.
+// Feeds arbitrary client bytes to an NBD session: it must not crash, must stay within its limits,
+// and must end every request that it passed on at most once. Built with libFuzzer, or with a fixed
+// set of inputs for the tests.
 #include <cstdio>
 #include <cstdlib>
 
@@ -9,20 +9,21 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     using namespace knotvane::nbd;
     RecordingHandler handler;
-    Session s(handler, 8, 65536);
-    // The first byte says in which pieces the rest comes; some requests are answered on the way.
-    std::size_t piece = size > 0 ? 1 + data[0] : 1;
-    std::string_view in(reinterpret_cast<const char *>(data), size);
-    for (std::size_t at = 1; at < size; at += piece) {
-        s.receive(in.substr(at, piece));
-        if (s.in_flight() > 8)
+    Session session(handler, 8, 65536);
+    // The first byte sets the size of the pieces in which the rest arrives; some requests are
+    // answered between the pieces.
+    std::size_t piece_bytes = size > 0 ? 1 + data[0] : 1;
+    std::string_view input(reinterpret_cast<const char *>(data), size);
+    for (std::size_t position = 1; position < size; position += piece_bytes) {
+        session.receive(input.substr(position, piece_bytes));
+        if (session.in_flight() > 8)
             std::abort();
         if (handler.ids.size() % 3 == 2)
-            s.reply_done(handler.ids[handler.ids.size() / 2]);
+            session.reply_done(handler.ids[handler.ids.size() / 2]);
         if (handler.ids.size() % 5 == 4)
-            s.reply_error(handler.ids[handler.ids.size() / 3], e_io, "fuzz");
+            session.reply_error(handler.ids[handler.ids.size() / 3], e_io, "fuzz");
     }
     for (auto id : handler.ids)
-        s.reply_error(id, e_io, "end");
+        session.reply_error(id, e_io, "end");
     return 0;
 }
--- a/tests/fuzz/run_fixed.cpp
+++ b/tests/fuzz/run_fixed.cpp
@@ -1,5 +1,5 @@
-// Runs a fuzz target over a fixed, seeded set of inputs: valid sessions with bytes changed, cut and
-// repeated.
+// Runs a fuzz target over a fixed, seeded set of inputs: a valid session with some bytes changed,
+// truncated or repeated.
 #include <cstdio>
 #include <random>
 
@@ -14,18 +14,18 @@
                        request(cmd_read, 1, 0, 512) +
                        request(cmd_write, 2, 0, 512, std::string(512, 'x')) +
                        request(cmd_block_status, 3, 0, 4096) + request(cmd_flush, 4, 0, 0);
-    std::ranlux24_base chance(1);
+    std::ranlux24_base random(1);
     int runs = 20000;
     for (int i = 0; i < runs; ++i) {
-        std::string s(1, static_cast<char>(chance()));
-        s += seed;
-        for (auto n = chance() % 6; n > 0; --n)
-            s[chance() % s.size()] = static_cast<char>(chance());
-        if (chance() % 4 == 0)
-            s.resize(1 + chance() % s.size());
-        if (chance() % 4 == 0)
-            s += s.substr(chance() % s.size());
-        LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(s.data()), s.size());
+        std::string input(1, static_cast<char>(random()));
+        input += seed;
+        for (auto changes = random() % 6; changes > 0; --changes)
+            input[random() % input.size()] = static_cast<char>(random());
+        if (random() % 4 == 0)
+            input.resize(1 + random() % input.size());
+        if (random() % 4 == 0)
+            input += input.substr(random() % input.size());
+        LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(input.data()), input.size());
     }
     std::printf("%d passed, 0 failed\n", runs);
 }
--- a/tests/nbd/helpers.hpp
+++ b/tests/nbd/helpers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the NBD tests share: a client's bytes, and a handler that records its calls.
+/// Helpers of the NBD tests: a client's messages, and a handler that records its calls.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace knotvane::nbd {
 
-/// Records each call as a line, and answers nothing by itself.
+/// Records each call as a line of text and sends no replies.
 struct RecordingHandler final : RequestHandler {
     std::vector<std::string> lines;
     std::vector<Cookie> ids; // of the requests passed on
@@ -60,52 +60,52 @@
         record(id, "status " + range(offset, length));
     }
     void session_ended(std::string_view fault) override {
-        lines.push_back("left " + std::string(fault));
+        lines.push_back("ended " + std::string(fault));
     }
 };
 
 inline std::string client_flags(std::uint32_t flags = 3) {
-    std::string s;
-    put(s, flags);
-    return s;
+    std::string message;
+    put(message, flags);
+    return message;
 }
 inline std::string option(std::uint32_t code, std::string_view data = "") {
-    std::string s;
-    put(s, option_magic);
-    put(s, code);
-    put(s, static_cast<std::uint32_t>(data.size()));
-    return s + std::string(data);
+    std::string message;
+    put(message, option_magic);
+    put(message, code);
+    put(message, static_cast<std::uint32_t>(data.size()));
+    return message + std::string(data);
 }
 inline std::string go(std::string_view name, std::uint32_t code = opt_go) {
-    std::string d;
-    put(d, static_cast<std::uint32_t>(name.size()));
-    d += name;
-    put(d, std::uint16_t{0});
-    return option(code, d);
+    std::string data;
+    put(data, static_cast<std::uint32_t>(name.size()));
+    data += name;
+    put(data, std::uint16_t{0});
+    return option(code, data);
 }
 inline std::string context(std::string_view name, std::string_view query, std::uint32_t code) {
-    std::string d;
-    put(d, static_cast<std::uint32_t>(name.size()));
-    d += name;
-    put(d, std::uint32_t{1});
-    put(d, static_cast<std::uint32_t>(query.size()));
-    d += query;
-    return option(code, d);
+    std::string data;
+    put(data, static_cast<std::uint32_t>(name.size()));
+    data += name;
+    put(data, std::uint32_t{1});
+    put(data, static_cast<std::uint32_t>(query.size()));
+    data += query;
+    return option(code, data);
 }
 inline std::string request(std::uint16_t command, std::uint64_t cookie, std::uint64_t offset,
                            std::uint32_t length, std::string_view payload = "",
                            std::uint16_t flags = 0) {
-    std::string s;
-    put(s, request_magic);
-    put(s, flags);
-    put(s, command);
-    put(s, cookie);
-    put(s, offset);
-    put(s, length);
-    return s + std::string(payload);
+    std::string message;
+    put(message, request_magic);
+    put(message, flags);
+    put(message, command);
+    put(message, cookie);
+    put(message, offset);
+    put(message, length);
+    return message + std::string(payload);
 }
 
-/// A session past its handshake, with what it sent so far taken out.
+/// A session after its handshake, whose output so far has been discarded.
 struct OpenSession {
     RecordingHandler handler;
     Session session;
