--- a/src/store/block_allocator.cpp
+++ b/src/store/block_allocator.cpp
@@ -25,7 +25,7 @@
     return static_cast<Slot>(references_.size() - 1);
 }
 
-void BlockAllocator::return_unused(const std::vector<Slot> &slots) {
+void BlockAllocator::free_unused(const std::vector<Slot> &slots) {
     free_.insert(free_.end(), slots.begin(), slots.end());
 }
 
--- a/src/store/block_allocator.hpp
+++ b/src/store/block_allocator.hpp
@@ -35,7 +35,7 @@
     /// @return a free block, with no references yet; no_slot if no block is free now.
     Slot allocate();
     /// Frees allocated blocks that nothing refers to.
-    void return_unused(const std::vector<Slot> &slots);
+    void free_unused(const std::vector<Slot> &slots);
     /// Whether allocate would fail now, but would succeed after at most two flushes.
     bool needs_flush() const;
 
--- a/src/store/checkpoint.cpp
+++ b/src/store/checkpoint.cpp
@@ -73,33 +73,33 @@
     return nodes[number];
 }
 
-ExtentNodePtr take_node(std::string_view &bytes, const std::vector<ExtentNodePtr> &earlier,
-                        std::uint64_t capacity) {
-    bool is_leaf = take_value<std::uint8_t>(bytes) == leaf_node;
+ExtentNodePtr consume_node(std::string_view &bytes, const std::vector<ExtentNodePtr> &earlier,
+                           std::uint64_t capacity) {
+    bool is_leaf = consume_value<std::uint8_t>(bytes) == leaf_node;
     auto node = make_extent_node(is_leaf ? 0 : 1);
     for (BlockRef &ref : node->blocks) {
-        ref.slot = take_value<Slot>(bytes);
-        ref.crc = take_value<std::uint32_t>(bytes);
+        ref.slot = consume_value<Slot>(bytes);
+        ref.crc = consume_value<std::uint32_t>(bytes);
         if (ref.slot > capacity)
             throw StoreError(StoreError::Kind::corruption,
                              "store: a tree refers to a block beyond the store's capacity");
     }
     for (ExtentNodePtr &child : node->children)
-        child = node_of_number(earlier, take_value<NodeNumber>(bytes), "tree");
+        child = node_of_number(earlier, consume_value<NodeNumber>(bytes), "tree");
     return node;
 }
 
-Volume take_volume(std::string_view &bytes, const std::vector<ExtentNodePtr> &nodes) {
+Volume consume_volume(std::string_view &bytes, const std::vector<ExtentNodePtr> &nodes) {
     Volume volume;
-    volume.map.root = node_of_number(nodes, take_value<NodeNumber>(bytes), "volume");
-    volume.map.height = static_cast<int>(take_value<std::uint32_t>(bytes));
-    volume.source = VolumeId{take_value<std::uint64_t>(bytes)};
-    auto flags = take_value<std::uint8_t>(bytes);
+    volume.map.root = node_of_number(nodes, consume_value<NodeNumber>(bytes), "volume");
+    volume.map.height = static_cast<int>(consume_value<std::uint32_t>(bytes));
+    volume.source = VolumeId{consume_value<std::uint64_t>(bytes)};
+    auto flags = consume_value<std::uint8_t>(bytes);
     volume.is_copy = (flags & flag_copy) != 0;
     volume.is_frozen = (flags & flag_frozen) != 0;
     volume.is_open = (flags & flag_open) != 0;
-    volume.epoch = take_value<std::uint32_t>(bytes);
-    volume.sealed_epoch = take_value<std::uint32_t>(bytes);
+    volume.epoch = consume_value<std::uint32_t>(bytes);
+    volume.sealed_epoch = consume_value<std::uint32_t>(bytes);
     return volume;
 }
 
@@ -131,16 +131,16 @@
 
 CheckpointContent decode_checkpoint(std::string_view bytes, std::uint64_t capacity) {
     std::vector<ExtentNodePtr> nodes(1); // indexed by number; 0 is no node
-    for (auto count = take_value<std::uint32_t>(bytes); count > 0; --count)
-        nodes.push_back(take_node(bytes, nodes, capacity));
+    for (auto count = consume_value<std::uint32_t>(bytes); count > 0; --count)
+        nodes.push_back(consume_node(bytes, nodes, capacity));
 
     CheckpointContent out;
-    for (auto count = take_value<std::uint32_t>(bytes); count > 0; --count) {
-        VolumeId id{take_value<std::uint64_t>(bytes)};
-        out.volumes[id] = take_volume(bytes, nodes);
+    for (auto count = consume_value<std::uint32_t>(bytes); count > 0; --count) {
+        VolumeId id{consume_value<std::uint64_t>(bytes)};
+        out.volumes[id] = consume_volume(bytes, nodes);
     }
-    for (auto count = take_value<std::uint32_t>(bytes); count > 0; --count) {
-        MarkRecord record = take_mark(bytes);
+    for (auto count = consume_value<std::uint32_t>(bytes); count > 0; --count) {
+        MarkRecord record = consume_mark(bytes);
         out.marks.add(record.mark, record.not_after);
     }
     return out;
--- a/src/store/extent_map.cpp
+++ b/src/store/extent_map.cpp
@@ -174,13 +174,13 @@
 void ExtentMaps::recount(const std::vector<const ExtentMap *> &maps) {
     std::vector<std::uint32_t> references(blocks_.references().size(), 0);
     std::set<const ExtentNode *> visited;
-    std::vector<const ExtentNode *> to_visit;
+    std::vector<const ExtentNode *> unvisited;
     for (const ExtentMap *map : maps)
         if (map->root)
-            to_visit.push_back(map->root.get());
-    while (!to_visit.empty()) {
-        const ExtentNode *node = to_visit.back();
-        to_visit.pop_back();
+            unvisited.push_back(map->root.get());
+    while (!unvisited.empty()) {
+        const ExtentNode *node = unvisited.back();
+        unvisited.pop_back();
         if (!visited.insert(node).second)
             continue;
         for (const BlockRef &ref : node->blocks) {
@@ -191,7 +191,7 @@
         }
         for (const ExtentNodePtr &child : node->children)
             if (child)
-                to_visit.push_back(child.get());
+                unvisited.push_back(child.get());
     }
     node_count_ = visited.size();
     dropped_.clear();
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -37,16 +37,16 @@
 DecodedHeader decode_header(std::string_view bytes) {
     std::uint32_t expected_crc = crc32c(bytes.substr(0, checked_header_size));
     AreaHeader header;
-    auto magic = take_value<std::uint64_t>(bytes);
-    header.generation = take_value<std::uint64_t>(bytes);
-    header.incarnation = take_value<std::uint64_t>(bytes);
-    header.trees_size = take_value<std::uint64_t>(bytes);
-    header.last_record = take_value<std::uint64_t>(bytes);
-    header.trees_crc = take_value<std::uint32_t>(bytes);
+    auto magic = consume_value<std::uint64_t>(bytes);
+    header.generation = consume_value<std::uint64_t>(bytes);
+    header.incarnation = consume_value<std::uint64_t>(bytes);
+    header.trees_size = consume_value<std::uint64_t>(bytes);
+    header.last_record = consume_value<std::uint64_t>(bytes);
+    header.trees_crc = consume_value<std::uint32_t>(bytes);
 
     DecodedHeader out;
     out.is_blank = magic == 0;
-    if (magic == area_magic && take_value<std::uint32_t>(bytes) == expected_crc)
+    if (magic == area_magic && consume_value<std::uint32_t>(bytes) == expected_crc)
         out.header = header;
     return out;
 }
@@ -65,10 +65,10 @@
 
 RecordHeader decode_record_header(std::string_view bytes) {
     RecordHeader header;
-    header.crc = take_value<std::uint32_t>(bytes);
-    header.size = take_value<std::uint32_t>(bytes);
-    header.number = take_value<std::uint64_t>(bytes);
-    header.kind = static_cast<RecordKind>(take_value<std::uint8_t>(bytes));
+    header.crc = consume_value<std::uint32_t>(bytes);
+    header.size = consume_value<std::uint32_t>(bytes);
+    header.number = consume_value<std::uint64_t>(bytes);
+    header.kind = static_cast<RecordKind>(consume_value<std::uint8_t>(bytes));
     return header;
 }
 
@@ -94,12 +94,12 @@
 BlockChanges decode_changes(std::string_view payload, std::uint64_t capacity) {
     BlockChanges changes;
     while (!payload.empty()) {
-        auto &blocks = changes[VolumeId{take_value<std::uint64_t>(payload)}];
-        for (auto count = take_value<std::uint32_t>(payload); count > 0; --count) {
+        auto &blocks = changes[VolumeId{consume_value<std::uint64_t>(payload)}];
+        for (auto count = consume_value<std::uint32_t>(payload); count > 0; --count) {
             BlockChange change;
-            change.block = take_value<std::uint64_t>(payload);
-            change.ref.slot = take_value<Slot>(payload);
-            change.ref.crc = take_value<std::uint32_t>(payload);
+            change.block = consume_value<std::uint64_t>(payload);
+            change.ref.slot = consume_value<Slot>(payload);
+            change.ref.crc = consume_value<std::uint32_t>(payload);
             if (change.ref.slot > capacity)
                 throw StoreError(StoreError::Kind::corruption,
                                  "store: a record refers to a block beyond the store's capacity");
@@ -121,13 +121,13 @@
 
 CopyRecord decode_copy(RecordKind kind, std::string_view payload) {
     CopyRecord record;
-    record.source = VolumeId{take_value<std::uint64_t>(payload)};
-    record.copy = VolumeId{take_value<std::uint64_t>(payload)};
-    record.is_frozen = take_value<std::uint8_t>(payload) != 0;
+    record.source = VolumeId{consume_value<std::uint64_t>(payload)};
+    record.copy = VolumeId{consume_value<std::uint64_t>(payload)};
+    record.is_frozen = consume_value<std::uint8_t>(payload) != 0;
     record.is_open = kind == RecordKind::open_snapshot;
     if (record.is_open) {
         record.is_frozen = false;
-        record.epoch = take_value<std::uint32_t>(payload);
+        record.epoch = consume_value<std::uint32_t>(payload);
     }
     return record;
 }
@@ -139,7 +139,7 @@
 }
 
 VolumeId decode_volume(std::string_view payload) {
-    return VolumeId{take_value<std::uint64_t>(payload)};
+    return VolumeId{consume_value<std::uint64_t>(payload)};
 }
 
 std::string encode_mark(const MarkRecord &record) {
@@ -150,11 +150,11 @@
     return out;
 }
 
-MarkRecord take_mark(std::string_view &from) {
+MarkRecord consume_mark(std::string_view &from) {
     MarkRecord record;
-    record.mark.incarnation = take_value<std::uint64_t>(from);
-    record.mark.request_number = take_value<std::uint64_t>(from);
-    record.not_after = take_value<Time>(from);
+    record.mark.incarnation = consume_value<std::uint64_t>(from);
+    record.mark.request_number = consume_value<std::uint64_t>(from);
+    record.not_after = consume_value<Time>(from);
     return record;
 }
 
--- a/src/store/format.hpp
+++ b/src/store/format.hpp
@@ -58,7 +58,7 @@
 /// Decodes an integer from the front of `from` and removes its bytes.
 /// @throws StoreError if `from` is shorter than the integer.
 template <class T>
-T take_value(std::string_view &from) {
+T consume_value(std::string_view &from) {
     T value;
     if (from.size() < sizeof value)
         throw StoreError(StoreError::Kind::corruption, "store: a record is truncated");
@@ -156,6 +156,6 @@
 
 std::string encode_mark(const MarkRecord &record);
 /// Decodes a mark from the front of `from` and removes its bytes.
-MarkRecord take_mark(std::string_view &from);
+MarkRecord consume_mark(std::string_view &from);
 
 } // namespace knotvane::store
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -61,13 +61,12 @@
     std::vector<JournalRecord> read_records();
     /// Keeps a record that was read; the next append goes after it.
     void accept(const JournalRecord &record);
-    /// Records that all records so far are durable.
+    /// Marks all records so far as durable.
     void mark_flushed() { flushed_end_ = end_; }
     /// Makes the records since the last flush unreadable. Durable only after the next sync.
     void erase_unflushed();
 
-    /// Whether the journal is so long, compared with the trees, that a checkpoint should replace
-    /// it.
+    /// Whether the journal has grown so long that a checkpoint should replace it.
     bool needs_checkpoint() const;
 
 private:
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -32,13 +32,14 @@
 
 } // namespace
 
-// Writes the blocks of one change, each to a newly allocated block, and collects the block changes
-// for the journal record. The destructor frees the allocated blocks unless commit was called.
+// Writes the blocks of one change, each to a newly allocated block that no durable data refers to,
+// and collects the block changes for the journal record. The destructor frees the allocated blocks
+// unless commit was called.
 class Store::ChangeBuilder {
 public:
     ChangeBuilder(Store &store, const std::vector<VolumeId> &volumes)
         : store_(store), volumes_(volumes) {}
-    ~ChangeBuilder() { store_.blocks_.return_unused(allocated_); }
+    ~ChangeBuilder() { store_.blocks_.free_unused(allocated_); }
     ChangeBuilder(const ChangeBuilder &) = delete;
     ChangeBuilder &operator=(const ChangeBuilder &) = delete;
 
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -28,11 +28,10 @@
 /// The result of creating a snapshot or a clone. The values are those of the planner protocol.
 enum class SnapshotResult : std::uint8_t {
     created = 0,
-    already_exists =
-        1, ///< A copy of the same source in the same state has this id: the order was resent.
-    id_taken = 2,      ///< Another volume has the id, or the source has reached the epoch already.
-    no_space = 3,      ///< Less free space is left than is reserved for writes.
-    medium_failed = 4, ///< The medium failed; nothing was created.
+    already_exists = 1, ///< Resent order: the id's copy has the same source and state.
+    id_taken = 2,       ///< Another volume has the id, or the source has reached the epoch already.
+    no_space = 3,       ///< Less free space is left than is reserved for writes.
+    medium_failed = 4,  ///< The medium failed; nothing was created.
 };
 
 /// A run of bytes that either all have stored data, or all read as zeroes without any.
@@ -55,9 +54,8 @@
     /// checkpoint.
     /// @param medium must outlive it.
     /// @param capacity maximum number of blocks; may grow from one opening to the next.
-    /// @throws StoreError of kind `corruption` if the header or the trees do not match their
-    /// checksums,
-    ///     of kind `medium` if the medium fails.
+    /// @throws StoreError of kind `corruption` if the headers or the trees do not match their
+    ///     checksums or contain invalid references, of kind `medium` if the medium fails.
     explicit Store(Medium &medium, std::uint64_t capacity = default_capacity);
     ~Store() = default;
     Store(const Store &) = delete;
--- a/src/store/store_recovery.cpp
+++ b/src/store/store_recovery.cpp
@@ -106,7 +106,7 @@
         break;
     case RecordKind::mark: {
         std::string_view payload = record.payload;
-        MarkRecord mark = take_mark(payload);
+        MarkRecord mark = consume_mark(payload);
         marks_.add(mark.mark, mark.not_after);
         break;
     }
--- a/tests/store/block_allocator_test.cpp
+++ b/tests/store/block_allocator_test.cpp
@@ -33,7 +33,7 @@
         blocks.add_reference(released);
         blocks.remove_reference(released);
         Slot unused = blocks.allocate();
-        blocks.return_unused({unused});
+        blocks.free_unused({unused});
         CHECK(blocks.available() == 2);
         CHECK(blocks.allocate() == unused);
         CHECK(blocks.allocate() == no_slot);
--- a/tests/store/snapshots_test.cpp
+++ b/tests/store/snapshots_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint64_t block = block_size; // bytes, in the type of offsets
+constexpr std::uint64_t block = block_size; // as 64 bits, for offsets
 
 // A store in memory. Writes fill whole blocks with one letter.
 struct Fixture {
