--- a/tests/edge/node_connections_test.cpp
+++ b/tests/edge/node_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections to nodes: each outcome of an attempt from the event that it names.
+// Connections to nodes: which event leads to which outcome of an attempt.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,8 +9,10 @@
 using namespace knotvane::edge;
 using Lines = std::vector<std::string>;
 
-TEST_SUITE("node connections: every outcome comes from its event") {
-    TEST_CASE("answered, error, full, and what the node proves not to have run") {
+TEST_SUITE("node connections: each outcome of an attempt follows from the event that it names") {
+    TEST_CASE(
+        "an answer's status determines the outcome: answered, error, overloaded, or not_sent if "
+        "the node guarantees that it did not run") {
         Linked l;
         for (std::uint64_t t = 1; t <= 6; ++t)
             l.start_attempt(t);
@@ -22,16 +24,19 @@
         CHECK(l.w.told == Lines{"1 answered data", "2 error ", "3 full ", "4 unsent ", "5 unsent ",
                                 "6 error "});
     }
-    TEST_CASE("timed_out: sent and not answered in its time; a late answer is not told") {
+    TEST_CASE(
+        "an attempt that was sent and not answered before its deadline times out; a late answer "
+        "is not reported") {
         Linked l;
         l.start_attempt(1);
-        l.links.tick(100 * ms); // when the connection's own time to be made is looked at
+        l.links.tick(100 * ms); // the check of the connect timeout
         CHECK(l.links.next_due() == sec);
         l.links.tick(sec);
         l.links.received(sec + 1, l.link, answer(2, node_protocol::Status::ok));
         CHECK(l.w.told == Lines{"1 timed_out "});
     }
-    TEST_CASE("unreachable: refused, not listed, or no connection within its time") {
+    TEST_CASE("an attempt is unreachable if the connection is refused, the node is not listed, or "
+              "connecting times out") {
         Linked l(false);
         l.start_attempt(1);
         l.links.connect_failed(l.link);
@@ -42,13 +47,13 @@
         CHECK(l.w.told == Lines{"1 unreachable ", "2 unreachable ", "3 unreachable "});
         CHECK(l.w.closed.size() == 1);
     }
-    TEST_CASE("reset: the connection is lost with the attempt on it") {
+    TEST_CASE("an attempt that was sent on a connection that is lost ends as reset") {
         Linked l;
         l.start_attempt(1);
         l.links.disconnected(l.link);
         CHECK(l.w.told == Lines{"1 reset "});
     }
-    TEST_CASE("called_off: asked for while it is out; unsent where nothing had gone out") {
+    TEST_CASE("canceling an attempt ends it as canceled if it was sent, otherwise as not_sent") {
         Linked l;
         l.start_attempt(1);
         l.links.cancel_attempt(RequestId{1}, AttemptId{0});
@@ -58,12 +63,12 @@
         CHECK(l.w.told == Lines{"1 called_off "});
         CHECK(m.w.told == Lines{"2 unsent "});
     }
-    TEST_CASE("unsent: lost or out of time before a byte of it went out") {
+    TEST_CASE("an attempt of which no byte was sent when its connection is lost ends as not_sent") {
         Linked l(false);
         l.start_attempt(1);
-        l.links.connected(ms, l.link); // greeted, but no welcome comes
+        l.links.connected(ms, l.link); // the hello is sent, but no welcome arrives
         l.links.disconnected(l.link);
-        Linked m(true, 100); // a hundred bytes: one frame, the rest waits
+        Linked m(true, 100); // at most a hundred unsent bytes: one frame, the others are queued
         m.start_attempt(1);
         m.start_attempt(2);
         m.start_attempt(3);
@@ -72,9 +77,9 @@
         std::sort(m.w.told.begin(), m.w.told.end());
         CHECK(std::count(m.w.told.begin(), m.w.told.end(), "3 unsent ") == 1);
     }
-    // A node stops in the middle of an answer. Everything behind it on the connection would wait
-    // for what never comes, so the connection is closed well before its attempts time out.
-    TEST_CASE("a node silent in the middle of an answer costs its connection, soon") {
+    // A node stops sending in the middle of an answer. All later answers on the connection would
+    // wait for the rest of it, so the connection is closed well before its attempts time out.
+    TEST_CASE("a connection is closed soon after its node goes silent in the middle of an answer") {
         Linked l;
         l.start_attempt(1);
         auto a = answer(2, node_protocol::Status::ok, std::string(512, 'x'));
@@ -85,7 +90,8 @@
         CHECK(l.w.told == Lines{"1 reset "});
         CHECK(l.w.said.size() == 1);
     }
-    TEST_CASE("a garbled answer, a wrong node, an unasked frame end the connection with a reason") {
+    TEST_CASE("a corrupt answer, a welcome from another node or an unexpected frame closes the "
+              "connection and is logged") {
         Linked l, m(false), n;
         auto a = answer(2, node_protocol::Status::ok);
         a[20] ^= 1;
@@ -99,7 +105,9 @@
             CHECK(x->w.said.size() == 1);
         }
     }
-    TEST_CASE("what the other side does not take waits here, and goes when there is room") {
+    TEST_CASE(
+        "attempts beyond the limit of unsent bytes are queued, and sent when earlier bytes have "
+        "left") {
         Linked l(true, 200);
         for (std::uint64_t t = 1; t <= 9; ++t)
             l.start_attempt(t);
@@ -108,7 +116,7 @@
         CHECK(l.w.sent[l.link].size() > before);
     }
     TEST_CASE(
-        "a node that is not listed any more keeps its connection until the last attempt is over") {
+        "the connection to a node that is no longer listed is closed after its last attempt") {
         Linked l;
         l.start_attempt(1);
         l.links.set_nodes({});
@@ -121,15 +129,17 @@
         l.links.tick(3 * ms);
         CHECK(l.w.told.back() == "2 unreachable ");
     }
-    // A node's clock is ahead of ours. A write that is late by our clock must not be executed
-    // because it isn't late by the node's.
-    TEST_CASE("a not-after time by the node's clock is never later than by ours") {
+    // The clocks of node and edge differ. A write that is too late by the edge's clock must not be
+    // executed because it isn't too late by the node's.
+    TEST_CASE(
+        "a not-after time converted to the node's clock is never later than by the edge's clock") {
         Linked l(false);
         l.work->kind = node_protocol::FrameKind::write, l.work->not_after = 500 * ms;
         l.start_attempt(1);
         l.links.connected(10 * ms, l.link);
-        l.links.received(30 * ms, l.link,
-                         welcome(1, 7 * sec)); // said 7 s at some moment between 10 and 30 ms
+        l.links.received(
+            30 * ms, l.link,
+            welcome(1, 7 * sec)); // the node's clock was 7 s at some time between 10 and 30 ms
         auto &out = l.w.sent[l.link];
         Time got = 0;
         for (int i = 7; i >= 0; --i)
--- a/tests/edge/planner_client_test.cpp
+++ b/tests/edge/planner_client_test.cpp
@@ -1,5 +1,5 @@
-// The edge's side of its connection to the planner: what it goes by as its state ages, the state on
-// the disk, reconnecting.
+// The edge's side of its connection to the planner: which state it uses as the state gets older,
+// the stored state, and reconnecting.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -31,11 +31,11 @@
     void cluster_state_changed(const control::ClusterState &cluster_state, bool, bool,
                                const std::map<NodeId, Time> &when) override {
         nodes.clear();
-        for (auto &[id, n] : cluster_state.nodes)
-            nodes[id] = n.state;
+        for (auto &[id, listed] : cluster_state.nodes)
+            nodes[id] = listed.state;
         started = when;
     }
-    void quota_share_changed(VolumeId v, double h) override { sharers[v] = h; }
+    void quota_share_changed(VolumeId volume, double value) override { sharers[volume] = value; }
 };
 
 std::string node(NodeState state, std::uint64_t incarnation = 1, Time started = 0) {
@@ -68,12 +68,12 @@
     return {control::EdgeId{edge}, "e", 1, 300 * ms, 3600 * sec};
 }
 
-// Up since 0, with volume 7 in use, its half part told, and a lease of one second from there; fade
-// ten.
-struct Following {
+// A client that is connected at time 0, with volume 7 in use, half of its limit as quota share, a
+// lease of one second from time 0 and a fade time of ten seconds.
+struct ConnectedClient {
     RecordingActions actions;
     PlannerClient client{actions, config()};
-    Following() {
+    ConnectedClient() {
         client.start(0, {});
         client.tick(0);
         client.connected(0);
@@ -89,78 +89,84 @@
 
 } // namespace
 
-TEST_SUITE("what an edge goes by as its state ages") {
-    // An edge loses its planner, which will give its quota share to others. It must use no more
-    // than the planner counts for it, and go on serving.
-    TEST_CASE("no share before it is told one; all of it within the lease, a quarter past it, then "
-              "none") {
-        Following f;
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 2);
-        f.client.tick(sec);
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 2);
-        CHECK(f.client.next_due() <= sec + 1);
-        f.client.tick(sec + 1);
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 8);
-        CHECK(f.actions.nodes.at(NodeId{1}) == NodeState::ready); // served on
-        f.client.tick(11 * sec);
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 8);
-        f.client.tick(11 * sec + 1);
-        CHECK(std::isinf(f.actions.sharers.at(VolumeId{7})));
+TEST_SUITE("the state that an edge uses as it gets older") {
+    // An edge loses its planner, which will give its quota share to other edges. The edge must not
+    // use more than the planner counts for it, and must keep serving its clients.
+    TEST_CASE(
+        "an edge uses no quota share before it receives one, all of it while the lease is held, "
+        "a quarter during the fade time, and then none") {
+        ConnectedClient connected;
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 2);
+        connected.client.tick(sec);
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 2);
+        CHECK(connected.client.next_due() <= sec + 1);
+        connected.client.tick(sec + 1);
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 8);
+        CHECK(connected.actions.nodes.at(NodeId{1}) == NodeState::ready); // the nodes stay in use
+        connected.client.tick(11 * sec);
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 8);
+        connected.client.tick(11 * sec + 1);
+        CHECK(std::isinf(connected.actions.sharers.at(VolumeId{7})));
         RecordingActions fresh;
         PlannerClient other(fresh, config());
         other.start(0, {});
         other.volume_used(0, VolumeId{7}, true);
         CHECK(std::isinf(fresh.sharers.at(VolumeId{7})));
     }
-    // An answer to a renewal is late, or is for a version that this edge does not hold: counted
-    // from its arrival, the lease would outlast what the planner counts.
+    // The answer to a renewal is delayed, or is for a version that this edge does not have. If the
+    // lease counted from its arrival, it would last longer on the edge than on the planner.
     TEST_CASE(
-        "a lease counts from when its renewal was sent, and only with the version that it is for") {
-        Following f;
-        f.client.received(900 * ms, renewed(200 * ms, 1, 1));
-        f.client.tick(1200 * ms);
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 2);
-        f.client.tick(1200 * ms + 1);
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 8);
-        f.client.received(1300 * ms, renewed(1250 * ms, 1, 2));
-        f.client.received(1300 * ms, renewed(1250 * ms, 2, 1));
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 8);
-        f.client.received(1300 * ms, renewed(1250 * ms, 1, 1));
-        CHECK(f.actions.sharers.at(VolumeId{7}) == 2);
+        "a lease starts when its renewal was sent, and counts only with the same term and at least "
+        "its version") {
+        ConnectedClient connected;
+        connected.client.received(900 * ms, renewed(200 * ms, 1, 1));
+        connected.client.tick(1200 * ms);
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 2);
+        connected.client.tick(1200 * ms + 1);
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 8);
+        connected.client.received(1300 * ms, renewed(1250 * ms, 1, 2));
+        connected.client.received(1300 * ms, renewed(1250 * ms, 2, 1));
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 8);
+        connected.client.received(1300 * ms, renewed(1250 * ms, 1, 1));
+        CHECK(connected.actions.sharers.at(VolumeId{7}) == 2);
     }
-    // The last client of a volume leaves; by the time the next one comes, the share may be another
-    // edge's.
-    TEST_CASE("a volume without clients has no share, and none comes in meanwhile") {
-        Following f;
-        f.client.volume_used(ms, VolumeId{7}, false);
-        CHECK(std::isinf(f.actions.sharers.at(VolumeId{7})));
-        f.client.received(
+    // The last client of a volume disconnects. By the time the next one connects, the quota share
+    // may belong to another edge.
+    TEST_CASE("a quota share is not used without clients of its volume, nor after the planner has "
+              "removed it meanwhile") {
+        ConnectedClient connected;
+        connected.client.volume_used(ms, VolumeId{7}, false);
+        CHECK(std::isinf(connected.actions.sharers.at(VolumeId{7})));
+        connected.client.received(
             ms, update(2, 1, control::encode(control::QuotaShareRemoval{VolumeId{7}}), 1));
-        f.client.volume_used(2 * ms, VolumeId{7}, true);
-        CHECK(std::isinf(f.actions.sharers.at(VolumeId{7})));
+        connected.client.volume_used(2 * ms, VolumeId{7}, true);
+        CHECK(std::isinf(connected.actions.sharers.at(VolumeId{7})));
     }
-    // An update is late. A node that is taken for older than it is would get its full load while
-    // cold.
+    // An update is delayed. A node whose process seems older than it is would get its full load
+    // during its slow start.
     TEST_CASE(
-        "an incarnation of a node keeps its start; a late update makes it younger, never older") {
-        Following f;
-        f.client.received(5 * sec,
-                          update(2, 1, node(NodeState::ready, 2, 100 * sec), 1, 101 * sec));
-        CHECK(f.actions.started.at(NodeId{1}) == 4 * sec);
-        f.client.received(9 * sec,
-                          update(3, 2, node(NodeState::draining, 2, 100 * sec), 1, 102 * sec));
-        CHECK(f.actions.started.at(NodeId{1}) == 4 * sec);
+        "an incarnation of a node keeps its start time; a delayed update makes it seem younger, "
+        "never older") {
+        ConnectedClient connected;
+        connected.client.received(5 * sec,
+                                  update(2, 1, node(NodeState::ready, 2, 100 * sec), 1, 101 * sec));
+        CHECK(connected.actions.started.at(NodeId{1}) == 4 * sec);
+        connected.client.received(
+            9 * sec, update(3, 2, node(NodeState::draining, 2, 100 * sec), 1, 102 * sec));
+        CHECK(connected.actions.started.at(NodeId{1}) == 4 * sec);
     }
 }
 
-TEST_SUITE("the plan on disk") {
-    // The edge's host lost power while the plan was written. Half of an update must not be used,
-    // and no share may be: it is another edge's by now.
-    TEST_CASE("cut at any byte: the last whole update is used, drains among them, and no share") {
-        Following f;
-        auto first = f.actions.disk.size();
-        f.client.received(ms, update(2, 1, node(NodeState::draining), 1));
-        auto all = f.actions.disk;
+TEST_SUITE("the stored cluster state") {
+    // The edge's host loses power while the state is written. An incomplete update must not be
+    // used, and neither may a quota share, which may belong to another edge by now.
+    TEST_CASE(
+        "from a state truncated at any byte, the last complete update is used, including drains, "
+        "but no quota share") {
+        ConnectedClient connected;
+        auto first = connected.actions.disk.size();
+        connected.client.received(ms, update(2, 1, node(NodeState::draining), 1));
+        auto all = connected.actions.disk;
         REQUIRE(all.size() > first);
         for (std::size_t cut = 0; cut <= all.size(); ++cut) {
             RecordingActions actions;
@@ -173,7 +179,7 @@
             else
                 CHECK(actions.nodes.at(NodeId{1}) ==
                       (cut < all.size() ? NodeState::ready : NodeState::draining));
-            // What is added from here on is read at the next start.
+            // Updates that are appended from now on are read at the next start.
             if (cut < first)
                 continue;
             client.connected(sec);
@@ -184,14 +190,15 @@
             CHECK(next.nodes.at(NodeId{1}) == NodeState::removed);
         }
     }
-    // An edge starts without a planner from a plan that is days old: nodes in it may be others by
-    // now.
-    TEST_CASE("too old, or from the future by a clock that went back: not used, and logged") {
-        Following f;
+    // An edge starts without a planner, from a state that is days old: other nodes may use the
+    // addresses in it by now.
+    TEST_CASE("a stored state that is too old, or from the future because a clock went back, is "
+              "not used, which is logged") {
+        ConnectedClient connected;
         for (Time now : {3601 * sec, -61 * sec}) {
             RecordingActions actions;
             PlannerClient client(actions, config());
-            client.start(now, f.actions.disk);
+            client.start(now, connected.actions.disk);
             CHECK(actions.nodes.empty());
             CHECK(actions.logged.size() == 1);
         }
@@ -199,93 +206,99 @@
 }
 
 TEST_SUITE("the connection to the planner") {
-    // A planner was paused, a standby took over, and the first one goes on sending.
-    TEST_CASE(
-        "an older term, or a second planner under one term, is told so and left; nothing changes") {
+    // A planner is paused, a standby takes over, and then the first one continues to send.
+    TEST_CASE("a planner with an older term, or another one with the same term, is told that it is "
+              "superseded and disconnected; its update is not applied") {
         for (auto [term, instance] : {std::pair{1u, 2u}, std::pair{0u, 1u}}) {
-            Following f;
-            f.actions.sent.clear();
-            f.client.received(ms, update(9, 0, node(NodeState::removed), 1, 0, {term, instance}));
-            CHECK(f.actions.nodes.at(NodeId{1}) == NodeState::ready);
-            CHECK(f.actions.disconnects == 1);
-            CHECK(f.actions.sent == control::encode(control::Superseded{Term{1}}));
-            CHECK(f.actions.logged.size() == 1);
+            ConnectedClient connected;
+            connected.actions.sent.clear();
+            connected.client.received(
+                ms, update(9, 0, node(NodeState::removed), 1, 0, {term, instance}));
+            CHECK(connected.actions.nodes.at(NodeId{1}) == NodeState::ready);
+            CHECK(connected.actions.disconnects == 1);
+            CHECK(connected.actions.sent == control::encode(control::Superseded{Term{1}}));
+            CHECK(connected.actions.logged.size() == 1);
         }
     }
-    // An update is lost, or the connection breaks in the middle of one.
-    TEST_CASE("after a gap the full state is requested; half of an update changes nothing") {
-        Following f;
-        f.actions.sent.clear();
-        f.client.received(ms, update(9, 5, node(NodeState::removed), 1));
-        CHECK(f.actions.sent == control::encode(control::FullStateRequest{}));
-        f.client.received(
+    // An update is lost, or the connection is lost in the middle of one.
+    TEST_CASE(
+        "after a version gap the full state is requested; an incomplete update is not applied") {
+        ConnectedClient connected;
+        connected.actions.sent.clear();
+        connected.client.received(ms, update(9, 5, node(NodeState::removed), 1));
+        CHECK(connected.actions.sent == control::encode(control::FullStateRequest{}));
+        connected.client.received(
             ms, control::encode(control::UpdateBegin{Term{1}, 1, 1, Version{9}, Version{0}, 0}) +
                     node(NodeState::removed));
-        f.client.disconnected(2 * ms);
-        CHECK(f.actions.nodes.at(NodeId{1}) == NodeState::ready);
+        connected.client.disconnected(2 * ms);
+        CHECK(connected.actions.nodes.at(NodeId{1}) == NodeState::ready);
     }
-    // A planner restarts, and all edges reconnect: together they would overload it at once.
-    TEST_CASE("280 edges that lose a planner reconnect spread out, each later after each failure") {
-        std::vector<Time> first, fifth;
-        for (std::uint64_t e = 0; e < 280; ++e) {
+    // A planner restarts and all edges reconnect. If they did so at once, they would overload it.
+    TEST_CASE("the reconnects of 280 edges that lose a planner are spread over time, and delays "
+              "grow with each failure") {
+        std::vector<Time> first_delays, fifth_delays;
+        for (std::uint64_t edge = 0; edge < 280; ++edge) {
             RecordingActions actions;
-            PlannerClient client(actions, {control::EdgeId{e}, "e", 1, sec, sec});
+            PlannerClient client(actions, {control::EdgeId{edge}, "e", 1, sec, sec});
             client.start(0, {}), client.connected(0);
             client.disconnected(0);
-            first.push_back(client.next_due());
+            first_delays.push_back(client.next_due());
             Time now = 0;
             for (int i = 0; i < 4; ++i)
                 now = client.next_due(), client.tick(now), client.disconnected(now);
-            fifth.push_back(client.next_due() - now);
+            fifth_delays.push_back(client.next_due() - now);
         }
-        auto within = [](std::vector<Time> &v,
-                         Time width) { // the most that fall into one such span
-            std::sort(v.begin(), v.end());
-            std::size_t most = 0;
-            for (std::size_t i = 0, j = 0; j < v.size(); ++j) {
-                while (v[j] - v[i] > width)
-                    ++i;
-                most = std::max(most, j - i + 1);
+        // The maximum number of times within an interval of this width.
+        auto max_within = [](std::vector<Time> &times, Time width) {
+            std::sort(times.begin(), times.end());
+            std::size_t max_count = 0;
+            for (std::size_t first = 0, last = 0; last < times.size(); ++last) {
+                while (times[last] - times[first] > width)
+                    ++first;
+                max_count = std::max(max_count, last - first + 1);
             }
-            return most;
+            return max_count;
         };
-        CHECK(within(first, 10 * ms) < 30);
-        CHECK(first.back() <= 250 * ms);
-        CHECK(within(fifth, 100 * ms) < 30);
-        CHECK(fifth.back() > 2 * sec);
+        CHECK(max_within(first_delays, 10 * ms) < 30);
+        CHECK(first_delays.back() <= 250 * ms);
+        CHECK(max_within(fifth_delays, 100 * ms) < 30);
+        CHECK(fifth_delays.back() > 2 * sec);
     }
-    // A planner hangs with its connections open, or its host drops packets.
+    // A planner hangs while its connections stay open, or its host drops packets.
     TEST_CASE(
-        "a planner that answers nothing is left; one that is not reached is given up in time") {
-        Following f;
+        "the connection to a silent planner is closed, and connecting to one that does not answer "
+        "times out and is retried") {
+        ConnectedClient connected;
         for (Time t = 0; t < 2 * sec; t += 100 * ms)
-            f.client.tick(t);
-        CHECK(f.actions.disconnects == 1);
-        auto connects = f.actions.connects;
-        f.client.tick(f.client.next_due());
-        CHECK(f.actions.connects == connects + 1);
-        f.client.tick(f.client.next_due()); // nothing came of it
-        CHECK(f.actions.connects == connects + 2);
+            connected.client.tick(t);
+        CHECK(connected.actions.disconnects == 1);
+        auto connects = connected.actions.connects;
+        connected.client.tick(connected.client.next_due());
+        CHECK(connected.actions.connects == connects + 1);
+        connected.client.tick(connected.client.next_due()); // the connection was not established
+        CHECK(connected.actions.connects == connects + 2);
     }
-    // A node is lost to this edge; the planner decides by how many edges say so. One lost packet
-    // must not count.
-    TEST_CASE("a node is reported unreachable after three failures over half a second, reachable "
-              "by one answer") {
-        Following f;
-        f.actions.sent.clear();
+    // This edge can't reach a node. The planner decides by the number of edges that report it. A
+    // single lost packet must not cause a report.
+    TEST_CASE(
+        "a node is reported unreachable after at least three failures over half a second, and "
+        "reachable after one answer") {
+        ConnectedClient connected;
+        connected.actions.sent.clear();
         for (Time t : {0 * ms, 100 * ms, 200 * ms})
-            f.client.attempt_completed(t, NodeId{1}, AttemptOutcome::unreachable);
-        CHECK(f.actions.sent == "");
-        f.client.attempt_completed(600 * ms, NodeId{1}, AttemptOutcome::reset);
-        f.client.attempt_completed(700 * ms, NodeId{1}, AttemptOutcome::timed_out);
-        CHECK(f.actions.sent == report(NodeId{1}, false));
-        f.actions.sent.clear();
-        f.client.attempt_completed(800 * ms, NodeId{1}, AttemptOutcome::overloaded);
-        CHECK(f.actions.sent == report(NodeId{1}, true));
-        f.actions.sent.clear();
-        f.client.received(900 * ms, control::encode(control::ReachabilityRequest{NodeId{1}}));
-        f.client.received(7 * sec, control::encode(control::ReachabilityRequest{
-                                       NodeId{1}})); // too long ago to vouch
-        CHECK(f.actions.sent == report(NodeId{1}, true));
+            connected.client.attempt_completed(t, NodeId{1}, AttemptOutcome::unreachable);
+        CHECK(connected.actions.sent == "");
+        connected.client.attempt_completed(600 * ms, NodeId{1}, AttemptOutcome::reset);
+        connected.client.attempt_completed(700 * ms, NodeId{1}, AttemptOutcome::timed_out);
+        CHECK(connected.actions.sent == report(NodeId{1}, false));
+        connected.actions.sent.clear();
+        connected.client.attempt_completed(800 * ms, NodeId{1}, AttemptOutcome::overloaded);
+        CHECK(connected.actions.sent == report(NodeId{1}, true));
+        connected.actions.sent.clear();
+        connected.client.received(900 * ms,
+                                  control::encode(control::ReachabilityRequest{NodeId{1}}));
+        connected.client.received(7 * sec, control::encode(control::ReachabilityRequest{
+                                               NodeId{1}})); // the last answer is too old
+        CHECK(connected.actions.sent == report(NodeId{1}, true));
     }
 }
--- a/tests/edge/snapshot_participant_test.cpp
+++ b/tests/edge/snapshot_participant_test.cpp
@@ -1,5 +1,5 @@
-// An edge's side of a snapshot: when changes are held back, in which epoch they begin, which steps
-// are reported.
+// An edge's part in a snapshot: when changes are held back, in which epoch they begin, and which
+// steps are reported.
 #include <doctest/doctest.h>
 
 #include "edge/snapshot_participant.hpp"
@@ -10,108 +10,113 @@
 
 namespace {
 struct RecordedSteps {
-    Lines told;
-    SnapshotParticipant participant{[this](VolumeId as, control::SnapshotStep step) {
+    Lines reported;
+    SnapshotParticipant participant{[this](VolumeId snapshot, control::SnapshotStep step) {
         static constexpr const char *names[] = {"ready", "moved", "drained", "lapsed"};
-        told.push_back(std::string(names[static_cast<int>(step)]) + " " + std::to_string(as.value));
+        reported.push_back(std::string(names[static_cast<int>(step)]) + " " +
+                           std::to_string(snapshot.value));
     }};
-    Lines take() { return std::exchange(told, {}); }
+    Lines take() { return std::exchange(reported, {}); }
 };
-constexpr VolumeId v{7}, a{90}, b{91};
+constexpr VolumeId volume{7}, snapshot_a{90}, snapshot_b{91};
 } // namespace
 
-TEST_SUITE("an edge's side of a snapshot") {
+TEST_SUITE("an edge's part in a snapshot") {
     TEST_CASE(
-        "held, let go in the new epoch; drained once all of the old one are over, not before") {
-        RecordedSteps t;
-        CHECK(t.participant.change_started(v) == 0);
-        CHECK(t.participant.change_started(v) == 0);
-        t.participant.hold(0, {v, a, 3}, sec);
-        CHECK(t.participant.is_holding(v));
-        CHECK(t.take() == Lines{"ready 90"});
-        t.participant.resume(ms, {v, a, 3});
-        CHECK(!t.participant.is_holding(v));
-        CHECK(t.participant.take_released() == std::set<VolumeId>{v});
-        CHECK(t.take() == Lines{"moved 90"});
-        CHECK(t.participant.change_started(v) == 3);
-        t.participant.change_ended(v, 0);
-        t.participant.change_ended(v, 3);
-        CHECK(t.take().empty());
-        t.participant.change_ended(v, 0);
-        CHECK(t.take() == Lines{"drained 90"});
+        "after a hold, changes begin in the new epoch; drained is reported once all changes of the "
+        "old epoch have ended") {
+        RecordedSteps steps;
+        CHECK(steps.participant.change_started(volume) == 0);
+        CHECK(steps.participant.change_started(volume) == 0);
+        steps.participant.hold(0, {volume, snapshot_a, 3}, sec);
+        CHECK(steps.participant.is_holding(volume));
+        CHECK(steps.take() == Lines{"ready 90"});
+        steps.participant.resume(ms, {volume, snapshot_a, 3});
+        CHECK(!steps.participant.is_holding(volume));
+        CHECK(steps.participant.take_released() == std::set<VolumeId>{volume});
+        CHECK(steps.take() == Lines{"moved 90"});
+        CHECK(steps.participant.change_started(volume) == 3);
+        steps.participant.change_ended(volume, 0);
+        steps.participant.change_ended(volume, 3);
+        CHECK(steps.take().empty());
+        steps.participant.change_ended(volume, 0);
+        CHECK(steps.take() == Lines{"drained 90"});
     }
-    TEST_CASE(
-        "without changes at work it is drained at once; what is said again is answered again") {
-        RecordedSteps t;
-        t.participant.hold(0, {v, a, 3}, sec), t.participant.resume(ms, {v, a, 3});
-        CHECK(t.take() == Lines{"ready 90", "moved 90", "drained 90"});
-        t.participant.resume(ms, {v, a, 3});
-        CHECK(t.take() == Lines{"moved 90", "drained 90"});
+    TEST_CASE("without changes in flight drained is reported at once; a repeated resume is "
+              "answered again") {
+        RecordedSteps steps;
+        steps.participant.hold(0, {volume, snapshot_a, 3}, sec),
+            steps.participant.resume(ms, {volume, snapshot_a, 3});
+        CHECK(steps.take() == Lines{"ready 90", "moved 90", "drained 90"});
+        steps.participant.resume(ms, {volume, snapshot_a, 3});
+        CHECK(steps.take() == Lines{"moved 90", "drained 90"});
     }
-    // The planner is slow: its resume comes after the hold has expired and changes have begun in
-    // the old epoch. Followed then, the snapshot would not be consistent.
-    TEST_CASE("a hold that runs out ends by itself, is told, and no resume brings it back") {
-        RecordedSteps t;
-        t.participant.hold(0, {v, a, 3}, 100 * ms);
-        t.take();
-        CHECK(t.participant.next_due() == 100 * ms);
-        t.participant.expire_holds(100 * ms);
-        CHECK(t.take() == Lines{"lapsed 90"});
-        CHECK(t.participant.change_started(v) == 0);
-        t.participant.resume(101 * ms, {v, a, 3});
-        CHECK(t.take() == Lines{"lapsed 90"});
-        CHECK(t.participant.epoch(v) == 0);
-        // Another one may come.
-        t.participant.hold(200 * ms, {v, b, 4}, 100 * ms);
-        t.participant.resume(201 * ms, {v, b, 4});
-        CHECK(t.take() == Lines{"ready 91", "moved 91"});
-        t.participant.change_ended(v, 0);
-        CHECK(t.take() == Lines{"drained 91"});
+    // The planner is slow: its resume arrives after the hold has expired and changes have begun in
+    // the old epoch. If it were obeyed, the snapshot would not be consistent.
+    TEST_CASE("an expired hold is reported, and a later resume does not start the new epoch") {
+        RecordedSteps steps;
+        steps.participant.hold(0, {volume, snapshot_a, 3}, 100 * ms);
+        steps.take();
+        CHECK(steps.participant.next_due() == 100 * ms);
+        steps.participant.expire_holds(100 * ms);
+        CHECK(steps.take() == Lines{"lapsed 90"});
+        CHECK(steps.participant.change_started(volume) == 0);
+        steps.participant.resume(101 * ms, {volume, snapshot_a, 3});
+        CHECK(steps.take() == Lines{"lapsed 90"});
+        CHECK(steps.participant.epoch(volume) == 0);
+        // Another snapshot is possible.
+        steps.participant.hold(200 * ms, {volume, snapshot_b, 4}, 100 * ms);
+        steps.participant.resume(201 * ms, {volume, snapshot_b, 4});
+        CHECK(steps.take() == Lines{"ready 91", "moved 91"});
+        steps.participant.change_ended(volume, 0);
+        CHECK(steps.take() == Lines{"drained 91"});
     }
-    // The edge stood still past the hold's end and reads the resume before it looks at the time.
-    TEST_CASE("a resume that comes after the hold's time says so, though nobody has looked at the "
-              "clock between") {
-        RecordedSteps t;
-        t.participant.hold(0, {v, a, 3}, 100 * ms);
-        t.participant.resume(100 * ms, {v, a, 3});
-        CHECK(t.take() == Lines{"ready 90", "lapsed 90"});
-        CHECK(!t.participant.is_holding(v));
+    // The process is suspended past the end of the hold, and reads the resume before it checks for
+    // expired holds.
+    TEST_CASE(
+        "a resume after the end of a hold is answered as expired, even if expire_holds has not "
+        "been called") {
+        RecordedSteps steps;
+        steps.participant.hold(0, {volume, snapshot_a, 3}, 100 * ms);
+        steps.participant.resume(100 * ms, {volume, snapshot_a, 3});
+        CHECK(steps.take() == Lines{"ready 90", "lapsed 90"});
+        CHECK(!steps.participant.is_holding(volume));
     }
-    // The edge was restarted between hold and resume: changes may have begun in between.
+    // The edge is restarted between hold and resume. Changes may have begun in between.
     TEST_CASE(
-        "a resume without a hold, as to an edge that was restarted meanwhile, is not followed") {
-        RecordedSteps t;
-        t.participant.resume(0, {v, a, 3});
-        CHECK(t.take() == Lines{"lapsed 90"});
-        CHECK(t.participant.change_started(v) == 0);
+        "a resume without a hold, as after a restart of the edge, does not start the new epoch") {
+        RecordedSteps steps;
+        steps.participant.resume(0, {volume, snapshot_a, 3});
+        CHECK(steps.take() == Lines{"lapsed 90"});
+        CHECK(steps.participant.change_started(volume) == 0);
     }
-    TEST_CASE("released, or the planner lost: as before, in the old epoch") {
-        RecordedSteps t;
-        t.participant.hold(0, {v, a, 3}, sec);
-        t.participant.release(v, a);
-        CHECK(!t.participant.is_holding(v));
-        t.participant.hold(0, {v, b, 4}, sec);
-        t.participant.planner_lost();
-        CHECK(!t.participant.is_holding(v));
-        CHECK(t.participant.epoch(v) == 0);
-        t.take();
-        t.participant.resume(ms, {v, b, 4});
-        CHECK(t.take() == Lines{"lapsed 91"});
+    TEST_CASE("after a release or the loss of the planner, changes begin in the old epoch") {
+        RecordedSteps steps;
+        steps.participant.hold(0, {volume, snapshot_a, 3}, sec);
+        steps.participant.release(volume, snapshot_a);
+        CHECK(!steps.participant.is_holding(volume));
+        steps.participant.hold(0, {volume, snapshot_b, 4}, sec);
+        steps.participant.planner_lost();
+        CHECK(!steps.participant.is_holding(volume));
+        CHECK(steps.participant.epoch(volume) == 0);
+        steps.take();
+        steps.participant.resume(ms, {volume, snapshot_b, 4});
+        CHECK(steps.take() == Lines{"lapsed 91"});
     }
-    TEST_CASE("an epoch is learned from facts or a store, never unlearned; learned, a hold for it "
-              "is over") {
-        RecordedSteps t;
-        t.participant.learn_epoch(v, 5), t.participant.learn_epoch(v, 4);
-        CHECK(t.participant.epoch(v) == 5);
-        t.participant.hold(0, {v, a, 6}, sec);
-        t.participant.learn_epoch(v, 6);
-        CHECK(!t.participant.is_holding(v));
-        CHECK(t.participant.change_started(v) == 6);
+    TEST_CASE(
+        "a learned epoch never decreases, and it ends a hold for the same or an earlier epoch") {
+        RecordedSteps steps;
+        steps.participant.learn_epoch(volume, 5), steps.participant.learn_epoch(volume, 4);
+        CHECK(steps.participant.epoch(volume) == 5);
+        steps.participant.hold(0, {volume, snapshot_a, 6}, sec);
+        steps.participant.learn_epoch(volume, 6);
+        CHECK(!steps.participant.is_holding(volume));
+        CHECK(steps.participant.change_started(volume) == 6);
     }
-    TEST_CASE("volumes are held apart") {
-        RecordedSteps t;
-        t.participant.hold(0, {v, a, 3}, sec);
-        CHECK(!t.participant.is_holding(VolumeId{8}));
-        CHECK(t.participant.change_started(VolumeId{8}) == 0);
+    TEST_CASE("a hold of one volume does not affect another") {
+        RecordedSteps steps;
+        steps.participant.hold(0, {volume, snapshot_a, 3}, sec);
+        CHECK(!steps.participant.is_holding(VolumeId{8}));
+        CHECK(steps.participant.change_started(VolumeId{8}) == 0);
     }
 }
