--- a/src/cli/planner_main.cpp
+++ b/src/cli/planner_main.cpp
@@ -1,5 +1,5 @@
-// knotvane-planner: says who is in the fleet, what drains, and which part of each limit an edge
-// has.
+// knotvane-planner: decides which nodes are members or draining, and which share of each limit an
+// edge has.
 #include "cli/run_program.hpp"
 #include "planner/desired_state_files.hpp"
 #include "planner/server.hpp"
@@ -8,25 +8,27 @@
 
 using namespace knotvane;
 
-// How often a standby looks whether the store is free.
-constexpr Time look_every = 200 * ms;
+// How often a standby tries to open the store.
+constexpr Time standby_retry_interval = 200 * ms;
 
-// The planner, or its wait for the store that another one has.
-struct Part {
+// Runs the planner; as a standby, first waits until no other planner has the store open.
+struct PlannerRunner {
     loop::Loop &loop;
     settings::File &file;
-    planner::Server::From from;
-    bool standby, waits = false;
-    int code = 0;
+    planner::Server::StoreMode store_mode;
+    bool standby, is_waiting = false;
+    int exit_code = 0;
     std::unique_ptr<planner::Server> server;
 
-    Part(loop::Loop &l, settings::File &f, planner::Server::From from_what, bool s)
-        : loop(l), file(f), from(from_what), standby(s) {}
+    PlannerRunner(loop::Loop &event_loop, settings::File &settings_file,
+                  planner::Server::StoreMode planner_store_mode, bool is_standby)
+        : loop(event_loop), file(settings_file), store_mode(planner_store_mode),
+          standby(is_standby) {}
     void begin() {
         try {
-            server = std::make_unique<planner::Server>(loop, file, from);
+            server = std::make_unique<planner::Server>(loop, file, store_mode);
             server->on_retired = [this] {
-                code = 3;
+                exit_code = 3;
                 loop.stop();
             };
             return;
@@ -34,25 +36,26 @@
             if (!standby)
                 throw;
         }
-        if (!std::exchange(waits, true))
-            log::write(log::info, "standby: waits for the store", {});
-        loop.set_before_wait_callback([this, due = loop::now() + look_every] {
-            // Called from the loop later: a server sets an end of its own, which must not replace
-            // this one while it runs.
+        if (!std::exchange(is_waiting, true))
+            log::write(log::info,
+                       "standby: another planner has the store open; waiting until it is free", {});
+        loop.set_before_wait_callback([this, due = loop::now() + standby_retry_interval] {
+            // The retry is posted to the loop: a new server sets its own before-wait callback,
+            // which must not replace this one while it runs.
             if (loop::now() < due)
                 return due;
-            loop.post([this] { again(); });
-            return due + look_every;
+            loop.post([this] { retry(); });
+            return due + standby_retry_interval;
         });
     }
-    void again() {
+    void retry() {
         if (server)
             return;
         try {
             begin();
         } catch (const std::exception &e) {
             std::fprintf(stderr, "%s\n", e.what());
-            code = 1;
+            exit_code = 1;
             loop.stop();
         }
     }
@@ -65,31 +68,33 @@
     int code = 0;
     int ran = cli::run_part(
         argc, argv,
-        "knotvane-planner: members, drains and parts of limits for the edges.\n"
-        "Exit codes: 0 stopped, 1 it could not run, 2 usage or settings, 3 another planner is "
-        "followed",
+        "knotvane-planner: manages members, drains and the edges' shares of limits.\n"
+        "Exit codes: 0 stopped, 1 failed to run, 2 usage or settings, 3 another planner is "
+        "active",
         [](settings::File &f) { planner::read_planner_settings(f); },
         [&](loop::Loop &loop, settings::File &f) -> std::shared_ptr<void> {
-            using From = planner::Server::From;
-            auto from = rebuild ? From::rebuild : first ? From::first : From::store;
-            // The code outlives the part, which goes with its loop.
-            auto part = std::shared_ptr<Part>(new Part(loop, f, from, standby), [&code](Part *p) {
-                code = p->code;
-                delete p;
-            });
+            using StoreMode = planner::Server::StoreMode;
+            auto store_mode = rebuild ? StoreMode::rebuild
+                              : first ? StoreMode::create
+                                      : StoreMode::existing;
+            // The exit code is read after the loop has destroyed the runner.
+            auto part = std::shared_ptr<PlannerRunner>(
+                new PlannerRunner(loop, f, store_mode, standby), [&code](PlannerRunner *p) {
+                    code = p->exit_code;
+                    delete p;
+                });
             part->begin();
             return part;
         },
         [&](CLI::App &app) {
-            auto *fresh =
-                app.add_flag("--new", first, "make the store: no planner ever ran for this fleet");
+            auto *fresh = app.add_flag("--new", first,
+                                       "create the store: no planner ever ran for this fleet");
             app.add_flag("--rebuild", rebuild,
-                         "put the store aside and make a new one from settings and edges; limits "
-                         "are held back until "
-                         "what the old one gave out has run out")
+                         "rename the store and create a new one from settings and edges; shares of "
+                         "limits are withheld until those granted from the old store have expired")
                 ->excludes(fresh);
             app.add_flag("--standby", standby,
-                         "wait while another planner has the store, then take over");
+                         "wait while another planner has the store open, then take over");
         });
     return ran != 0 ? ran : code;
 }
--- a/src/planner/context.hpp
+++ b/src/planner/context.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the parts of the planner's core share.
+/// The state that the parts of the planner's core share.
 #pragma once
 
 #include <string>
@@ -14,16 +14,16 @@
 
 namespace knotvane::planner {
 
-/// Lives as long as the core; each part holds a reference. Nothing is told that is not durable:
-/// parts change `state` and the store's rows, set `commit_due`, and the core commits and tells at
-/// the end of the moment.
+/// Owned by the core and lives as long; each part holds a reference. Only durable state is sent:
+/// parts change `state` and the store's rows and set `commit_due`; when the moment settles, the
+/// core commits and then sends.
 struct PlannerContext {
     PlannerContext(PlannerTransport &planner_transport, StateStore &state_store)
         : transport(planner_transport), store(state_store) {}
 
-    /// Where the planner stands now, for the store.
+    /// The current position, to be committed with the store's rows.
     StorePosition position() const {
-        return {term, lineage, state.version(), state.oldest_sent(), desired.version};
+        return {term, lineage, state.version(), state.oldest_sendable_version(), desired.version};
     }
 
     PlannerTransport &transport;
@@ -35,9 +35,10 @@
     std::uint64_t instance = 0;
     std::uint64_t lineage = 0;
     Time now = 0;
-    /// The store was lost and made anew: what an earlier planner gave out may still be in use.
+    /// The store was lost and rebuilt: quota shares granted by an earlier planner may still be in
+    /// use.
     bool recovering = false;
-    /// Another planner is followed; this one does nothing more.
+    /// Edges follow another planner; this one does nothing more.
     bool retired = false;
     bool commit_due = false;
     std::vector<std::pair<SessionId, std::string>> replies_after_commit;
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -12,7 +12,7 @@
 namespace knotvane::planner {
 namespace {
 
-// A commit that failed (a full disk) is tried again this much later.
+// A commit that failed (for example, because the disk is full) is retried after this time.
 constexpr Time commit_retry_interval = 500 * ms;
 
 std::string describe(const Session &session) {
@@ -38,7 +38,7 @@
 
 std::string Core::restore(StateStore::Row row, std::uint64_t first_id, std::uint64_t second_id,
                           Version stamp, std::string_view body) {
-    context_.state.restoring(stamp);
+    context_.state.set_restored_version(stamp);
     try {
         restore_row(row, first_id, second_id, body);
     } catch (const control::ProtocolError &error) {
@@ -77,15 +77,15 @@
                                       decode_epoch_row(body));
         return;
     }
-    throw control::ProtocolError("a row of no known kind");
+    throw control::ProtocolError("row of unknown kind " + std::to_string(static_cast<int>(row)));
 }
 
-// The settings' volumes, as they were when the last planner wrote.
+// Restores the settings' volumes from the stored cluster state.
 void Core::restore_desired_volumes() {
     const auto &state = context_.state.cluster_state();
     for (const auto &[id, volume] : state.volumes) {
         if (volume.is_snapshot_or_clone())
-            continue; // an operator's, not the settings'
+            continue; // created by an operator, not part of the settings
         auto plan = state.plans.find(volume.plan);
         context_.desired.volumes[id] = {volume, plan == state.plans.end() ? "" : plan->second.name,
                                         0};
@@ -104,7 +104,7 @@
     restore_desired_volumes();
     nodes_.start();
     quotas_.start(position.version);
-    // Again: quotas_.start put each share under the version that last changed it.
+    // Set again, because quotas_.start sets the version of each quota share in turn.
     context_.state.restore(position.version, position.oldest_version);
     snapshots_.start();
     if (start.rebuilt)
@@ -195,7 +195,7 @@
         return;
     auto &edges = context_.sessions.edges;
     if (auto it = edges.find(hello.edge); it != edges.end() && it->second != session.id)
-        replace_session(it->second, "another connection says it is this edge");
+        replace_session(it->second, "replaced by a newer connection of the same edge");
     session.role = Session::Role::edge;
     session.edge = hello.edge;
     auto &view = session.edge_view;
@@ -207,7 +207,7 @@
     edges[hello.edge] = session.id;
     quotas_.edge_connected(session, hello.served_volumes);
     if (context_.recovering)
-        nodes_.adopt_drains(hello.draining_nodes);
+        nodes_.restore_drains_known_to_edge(hello.draining_nodes);
 }
 
 void Core::lease_renewal(Session &session, const control::LeaseRenewal &renewal) {
@@ -220,7 +220,8 @@
 void Core::refuse_node(Session &session, const control::NodeHello &hello, const std::string &why) {
     const auto who = "node " + text(hello.node);
     if (logged_refusals_.insert(who + why).second)
-        context_.transport.log_event(who + " at " + hello.address + " is not taken: " + why);
+        context_.transport.log_event(who + " at " + hello.address +
+                                     ": registration rejected: " + why);
     session.closed = true;
     context_.transport.close(session.id);
 }
@@ -230,7 +231,7 @@
         return refuse_node(session, hello, why);
     auto &nodes = context_.sessions.nodes;
     if (auto it = nodes.find(hello.node); it != nodes.end() && it->second != session.id)
-        replace_session(it->second, "another connection says it is this node");
+        replace_session(it->second, "replaced by a newer connection of the same node");
     session.role = Session::Role::node;
     session.node = hello.node;
     nodes[hello.node] = session.id;
@@ -238,20 +239,21 @@
     snapshots_.node_connected(hello.node, hello.shard);
 }
 
-// ---- The end of a moment.
+// ---- Settling a moment.
 
-// The rows of what changed in the open version, which then ends. Quota shares keep their own.
-void Core::keep_changes() {
+// Stores the rows of all entries changed in the open version, then closes the version. The rows of
+// quota shares are stored by QuotaManager.
+void Core::store_changes() {
     using Kind = VersionedState::Kind;
     using Row = StateStore::Row;
-    const auto version = context_.state.next();
+    const auto version = context_.state.open_version();
     const auto &state = context_.state.cluster_state();
     quotas_.allocate();
     auto keep = [&](Row row, const auto &entries, auto id, const auto &encode_entry) {
         if (auto it = entries.find(id); it != entries.end())
-            context_.store.keep(row, id.value, 0, version, encode_entry(id, it->second));
+            context_.store.put(row, id.value, 0, version, encode_entry(id, it->second));
         else
-            context_.store.drop(row, id.value, 0);
+            context_.store.erase(row, id.value, 0);
     };
     for (const auto &key : context_.state.changed()) {
         switch (key.kind) {
@@ -288,11 +290,11 @@
     if (context_.retired || !is_started_)
         return;
     quotas_.expire();
-    nodes_.decide(quotas_.leases().held());
+    nodes_.decide(quotas_.leases().held_count());
     snapshots_.settle();
-    keep_changes();
-    // Nothing is told that is not durable: a planner that comes back from its store must know all
-    // that it said.
+    store_changes();
+    // Only durable state is sent: a planner that restarts from its store must know everything that
+    // it sent before.
     if (context_.commit_due && !commit())
         return;
     context_.commit_due = false;
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -1,7 +1,7 @@
 /// \file
 /// The planner without I/O: messages of edges, nodes and operators and the settings go in, versions
-/// of the cluster state go out. It decides who is a member, what drains, and which share of each
-/// limit an edge has. Nothing is told before the store has it.
+/// of the cluster state go out. It decides which nodes are members or draining, and which share of
+/// each limit an edge has. Nothing is sent before it is committed to the store.
 #pragma once
 
 #include <set>
@@ -21,34 +21,35 @@
 
 namespace knotvane::planner {
 
-/// How a planner begins.
+/// What a planner starts with.
 struct PlannerStart {
-    /// Where the store stands. Its term is this planner's: above all before it in the store.
+    /// The store's position, but with this planner's term, which is above every term stored before.
     StorePosition position;
-    /// Another for each process, by chance.
+    /// Identifies this process; practically unique, not guaranteed.
     std::uint64_t instance = 0;
-    /// The store was lost and is new: an earlier planner may have given out quota shares.
+    /// The store was lost and created again: an earlier planner may have granted quota shares.
     bool rebuilt = false;
 };
 
-/// Joins the planner's parts: it hands each message to the part that it concerns, and at the end
-/// of each moment decides, commits and tells.
+/// Connects the planner's parts: passes each message to the part that handles it, and when a moment
+/// settles, makes the decisions that are due, commits them and sends the updates.
 class Core {
 public:
     /// \param transport, store  must outlive this
     Core(PlannerTransport &transport, StateStore &store, const PlannerConfig &config);
     Core(const Core &) = delete;
 
-    /// Takes a row of the store, before start.
-    /// \return what is wrong with it; empty where it was taken
+    /// Restores a row of the store. To be called before start.
+    /// \return the error; empty on success
     std::string restore(StateStore::Row row, std::uint64_t first_id, std::uint64_t second_id,
                         Version stamp, std::string_view body);
 
-    /// \return false where the store fails
+    /// \return false if the store can't commit
     bool start(Time now, const PlannerStart &start);
 
-    /// Takes new settings whole or, with any fault, not at all. An older version is a fault, the
-    /// one in use changes nothing.
+    /// Applies new settings completely or, if there is any fault, not at all. A version older than
+    /// the one in use is a fault; the version in use changes nothing.
+    /// \return the faults; empty if the settings were applied or are in use already
     std::vector<DesiredStateFault> apply_desired_state(Time now, const DesiredState &desired);
     std::uint64_t settings_version() const { return context_.desired.version; }
 
@@ -56,10 +57,10 @@
     void received(Time now, SessionId id, std::string_view bytes);
     void disconnected(Time now, SessionId id);
 
-    /// The maximum of Time where nothing is due.
+    /// When settle has to be called next; the maximum of Time if nothing is due.
     Time next_due() const;
 
-    /// The end of a moment: what is due is decided, made durable and told.
+    /// Ends a moment: makes the decisions that are due, commits them and sends them.
     void settle(Time now);
 
     Term term() const { return context_.term; }
@@ -68,7 +69,7 @@
     const QuotaAllocation &allocation() const { return quotas_.allocation(); }
     std::string status_json(Time now) const;
 
-    /// A snapshot or clone that is under way, or being taken back.
+    /// Whether a snapshot or clone is in progress or being undone.
     bool is_incomplete(VolumeId snapshot) const { return snapshots_.is_incomplete(snapshot); }
 
 private:
@@ -83,7 +84,7 @@
     void node_hello(Session &session, const control::NodeHello &hello);
     void refuse_node(Session &session, const control::NodeHello &hello, const std::string &why);
     void replace_session(SessionId old_session, const std::string &why);
-    void keep_changes();
+    void store_changes();
     bool commit();
 
     PlannerConfig config_;
@@ -94,7 +95,7 @@
     SnapshotOperations snapshots_{context_, quotas_.allocation()};
     DesiredStateChange desired_state_change_{context_, config_, nodes_, quotas_};
     UpdateSender updates_{context_};
-    std::set<std::string> logged_refusals_; // of nodes: each is logged once
+    std::set<std::string> logged_refusals_; // of node registrations: each is logged once
     Time started_ = 0;
     bool is_started_ = false;
 };
--- a/src/planner/desired_state.hpp
+++ b/src/planner/desired_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the settings file wants the cluster to be. Plain data.
+/// The cluster as the fleet settings describe it. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,31 @@
 
 namespace knotvane::planner {
 
-/// The settings, checked in themselves (planner/desired_state_files.hpp).
+/// Settings that are consistent in themselves (read by planner/desired_state_files.hpp).
 struct DesiredState {
     struct Node {
         ShardId shard;
         ZoneId zone;
         bool draining = false;
-        std::string address; ///< of a node that does not register; else empty
+        std::string address; ///< set only for a node that does not register
         int line = 0;        ///< in the file, for faults
     };
 
     struct Volume {
-        control::Volume volume; ///< its plan id is found by `plan`
+        control::Volume volume; ///< without its plan id, which is looked up by `plan`
         std::string plan;
         int line = 0; ///< in the file, for faults
     };
 
-    std::uint64_t version = 0; ///< 0: none were read yet
+    std::uint64_t version = 0; ///< 0 if no settings were read yet
     std::map<NodeId, Node> nodes;
     std::map<std::string, control::Plan> plans;
     std::map<VolumeId, Volume> volumes;
 };
 
-/// Why settings are refused.
+/// Why settings are rejected.
 struct DesiredStateFault {
-    int line = 0; ///< in the file; 0: none in particular
+    int line = 0; ///< in the file; 0 if it concerns no particular line
     std::string text;
 };
 
--- a/src/planner/desired_state_change.cpp
+++ b/src/planner/desired_state_change.cpp
@@ -15,9 +15,9 @@
     return faults;
 }
 
-// A node may be left out once every edge has known of its drain for long enough: none sends it
-// requests any more.
-bool DesiredStateChange::may_leave_out(NodeId node) const {
+// A node may be omitted after it has drained for drain_time and every edge with a lease has
+// acknowledged the drain: no edge sends it requests then.
+bool DesiredStateChange::may_omit(NodeId node) const {
     const auto &nodes = context_.state.cluster_state().nodes;
     auto it = nodes.find(node);
     if (it == nodes.end() || it->second.state == NodeState::removed)
@@ -43,21 +43,22 @@
                                                        " and can't change to another"});
             continue;
         }
-        if (!may_leave_out(id))
-            faults.push_back({0, "node " + text(id) +
-                                     " is in use and left out: drain it first, and remove it once "
-                                     "every edge has known of the drain for " +
-                                     std::to_string(config_.drain_time / ms) + "ms"});
+        if (!may_omit(id))
+            faults.push_back(
+                {0, "node " + text(id) +
+                        " is omitted but still in use: drain it first, and remove it once "
+                        "every edge has known of the drain for " +
+                        std::to_string(config_.drain_time / ms) + "ms"});
     }
 }
 
 void DesiredStateChange::check_omitted(VolumeId id, const std::string &name, Faults &faults) const {
     for (const auto &[other, volume] : context_.state.cluster_state().volumes)
         if (volume.is_snapshot_or_clone() && volume.resolve_layout_volume(other) == id)
-            faults.push_back({0, "volume " + name + " is left out and has a snapshot or clone, " +
+            faults.push_back({0, "volume " + name + " is omitted but has a snapshot or clone, " +
                                      volume.name + ": drop it first"});
     if (const auto sharers = quotas_.allocation().sharers(id); sharers > 0)
-        faults.push_back({0, "volume " + name + " is left out and has clients at " +
+        faults.push_back({0, "volume " + name + " is omitted but has clients at " +
                                  std::to_string(sharers) + " edges"});
 }
 
@@ -73,7 +74,8 @@
     }
 }
 
-// Snapshots and clones are the operators', not the settings', and keep their plans and names.
+// Snapshots and clones are created by operators, not by the settings; settings must keep their
+// plans and must not reuse their names.
 void DesiredStateChange::check_snapshots(const DesiredState &desired, Faults &faults) const {
     const auto &state = context_.state.cluster_state();
     for (const auto &[id, snapshot] : state.volumes) {
@@ -82,12 +84,12 @@
         auto plan = state.plans.find(snapshot.plan);
         if (snapshot.resolve_quota_volume(id) == id && plan != state.plans.end() &&
             !desired.plans.contains(plan->second.name))
-            faults.push_back({0, "plan " + plan->second.name + " is left out and " + snapshot.name +
-                                     " is of it"});
+            faults.push_back({0, "plan " + plan->second.name +
+                                     " is omitted but used by snapshot or clone " + snapshot.name});
         for (const auto &[other, volume] : desired.volumes)
             if (volume.volume.name == snapshot.name)
-                faults.push_back(
-                    {volume.line, "volume " + snapshot.name + ": a clone has this name"});
+                faults.push_back({volume.line, "volume " + snapshot.name +
+                                                   ": a snapshot or clone has this name already"});
     }
 }
 
@@ -96,11 +98,12 @@
     apply_plans_and_volumes(desired);
     context_.desired = desired;
     for (const auto &[id, node] : desired.nodes)
-        context_.store.keep(StateStore::Row::desired_node, id.value, 0, Version{1},
-                            encode_row(id, node));
+        context_.store.put(StateStore::Row::desired_node, id.value, 0, Version{1},
+                           encode_row(id, node));
     context_.commit_due = true;
-    context_.transport.log_event("settings taken: version " + std::to_string(desired.version) +
-                                 ", " + std::to_string(desired.nodes.size()) + " nodes, " +
+    context_.transport.log_event("fleet settings applied: version " +
+                                 std::to_string(desired.version) + ", " +
+                                 std::to_string(desired.nodes.size()) + " nodes, " +
                                  std::to_string(desired.volumes.size()) + " volumes");
 }
 
@@ -109,7 +112,7 @@
         if (desired.nodes.contains(id))
             continue;
         nodes_.remove(id);
-        context_.store.drop(StateStore::Row::desired_node, id.value, 0);
+        context_.store.erase(StateStore::Row::desired_node, id.value, 0);
     }
 }
 
@@ -141,7 +144,7 @@
             omitted.push_back(id);
     for (auto id : omitted)
         state.drop_volume(id);
-    // After the volumes, which name plans.
+    // After the volumes, which refer to plans.
     for (const auto &[name, id] : plan_ids)
         if (!desired.plans.contains(name))
             state.drop(id);
--- a/src/planner/desired_state_change.hpp
+++ b/src/planner/desired_state_change.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether new settings may replace those in use, and what they change.
+/// Checks whether new settings may replace those in use, and applies them.
 #pragma once
 
 #include <string>
@@ -12,14 +12,15 @@
 
 namespace knotvane::planner {
 
-/// Settings are taken whole or, with any fault, not at all.
+/// Settings are applied completely or, if there is any fault, not at all.
 class DesiredStateChange {
 public:
     DesiredStateChange(PlannerContext &context, const PlannerConfig &config, NodeManager &nodes,
                        const QuotaManager &quotas)
         : context_(context), config_(config), nodes_(nodes), quotas_(quotas) {}
 
-    /// Faults that the settings have against the cluster as it is; none where they may be applied.
+    /// Returns the conflicts of the settings with the current cluster; empty if they may be
+    /// applied.
     std::vector<DesiredStateFault> check(const DesiredState &desired) const;
     void apply(const DesiredState &desired);
 
@@ -30,7 +31,7 @@
     void check_volumes(const DesiredState &desired, Faults &faults) const;
     void check_omitted(VolumeId id, const std::string &name, Faults &faults) const;
     void check_snapshots(const DesiredState &desired, Faults &faults) const;
-    bool may_leave_out(NodeId node) const;
+    bool may_omit(NodeId node) const;
     void apply_nodes(const DesiredState &desired);
     void apply_plans_and_volumes(const DesiredState &desired);
 
--- a/src/planner/desired_state_files.cpp
+++ b/src/planner/desired_state_files.cpp
@@ -19,9 +19,9 @@
 constexpr std::uint64_t max_shard = 65'535;
 constexpr std::uint64_t max_zone = 255;
 constexpr Time min_lease = 100 * ms;
-// Of the lease: clocks run at rates that differ by less.
+// The margin is at least this fraction of the lease; the rates of clocks differ by less.
 constexpr Time min_margin_divisor = 20;
-// So many digits give a double back as it was.
+// Enough digits to read a double back unchanged.
 constexpr int double_digits = 17;
 
 std::optional<std::uint64_t> parse_id(const std::string &text) {
@@ -46,7 +46,7 @@
         node.address = section->text("address", "");
         node.line = section->line();
         if (!desired.nodes.try_emplace(NodeId{id.value_or(0)}, node).second)
-            section->fault("", "node " + section->name() + " is here twice");
+            section->fault("", "node " + section->name() + " is listed twice");
     }
 }
 
@@ -55,7 +55,7 @@
                                    double reserve, double price, double rate, double burst) {
         desired.plans[name] = {name, weight, usual, reserve, price, rate, burst};
     });
-    // Plans get their ids where the settings are applied.
+    // Plans get their ids when the settings are applied.
     std::map<std::string, PlanId> plans;
     for (const auto &[name, plan] : desired.plans)
         plans[name] = PlanId{};
@@ -95,7 +95,7 @@
     if (config.lease < min_lease)
         times.fault("lease", "expected at least 100ms");
     if (config.lease_margin < config.lease / min_margin_divisor)
-        times.fault("margin", "expected at least a twentieth of lease: clocks run unlike");
+        times.fault("margin", "expected at least a twentieth of lease, because clock rates differ");
     if (config.node_silence <= 0 || config.node_removal_delay < 0 || config.node_return_delay < 0)
         times.fault("node_silent", "expected above 0");
     return out;
@@ -122,8 +122,8 @@
     check_count("nodes", "node", nodes, desired.nodes.size());
     check_count("plans", "plan", plans, desired.plans.size());
     check_count("volumes", "volume", volumes, desired.volumes.size());
-    // The last line of a whole file: one that is cut short, or half of a new one over half of an
-    // old, lacks it.
+    // The [end] section marks a complete file: a truncated file lacks it, and a file that was only
+    // partly overwritten has another version there.
     auto &end = file.one("end", true);
     if (end.count("version", 1, any) != desired.version)
         end.fault("version", "expected that of [fleet], " + std::to_string(desired.version));
--- a/src/planner/desired_state_files.hpp
+++ b/src/planner/desired_state_files.hpp
@@ -1,6 +1,5 @@
 /// \file
-/// The planner's settings: its own file, and the cluster's, which is watched and taken whole or not
-/// at all.
+/// Reads the planner's own settings file and the fleet file, and writes the latter.
 #pragma once
 
 #include <cstdint>
@@ -19,22 +18,22 @@
     std::string store_path;
     /// The file that read_fleet reads.
     std::string fleet_path;
-    /// Mixed into the instance of each start; any number.
+    /// Added to the instance of each start; any number.
     std::uint64_t seed = 1;
     PlannerConfig config;
 };
 
-/// Faults are added to `file`; with any, the result must not be used.
+/// Adds faults to `file`; if there is any, the result must not be used.
 PlannerSettings read_planner_settings(settings::File &file);
 
-/// The cluster's nodes, plans and volumes. A file that is cut short, counts wrong or contradicts
-/// itself has faults.
-/// \param name    what faults call the file
-/// \param faults  receives one line for each; with any, the result must not be used
+/// Reads the cluster's nodes, plans and volumes. A file that is truncated, has wrong counts or
+/// contradicts itself has faults.
+/// \param name    the file's name in fault messages
+/// \param faults  one line is added for each fault; if there is any, the result must not be used
 DesiredState read_fleet(const std::string &name, const std::string &text,
                         std::vector<std::string> &faults);
 
-/// The text that read_fleet reads.
+/// Returns the settings as text in the format of read_fleet.
 std::string write_fleet(const DesiredState &desired);
 
 } // namespace knotvane::planner
--- a/src/planner/leadership.cpp
+++ b/src/planner/leadership.cpp
@@ -11,9 +11,10 @@
     if (other && !observe_other_planner(hello.term, who))
         return false;
     if (hello.lineage == context_.lineage && hello.version > context_.state.version()) {
-        retire(who + " goes by version " + text(hello.version) +
-               " of this store, which stands at " + text(context_.state.version()) +
-               ": the store is an old copy; start with the right one, or rebuild");
+        retire(who + " has version " + text(hello.version) +
+               " of this store's state, but the store is at version " +
+               text(context_.state.version()) +
+               ": the store is an old copy; start with the current store or use --rebuild");
         return false;
     }
     return true;
@@ -24,12 +25,12 @@
         retire(who + " follows another planner with term " + text(term));
         return false;
     }
-    // A store made anew knows nothing of the terms before: it goes above each that it meets.
+    // A rebuilt store has no record of earlier terms, so the planner moves above each one reported.
     context_.term = Term{term.value + 1};
     context_.commit_due = true;
     for (auto &[id, session] : context_.sessions.all)
         session.edge_view.in_flight = false;
-    context_.transport.log_event(who + " follows term " + text(term) + ": going on as term " +
+    context_.transport.log_event(who + " follows term " + text(term) + ": continuing with term " +
                                  text(context_.term));
     return true;
 }
@@ -38,7 +39,7 @@
     if (std::exchange(context_.retired, true))
         return;
     context_.transport.log_event("this planner (term " + text(context_.term) +
-                                 ") stops planning: " + why);
+                                 ") retires and stops planning: " + why);
     context_.transport.retired();
 }
 
--- a/src/planner/leadership.hpp
+++ b/src/planner/leadership.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether this planner is the one that edges follow.
+/// Detects that edges follow another planner.
 #pragma once
 
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace knotvane::planner {
 
-/// Guards against two planners that both give out quota shares: a store that was copied back, or a
-/// second planner beside this one, shows in what edges say that they follow. This planner then
-/// stops for good.
+/// Guards against two planners that both grant quota shares. If the store was replaced by an old
+/// copy, or a second planner is running, the term, instance or version that edges report is not
+/// this planner's. This planner then retires permanently.
 class Leadership {
 public:
     explicit Leadership(PlannerContext &context) : context_(context) {}
 
-    /// Looks at what an edge follows.
-    /// \return false where this planner stopped for it
+    /// Compares the planner that an edge follows with this one.
+    /// \return false if this planner retired because of it
     bool check(const control::EdgeHello &hello);
 
-    /// A term above this planner's, or another instance under it, was met.
-    /// \param who  says so, for the log
-    /// \return true where this planner goes on, above that term
+    /// Handles a report of a term above this planner's, or of another instance with the same term.
+    /// \param who  the peer that reported it, for the log
+    /// \return true if this planner continues, with a term above the reported one
     bool observe_other_planner(Term term, const std::string &who);
 
 private:
--- a/src/planner/lease_table.cpp
+++ b/src/planner/lease_table.cpp
@@ -40,7 +40,7 @@
     return due;
 }
 
-std::size_t LeaseTable::held() const {
+std::size_t LeaseTable::held_count() const {
     return static_cast<std::size_t>(
         std::count_if(leases_.begin(), leases_.end(),
                       [](const auto &entry) { return entry.second.stage == Stage::held; }));
--- a/src/planner/node_liveness.cpp
+++ b/src/planner/node_liveness.cpp
@@ -22,16 +22,16 @@
     bool is_new = incarnation != incarnation_ || !has_registered();
     last_heartbeat_ = now;
     address_ = address;
-    // Of one incarnation the first start told stays: told again it differs by what the message
-    // took, and edges would take that for a restart.
+    // The start time reported first for an incarnation stays: a later report differs by the
+    // message's delay, and edges would mistake that for a restart.
     if (!is_new)
         return;
     incarnation_ = incarnation;
     started_ = started;
-    in_ = true;
-    lost_ = false;
-    steady_ = false;
-    // What edges met was the incarnation before.
+    is_member_ = true;
+    was_lost_ = false;
+    is_steady_ = false;
+    // The edges' reports are about the previous incarnation.
     unreachable_.clear();
     reachable_.clear();
 }
@@ -42,7 +42,7 @@
     address_ = address;
     incarnation_ = incarnation;
     started_ = started;
-    in_ = true;
+    is_member_ = true;
 }
 
 void NodeLiveness::report(EdgeId edge, bool reachable) {
@@ -59,13 +59,13 @@
     auto silence = now - last_heartbeat_;
     if (silence <= silence_)
         return false;
-    // Where no edge says that it reaches the node, long silence is enough.
+    // If no edge reports that it reaches the node, a long silence is enough.
     bool most_edges_lost_it = unreachable_.size() * 2 > edges;
     bool nobody_reaches_it = reachable_.empty() && silence > silences_without_reports * silence_;
     return edges == 0 || most_edges_lost_it || nobody_reaches_it;
 }
 
-// Guards against flapping: each time it was removed of late it has to be steady for longer.
+// Guards against flapping: with each recent removal the node has to be steady for longer.
 Time NodeLiveness::required_steadiness() const {
     return return_delay_ * static_cast<Time>(std::max<std::size_t>(1, removals_.size()));
 }
@@ -75,29 +75,30 @@
         return false;
     bool silent = now - last_heartbeat_ > silence_;
     if (!silent)
-        reachable_.clear(); // what edges say when asked counts for one silence
+        reachable_.clear(); // reports are valid only for the silence that they were requested in
 
     bool lost = is_lost(now, edges);
-    if (lost && !lost_)
+    if (lost && !was_lost_)
         lost_since_ = now;
-    lost_ = lost;
-    if (!silent && !steady_)
+    was_lost_ = lost;
+    if (!silent && !is_steady_)
         steady_since_ = now;
-    steady_ = !silent;
+    is_steady_ = !silent;
     while (!removals_.empty() && now - removals_.front() > removal_memory)
         removals_.pop_front();
 
-    if (in_ && lost_ && now - lost_since_ >= removal_delay_) {
-        in_ = false;
+    if (is_member_ && was_lost_ && now - lost_since_ >= removal_delay_) {
+        is_member_ = false;
         removals_.push_back(now);
-    } else if (!in_ && steady_ && now - steady_since_ >= required_steadiness()) {
-        in_ = true;
+    } else if (!is_member_ && is_steady_ && now - steady_since_ >= required_steadiness()) {
+        is_member_ = true;
     }
-    return in_;
+    return is_member_;
 }
 
-bool NodeLiveness::wants_reports(Time now) {
-    if (!in_ || steady_ || !has_registered() || now - last_report_request_ < report_interval)
+bool NodeLiveness::should_request_reports(Time now) {
+    if (!is_member_ || is_steady_ || !has_registered() ||
+        now - last_report_request_ < report_interval)
         return false;
     last_report_request_ = now;
     return true;
@@ -106,11 +107,11 @@
 Time NodeLiveness::next_due() const {
     if (!has_registered())
         return never;
-    if (!in_)
-        return steady_ ? steady_since_ + required_steadiness() : never;
-    if (lost_)
+    if (!is_member_)
+        return is_steady_ ? steady_since_ + required_steadiness() : never;
+    if (was_lost_)
         return lost_since_ + removal_delay_;
-    if (steady_)
+    if (is_steady_)
         return last_heartbeat_ + silence_ + 1;
     return std::min(
         std::max(last_report_request_, last_heartbeat_ + silences_without_reports * silence_ + 1),
--- a/src/planner/node_liveness.hpp
+++ b/src/planner/node_liveness.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Whether one node is in the cluster, by what the planner hears of it and what edges say. No I/O.
+/// Decides whether one node is in the cluster, from its heartbeats to the planner and the reports
+/// of edges. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,8 +18,8 @@
 using control::EdgeId;
 
 /// A node that only the planner can't hear still serves, and one that only some edges can't reach
-/// is theirs to avoid: it is removed when both hold for a while. Time is given, in nanoseconds of
-/// a clock that never goes back.
+/// is avoided by those edges. A node is therefore removed only when both the planner and the edges
+/// have lost it for a while. Callers pass the time, in nanoseconds of a monotonic clock.
 class NodeLiveness {
 public:
     /// \param config  node_silence, node_removal_delay and node_return_delay are used
@@ -26,40 +27,41 @@
         : silence_(config.node_silence), removal_delay_(config.node_removal_delay),
           return_delay_(config.node_return_delay) {}
 
-    /// The node registered. A new incarnation is in at once.
-    /// \param started  when its process did
+    /// Handles the node's registration. A new incarnation is a member at once.
+    /// \param started  when the node's process started
     void registered(Time now, const std::string &address, std::uint64_t incarnation, Time started);
     void renewed(Time now) { last_heartbeat_ = now; }
 
-    /// It was in when an earlier planner wrote last, and has as long as any to register again.
+    /// Restores a node that was a member when an earlier planner committed last. It gets the usual
+    /// time to register again.
     void restore(Time now, const std::string &address, std::uint64_t incarnation, Time started);
 
-    /// An edge's report on whether it reaches the node.
+    /// Records an edge's report on whether it reaches the node.
     void report(EdgeId edge, bool reachable);
 
-    /// The edge is gone, and so is what it said.
+    /// Discards the reports of an edge that disconnected.
     void drop_reports(EdgeId edge);
 
-    /// Whether the node is in by now.
-    /// \param edges  that hold a lease, for the quorum
+    /// Updates and returns whether the node is in the cluster.
+    /// \param edges  the number of edges that hold a lease, for the majority
     bool update(Time now, std::size_t edges);
 
-    /// Whether edges are to be asked (again) if they reach it. To be called after update.
-    bool wants_reports(Time now);
+    /// Whether to ask edges (again) if they reach the node. To be called after update.
+    bool should_request_reports(Time now);
     bool has_registered() const { return last_heartbeat_ != never_registered; }
     const std::string &address() const { return address_; }
     Time started() const { return started_; }
     std::uint64_t incarnation() const { return incarnation_; }
     Time silent_for(Time now) const { return now - last_heartbeat_; }
 
-    /// How many edges say that they can't reach it.
+    /// How many edges report that they can't reach it.
     std::size_t unreachable_reports() const { return unreachable_.size(); }
 
-    /// When update may answer otherwise with nothing heard; the maximum of Time if never.
+    /// When the result of update may change without new messages; the maximum of Time if never.
     Time next_due() const;
 
 private:
-    // Longer ago than any patience.
+    // Longer ago than any configured time.
     static constexpr Time never_registered = -1'000'000 * sec;
 
     bool is_lost(Time now, std::size_t edges) const;
@@ -73,14 +75,14 @@
     Time started_ = 0;
     Time last_heartbeat_ = never_registered;
     Time last_report_request_ = never_registered;
-    bool in_ = false;
-    bool lost_ = false;
+    bool is_member_ = false;
+    bool was_lost_ = false;
     Time lost_since_ = 0;
-    bool steady_ = false; // heard all the time
+    bool is_steady_ = false; // not silent since steady_since_
     Time steady_since_ = 0;
-    std::set<EdgeId> unreachable_; // edges that say so
+    std::set<EdgeId> unreachable_; // edges that report the node as unreachable
     std::set<EdgeId> reachable_;
-    std::deque<Time> removals_; // of late
+    std::deque<Time> removals_; // times of recent removals
 };
 
 } // namespace knotvane::planner
--- a/src/planner/node_manager.cpp
+++ b/src/planner/node_manager.cpp
@@ -12,7 +12,7 @@
     case NodeState::draining:
         return "draining";
     case NodeState::removed:
-        return "gone"; // the word of the status' JSON
+        return "gone"; // as the status JSON names this state
     case NodeState::ready:
         return "ready";
     }
@@ -32,11 +32,12 @@
 std::string NodeManager::refusal(const control::NodeHello &hello) const {
     auto it = context_.desired.nodes.find(hello.node);
     if (it == context_.desired.nodes.end())
-        return "the settings don't list it";
+        return "the fleet settings don't list this node";
     const auto &desired = it->second;
     if (desired.shard != hello.shard || desired.zone != hello.zone)
-        return "it says shard " + text(hello.shard) + ", zone " + text(hello.zone) +
-               "; the settings shard " + text(desired.shard) + ", zone " + text(desired.zone);
+        return "it reports shard " + text(hello.shard) + ", zone " + text(hello.zone) +
+               "; the fleet settings expect shard " + text(desired.shard) + ", zone " +
+               text(desired.zone);
     return {};
 }
 
@@ -57,12 +58,12 @@
 
 // ---- Drains.
 
-void NodeManager::adopt_drains(const std::vector<NodeId> &draining) {
+void NodeManager::restore_drains_known_to_edge(const std::vector<NodeId> &draining) {
     for (auto node : draining) {
         if (!context_.desired.nodes.contains(node) || !drained_.insert(node).second)
             continue;
-        context_.store.keep(StateStore::Row::drained_node, node.value, 0, context_.state.next(),
-                            {});
+        context_.store.put(StateStore::Row::drained_node, node.value, 0,
+                           context_.state.open_version(), {});
         context_.commit_due = true;
     }
 }
@@ -73,22 +74,25 @@
     for (const auto &[id, other] : context_.state.cluster_state().nodes)
         if (id != node && other.shard == desired.shard && other.state == NodeState::ready)
             others += (others.empty() ? "" : ", ") + text(id);
-    const bool harmless = !others.empty();
+    const bool shard_stays_available = !others.empty();
     if (drained_.contains(node) || desired.draining)
-        return {true, harmless,
-                subject + "drains already" + (desired.draining ? " by the settings" : "")};
-    return {true, harmless,
+        return {true, shard_stays_available,
+                subject + "is draining already" +
+                    (desired.draining ? " by the fleet settings" : "")};
+    return {true, shard_stays_available,
             subject + "would get no new work from any of " +
                 std::to_string(context_.sessions.edges.size()) + " edges; " +
-                (harmless ? "its shard goes on at node " + others
-                          : "no other ready node holds its shard, whose requests would wait and be "
-                            "denied until one does")};
+                (shard_stays_available
+                     ? "its shard remains available at node " + others
+                     : "no other ready node holds its shard, whose requests would wait and be "
+                       "denied until one does")};
 }
 
 NodeManager::Effect NodeManager::effect(NodeId node, bool draining) const {
     auto desired = context_.desired.nodes.find(node);
     if (desired == context_.desired.nodes.end())
-        return {false, false, "node " + text(node) + " is not in the settings; nothing to do"};
+        return {false, false,
+                "node " + text(node) + " is not in the fleet settings; nothing to do"};
     const auto &nodes = context_.state.cluster_state().nodes;
     auto it = nodes.find(node);
     const auto subject = "node " + text(node) + " (shard " + text(desired->second.shard) + ", " +
@@ -96,28 +100,29 @@
     if (draining)
         return drain_effect(node, subject);
     if (desired->second.draining)
-        return {false, false, subject + "drains by the settings: change its state there"};
+        return {false, false,
+                subject + "is draining by the fleet settings: change its state there"};
     return {true, true,
-            drained_.contains(node)
-                ? subject + "would get new work again from " +
-                      std::to_string(context_.sessions.edges.size()) + " edges"
-                : subject + "does not drain by an operator's word; nothing to do"};
+            drained_.contains(node) ? subject + "would get new work again from " +
+                                          std::to_string(context_.sessions.edges.size()) + " edges"
+                                    : subject + "is not drained by an operator; nothing to do"};
 }
 
 void NodeManager::drain(SessionId session, const control::DrainRequest &request) {
     using Row = StateStore::Row;
-    const auto [possible, harmless, what] = effect(request.node, request.draining);
+    const auto [possible, shard_stays_available, what] = effect(request.node, request.draining);
     const bool wanted = request.mode == control::DrainMode::force ||
-                        (request.mode == control::DrainMode::apply && harmless);
+                        (request.mode == control::DrainMode::apply && shard_stays_available);
     if (!possible || !wanted) {
-        context_.transport.send(
-            session, control::encode(control::OperationResult{possible && harmless, false, what}));
+        context_.transport.send(session, control::encode(control::OperationResult{
+                                             possible && shard_stays_available, false, what}));
         return;
     }
     if (request.draining && drained_.insert(request.node).second)
-        context_.store.keep(Row::drained_node, request.node.value, 0, context_.state.next(), {});
+        context_.store.put(Row::drained_node, request.node.value, 0, context_.state.open_version(),
+                           {});
     if (!request.draining && drained_.erase(request.node))
-        context_.store.drop(Row::drained_node, request.node.value, 0);
+        context_.store.erase(Row::drained_node, request.node.value, 0);
     context_.transport.log_event(
         "operator: " + std::string(request.draining ? "drain" : "undrain") + " node " +
         text(request.node));
@@ -133,13 +138,13 @@
         auto &liveness = this->liveness(id);
         if (!desired.address.empty()) // it does not register
             liveness.registered(context_.now, desired.address, 1, 0);
-        const bool in = liveness.update(context_.now, edges);
+        const bool is_member = liveness.update(context_.now, edges);
         if (!liveness.has_registered())
             continue;
-        if (liveness.wants_reports(context_.now))
+        if (liveness.should_request_reports(context_.now))
             for (const auto &[edge, session] : context_.sessions.edges)
                 context_.transport.send(session, control::encode(control::ReachabilityRequest{id}));
-        if (!in)
+        if (!is_member)
             set_state(id, desired, liveness, NodeState::removed);
         else if (desired.draining || drained_.contains(id))
             set_state(id, desired, liveness, NodeState::draining);
@@ -156,7 +161,7 @@
     context_.state.put(id, control::Node{liveness.address(), desired.shard, desired.zone, state,
                                          liveness.started(), liveness.incarnation()});
     if (state == NodeState::draining)
-        drain_starts_.try_emplace(id, DrainStart{context_.state.next(), context_.now});
+        drain_starts_.try_emplace(id, DrainStart{context_.state.open_version(), context_.now});
     else
         drain_starts_.erase(id);
 }
@@ -166,7 +171,7 @@
     liveness_.erase(node);
     drain_starts_.erase(node);
     if (drained_.erase(node))
-        context_.store.drop(StateStore::Row::drained_node, node.value, 0);
+        context_.store.erase(StateStore::Row::drained_node, node.value, 0);
 }
 
 Time NodeManager::next_due() const {
--- a/src/planner/node_manager.hpp
+++ b/src/planner/node_manager.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which nodes are in the cluster, and which of them drain.
+/// Decides which nodes are in the cluster and which of them are draining.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace knotvane::planner {
 
-/// Joins the settings, an operator's drains and each node's liveness to the nodes' states.
+/// Derives each node's state from the settings, operators' drains and the node's liveness.
 class NodeManager {
 public:
     NodeManager(PlannerContext &context, const PlannerConfig &config)
@@ -22,46 +22,47 @@
 
     /// Since when a node has been draining.
     struct DrainStart {
-        Version version; ///< that told the drain
+        Version version; ///< the state version that announced the drain
         Time at = 0;
     };
 
     void restore_drain(NodeId node) { drained_.insert(node); }
 
-    /// After all rows: nodes that were in have as long as any to register again.
+    /// To be called after all rows were restored. Nodes that were members get the usual time to
+    /// register again.
     void start();
 
-    /// Why a node that registers is not taken; empty where it is.
+    /// Why a node's registration is rejected; empty if it is accepted.
     std::string refusal(const control::NodeHello &hello) const;
     void registered(const control::NodeHello &hello);
     void renewed(NodeId node) { liveness(node).renewed(context_.now); }
     void reachability_reported(EdgeId edge, const control::ReachabilityReport &report);
     void edge_disconnected(EdgeId edge);
 
-    /// The store that knew of these drains is lost; an edge still does.
-    void adopt_drains(const std::vector<NodeId> &draining);
+    /// Restores drains that an edge still knows of after the store was lost.
+    void restore_drains_known_to_edge(const std::vector<NodeId> &draining);
     void drain(SessionId session, const control::DrainRequest &request);
 
-    /// Decides the state of each node, and asks edges about silent ones.
-    /// \param edges  that hold a lease
+    /// Updates the state of each node, and asks edges whether they reach silent nodes.
+    /// \param edges  the number of edges that hold a lease
     void decide(std::size_t edges);
 
-    /// The settings leave the node out.
+    /// Removes a node that the new settings omit.
     void remove(NodeId node);
     Time next_due() const;
 
-    /// Nothing where it does not drain.
+    /// Empty if the node is not draining.
     std::optional<DrainStart> drain_start(NodeId node) const;
     bool is_drained_by_operator(NodeId node) const { return drained_.contains(node); }
 
-    /// Null where nothing was heard of it yet.
+    /// Null if the planner does not track the node yet.
     const NodeLiveness *find_liveness(NodeId node) const;
 
 private:
-    // What a drain, or its end, would do.
+    // The effect that starting or ending a drain would have.
     struct Effect {
         bool possible = false;
-        bool harmless = false; // the shard is served on
+        bool shard_stays_available = false; // another ready node serves the shard
         std::string text;
     };
 
--- a/src/planner/quota_allocation.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -22,7 +22,7 @@
         changed_.insert(volume);
 }
 
-void QuotaAllocation::serve(VolumeId volume, EdgeId edge, bool serves) {
+void QuotaAllocation::set_served(VolumeId volume, EdgeId edge, bool serves) {
     auto it = volumes_.find(volume);
     if (!serves && (it == volumes_.end() || !it->second.contains(edge)))
         return;
@@ -32,7 +32,7 @@
         changed_.insert(volume);
 }
 
-std::vector<VolumeId> QuotaAllocation::served_by(EdgeId edge) const {
+std::vector<VolumeId> QuotaAllocation::volumes_served_by(EdgeId edge) const {
     std::vector<VolumeId> out;
     if (auto it = of_edge_.find(edge); it != of_edge_.end())
         for (auto volume : it->second)
--- a/src/planner/quota_manager.cpp
+++ b/src/planner/quota_manager.cpp
@@ -9,7 +9,7 @@
 namespace knotvane::planner {
 namespace {
 
-// How much longer than a lease what a lost store gave out may be in use: a tenth, and this.
+// Shares granted from a lost store may be in use for a lease, a tenth of it, and this much longer.
 constexpr Time recovery_slack = sec;
 
 } // namespace
@@ -18,12 +18,12 @@
     // What edges were told before, they may still be about to go by: none has its lease renewed by
     // this planner before it goes by all that the last one decided.
     min_version_of_all_ = version;
-    for (const auto &[volume, holdings] : allocation_.all())
+    for (const auto &[volume, holdings] : allocation_.holdings())
         for (const auto &[edge, holding] : holdings) {
             leases_.restore(edge, context_.now, allocation_.is_lapsed(edge));
             if (holding.share == 0 && !holding.serves)
                 continue;
-            context_.state.restoring(holding.since);
+            context_.state.set_restored_version(holding.since);
             context_.state.put_quota_share(edge, volume,
                                            {holding.share, allocation_.sharers(volume)});
         }
@@ -39,11 +39,11 @@
     if (session.edge_view.acknowledged > Version{0})
         allocation_.acknowledged(session.edge, session.edge_view.acknowledged);
     const std::set<VolumeId> now_serving(serving.begin(), serving.end());
-    for (auto volume : allocation_.served_by(session.edge))
+    for (auto volume : allocation_.volumes_served_by(session.edge))
         if (!now_serving.contains(volume))
-            allocation_.serve(volume, session.edge, false);
+            allocation_.set_served(volume, session.edge, false);
     for (auto volume : now_serving)
-        allocation_.serve(volume, session.edge, true);
+        allocation_.set_served(volume, session.edge, true);
 }
 
 void QuotaManager::renew(Session &session, const control::LeaseRenewal &renewal) {
@@ -83,17 +83,18 @@
 void QuotaManager::lease_changed(EdgeId edge, LeaseTable::Stage stage) {
     if (stage == LeaseTable::Stage::lapsed) {
         context_.transport.log_event("edge " + text(edge) +
-                                     " has not renewed its lease: a quarter of its quota shares "
-                                     "is left to it");
+                                     " has not renewed its lease: it keeps a quarter of its "
+                                     "quota shares");
         // Not before it goes by all that it was told until now, too: a share that was lowered and
         // never reached it counts for a quarter from here on, and must not be whole again.
         min_versions_[edge] =
-            allocation_.lapsed(edge) ? context_.state.next() : context_.state.version();
+            allocation_.lapsed(edge) ? context_.state.open_version() : context_.state.version();
     } else {
-        context_.transport.log_event("edge " + text(edge) +
-                                     " is forgotten: its quota shares go to others");
+        context_.transport.log_event(
+            "edge " + text(edge) +
+            "'s lease and fade time have ended: its quota shares are freed for other edges");
         allocation_.forgotten(edge);
-        min_versions_[edge] = context_.state.next();
+        min_versions_[edge] = context_.state.open_version();
     }
 }
 
@@ -113,7 +114,7 @@
 
 void QuotaManager::allocate() {
     using Row = StateStore::Row;
-    const auto version = context_.state.next();
+    const auto version = context_.state.open_version();
     allocation_.allocate(
         version,
         [&](VolumeId volume, EdgeId edge, const control::QuotaShare &share) {
@@ -121,10 +122,10 @@
         },
         [&](VolumeId volume, EdgeId edge, const QuotaAllocation::Holding *holding) {
             if (holding)
-                context_.store.keep(Row::quota_share, edge.value, volume.value, version,
-                                    encode_row({*holding, allocation_.is_lapsed(edge)}));
+                context_.store.put(Row::quota_share, edge.value, volume.value, version,
+                                   encode_row({*holding, allocation_.is_lapsed(edge)}));
             else
-                context_.store.drop(Row::quota_share, edge.value, volume.value);
+                context_.store.erase(Row::quota_share, edge.value, volume.value);
         });
 }
 
--- a/src/planner/quota_manager.hpp
+++ b/src/planner/quota_manager.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Leases and quota shares of all edges, and what an edge must hold before its lease goes on.
+/// The leases and quota shares of all edges, and the version that an edge must have applied before
+/// its lease is renewed.
 #pragma once
 
 #include <map>
@@ -12,8 +13,8 @@
 
 namespace knotvane::planner {
 
-/// Joins LeaseTable and QuotaAllocation: an edge's shares are whole while its lease is held and
-/// the edge goes by all that lowered them.
+/// Combines LeaseTable and QuotaAllocation: an edge has its full shares while it holds a lease and
+/// has applied every version that lowered them.
 class QuotaManager {
 public:
     QuotaManager(PlannerContext &context, const PlannerConfig &config)
@@ -23,23 +24,23 @@
         allocation_.restore(volume, edge, row.holding, row.edge_lapsed);
     }
 
-    /// After all rows. Puts the restored shares into the state.
-    /// \param version  of the last planner
+    /// Puts the restored shares into the state. To be called after all rows were restored.
+    /// \param version  the last version that the previous planner committed
     void start(Version version);
 
-    /// The store was lost: until what it gave out must have run out, any edge may go by the whole
-    /// of any limit.
+    /// The store was lost: assumes that any edge may use the whole of any limit, until every lease
+    /// granted from the lost store must have run out.
     void start_recovery();
     void edge_connected(const Session &session, const std::vector<VolumeId> &serving);
     void volume_served(EdgeId edge, const control::VolumeServed &message) {
-        allocation_.serve(message.volume, edge, message.served);
+        allocation_.set_served(message.volume, edge, message.served);
     }
     void renew(Session &session, const control::LeaseRenewal &renewal);
 
-    /// Leases and the recovery run out by now.
+    /// Ends the leases and the recovery period that have run out.
     void expire();
 
-    /// Shares out what is due, with the version that is open, and keeps the rows.
+    /// Recomputes changed shares in the open version and stores their rows.
     void allocate();
     Time next_due() const;
     const LeaseTable &leases() const { return leases_; }
@@ -52,7 +53,7 @@
     PlannerContext &context_;
     LeaseTable leases_;
     QuotaAllocation allocation_;
-    std::map<EdgeId, Version> min_versions_; // that an edge must hold to have its lease renewed
+    std::map<EdgeId, Version> min_versions_; // that an edge must have applied for a renewal
     Version min_version_of_all_;
     Time recovery_until_ = 0; // 0: no recovery, or it is over
     bool recovery_faded_ = false;
--- a/src/planner/receiver.cpp
+++ b/src/planner/receiver.cpp
@@ -13,7 +13,7 @@
     return false;
 }
 
-// A peer that has not said what it is becomes an operator's client by its first request.
+// A peer whose role is unknown becomes an operator's client with its first request.
 bool Core::Receiver::expect_operator(std::string_view message) {
     if (session_.role == Role::unknown)
         session_.role = Role::operator_client;
@@ -22,7 +22,7 @@
 
 void Core::Receiver::handle_unexpected(std::string_view message) {
     if (session_.error.empty())
-        session_.error = std::string(message) + " is not expected here";
+        session_.error = std::string(message) + " is not expected from this peer";
 }
 
 void Core::Receiver::handle(const control::EdgeHello &message) {
--- a/src/planner/receiver.hpp
+++ b/src/planner/receiver.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Hands a session's messages to the parts of the planner's core. Internal to the core.
+/// Dispatches a session's messages to the parts of the planner's core. Internal to the core.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace knotvane::planner {
 
-/// What a session says it is decides which messages it may send; any other is noted as the
-/// session's error.
+/// The session's role decides which messages are accepted; any other message is recorded as the
+/// session's error, for which the core closes the connection.
 class Core::Receiver final : public control::MessageHandler {
 public:
     Receiver(Core &core, Session &session) : core_(core), session_(session) {}
--- a/src/planner/server.cpp
+++ b/src/planner/server.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr Time never = std::numeric_limits<Time>::max();
-// A file that is being written is left alone until it has been still for this long.
-constexpr Time still_for = 100 * ms;
+// The fleet file is read once it has not changed for this long, so that a file that is still being
+// written is not read.
+constexpr Time fleet_file_quiet_time = 100 * ms;
 
-// Another for each process: its start, to the nanosecond, its number and its seed.
+// Differs between processes: combines the start time in nanoseconds, the process id and the seed.
 std::uint64_t new_instance(Time now, std::uint64_t seed) {
     constexpr std::uint64_t factor = 1'000'003;
     return static_cast<std::uint64_t>(now) * factor + static_cast<std::uint64_t>(::getpid()) + seed;
@@ -24,17 +25,17 @@
 
 } // namespace
 
-Server::Server(loop::Loop &loop, settings::File &file, From from)
+Server::Server(loop::Loop &loop, settings::File &file, StoreMode store_mode)
     : loop_(loop), read_fleet_at_(never) {
     const auto settings = read_planner_settings(file);
     fleet_path_ = settings.fleet_path;
-    open_store(settings, from);
-    start_core(settings, from);
+    open_store(settings, store_mode);
+    start_core(settings, store_mode);
     watch_ = std::make_unique<loop::FileWatcher>(
-        loop_, fleet_path_, [this] { read_fleet_at_ = loop::now() + still_for; });
+        loop_, fleet_path_, [this] { read_fleet_at_ = loop::now() + fleet_file_quiet_time; });
     listen(settings.listen_address);
-    loop_.set_before_wait_callback([this] { return end_of_moment(); });
-    log::write(log::info, "planner serves",
+    loop_.set_before_wait_callback([this] { return settle_moment(); });
+    log::write(log::info, "planner is listening",
                {{"address", address()},
                 {"term", std::to_string(core_->term().value)},
                 {"version", std::to_string(core_->version().value)}});
@@ -44,27 +45,29 @@
     loop_.set_before_wait_callback(nullptr);
 }
 
-void Server::open_store(const PlannerSettings &settings, From from) {
+void Server::open_store(const PlannerSettings &settings, StoreMode store_mode) {
     const auto &path = settings.store_path;
-    if (from == From::rebuild) {
+    if (store_mode == StoreMode::rebuild) {
         const auto aside = path + ".aside";
         if (std::rename(path.c_str(), aside.c_str()) == 0)
-            log_event("store put aside as " + aside);
+            log_event("moved the old store " + path + " to " + aside);
         std::remove((path + "-journal").c_str());
     }
     store_ = std::make_unique<SqliteStateStore>(path);
-    // Guards against a store that went missing: taken for a first start, its planner would give
-    // out anew what edges still have.
-    if (from == From::store && store_->is_new())
-        throw std::runtime_error("planner's store " + path +
-                                 ": there is none. Expected a store, or --new where "
-                                 "no planner ever ran, or --rebuild where its store is lost");
-    if (from == From::first && !store_->is_new())
-        throw std::runtime_error("planner's store " + path +
-                                 ": it is there, and --new says that none was");
+    // Guards against a store that went missing: if this were treated as a first start, the planner
+    // would grant quota shares that edges still hold.
+    if (store_mode == StoreMode::existing && store_->is_new())
+        throw std::runtime_error(
+            "planner's store " + path +
+            ": no store found; expected an existing store, --new if no planner "
+            "ever ran for this fleet, or --rebuild if the store was lost");
+    if (store_mode == StoreMode::create && !store_->is_new())
+        throw std::runtime_error(
+            "planner's store " + path +
+            ": a store exists already, but --new expects none; start without --new");
 }
 
-void Server::start_core(const PlannerSettings &settings, From from) {
+void Server::start_core(const PlannerSettings &settings, StoreMode store_mode) {
     const auto where = "planner's store " + settings.store_path + ": ";
     core_ = std::make_unique<Core>(*this, *store_, settings.config);
     store_->rows([&](StateStore::Row row, std::uint64_t first_id, std::uint64_t second_id,
@@ -77,7 +80,7 @@
     PlannerStart start;
     start.position = store_->position();
     start.instance = new_instance(now, settings.seed);
-    start.rebuilt = from == From::rebuild;
+    start.rebuilt = store_mode == StoreMode::rebuild;
     start.position.term = Term{start.position.term.value + 1};
     if (is_new)
         start.position.lineage = start.instance;
@@ -123,20 +126,21 @@
     return faults;
 }
 
-// Each rejection is logged once, not at every look at the same file. What a file may not do now it
-// may do later (a node that is still in use), so a refused one is looked at again when it is
-// written again.
+// The file is read only when it was written, so each rejection is logged once. Settings that are
+// rejected now may be valid later (for example, once a node is no longer in use), so a rejected
+// file is checked again when it is written again, even with the same text.
 void Server::read_fleet_file() {
     std::string text;
     const auto faults = apply_fleet_file(text);
     if (!faults.empty())
         last_fault_ = faults.back();
     for (const auto &fault : faults)
-        log::write(log::error, "settings refused, the last ones stay whole", {{"fault", fault}});
+        log::write(log::error, "fleet settings rejected; keeping the previous settings",
+                   {{"fault", fault}});
     fleet_text_ = faults.empty() ? text : std::string();
 }
 
-Time Server::end_of_moment() {
+Time Server::settle_moment() {
     const auto now = loop::now();
     if (now >= read_fleet_at_) {
         read_fleet_at_ = never;
@@ -156,7 +160,7 @@
     if (!socket)
         return;
     socket->close_when_sent();
-    // Told later: this may come in the middle of the session's own bytes.
+    // Deferred: close may be called while the core is processing bytes received by this session.
     loop_.post([this, id] { core_->disconnected(loop::now(), id); });
 }
 
--- a/src/planner/server.hpp
+++ b/src/planner/server.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The planner on sockets: it carries bytes, time and files to the core, and decides nothing.
+/// The planner's I/O: passes received bytes, the time and files to the core, which makes all
+/// decisions.
 #pragma once
 
 #include <functional>
@@ -15,26 +16,26 @@
 
 namespace knotvane::planner {
 
-/// A planner that listens, with its store and the watch on the fleet's file.
+/// A listening planner with its store and a watcher on the fleet file.
 class Server final : public PlannerTransport {
 public:
-    /// What the planner starts from.
-    enum class From {
-        store,   ///< its store
-        first,   ///< there is no store yet, and never was
-        rebuild, ///< the store is lost or damaged: it is put aside, and a new one is made, which
-                 ///< settings and edges fill
+    /// Which store the planner expects at its start.
+    enum class StoreMode {
+        existing, ///< an existing store
+        create,   ///< none: no planner ever ran for this fleet, and a store is created
+        rebuild,  ///< a lost or damaged one: the file is renamed, and a new store is created and
+                  ///< filled from the settings and the edges
     };
 
-    /// \param file  settings that were checked
-    /// \throws StateStoreInUse     another planner has the store
-    /// \throws std::runtime_error  the store can't be used, or nothing can be listened on
-    Server(loop::Loop &loop, settings::File &file, From from);
+    /// \param file  the planner's settings, already validated
+    /// \throws StateStoreInUse     another planner has the store open
+    /// \throws std::runtime_error  the store can't be used, or the address can't be listened on
+    Server(loop::Loop &loop, settings::File &file, StoreMode store_mode);
     ~Server() override;
     const std::string &address() const { return listener_->address(); }
     Core &core() { return *core_; }
 
-    /// Called once when another planner is followed.
+    /// Called once, when this planner retires because edges follow another planner.
     std::function<void()> on_retired;
 
     void send(SessionId id, std::string bytes) override;
@@ -43,17 +44,17 @@
     void retired() override;
 
 private:
-    void open_store(const PlannerSettings &settings, From from);
-    void start_core(const PlannerSettings &settings, From from);
+    void open_store(const PlannerSettings &settings, StoreMode store_mode);
+    void start_core(const PlannerSettings &settings, StoreMode store_mode);
     void listen(const std::string &address);
     void accept(const std::shared_ptr<loop::Socket> &socket);
     void read_fleet_file();
     std::vector<std::string> apply_fleet_file(std::string &text);
-    Time end_of_moment();
+    Time settle_moment();
 
     loop::Loop &loop_;
     std::string fleet_path_;
-    std::string fleet_text_; // that was applied last
+    std::string fleet_text_; // of the fleet file as applied last; empty after a rejection
     std::string last_fault_;
     Time read_fleet_at_;
     std::unique_ptr<SqliteStateStore> store_;
--- a/src/planner/session.hpp
+++ b/src/planner/session.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The connections to the planner and who is at their far ends.
+/// The connections to the planner and the role of each peer.
 #pragma once
 
 #include <map>
@@ -18,11 +18,11 @@
 using control::Term;
 using control::Version;
 
-/// One connection. What it says it is decides what it may say.
+/// One connection. Its role decides which messages are accepted from it.
 struct Session {
     enum class Role { unknown, edge, node, operator_client };
 
-    /// What an edge goes by, and what it was sent.
+    /// The state that an edge has acknowledged, and what it was sent.
     struct EdgeView {
         std::string listen_address;
         Term term;
@@ -39,16 +39,16 @@
     SessionId id;
     control::MessageDecoder decoder;
     Role role = Role::unknown;
-    EdgeId edge;                         ///< where it is one
-    NodeId node;                         ///< where it is one
-    EdgeView edge_view;                  ///< where it is an edge
-    std::optional<NodeState> state_sent; ///< where it is a node
+    EdgeId edge;                         ///< if the role is edge
+    NodeId node;                         ///< if the role is node
+    EdgeView edge_view;                  ///< if the role is edge
+    std::optional<NodeState> state_sent; ///< the state last sent, if the role is node
     Time last_received = 0;
-    std::string error; ///< why it has to be closed
+    std::string error; ///< why the connection has to be closed; empty if it has not
     bool closed = false;
 };
 
-/// All sessions, and which one an edge or a node is connected by.
+/// All sessions, and the current session of each edge and node.
 struct SessionTable {
     std::map<SessionId, Session> all;
     std::map<EdgeId, SessionId> edges;
--- a/src/planner/snapshot_operations.cpp
+++ b/src/planner/snapshot_operations.cpp
@@ -78,7 +78,7 @@
 
 std::vector<std::uint64_t> SnapshotOperations::edges_using(VolumeId volume) const {
     std::vector<std::uint64_t> out;
-    if (auto it = allocation_.all().find(volume); it != allocation_.all().end())
+    if (auto it = allocation_.holdings().find(volume); it != allocation_.holdings().end())
         for (const auto &[edge, holding] : it->second)
             if (holding.serves)
                 out.push_back(edge.value);
@@ -209,8 +209,8 @@
                          {true, false, volume.name + " is being cloned to " + pending.volume.name});
     context_.state.drop_volume(*id);
     incomplete_[*id] = {volume.source, 0};
-    context_.store.keep(StateStore::Row::incomplete, id->value, volume.source.value, Version{1},
-                        "0");
+    context_.store.put(StateStore::Row::incomplete, id->value, volume.source.value, Version{1},
+                       "0");
     // Nodes must not drop the data before the deletion is durable. Otherwise a planner that
     // restarts in between would still list a snapshot whose data is gone.
     drops_to_commit_.push_back(*id);
@@ -261,8 +261,8 @@
         pending.epoch = std::max(last + 1, static_cast<std::uint32_t>(context_.now / sec));
     }
     incomplete_[id] = {pending.source, pending.epoch};
-    context_.store.keep(StateStore::Row::incomplete, id.value, pending.source.value, Version{1},
-                        std::to_string(pending.epoch));
+    context_.store.put(StateStore::Row::incomplete, id.value, pending.source.value, Version{1},
+                       std::to_string(pending.epoch));
     context_.commit_due = true;
     pending_[id] = std::move(pending);
 }
@@ -321,7 +321,7 @@
 
 void SnapshotOperations::finish_completed(VolumeId snapshot, Pending pending) {
     incomplete_.erase(snapshot);
-    context_.store.drop(StateStore::Row::incomplete, snapshot.value, pending.source.value);
+    context_.store.erase(StateStore::Row::incomplete, snapshot.value, pending.source.value);
     pending.volume.created_at = pending.began_at;
     context_.state.put(snapshot, pending.volume);
     context_.transport.log_event(pending.volume.name + " is complete");
@@ -389,7 +389,7 @@
     auto it = incomplete_.find(snapshot);
     if (it == incomplete_.end())
         return;
-    context_.store.drop(StateStore::Row::incomplete, snapshot.value, it->second.source.value);
+    context_.store.erase(StateStore::Row::incomplete, snapshot.value, it->second.source.value);
     incomplete_.erase(it);
     context_.commit_due = true;
 }
--- a/src/planner/sqlite_state_store.cpp
+++ b/src/planner/sqlite_state_store.cpp
@@ -9,9 +9,9 @@
 namespace knotvane::planner {
 namespace {
 
-// The format's number; a file with another is not touched.
+// The version of the format; a file with any other version is rejected and not changed.
 constexpr std::int64_t format = 1;
-// SQLite takes a file of fewer bytes than its smallest page for an empty one.
+// SQLite treats a file that is smaller than its smallest page as empty.
 constexpr std::uintmax_t min_file_bytes = 512;
 
 std::uint64_t checksum(StateStore::Row row, std::uint64_t first_id, std::uint64_t second_id,
@@ -28,7 +28,7 @@
     return XXH3_64bits(fields, sizeof fields);
 }
 
-// SQLite's integers have a sign; ours are carried bit by bit.
+// SQLite's integers are signed; unsigned values are stored with the same bits.
 void bind(sqlite3_stmt *statement, int index, std::uint64_t value) {
     sqlite3_bind_int64(statement, index, static_cast<std::int64_t>(value));
 }
@@ -76,9 +76,9 @@
     if (sqlite3_open_v2(path_.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, vfs) !=
         SQLITE_OK)
         throw StateStoreError(db_ ? sqlite3_errmsg(db_) : "no memory");
-    // One file besides a short-lived journal: a log beside it, cut short, would lose versions and
-    // not show it. The lock is kept for the process's life, so no two planners have one store; it
-    // goes with a kill.
+    // Uses a rollback journal, which exists only during a commit: a truncated write-ahead log would
+    // lose versions undetected. The lock is held until the process ends, also by a kill, so that no
+    // two planners use one store.
     run("PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=DELETE; PRAGMA synchronous=EXTRA;"
         "BEGIN EXCLUSIVE;"
         "CREATE TABLE IF NOT EXISTS meta(one INTEGER PRIMARY KEY CHECK(one=1), format INTEGER, "
@@ -90,8 +90,8 @@
         " sum INTEGER, PRIMARY KEY(kind, a, b)) WITHOUT ROWID;"
         "COMMIT;");
     load();
-    keep_row_ = prepare("INSERT OR REPLACE INTO rows VALUES(?,?,?,?,?,?)");
-    drop_row_ = prepare("DELETE FROM rows WHERE kind=? AND a=? AND b=?");
+    put_row_ = prepare("INSERT OR REPLACE INTO rows VALUES(?,?,?,?,?,?)");
+    erase_row_ = prepare("DELETE FROM rows WHERE kind=? AND a=? AND b=?");
     set_position_ = prepare("INSERT OR REPLACE INTO meta VALUES(1,?,?,?,?,?,?,?,?)");
 }
 
@@ -184,12 +184,12 @@
         throw StateStoreError(sqlite3_errmsg(db_));
 }
 
-void SqliteStateStore::keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
-                            std::string body) {
+void SqliteStateStore::put(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+                           std::string body) {
     changes_[{row, first_id, second_id}] = {true, stamp, std::move(body)};
 }
 
-void SqliteStateStore::drop(Row row, std::uint64_t first_id, std::uint64_t second_id) {
+void SqliteStateStore::erase(Row row, std::uint64_t first_id, std::uint64_t second_id) {
     changes_[{row, first_id, second_id}] = {};
 }
 
@@ -203,14 +203,14 @@
         throw StateStoreError(what);
 }
 
-// Costs by what changes, not by all there is. Gives the checksum of all rows as they are then.
+// Returns the new checksum of all rows. The cost depends on the number of changes, not of rows.
 std::uint64_t SqliteStateStore::write_changes(Checksums &new_checksums) {
     auto all_rows = all_rows_checksum_;
     for (const auto &[key, change] : changes_) {
         const auto &[row, first_id, second_id] = key;
         if (auto it = checksums_.find(key); it != checksums_.end())
             all_rows ^= it->second;
-        auto *statement = change.is_put ? keep_row_ : drop_row_;
+        auto *statement = change.is_put ? put_row_ : erase_row_;
         sqlite3_bind_int(statement, 1, static_cast<int>(row));
         bind(statement, 2, first_id);
         bind(statement, 3, second_id);
--- a/src/planner/sqlite_state_store.hpp
+++ b/src/planner/sqlite_state_store.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The planner's durable state: the one owner of its format, on SQLite. Every row has a checksum,
-/// and all rows together one, so that a row that is missing is noticed like one that changed.
+/// The planner's durable state in SQLite; only this class knows its format. Each row has a
+/// checksum, and there is one of all rows together, so that missing rows are detected as well as
+/// changed ones.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 
 namespace knotvane::planner {
 
-/// The store can't be used: one line says what is wrong, where, and what is expected.
+/// The store can't be used. The one-line message names the file, the fault and what is expected.
 class StateStoreError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -31,34 +32,34 @@
     using StateStoreError::StateStoreError;
 };
 
-/// One file, open for as long as this lives; no other process can open it meanwhile.
+/// A store in one file, which stays open and exclusively locked for the lifetime of this object.
 class SqliteStateStore final : public StateStore {
 public:
-    /// Opens or makes the file.
-    /// \param vfs  SQLite's name of the file layer, for tests; null: the usual one
-    /// \throws StateStoreInUse  another planner has it
+    /// Opens the file, or creates it.
+    /// \param vfs  the name of the SQLite VFS to use, for tests; null for the default
+    /// \throws StateStoreInUse  another planner has it open
     /// \throws StateStoreError  it is damaged, of another format, or can't be opened
     explicit SqliteStateStore(const std::string &path, const char *vfs = nullptr);
     ~SqliteStateStore() override;
     SqliteStateStore(const SqliteStateStore &) = delete;
 
-    /// Nothing was ever committed to it.
+    /// Whether nothing was ever committed to it.
     bool is_new() const { return position_.term == Term{0}; }
 
-    /// As committed last.
+    /// The position committed last.
     const StorePosition &position() const { return position_; }
 
-    /// Calls for every row, in order of kind and ids.
+    /// Calls `call` for every row, ordered by kind and ids.
     /// \throws StateStoreError  it can't be read
     void rows(const std::function<void(Row row, std::uint64_t first_id, std::uint64_t second_id,
                                        Version stamp, std::string_view body)> &call) const;
 
-    void keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
-              std::string body) override;
-    void drop(Row row, std::uint64_t first_id, std::uint64_t second_id) override;
+    void put(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+             std::string body) override;
+    void erase(Row row, std::uint64_t first_id, std::uint64_t second_id) override;
     bool commit(const StorePosition &position) override;
 
-    /// What the last commit that failed met.
+    /// The error of the last commit that failed.
     const std::string &fault() const { return fault_; }
 
 private:
@@ -86,12 +87,12 @@
     std::string fault_;
     sqlite3 *db_ = nullptr;
     std::vector<sqlite3_stmt *> statements_;
-    sqlite3_stmt *keep_row_ = nullptr;
-    sqlite3_stmt *drop_row_ = nullptr;
+    sqlite3_stmt *put_row_ = nullptr;
+    sqlite3_stmt *erase_row_ = nullptr;
     sqlite3_stmt *set_position_ = nullptr;
     StorePosition position_;
     Checksums checksums_;
-    std::uint64_t all_rows_checksum_ = 0; // those of all rows, joined by exclusive or
+    std::uint64_t all_rows_checksum_ = 0; // exclusive or of the checksums of all rows
     std::map<Key, Change> changes_;
 };
 
--- a/src/planner/state_rows.cpp
+++ b/src/planner/state_rows.cpp
@@ -10,7 +10,7 @@
 namespace knotvane::planner {
 namespace {
 
-// Takes the one message of a row.
+// Decodes the single message of a row.
 template <class Message>
 class RowReader final : public control::MessageHandler {
 public:
@@ -18,7 +18,7 @@
         RowReader reader;
         control::MessageDecoder().decode(body, reader);
         if (!reader.message_)
-            throw control::ProtocolError("a row holds no whole message");
+            throw control::ProtocolError("a row's message is incomplete");
         return *reader.message_;
     }
 
@@ -50,13 +50,13 @@
         try {
             field = std::stoull(std::string(body.substr(begin, end - begin)));
         } catch (const std::exception &) {
-            throw control::ProtocolError("a quota share's row can't be read");
+            throw control::ProtocolError("a quota share's row is malformed: expected five numbers");
         }
         begin = end == std::string_view::npos ? body.size() : end + 1;
     }
     auto [share, bound, since, serves, lapsed] = fields;
     if (share > control::full_limit_millionths || bound > control::full_limit_millionths)
-        throw control::ProtocolError("a quota share's row is past the whole limit");
+        throw control::ProtocolError("a quota share's row exceeds the whole limit");
     return {{static_cast<std::uint32_t>(share), static_cast<std::uint32_t>(bound), Version{since},
              serves != 0},
             lapsed != 0};
@@ -66,7 +66,8 @@
     std::uint32_t epoch = 0;
     for (char digit : body) {
         if (digit < '0' || digit > '9')
-            throw control::ProtocolError("an incomplete snapshot's row can't be read");
+            throw control::ProtocolError(
+                "an incomplete snapshot's row is malformed: expected an epoch in digits");
         epoch = epoch * 10 + static_cast<std::uint32_t>(digit - '0');
     }
     return epoch;
@@ -84,7 +85,7 @@
     return RowReader<control::NodeUpdate>::read(body).node;
 }
 
-// Stored as a hello, whose incarnation says whether the node drains.
+// Stored as a NodeHello; its incarnation is 1 if the settings drain the node, else 0.
 std::string encode_row(NodeId id, const DesiredState::Node &node) {
     control::NodeHello hello;
     hello.node = id;
--- a/src/planner/state_rows.hpp
+++ b/src/planner/state_rows.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The bodies of the store's rows. Entries of the cluster state are stored as their messages.
+/// Encodes and decodes the bodies of the store's rows. Entries of the cluster state are stored as
+/// encoded messages.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 namespace knotvane::planner {
 
-/// A quota share's row.
+/// The content of a quota share's row.
 struct QuotaShareRow {
     QuotaAllocation::Holding holding;
     bool edge_lapsed = false;
@@ -21,7 +22,7 @@
 std::string encode_row(const QuotaShareRow &row);
 std::string encode_row(NodeId id, const DesiredState::Node &node);
 
-/// These read a body back. \throws control::ProtocolError where it can't be read.
+/// These decode a row's body. \throws control::ProtocolError if it is malformed.
 QuotaShareRow decode_quota_share_row(std::string_view body);
 std::uint32_t decode_epoch_row(std::string_view body);
 control::Plan decode_plan_row(std::string_view body);
--- a/src/planner/state_store.hpp
+++ b/src/planner/state_store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The planner's durable state, as its core sees it.
+/// The interface to the planner's durable state.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,16 @@
 using control::Term;
 using control::Version;
 
-/// Where a planner stands, beside its rows.
+/// The planner's term, versions and lineage, stored beside the rows.
 struct StorePosition {
-    Term term;                          ///< of the last planner that wrote; 0: none ever did
-    std::uint64_t lineage = 0;          ///< of the store; versions of another can't be compared
-    Version version;                    ///< of the cluster state
-    Version oldest_version;             ///< changes since this one can be sent
+    Term term;                 ///< of the last planner that committed; 0 if none ever did
+    std::uint64_t lineage = 0; ///< of the store; versions of different lineages are unrelated
+    Version version;           ///< of the cluster state
+    Version oldest_version;    ///< changes since this one can be sent
     std::uint64_t settings_version = 0; ///< of the settings that are in use
 };
 
-/// Keeps rows. Changes gather until `commit`, which makes all of them durable or none.
+/// Stores rows. Changes are buffered until `commit`, which makes all or none of them durable.
 class StateStore {
 public:
     /// Kinds of rows, with what their two ids and their body hold. The values are stored.
@@ -38,11 +38,11 @@
     };
 
     virtual ~StateStore() = default;
-    virtual void keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
-                      std::string body) = 0;
-    virtual void drop(Row row, std::uint64_t first_id, std::uint64_t second_id) = 0;
+    virtual void put(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+                     std::string body) = 0;
+    virtual void erase(Row row, std::uint64_t first_id, std::uint64_t second_id) = 0;
 
-    /// \return false where it could not; the changes stay gathered for another attempt
+    /// \return false on failure; the changes stay buffered for another attempt
     virtual bool commit(const StorePosition &position) = 0;
 };
 
--- a/src/planner/status_report.cpp
+++ b/src/planner/status_report.cpp
@@ -84,7 +84,7 @@
 json edge_report(const StatusSources &sources, EdgeId edge, Time now) {
     const auto &context = sources.context;
     json out{{"id", edge.value}, {"lease", stage_name(sources.quotas.leases().stage(edge))}};
-    out["serving"] = sources.quotas.allocation().served_by(edge).size();
+    out["serving"] = sources.quotas.allocation().volumes_served_by(edge).size();
     auto it = context.sessions.edges.find(edge);
     out["connected"] = it != context.sessions.edges.end();
     if (it == context.sessions.edges.end())
@@ -104,7 +104,7 @@
     std::set<EdgeId> edges;
     for (const auto &[edge, session] : sources.context.sessions.edges)
         edges.insert(edge);
-    for (const auto &[volume, holdings] : sources.quotas.allocation().all())
+    for (const auto &[volume, holdings] : sources.quotas.allocation().holdings())
         for (const auto &[edge, holding] : holdings)
             edges.insert(edge);
     auto out = json::array();
--- a/src/planner/transport.hpp
+++ b/src/planner/transport.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the planner asks of its sockets.
+/// The interface through which the planner's core does I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,23 @@
 
 namespace knotvane::planner {
 
-/// A connection to the planner; never used twice in one process.
+/// Identifies a connection to the planner; never reused within a process.
 using SessionId = Id<struct SessionKind, std::uint64_t>;
 
-/// The sockets, the log and the process around the planner's core.
+/// Gives the planner's core access to the sockets, the log and the process.
 class PlannerTransport {
 public:
     virtual ~PlannerTransport() = default;
     virtual void send(SessionId session, std::string bytes) = 0;
 
-    /// Close once all is sent; answered by Core::disconnected, not from within this call.
+    /// Closes the connection once all pending bytes are sent. Core::disconnected is called later,
+    /// not from within this call.
     virtual void close(SessionId session) = 0;
 
-    /// One line for the log: what changed in the cluster, and what was refused.
+    /// Writes one line to the log: a change in the cluster or a rejected request.
     virtual void log_event(std::string text) = 0;
 
-    /// Another planner is followed: this one plans nothing more.
+    /// Called when this planner stops because edges follow another planner.
     virtual void retired() = 0;
 };
 
--- a/src/planner/update_sender.cpp
+++ b/src/planner/update_sender.cpp
@@ -59,7 +59,7 @@
         return;
     auto from = view.lineage == context_.lineage ? view.acknowledged : Version{0};
     std::string entries;
-    const auto count = state.update_since(session.edge, from, entries);
+    const auto count = state.append_update_since(session.edge, from, entries);
     view.is_long = entries.size() > long_update_bytes;
     if (view.is_long && long_updates >= max_long_updates)
         return;
--- a/src/planner/versioned_state.cpp
+++ b/src/planner/versioned_state.cpp
@@ -16,7 +16,7 @@
 
 void VersionedState::stamp(const Key &key) {
     auto &changes = key.kind == Kind::quota_share ? per_edge_[EdgeId{key.edge}] : common_;
-    auto at = next();
+    auto at = open_version();
     if (auto it = changes.last.find(key); it != changes.last.end())
         changes.order.erase({it->second, key});
     changes.last[key] = at;
@@ -72,7 +72,7 @@
 bool VersionedState::close() {
     if (changed_.empty())
         return false;
-    version_ = next();
+    version_ = open_version();
     changed_.clear();
     return true;
 }
@@ -163,7 +163,8 @@
     return count;
 }
 
-std::uint64_t VersionedState::update_since(EdgeId edge, Version &from, std::string &out) const {
+std::uint64_t VersionedState::append_update_since(EdgeId edge, Version &from,
+                                                  std::string &out) const {
     if (from != Version{0} && from >= oldest_ && from <= version_) {
         auto changed = changed_since(edge, from);
         auto all = cluster_state_.nodes.size() + cluster_state_.plans.size() +
--- a/src/planner/versioned_state.hpp
+++ b/src/planner/versioned_state.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The cluster state as the planner holds it, each entry stamped with the version that it last
-/// changed in: what an edge has missed is found without a look at the rest. No I/O.
+/// The planner's copy of the cluster state. Each entry is stamped with the version that last
+/// changed it, so that the changes an edge has missed are found without a scan of all entries. No
+/// I/O.
 #pragma once
 
 #include <algorithm>
@@ -18,10 +19,11 @@
 using control::EdgeId;
 using control::Version;
 
-/// Changes gather in an open version until `close`.
+/// Changes are collected in an open version until `close`.
 class VersionedState {
 public:
-    /// Kinds of entries, in the order in which they are told: what others name comes first.
+    /// Kinds of entries, in the order in which they are sent: entries that others refer to come
+    /// first.
     enum class Kind : std::uint8_t { plan, volume, node, quota_share };
 
     struct Key {
@@ -34,9 +36,9 @@
     Version version() const { return version_; }
 
     /// The version that changes made now will have.
-    Version next() const { return Version{version_.value + 1}; }
+    Version open_version() const { return Version{version_.value + 1}; }
 
-    /// Changes nothing where the entry stands already.
+    /// Has no effect if the same entry is present already.
     template <class Id, class Entry>
     void put(Id id, const Entry &entry) {
         auto &entries = map_of(entry);
@@ -46,43 +48,43 @@
         stamp({kind_of(entry), 0, id.value});
     }
 
-    /// An empty share is none.
+    /// Sets an edge's share; an empty share removes it.
     void put_quota_share(EdgeId edge, VolumeId volume, const control::QuotaShare &share);
     void drop(NodeId id);
     void drop(PlanId id);
     void drop_volume(VolumeId id);
 
-    /// Ends a version if anything changed in it.
-    /// \return true if it did
+    /// Closes the open version if it has changes.
+    /// \return true if it had
     bool close();
 
-    /// Restoring: each entry is put after a call with the version that it last changed in...
-    void restoring(Version stamp) { version_ = Version{stamp.value - 1}; }
+    /// For restoring: sets the version that the entries put next are stamped with.
+    void set_restored_version(Version stamp) { version_ = Version{stamp.value - 1}; }
 
-    /// ...then this says where all stand.
-    /// \param oldest  changes are known from this version on: edges that hold an older one can't be
-    ///                told of that by changes
+    /// Ends restoring: sets the current version.
+    /// \param oldest  changes are known since this version; edges with an older one need the full
+    ///                state
     void restore(Version version, Version oldest);
-    Version oldest_sent() const { return std::max(oldest_, last_drop_); }
+    Version oldest_sendable_version() const { return std::max(oldest_, last_drop_); }
 
-    /// What an edge that holds `from` has missed, as messages.
-    /// \param from  becomes 0 where the full state is told: it was 0, or from before what is
-    ///              remembered
-    /// \return how many messages
-    std::uint64_t update_since(EdgeId edge, Version &from, std::string &out) const;
+    /// Appends the messages that bring an edge from version `from` to the current one.
+    /// \param from  set to 0 if the full state is sent, because it was 0 or older than the changes
+    ///              that are remembered
+    /// \return the number of messages
+    std::uint64_t append_update_since(EdgeId edge, Version &from, std::string &out) const;
 
     /// Without quota shares, which are each edge's own.
     const control::ClusterState &cluster_state() const { return cluster_state_; }
 
-    /// Null where the edge has none.
+    /// Null if the edge has none.
     const control::QuotaShare *quota_share(EdgeId edge, VolumeId volume) const;
 
-    /// What changed in the version that is open.
+    /// The entries changed in the open version.
     const std::set<Key> &changed() const { return changed_; }
     bool has(const Key &key) const;
 
 private:
-    // By version, each key once, with its last change.
+    // Keys ordered by the version of their last change; each key occurs once.
     struct Changes {
         std::set<std::pair<Version, Key>> order;
         std::map<Key, Version> last;
@@ -108,7 +110,7 @@
     std::map<EdgeId, Changes> per_edge_; // quota shares
     std::set<Key> changed_;
     Version oldest_;    // changes after this one are remembered
-    Version last_drop_; // an entry was dropped with this one
+    Version last_drop_; // the last version in which an entry was dropped
 };
 
 } // namespace knotvane::planner
--- a/src/sim/keeper.hpp
+++ b/src/sim/keeper.hpp
@@ -24,11 +24,11 @@
     int die_at = 0; // 1: the next commit does not come about, 2: it does and nobody hears of it
     bool died = false;
 
-    void keep(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b, planner::Version stamp,
-              std::string body) override {
+    void put(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b, planner::Version stamp,
+             std::string body) override {
         gathered[{r, a, b}] = Row{stamp, std::move(body)};
     }
-    void drop(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b) override {
+    void erase(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b) override {
         gathered[{r, a, b}] = {};
     }
     bool commit(const planner::StorePosition &committed) override {
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -424,7 +424,7 @@
         drain_said[node] = on; // from here on it may be either, until it is durable
         planner_in([this, side] { core->connected(now, side); });
         if (!on)
-            undrained[node].insert(core->state().next());
+            undrained[node].insert(core->state().open_version());
         planner_in([this, side, node, on] {
             core->received(
                 now, side,
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -31,11 +31,11 @@
     void close(SessionId session) override { closed.push_back(session); }
     void log_event(std::string text) override { logged.push_back(std::move(text)); }
     void retired() override { is_retired = true; }
-    void keep(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
-              std::string body) override {
+    void put(Row row, std::uint64_t first_id, std::uint64_t second_id, Version stamp,
+             std::string body) override {
         rows[{row, first_id, second_id}] = {stamp, std::move(body)};
     }
-    void drop(Row row, std::uint64_t first_id, std::uint64_t second_id) override {
+    void erase(Row row, std::uint64_t first_id, std::uint64_t second_id) override {
         rows.erase({row, first_id, second_id});
     }
     bool commit(const StorePosition &position) override {
--- a/tests/planner/node_liveness_test.cpp
+++ b/tests/planner/node_liveness_test.cpp
@@ -27,7 +27,7 @@
         int asked = 0;
         for (Time t = 0; t < 10 * sec; t += 100 * ms) {
             CHECK(n.update(t, 3));
-            if (n.wants_reports(t))
+            if (n.should_request_reports(t))
                 ++asked, n.report(EdgeId{1}, true);
         }
         CHECK(asked == 10);
--- a/tests/planner/quota_manager_test.cpp
+++ b/tests/planner/quota_manager_test.cpp
@@ -83,10 +83,10 @@
                 EdgeId edge{id};
                 switch (*rc::gen::inRange(0, 7)) {
                 case 0:
-                    allocation.serve(v, edge, true);
+                    allocation.set_served(v, edge, true);
                     break;
                 case 1:
-                    allocation.serve(v, edge, false);
+                    allocation.set_served(v, edge, false);
                     break;
                 case 2: // an edge takes one of its letters; older ones are dropped
                 case 3:
--- a/tests/planner/sqlite_state_store_test.cpp
+++ b/tests/planner/sqlite_state_store_test.cpp
@@ -95,9 +95,9 @@
 }
 void change(SqliteStateStore &s, std::uint64_t version) {
     for (std::uint64_t i = 0; i < 40; ++i)
-        s.keep(StateStore::Row::quota_share, i, version % 7, Version{version},
-               std::string(200, static_cast<char>('a' + version % 26)));
-    s.drop(StateStore::Row::quota_share, version % 40, (version + 3) % 7);
+        s.put(StateStore::Row::quota_share, i, version % 7, Version{version},
+              std::string(200, static_cast<char>('a' + version % 26)));
+    s.erase(StateStore::Row::quota_share, version % 40, (version + 3) % 7);
 }
 std::string opened(const std::string &path) {
     try {
