--- a/src/planner/desired_state_change.cpp
+++ b/src/planner/desired_state_change.cpp
@@ -15,8 +15,8 @@
     return faults;
 }
 
-// A node may be omitted after it has drained for drain_time and every edge with a lease has
-// acknowledged the drain: no edge sends it requests then.
+// A node may be omitted after it has drained for drain_time and every connected edge with a lease
+// has acknowledged the drain: no edge sends it requests then.
 bool DesiredStateChange::may_omit(NodeId node) const {
     const auto &nodes = context_.state.cluster_state().nodes;
     auto it = nodes.find(node);
--- a/src/planner/quota_allocation.cpp
+++ b/src/planner/quota_allocation.cpp
@@ -102,8 +102,8 @@
     return count;
 }
 
-// Lowers the shares of those that have too much. Gives the even share of those that share now:
-// what others may still go by is not shared out.
+// Lowers shares that are too large. Returns the even share of the edges that share the limit now;
+// what other edges may still use is not available to them.
 std::uint32_t QuotaAllocation::shrink(Holdings &holdings, std::uint32_t sharers,
                                       Version version) const {
     auto reserved = unknown_bound_;
@@ -139,8 +139,8 @@
             continue;
         auto share =
             static_cast<std::uint32_t>(std::min<std::uint64_t>(even_share, holding.bound + free));
-        // In few steps: to the even share at once, or to twice what it has. Each step is an update
-        // to its edge.
+        // Shares grow in few steps, because each step is an update to its edge: to the even share
+        // at once, or at least to twice the current share.
         if (share <= holding.share || (share < even_share && share < 2 * holding.share))
             continue;
         if (share > holding.bound) {
@@ -185,7 +185,7 @@
                 ++entry;
                 continue;
             }
-            // Nothing held and nothing wanted.
+            // The edge may use nothing of this limit and does not serve the volume.
             keep(volume, edge, nullptr);
             forget(volume, edge);
             entry = holdings.erase(entry);
--- a/src/planner/quota_allocation.hpp
+++ b/src/planner/quota_allocation.hpp
@@ -71,7 +71,7 @@
     /// How many edges with a lease serve the volume.
     std::uint32_t sharers(VolumeId volume) const;
     bool is_lapsed(EdgeId edge) const { return lapsed_.contains(edge); }
-    const std::map<VolumeId, std::map<EdgeId, Holding>> &all() const { return volumes_; }
+    const std::map<VolumeId, std::map<EdgeId, Holding>> &holdings() const { return volumes_; }
 
 private:
     using Holdings = std::map<EdgeId, Holding>;
--- a/src/planner/quota_manager.cpp
+++ b/src/planner/quota_manager.cpp
@@ -15,8 +15,8 @@
 } // namespace
 
 void QuotaManager::start(Version version) {
-    // What edges were told before, they may still be about to go by: none has its lease renewed by
-    // this planner before it goes by all that the last one decided.
+    // Edges may still receive updates of the previous planner. This planner renews an edge's lease
+    // only after the edge has applied everything that the previous planner decided.
     min_version_of_all_ = version;
     for (const auto &[volume, holdings] : allocation_.holdings())
         for (const auto &[edge, holding] : holdings) {
@@ -50,7 +50,8 @@
     auto &view = session.edge_view;
     const bool same_term = renewal.term == context_.term;
     view.term = renewal.term;
-    // Versions of another store say nothing here, until the edge goes by one of ours.
+    // Versions of another lineage are meaningless here until the edge has applied one of this
+    // store.
     if (same_term)
         view.lineage = context_.lineage;
     if (view.lineage != context_.lineage)
@@ -61,7 +62,7 @@
     view.sent = std::max(view.sent, view.acknowledged);
     allocation_.acknowledged(session.edge, view.acknowledged);
 
-    // The lease goes on only once the edge goes by what lowered its shares while it was away.
+    // The lease is renewed only once the edge has applied every version that lowered its shares.
     const auto needed = min_version(session.edge);
     if (!same_term || renewal.version < needed || context_.retired)
         return;
@@ -85,8 +86,9 @@
         context_.transport.log_event("edge " + text(edge) +
                                      " has not renewed its lease: it keeps a quarter of its "
                                      "quota shares");
-        // Not before it goes by all that it was told until now, too: a share that was lowered and
-        // never reached it counts for a quarter from here on, and must not be whole again.
+        // The lease is renewed only after the edge has applied all versions so far: if a lowered
+        // share never reached it, the old share counts as a quarter from now on and must not become
+        // whole again.
         min_versions_[edge] =
             allocation_.lapsed(edge) ? context_.state.open_version() : context_.state.version();
     } else {
--- a/src/planner/versioned_state.cpp
+++ b/src/planner/versioned_state.cpp
@@ -8,22 +8,22 @@
 namespace knotvane::planner {
 namespace {
 
-// Past so many changes the oldest are forgotten, and who missed them gets the full state: a few
-// times what a cluster's bad hour brings, and a few megabytes.
+// Above this number of changes the oldest are discarded, and edges that missed them get the full
+// state. It is a few times the changes of a cluster's bad hour and takes a few megabytes.
 constexpr std::size_t max_changes = 1 << 16;
 
 } // namespace
 
 void VersionedState::stamp(const Key &key) {
     auto &changes = key.kind == Kind::quota_share ? per_edge_[EdgeId{key.edge}] : common_;
-    auto at = open_version();
+    auto version = open_version();
     if (auto it = changes.last.find(key); it != changes.last.end())
         changes.order.erase({it->second, key});
-    changes.last[key] = at;
-    changes.order.insert({at, key});
+    changes.last[key] = version;
+    changes.order.insert({version, key});
     changed_.insert(key);
     if (!has(key))
-        last_drop_ = at;
+        last_drop_ = version;
     if (changes.order.size() <= max_changes)
         return;
     auto first = changes.order.begin();
@@ -131,7 +131,7 @@
     return {};
 }
 
-// Each entry once, however often it changed.
+// Returns each entry once, however often it changed.
 std::vector<VersionedState::Key> VersionedState::changed_since(EdgeId edge, Version from) const {
     std::vector<Key> out;
     const std::pair first{Version{from.value + 1}, Key{Kind::plan, 0, 0}};
@@ -175,7 +175,7 @@
             return changed.size();
         }
     }
-    // The full state, also where that is shorter.
+    // Sends the full state, also if it is shorter than the changes.
     from = Version{0};
     return encode_all(edge, out);
 }
--- a/src/planner/versioned_state.hpp
+++ b/src/planner/versioned_state.hpp
@@ -68,8 +68,8 @@
     Version oldest_sendable_version() const { return std::max(oldest_, last_drop_); }
 
     /// Appends the messages that bring an edge from version `from` to the current one.
-    /// \param from  set to 0 if the full state is sent, because it was 0 or older than the changes
-    ///              that are remembered
+    /// \param from  set to 0 if the full state is sent: because it was 0, because the changes since
+    ///              it are not known, or because the full state is shorter
     /// \return the number of messages
     std::uint64_t append_update_since(EdgeId edge, Version &from, std::string &out) const;
 
--- a/tests/fuzz/run_plan_fixed.cpp
+++ b/tests/fuzz/run_plan_fixed.cpp
@@ -1,6 +1,6 @@
-// Runs the planner's fuzz target over a fixed, seeded set: real conversations with bytes changed,
-// cut and repeated, their checksums put right again half of the time so that what is inside is
-// read, too.
+// Runs the planner's fuzz target over a fixed, seeded set of inputs: valid conversations with bytes
+// changed, truncated and repeated. Half of the time the checksums are corrected afterwards, so that
+// the messages' contents are decoded as well.
 #include <cstdio>
 #include <cstring>
 #include <random>
@@ -35,7 +35,7 @@
     return hello;
 }
 
-// What an edge, a node, an operator and the planner say.
+// The messages that an edge, a node, an operator and the planner send.
 std::vector<std::string> conversations() {
     auto serving_hello = edge_hello();
     serving_hello.draining_nodes = {NodeId{1}};
@@ -81,8 +81,8 @@
             encode(SnapshotRelease{VolumeId{7}, first})};
 }
 
-// Makes the checksum of each whole message fit its bytes, so that what is inside is read.
-void mend_checksums(std::string &bytes) {
+// Corrects the checksum of each complete message, so that its content is decoded.
+void correct_checksums(std::string &bytes) {
     for (std::size_t at = 0; at + 8 <= bytes.size();) {
         std::uint32_t header[2]; // length and checksum
         std::memcpy(header, bytes.data() + at, sizeof header);
@@ -97,22 +97,22 @@
 } // namespace
 
 int main() {
-    std::vector<std::string> talks = conversations();
-    for (auto &talk : snapshot_conversations())
-        talks.push_back(std::move(talk));
-    std::ranlux24_base chance(1);
+    std::vector<std::string> all_conversations = conversations();
+    for (auto &conversation : snapshot_conversations())
+        all_conversations.push_back(std::move(conversation));
+    std::ranlux24_base random(1);
     int runs = 4000;
     for (int i = 0; i < runs; ++i) {
-        auto s = talks[chance() % talks.size()];
-        for (auto n = chance() % 6; n > 0; --n)
-            s[chance() % s.size()] = static_cast<char>(chance());
-        if (chance() % 2 == 0)
-            mend_checksums(s);
-        if (chance() % 4 == 0)
-            s.resize(1 + chance() % s.size());
-        if (chance() % 4 == 0)
-            s += s.substr(chance() % s.size());
-        s.insert(0, 1, static_cast<char>(chance()));
+        auto s = all_conversations[random() % all_conversations.size()];
+        for (auto n = random() % 6; n > 0; --n)
+            s[random() % s.size()] = static_cast<char>(random());
+        if (random() % 2 == 0)
+            correct_checksums(s);
+        if (random() % 4 == 0)
+            s.resize(1 + random() % s.size());
+        if (random() % 4 == 0)
+            s += s.substr(random() % s.size());
+        s.insert(0, 1, static_cast<char>(random()));
         LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(s.data()), s.size());
     }
     std::printf("%d passed, 0 failed\n", runs);
--- a/tests/planner/desired_state_test.cpp
+++ b/tests/planner/desired_state_test.cpp
@@ -1,4 +1,4 @@
-// Drains and settings: what they change, what is refused, what outlives the planner.
+// Drains and settings: their effects, rejections, and what survives a restart of the planner.
 #include <doctest/doctest.h>
 
 #include "helpers.hpp"
@@ -8,11 +8,11 @@
 using namespace knotvane::planner;
 
 TEST_SUITE("drains and settings") {
-    // An operator drains the only node of a shard, or the disk is full while a drain is committed:
-    // told before it is durable, it would be forgotten by the next planner.
-    TEST_CASE("a drain tells its effect, needs force where nothing else serves, and is durable "
-              "before it is "
-              "told") {
+    // An operator drains the only node of a shard, or the disk is full while a drain is committed.
+    // If the drain were announced before it is durable, the next planner would not know of it.
+    TEST_CASE("a drain request reports its effect, needs force if no other node serves the shard, "
+              "and is durable "
+              "before it is announced") {
         PlannerFixture p;
         p.hello(0, 1);
         p.renew(0, 1);
@@ -22,82 +22,85 @@
         CHECK_FALSE(p.edges[50].result.done);
         CHECK(p.edges[50].result.text.find("no other ready node holds its shard") !=
               std::string::npos);
-        p.recorded.durable = false;
+        p.recorded.commits_succeed = false;
         p.deliver(ms, 50, control::DrainRequest{NodeId{1}, true, control::DrainMode::force});
         p.core.settle(ms);
         p.read(50), p.read(1);
         CHECK_FALSE(p.edges[50].result.done);
         CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).state == NodeState::ready);
-        p.recorded.durable = true;
+        p.recorded.commits_succeed = true;
         p.core.settle(sec);
         p.read(50), p.read(1);
         CHECK(p.edges[50].result.done);
         CHECK(p.edges[1].replica.cluster_state().nodes.at(NodeId{1}).state == NodeState::draining);
     }
-    // The planner dies after a drain. A drain that ended with it would send work to a node that is
-    // about to be switched off.
-    TEST_CASE("a planner that restarts from its rows keeps the drain") {
+    // The planner dies after a drain. If the drain were lost, edges would send work to a node that
+    // is about to be switched off.
+    TEST_CASE("a planner restored from its stored rows keeps the drain") {
         PlannerFixture p;
         p.deliver(0, 50, control::DrainRequest{NodeId{1}, true, control::DrainMode::force});
         p.core.settle(0);
-        RecordingTransport after;
-        Core again(after, after, test_config());
+        RecordingTransport restarted_transport;
+        Core restarted(restarted_transport, restarted_transport, test_config());
         for (auto &[key, row] : p.recorded.rows) {
-            auto [kind, a, b] = key;
-            CHECK(again.restore(kind, a, b, row.first, row.second) == "");
+            auto [kind, first_id, second_id] = key;
+            CHECK(restarted.restore(kind, first_id, second_id, row.first, row.second) == "");
         }
-        again.start(0, {{Term{2}, 5, p.recorded.version, Version{0}, 1}, 12, false});
-        again.settle(0);
-        CHECK(again.state().cluster_state().nodes.at(NodeId{1}).state == NodeState::draining);
-        CHECK(again.state().cluster_state().volumes == p.core.state().cluster_state().volumes);
-        CHECK(again.version() == p.recorded.version);
+        restarted.start(0, {{Term{2}, 5, p.recorded.version, Version{0}, 1}, 12, false});
+        restarted.settle(0);
+        CHECK(restarted.state().cluster_state().nodes.at(NodeId{1}).state == NodeState::draining);
+        CHECK(restarted.state().cluster_state().volumes == p.core.state().cluster_state().volumes);
+        CHECK(restarted.version() == p.recorded.version);
     }
-    auto refusals = [](PlannerFixture &p, const DesiredState &w, Time now = 0) {
-        std::string all;
-        for (auto &[line, what] : p.core.apply_desired_state(now, w))
-            all += std::to_string(line) + ":" + what + ";";
-        return all;
+    auto rejections = [](PlannerFixture &p, const DesiredState &settings, Time now = 0) {
+        std::string faults;
+        for (auto &[line, what] : p.core.apply_desired_state(now, settings))
+            faults += std::to_string(line) + ":" + what + ";";
+        return faults;
     };
-    // A settings file leaves out a node that still serves: its requests would fail at once.
-    TEST_CASE("a node in use can't be left out before its drain was known for long enough") {
+    // A settings file omits a node that still serves: its requests would fail at once.
+    TEST_CASE(
+        "settings can't omit a node in use until edges have known of its drain for drain_time") {
         PlannerFixture p;
-        auto less = desired(2);
-        less.nodes.erase(NodeId{1});
-        CHECK(refusals(p, less).find("drain it first") != std::string::npos);
+        auto omitting = desired(2);
+        omitting.nodes.erase(NodeId{1});
+        CHECK(rejections(p, omitting).find("drain it first") != std::string::npos);
         CHECK(p.core.settings_version() == 1);
         auto draining = desired(2);
         draining.nodes.at(NodeId{1}).draining = true;
-        CHECK(refusals(p, draining) == "");
+        CHECK(rejections(p, draining) == "");
         p.core.settle(0);
-        less.version = 3;
-        CHECK(refusals(p, less, 999 * ms) != "");
-        CHECK(refusals(p, less, 1000 * ms) == "");
+        omitting.version = 3;
+        CHECK(rejections(p, omitting, 999 * ms) != "");
+        CHECK(rejections(p, omitting, 1000 * ms) == "");
         CHECK_FALSE(p.core.state().cluster_state().nodes.contains(NodeId{1}));
     }
-    // A settings file with one mistake among good changes. Half of it applied would be a state that
-    // nobody wrote.
-    TEST_CASE("an older version, a shard that changes, a volume that shrinks or has clients: "
-              "refused whole") {
+    // A settings file has mistakes among valid changes. Applying only the valid ones would give a
+    // state that nobody asked for.
+    TEST_CASE(
+        "settings with an older version, a changed shard, a smaller volume or an omitted volume "
+        "with clients are rejected as a whole") {
         PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
-        auto w = desired(3);
-        w.nodes.at(NodeId{1}).shard = ShardId{5};
-        w.volumes.at(VolumeId{7}).volume.size = 512;
-        w.plans.at("p").weight = 9;
-        auto all = refusals(p, w);
-        CHECK(all.find("20:node 1 holds shard 0") != std::string::npos);
-        CHECK(all.find("12:volume v would shrink") != std::string::npos);
+        auto settings = desired(3);
+        settings.nodes.at(NodeId{1}).shard = ShardId{5};
+        settings.volumes.at(VolumeId{7}).volume.size = 512;
+        settings.plans.at("p").weight = 9;
+        auto faults = rejections(p, settings);
+        CHECK(faults.find("20:node 1 holds shard 0") != std::string::npos);
+        CHECK(faults.find("12:volume v would shrink") != std::string::npos);
         CHECK(p.core.state().cluster_state().plans.begin()->second.weight == 1);
-        w = desired(3);
-        w.volumes[VolumeId{8}] = desired_volume("w", 512, 0);
-        w.volumes.erase(VolumeId{7});
-        CHECK(refusals(p, w).find("has clients at 1 edges") != std::string::npos);
-        CHECK(refusals(p, desired(3)) == "");
-        CHECK(refusals(p, desired(2)).find("older than the one in use, 3") != std::string::npos);
+        settings = desired(3);
+        settings.volumes[VolumeId{8}] = desired_volume("w", 512, 0);
+        settings.volumes.erase(VolumeId{7});
+        CHECK(rejections(p, settings).find("has clients at 1 edges") != std::string::npos);
+        CHECK(rejections(p, desired(3)) == "");
+        CHECK(rejections(p, desired(2)).find("older than the one in use, 3") != std::string::npos);
     }
-    // The file is read while it is being written, or was cut short by a full disk.
-    TEST_CASE("the fleet's file is read as it was written; cut short anywhere it is refused, with "
-              "a line") {
+    // The file is read while it is being written, or was truncated by a full disk.
+    TEST_CASE(
+        "a written fleet file reads back unchanged; truncated at any byte it is rejected with "
+        "a fault") {
         auto text = write_fleet(desired());
         std::vector<std::string> faults;
         auto back = read_fleet("f", text, faults);
--- a/tests/planner/helpers.hpp
+++ b/tests/planner/helpers.hpp
@@ -1,6 +1,5 @@
 /// \file
-/// What the planner's tests share: a transport and a store that record, and the far ends of
-/// sessions.
+/// Shared by the planner's tests: a recording transport and store, fake peers and a fixture.
 #pragma once
 
 #include <map>
@@ -22,7 +21,7 @@
     std::vector<SessionId> closed;
     std::vector<std::string> logged;
     bool is_retired = false;
-    bool durable = true; // whether commits succeed
+    bool commits_succeed = true;
     int commits = 0;
     std::map<std::tuple<Row, std::uint64_t, std::uint64_t>, std::pair<Version, std::string>> rows;
     Version version;
@@ -39,10 +38,10 @@
         rows.erase({row, first_id, second_id});
     }
     bool commit(const StorePosition &position) override {
-        commits += durable;
-        if (durable)
+        commits += commits_succeed;
+        if (commits_succeed)
             version = position.version;
-        return durable;
+        return commits_succeed;
     }
 };
 
@@ -66,12 +65,12 @@
     return out;
 }
 
-/// What an edge makes of what it is sent; an operator's answers, too.
+/// An edge that applies the updates it receives; also receives the replies to an operator.
 struct FakeEdge final : control::MessageHandler {
     control::MessageDecoder decoder;
     control::ClusterStateReplica replica;
     control::UpdateResult last = control::UpdateResult::outdated;
-    std::vector<Version> renewals; // the versions that they were for
+    std::vector<Version> renewals; // the min_version of each
     std::string status;
     control::OperationResult result;
 
@@ -93,7 +92,7 @@
     void handle_unexpected(std::string_view) override {}
 };
 
-/// Of an edge that follows a planner of this term and instance, with lineage 5.
+/// The hello of an edge that follows a planner with this term and instance and with lineage 5.
 inline control::EdgeHello edge_hello(std::uint64_t edge, Term term, std::uint64_t instance,
                                      Version version = {}) {
     control::EdgeHello hello;
@@ -124,7 +123,7 @@
     RecordingTransport recorded;
     Core core{recorded, recorded, test_config()};
     std::map<std::uint64_t, FakeEdge> edges;
-    std::set<std::uint64_t> seen; // sessions
+    std::set<std::uint64_t> connected_sessions;
 
     explicit PlannerFixture(Term term = Term{1}, bool rebuilt = false) {
         core.start(0, {{term, 5, Version{0}, Version{0}, 0}, 11, rebuilt});
@@ -146,7 +145,7 @@
         deliver(now, node_session(id, incarnation), hello);
     }
     void deliver(Time now, std::uint64_t session, const std::string &bytes) {
-        if (seen.insert(session).second)
+        if (connected_sessions.insert(session).second)
             core.connected(now, SessionId{session});
         core.received(now, SessionId{session}, bytes);
     }
@@ -155,7 +154,7 @@
                  const Message &message) requires(!std::is_convertible_v<Message, std::string>) {
         deliver(now, session, control::encode(message));
     }
-    // An edge comes, with what it holds; its session has its own number.
+    // Connects an edge with the state that it holds; its session id is its edge id.
     void hello(Time now, std::uint64_t edge, std::vector<VolumeId> serving = {}) {
         const auto &replica = edges[edge].replica;
         auto hello = edge_hello(edge, replica.term(), replica.instance(), replica.version());
@@ -171,12 +170,12 @@
         core.settle(now);
         read(edge);
     }
-    // The edge, or operator, takes what it was sent.
+    // Delivers to the edge or operator everything that was sent to it.
     void read(std::uint64_t session) {
         auto bytes = std::exchange(recorded.sent[SessionId{session}], {});
         edges[session].decoder.decode(bytes, edges[session]);
     }
-    // The edge's millionths of volume 7.
+    // The edge's share of volume 7 in millionths.
     std::uint32_t share(std::uint64_t edge) {
         const auto &shares = edges[edge].replica.cluster_state().quota_shares;
         return shares.contains(VolumeId{7}) ? shares.at(VolumeId{7}).millionths : 0;
--- a/tests/planner/quota_manager_test.cpp
+++ b/tests/planner/quota_manager_test.cpp
@@ -1,4 +1,4 @@
-// Quota shares over edges that join, leave, fall silent and come back.
+// Quota shares of edges that join, leave, fall silent and return.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -8,9 +8,10 @@
 using namespace knotvane::planner;
 
 TEST_SUITE("quota shares") {
-    // A second client of a volume comes by another edge. Given a share before the first edge goes
-    // by less, both together would use more than the tenant's limit.
-    TEST_CASE("a share shrinks first; another grows once the first edge has acknowledged that") {
+    // A second client of a volume connects through another edge. If that edge got a share before
+    // the first edge has applied its reduced one, both together would exceed the tenant's limit.
+    TEST_CASE(
+        "a share shrinks first; another grows once the first edge has acknowledged the reduction") {
         PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
@@ -20,17 +21,18 @@
         CHECK(p.core.allocation().bound(VolumeId{7}) == 1000000);
         p.read(1);
         CHECK(p.share(1) == 500000);
-        p.renew(2 * ms, 1); // says that it goes by less
+        p.renew(2 * ms, 1); // acknowledges the reduced share
         p.renew(3 * ms, 2);
         CHECK(p.share(2) == 500000);
     }
-    // An edge loses its planner and goes on serving. The planner may give to others only what that
-    // edge no longer uses by its own clock.
-    TEST_CASE("a silent edge keeps a quarter past its lease, and nothing past the fade") {
+    // An edge loses its connection to the planner and continues to serve. The planner may grant to
+    // others only what that edge no longer uses by its own clock.
+    TEST_CASE("a silent edge keeps a quarter of its share after its lease and nothing after the "
+              "fade time") {
         PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
-        p.hello(0, 2, {VolumeId{7}}); // the first never says that it heard of this
+        p.hello(0, 2, {VolumeId{7}}); // edge 1 never acknowledges this update
         p.renew(0, 2);
         p.renew(1100 * ms, 2);
         CHECK(p.share(2) == 0);
@@ -44,15 +46,16 @@
             p.renew(t, 2);
         CHECK(p.share(2) == 1000000);
     }
-    // An edge stood still past its lease; the update that lowered its share lies unread in its
-    // socket. A lease renewed now would let it use the old share whole.
-    TEST_CASE("a lapsed edge's lease is renewed only once it holds what lowered its share") {
+    // An edge was stalled beyond its lease, and the update that lowered its share is unread in its
+    // socket. If its lease were renewed now, it could use the whole of its old share.
+    TEST_CASE("a lapsed edge's lease is renewed only after it has applied the update that lowered "
+              "its share") {
         PlannerFixture p;
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
         p.renew(0, 1);
         auto before = p.edges[1].renewals.size();
-        p.core.settle(1200 * ms); // lapsed; the news of it is sent, and lies unread
+        p.core.settle(1200 * ms); // the lease has lapsed; the update is sent but not read
         p.deliver(1300 * ms, 1,
                   control::LeaseRenewal{1300 * ms, Term{1}, p.edges[1].replica.version()});
         p.core.settle(1300 * ms);
@@ -61,10 +64,10 @@
         p.renew(1301 * ms, 1);
         CHECK(p.edges[1].renewals.size() == before + 1);
     }
-    // Edges hold what they were last delivered, in any order, some of it never; and they fade on
-    // their own.
-    TEST_CASE(
-        "in any order of joins, leaves, updates and lapses no more is held than the whole limit") {
+    // Edges use the newest share delivered to them. Updates arrive in any order or never, and each
+    // edge fades by its own clock.
+    TEST_CASE("edges never use more than the whole limit in any order of joins, leaves, updates "
+              "and lapses") {
         CHECK(rc::check([] {
             QuotaAllocation allocation;
             std::uint64_t version = 0;
@@ -72,11 +75,11 @@
             struct Edge {
                 std::uint32_t part = 0;
                 Version at, least;
-                int stage = 0; // 0 held, 1 a piece, 2 none
+                int stage = 0; // 0: lease held, 1: lapsed, 2: forgotten
             };
             std::map<std::uint64_t, Edge> edges;
             std::map<std::uint64_t, std::vector<std::pair<Version, std::uint32_t>>>
-                mail; // never lost, any order
+                updates_in_transit; // delivered in any order, or never
             for (int i = 0, n = *rc::gen::inRange(1, 120); i < n; ++i) {
                 auto id = *rc::gen::inRange<std::uint64_t>(0, 4);
                 auto &e = edges[id];
@@ -88,16 +91,16 @@
                 case 1:
                     allocation.set_served(v, edge, false);
                     break;
-                case 2: // an edge takes one of its letters; older ones are dropped
+                case 2: // an edge receives one of its updates; it ignores older versions
                 case 3:
-                    if (!mail[id].empty()) {
-                        auto at = *rc::gen::inRange<std::size_t>(0, mail[id].size());
-                        auto [ver, part] = mail[id][at];
+                    if (!updates_in_transit[id].empty()) {
+                        auto at = *rc::gen::inRange<std::size_t>(0, updates_in_transit[id].size());
+                        auto [ver, part] = updates_in_transit[id][at];
                         if (ver > e.at)
                             e.at = ver, e.part = part;
                     }
                     break;
-                case 4: // its word comes in, perhaps an old one
+                case 4: // its acknowledgement and renewal arrive
                     allocation.acknowledged(edge, e.at);
                     if (e.at >= e.least && e.stage < 2)
                         e.stage = 0, allocation.renewed(edge);
@@ -109,9 +112,9 @@
                     }
                     break;
                 case 6:
-                    // It has faded out, or comes back with nothing.
+                    // Its fade time has ended, and it returns without any share.
                     if (e.stage == 1)
-                        allocation.forgotten(edge), mail[id].clear(),
+                        allocation.forgotten(edge), updates_in_transit[id].clear(),
                             e = {0, Version{version}, {}, 0};
                     break;
                 }
@@ -119,7 +122,8 @@
                 allocation.allocate(
                     Version{version},
                     [&](VolumeId, EdgeId to, const control::QuotaShare &part) {
-                        mail[to.value].emplace_back(Version{version}, part.millionths);
+                        updates_in_transit[to.value].emplace_back(Version{version},
+                                                                  part.millionths);
                     },
                     [](VolumeId, EdgeId, const QuotaAllocation::Holding *) {});
                 std::uint64_t sum = 0;
@@ -130,8 +134,9 @@
             }
         }));
     }
-    // The store is lost and made anew. Edges may still use shares that nobody remembers.
-    TEST_CASE("a rebuilt store gives out nothing until what the lost one gave must have run out") {
+    // The store is lost and rebuilt. Edges may still use shares that it has no record of.
+    TEST_CASE("a rebuilt planner grants no shares until those granted from the lost store must "
+              "have expired") {
         PlannerFixture p(Term{1}, true);
         p.hello(0, 1, {VolumeId{7}});
         p.renew(0, 1);
--- a/tests/planner/snapshot_operations_test.cpp
+++ b/tests/planner/snapshot_operations_test.cpp
@@ -46,7 +46,7 @@
     // Exchanges messages between the planner and the nodes until no more are sent.
     void exchange_messages(Time now) {
         for (std::uint64_t node : {1, 2})
-            if (seen.contains(100 + node + 1000))
+            if (connected_sessions.contains(100 + node + 1000))
                 deliver(now, 100 + node + 1000, control::NodeRenewal{});
         for (int round = 0; round < 12; ++round) {
             core.settle(now);
@@ -173,10 +173,10 @@
         SnapshotFixture fixture;
         fixture.request(sec, SnapshotOperation::take, "v", "a");
         auto orders_before = fixture.nodes[1].received.size();
-        fixture.recorded.durable = false;
+        fixture.recorded.commits_succeed = false;
         fixture.request(sec, SnapshotOperation::drop, "v@a");
         CHECK(fixture.nodes[1].received.size() == orders_before);
-        fixture.recorded.durable = true;
+        fixture.recorded.commits_succeed = true;
         fixture.exchange_messages(sec + 600 * ms);
         CHECK(fixture.nodes[1].received.size() == orders_before + 1);
     }
--- a/tests/planner/sqlite_state_store_test.cpp
+++ b/tests/planner/sqlite_state_store_test.cpp
@@ -1,4 +1,4 @@
-// The planner's store: killed at every write, cut at every byte, a row changed, two at once.
+// The planner's store: killed at every write, truncated at any byte, damaged, or opened twice.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -17,12 +17,14 @@
 
 namespace {
 
-// SQLite's own file layer, but writing stops for good at a chosen call, halfway through it: what a
-// kill or a full disk leaves. Every change of a file counts: writes, cuts, syncs and removals.
-struct Cutting {
+// An SQLite VFS in which every file change fails from a chosen call on, and every other failed
+// write stores half of its bytes, as after a kill or on a full disk. Writes, truncations, syncs and
+// deletions count as calls.
+struct FailingVfs {
     static inline sqlite3_vfs *real = nullptr;
     static inline int left = -1, calls = 0;
-    // SQLite's methods for a file (a journal's are not a database's), and ours over each kind.
+    // SQLite's original methods of each open file, and the replacement for each set of methods (a
+    // journal has other methods than a database).
     static inline std::map<sqlite3_file *, const sqlite3_io_methods *> of;
     static inline std::map<const sqlite3_io_methods *, sqlite3_io_methods> ours;
     static inline sqlite3_vfs vfs;
@@ -55,7 +57,7 @@
         of[f] = f->pMethods;
         auto &mine = ours[f->pMethods];
         mine = *f->pMethods;
-        mine.iVersion = 1; // no mapped memory past these calls
+        mine.iVersion = 1; // disables memory mapping, which would bypass these methods
         mine.xWrite = write, mine.xTruncate = truncate, mine.xSync = sync;
         f->pMethods = &mine;
         return got;
@@ -64,10 +66,10 @@
         if (!real) {
             real = sqlite3_vfs_find(nullptr);
             vfs = *real;
-            vfs.zName = "cutting", vfs.xOpen = open, vfs.xDelete = remove;
+            vfs.zName = "failing", vfs.xOpen = open, vfs.xDelete = remove;
             sqlite3_vfs_register(&vfs, 0);
         }
-        return "cutting";
+        return "failing";
     }
 };
 
@@ -111,14 +113,14 @@
 } // namespace
 
 TEST_SUITE("the planner's store") {
-    TEST_CASE("killed at every write it makes: what was committed is there, and nothing of what "
-              "was not") {
+    TEST_CASE(
+        "after a kill at any write the store holds all committed rows and no uncommitted ones") {
         Folder folder;
-        int tried = 0, kept = 0;
+        int attempts = 0, unchanged = 0;
         for (int at = 0;; ++at) {
             auto path = folder.file("s" + std::to_string(at));
             std::string before, after;
-            bool well = true;
+            bool committed = true;
             {
                 SqliteStateStore s(path);
                 change(s, 1);
@@ -126,31 +128,31 @@
                 before = all_rows(s);
             }
             {
-                Cutting::left = -1;
-                SqliteStateStore s(path, Cutting::name());
-                Cutting::left = at, Cutting::calls = 0;
+                FailingVfs::left = -1;
+                SqliteStateStore s(path, FailingVfs::name());
+                FailingVfs::left = at, FailingVfs::calls = 0;
                 change(s, 2);
-                well = s.commit({Term{1}, 5, Version{2}, Version{0}, 1});
-                if (well)
+                committed = s.commit({Term{1}, 5, Version{2}, Version{0}, 1});
+                if (committed)
                     after = all_rows(s);
-                // What would still be written when the process ends is not.
-                Cutting::left = 0;
+                // Also fails the writes that closing the store would make.
+                FailingVfs::left = 0;
             }
-            Cutting::left = -1;
+            FailingVfs::left = -1;
             auto now = opened(path);
-            if (well)
+            if (committed)
                 CHECK(now == after);
             else
                 CHECK((now == before || now.starts_with("1/2:")));
-            kept += now == before, ++tried;
-            if (well)
+            unchanged += now == before, ++attempts;
+            if (committed)
                 break;
         }
-        CHECK(tried > 10);
-        CHECK(kept > 3);
+        CHECK(attempts > 10);
+        CHECK(unchanged > 3);
     }
-    TEST_CASE(
-        "cut short at any byte, or with a byte changed: refused in one line, never half read") {
+    TEST_CASE("a truncated store is rejected in one line; one with a changed byte is rejected or "
+              "read correctly") {
         Folder folder;
         auto path = folder.file("s");
         {
@@ -179,15 +181,14 @@
             auto other = bytes;
             other[at] = static_cast<char>(other[at] ^ 0x41);
             auto got = with(other);
-            // Bytes that nothing is kept in may change; what is read is what was written, or
-            // nothing.
+            // A change in an unused byte may go unnoticed; otherwise the store must be rejected.
             CHECK((got == good || got.starts_with("! ")));
             (got == good ? same : changed)++;
         }
         CHECK(changed > 10);
         CHECK(with("").starts_with("0/0:"));
     }
-    TEST_CASE("one planner has it at a time; when it is gone the next one may") {
+    TEST_CASE("only one planner can open the store at a time; the next one can once it is closed") {
         Folder folder;
         auto path = folder.file("s");
         {
