--- a/src/cli/days.cpp
+++ b/src/cli/days.cpp
@@ -98,7 +98,7 @@
 
 int play(const std::string &path, const std::string &record, const std::string &policy) {
     std::string fault;
-    auto text = settings::File::slurp(path, fault);
+    auto text = settings::File::read_text(path, fault);
     return play_text(path, text, fault, record, policy, nullptr);
 }
 
--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -104,7 +104,7 @@
         code = 0;
         for (auto &path : *files) {
             std::string fault;
-            auto text = settings::File::slurp(path, fault);
+            auto text = settings::File::read_text(path, fault);
             std::vector<std::string> faults;
             if (!fault.empty()) {
                 faults.push_back(fault);
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -104,7 +104,7 @@
         return exit_usage;
     }
     std::string read_error;
-    auto text = settings::File::slurp(options.config_path, read_error);
+    auto text = settings::File::read_text(options.config_path, read_error);
     if (!read_error.empty()) {
         std::fprintf(stderr, "%s\n", read_error.c_str());
         return exit_usage;
--- a/src/cli/run_program.hpp
+++ b/src/cli/run_program.hpp
@@ -35,7 +35,7 @@
         return app.exit(e) == 0 ? 0 : 2;
     }
     std::string fault;
-    auto text = settings::File::slurp(config, fault);
+    auto text = settings::File::read_text(config, fault);
     settings::File first(config, text), again(config, text);
     if (fault.empty())
         check(first);
--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -98,7 +98,7 @@
     core_->follow_cluster_state(planner_client_->replica().cluster_state());
     std::string fault;
     planner_client_->start(loop::now(),
-                           plan_path_.empty() ? "" : settings::File::slurp(plan_path_, fault));
+                           plan_path_.empty() ? "" : settings::File::read_text(plan_path_, fault));
 }
 
 void Server::volume_used(VolumeId volume, bool used) {
@@ -161,7 +161,7 @@
 
 void Server::load_endpoint_file() {
     std::string fault;
-    auto text = settings::File::slurp(endpoint_path_, fault);
+    auto text = settings::File::read_text(endpoint_path_, fault);
     std::vector<std::string> faults;
     EndpointList list;
     if (fault.empty())
--- a/src/http_gateway/server.cpp
+++ b/src/http_gateway/server.cpp
@@ -102,7 +102,7 @@
 
 void Server::reload() {
     std::string error;
-    auto text = settings::File::slurp(config_path_, error);
+    auto text = settings::File::read_text(config_path_, error);
     try {
         if (!error.empty())
             throw scheduler_setup::MalformedInput(error);
--- a/src/planner/server.cpp
+++ b/src/planner/server.cpp
@@ -112,7 +112,7 @@
 
 std::vector<std::string> Server::apply_fleet_file(std::string &text) {
     std::string fault;
-    text = settings::File::slurp(fleet_path_, fault);
+    text = settings::File::read_text(fleet_path_, fault);
     if (!fault.empty())
         return {fault};
     if (text == fleet_text_)
--- a/src/settings/ini.cpp
+++ b/src/settings/ini.cpp
@@ -12,12 +12,13 @@
 namespace knotvane::settings {
 namespace {
 
-// The library cuts longer lines without a word, so they are refused before it sees them.
-constexpr std::size_t longest_line = 190;
+// The INI library truncates longer lines without an error, so they are rejected before it gets
+// them.
+constexpr std::size_t max_line_length = 190;
 
-// What the library's callbacks work on: it reads line by line and calls back for each pair of the
-// line just read.
-struct Lines {
+// State of the library's callbacks. The library reads the text line by line and reports each pair
+// of key and value right after reading its line.
+struct ParserState {
     std::string_view rest;
     int line = 0;
     std::vector<std::tuple<int, std::string, std::string, std::string>> pairs;
@@ -25,16 +26,16 @@
 };
 
 char *next_line(char *to, int room, void *from) {
-    auto &lines = *static_cast<Lines *>(from);
-    if (lines.rest.empty())
+    auto &state = *static_cast<ParserState *>(from);
+    if (state.rest.empty())
         return nullptr;
-    ++lines.line;
-    auto n = std::min(lines.rest.find('\n'), lines.rest.size() - 1) + 1;
-    std::string_view line = lines.rest.substr(0, n);
-    lines.rest.remove_prefix(n);
-    auto most = std::min<std::size_t>(static_cast<std::size_t>(room) - 1, longest_line);
+    ++state.line;
+    auto n = std::min(state.rest.find('\n'), state.rest.size() - 1) + 1;
+    std::string_view line = state.rest.substr(0, n);
+    state.rest.remove_prefix(n);
+    auto most = std::min<std::size_t>(static_cast<std::size_t>(room) - 1, max_line_length);
     if (line.size() > most) {
-        lines.long_lines.push_back(lines.line);
+        state.long_lines.push_back(state.line);
         line = "\n";
     }
     std::memcpy(to, line.data(), line.size());
@@ -42,9 +43,9 @@
     return to;
 }
 
-int take_pair(void *to, const char *section, const char *key, const char *value) {
-    auto &lines = *static_cast<Lines *>(to);
-    lines.pairs.emplace_back(lines.line, section, key ? key : "", value ? value : "");
+int record_pair(void *to, const char *section, const char *key, const char *value) {
+    auto &state = *static_cast<ParserState *>(to);
+    state.pairs.emplace_back(state.line, section, key ? key : "", value ? value : "");
     return 1;
 }
 
@@ -59,23 +60,23 @@
 
 } // namespace
 
-std::string File::slurp(const std::string &path, std::string &fault) {
+std::string File::read_text(const std::string &path, std::string &fault) {
     std::ifstream in(path, std::ios::binary);
     std::ostringstream all;
     if (!in || !(all << in.rdbuf()))
-        fault = path + ": can't be read: " + (errno ? std::strerror(errno) : "it is empty");
+        fault = path + ": cannot be read: " + (errno ? std::strerror(errno) : "it is empty");
     return all.str();
 }
 
 File::File(std::string name, const std::string &text) : name_(std::move(name)) {
-    Lines lines{text, 0, {}, {}};
-    int bad = ini_parse_stream(next_line, &lines, take_pair, &lines);
-    for (int l : lines.long_lines)
-        fault(l, "the line is longer than " + std::to_string(longest_line) + " characters");
+    ParserState state{text, 0, {}, {}};
+    int bad = ini_parse_stream(next_line, &state, record_pair, &state);
+    for (int line : state.long_lines)
+        fault(line, "the line is longer than " + std::to_string(max_line_length) + " characters");
     if (bad > 0)
-        fault(bad, "neither a section, a key with a value, nor a comment");
-    // Sections without a pair are not told by the library's callback, and one that is told twice is
-    // a fault.
+        fault(bad, "expected a section header, a key with a value, or a comment");
+    // The library does not report sections without keys, nor that a section occurs twice, so the
+    // section headers are parsed here.
     std::istringstream all(text);
     std::string raw;
     std::map<std::string, Section *> named;
@@ -96,10 +97,11 @@
         named[whole] = s.get();
         sections_.push_back(std::move(s));
     }
-    for (auto &[line, section, key, value] : lines.pairs) {
+    for (auto &[line, section, key, value] : state.pairs) {
         auto it = named.find(section);
         if (it == named.end()) {
-            fault(line, "key '" + key + "' stands before any section");
+            fault(line,
+                  "key '" + key + "' is not in a section; expected a section header before it");
             continue;
         }
         auto [place, is_new] = it->second->values_.try_emplace(key, Section::Value{value, line});
@@ -113,12 +115,12 @@
     faults_.emplace(line, name_ + ":" + std::to_string(line) + ": " + what);
 }
 
-Section &File::one(const std::string &kind, bool needed) {
-    kinds_asked_[kind] = true;
+Section &File::one(const std::string &kind, bool required) {
+    requested_kinds_[kind] = true;
     for (auto &s : sections_)
         if (s->kind_ == kind && s->name_.empty())
             return *s;
-    if (needed)
+    if (required)
         fault(0, "section [" + kind + "] is missing");
     auto s = std::make_unique<Section>();
     s->file_ = this, s->kind_ = kind;
@@ -127,7 +129,7 @@
 }
 
 std::vector<Section *> File::all(const std::string &kind) {
-    kinds_asked_[kind] = true;
+    requested_kinds_[kind] = true;
     std::vector<Section *> out;
     for (auto &s : sections_)
         if (s->kind_ == kind && (s->line_ > 0))
@@ -136,19 +138,19 @@
 }
 
 std::vector<std::string> File::faults() {
-    if (!closed_) {
-        closed_ = true;
+    if (!unknown_reported_) {
+        unknown_reported_ = true;
         for (auto &s : sections_) {
-            if (!kinds_asked_.contains(s->kind_)) {
+            if (!requested_kinds_.contains(s->kind_)) {
                 std::string known;
-                for (auto &[k, _] : kinds_asked_)
+                for (auto &[k, _] : requested_kinds_)
                     known += (known.empty() ? "[" : ", [") + k + "]";
                 fault(s->line_,
                       "section [" + s->kind_ + "] is not known; expected one of " + known);
                 continue;
             }
             for (auto &[key, v] : s->values_)
-                if (!v.asked)
+                if (!v.is_requested)
                     fault(v.line, "key '" + key + "' is not known in [" + s->kind_ + "]");
         }
     }
@@ -158,15 +160,15 @@
     return out;
 }
 
-const std::string *Section::find(const std::string &key, bool needed) {
+const std::string *Section::find(const std::string &key, bool required) {
     auto it = values_.find(key);
     if (it == values_.end()) {
-        if (needed)
+        if (required)
             file_->fault(line_, "[" + kind_ + (name_.empty() ? "" : " " + name_) +
                                     "] needs the key '" + key + "'");
         return nullptr;
     }
-    it->second.asked = true;
+    it->second.is_requested = true;
     return &it->second.text;
 }
 
@@ -183,15 +185,15 @@
         fault(key, "the value is empty");
     return v ? *v : "";
 }
-std::string Section::text(const std::string &key, const std::string &otherwise) {
+std::string Section::text(const std::string &key, const std::string &default_value) {
     auto *v = find(key, false);
-    return v ? *v : otherwise;
+    return v ? *v : default_value;
 }
 
-Time Section::time(const std::string &key, Time otherwise) {
+Time Section::time(const std::string &key, Time default_value) {
     auto *v = find(key, false);
     if (!v)
-        return otherwise;
+        return default_value;
     double n = 0;
     std::string unit;
     if (split_unit(*v, n, unit) && n >= 0 && n < 1e9) {
@@ -205,17 +207,17 @@
             return static_cast<Time>(n);
     }
     fault(key, "expected a time like 250ms or 4s (ns, us, ms, s)");
-    return otherwise;
+    return default_value;
 }
 Time Section::time(const std::string &key) {
     find(key, true);
     return time(key, 0);
 }
 
-std::uint64_t Section::bytes(const std::string &key, std::uint64_t otherwise) {
+std::uint64_t Section::bytes(const std::string &key, std::uint64_t default_value) {
     auto *v = find(key, false);
     if (!v)
-        return otherwise;
+        return default_value;
     double n = 0;
     std::string unit;
     if (split_unit(*v, n, unit) && n >= 0) {
@@ -230,53 +232,53 @@
             return static_cast<std::uint64_t>(n * by);
     }
     fault(key, "expected a size like 512, 64KiB or 4MiB (B, KiB, MiB, GiB, TiB)");
-    return otherwise;
+    return default_value;
 }
 std::uint64_t Section::bytes(const std::string &key) {
     find(key, true);
     return bytes(key, 0);
 }
 
-std::uint64_t Section::count(const std::string &key, std::uint64_t least, std::uint64_t most,
-                             std::uint64_t otherwise) {
+std::uint64_t Section::count(const std::string &key, std::uint64_t min, std::uint64_t max,
+                             std::uint64_t default_value) {
     auto *v = find(key, false);
     if (!v)
-        return otherwise;
+        return default_value;
     std::uint64_t n = 0;
     auto [end, bad] = std::from_chars(v->data(), v->data() + v->size(), n);
-    if (bad == std::errc{} && end == v->data() + v->size() && n >= least && n <= most)
+    if (bad == std::errc{} && end == v->data() + v->size() && n >= min && n <= max)
         return n;
     fault(key,
-          "expected a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-    return otherwise;
+          "expected a whole number from " + std::to_string(min) + " to " + std::to_string(max));
+    return default_value;
 }
-std::uint64_t Section::count(const std::string &key, std::uint64_t least, std::uint64_t most) {
+std::uint64_t Section::count(const std::string &key, std::uint64_t min, std::uint64_t max) {
     find(key, true);
-    return count(key, least, most, least);
+    return count(key, min, max, min);
 }
 
-double Section::number(const std::string &key, double least, double most, double otherwise) {
+double Section::number(const std::string &key, double min, double max, double default_value) {
     auto *v = find(key, false);
     if (!v)
-        return otherwise;
+        return default_value;
     double n = 0;
     std::string rest;
-    if (split_unit(*v, n, rest) && rest.empty() && n >= least && n <= most)
+    if (split_unit(*v, n, rest) && rest.empty() && n >= min && n <= max)
         return n;
     std::ostringstream range;
-    range << "expected a number from " << least << " to " << most;
+    range << "expected a number from " << min << " to " << max;
     fault(key, range.str());
-    return otherwise;
+    return default_value;
 }
-double Section::number(const std::string &key, double least, double most) {
+double Section::number(const std::string &key, double min, double max) {
     find(key, true);
-    return number(key, least, most, least);
+    return number(key, min, max, min);
 }
 
-bool Section::flag(const std::string &key, bool otherwise) {
+bool Section::flag(const std::string &key, bool default_value) {
     auto *v = find(key, false);
     if (!v)
-        return otherwise;
+        return default_value;
     if (*v == "yes")
         return true;
     if (*v != "no")
@@ -285,10 +287,10 @@
 }
 
 std::size_t Section::choice(const std::string &key, std::initializer_list<std::string_view> words,
-                            std::size_t otherwise) {
+                            std::size_t default_value) {
     auto *v = find(key, false);
     if (!v)
-        return otherwise;
+        return default_value;
     std::string all;
     std::size_t i = 0;
     for (auto w : words) {
@@ -297,7 +299,7 @@
         all += (i++ > 0 ? ", " : "") + std::string(w);
     }
     fault(key, "expected one of " + all);
-    return otherwise;
+    return default_value;
 }
 
 } // namespace knotvane::settings
--- a/src/settings/ini.hpp
+++ b/src/settings/ini.hpp
@@ -1,5 +1,6 @@
-// Settings files: INI, read by a library, every fault of a file gathered with its line. A reader
-// asks for each key by kind and name; what nobody asked for is a fault too.
+/// \file
+/// Settings files in INI format. All errors of a file are collected with their line numbers, and
+/// sections and keys that the program never is_requested for are reported as errors too.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 class File;
 
-// One section: `[kind]` or `[kind name]`.
+/// One section, `[kind]` or `[kind name]`. Owned by its File.
 class Section {
 public:
     const std::string &kind() const { return kind_; }
@@ -24,26 +25,28 @@
     int line() const { return line_; }
     bool has(const std::string &key) const { return values_.contains(key); }
 
-    // Each takes a default; without one the key must be there. A value that can't be read is a
-    // fault, and the default (or zero) is given back.
+    // Each of the following functions reads the value of a key. Overloads without a default value
+    // require the key. An invalid value is added to the file's errors, and the default value is
+    // returned (without one, the minimum, zero or an empty text). An invalid flag counts as no.
+
     std::string text(const std::string &key);
-    std::string text(const std::string &key, const std::string &otherwise);
-    // "250ms", "4s", "10us", "7ns"; whole nanoseconds.
+    std::string text(const std::string &key, const std::string &default_value);
+    /// Reads a time like "250ms", "4s", "10us" or "7ns", in nanoseconds.
     Time time(const std::string &key);
-    Time time(const std::string &key, Time otherwise);
-    // "512", "64KiB", "4MiB", "10GiB".
+    Time time(const std::string &key, Time default_value);
+    /// Reads a size like "512", "64KiB", "4MiB" or "10GiB", in bytes.
     std::uint64_t bytes(const std::string &key);
-    std::uint64_t bytes(const std::string &key, std::uint64_t otherwise);
-    std::uint64_t count(const std::string &key, std::uint64_t least, std::uint64_t most);
-    std::uint64_t count(const std::string &key, std::uint64_t least, std::uint64_t most,
-                        std::uint64_t otherwise);
-    double number(const std::string &key, double least, double most);
-    double number(const std::string &key, double least, double most, double otherwise);
-    bool flag(const std::string &key, bool otherwise);
-    // Which of the words it is.
+    std::uint64_t bytes(const std::string &key, std::uint64_t default_value);
+    std::uint64_t count(const std::string &key, std::uint64_t min, std::uint64_t max);
+    std::uint64_t count(const std::string &key, std::uint64_t min, std::uint64_t max,
+                        std::uint64_t default_value);
+    double number(const std::string &key, double min, double max);
+    double number(const std::string &key, double min, double max, double default_value);
+    bool flag(const std::string &key, bool default_value);
+    /// @return the index in `words` of the value.
     std::size_t choice(const std::string &key, std::initializer_list<std::string_view> words,
-                       std::size_t otherwise);
-    // A fault at a key's line, or the section's where the key is absent.
+                       std::size_t default_value);
+    /// Adds an error at the line of a key, or at the section's line if the key is absent.
     void fault(const std::string &key, const std::string &what);
 
 private:
@@ -51,9 +54,9 @@
     struct Value {
         std::string text;
         int line;
-        bool asked = false;
+        bool is_requested = false;
     };
-    const std::string *find(const std::string &key, bool needed);
+    const std::string *find(const std::string &key, bool required);
 
     File *file_ = nullptr;
     std::string kind_, name_;
@@ -61,29 +64,34 @@
     std::map<std::string, Value> values_;
 };
 
+/// A parsed settings file and the errors found in it.
 class File {
 public:
-    // From text; `name` is what faults call it.
+    /// Parses a settings text. `name` stands for the file in error messages.
     File(std::string name, const std::string &text);
     File(const File &) = delete;
-    // Reads a file; one that can't be read is a fault.
-    static std::string slurp(const std::string &path, std::string &fault);
+    /// Reads a whole file. If that fails, `fault` is set to a description of the error.
+    /// @return the text of the file.
+    static std::string read_text(const std::string &path, std::string &fault);
 
-    // The one section of a kind without a name; an empty one, with a fault, where it is absent and
-    // needed.
-    Section &one(const std::string &kind, bool needed);
-    // All sections of a kind, in the order of the file.
+    /// @return the section `[kind]` without a name. If it is absent, an empty section is returned,
+    /// and
+    ///     an error is added if it is `required`.
+    Section &one(const std::string &kind, bool required);
+    /// @return all sections of a kind, in the order of the file.
     std::vector<Section *> all(const std::string &kind);
-    // Adds faults for what was never asked for, then gives all of them, in the order of lines.
+    /// Adds an error for each section and key that was never is_requested for.
+    /// @return all errors of the file, in the order of lines.
     std::vector<std::string> faults();
+    /// Adds an error at a line; 0: of the file as a whole.
     void fault(int line, const std::string &what);
 
 private:
     std::string name_;
     std::vector<std::unique_ptr<Section>> sections_;
     std::multimap<int, std::string> faults_;
-    std::map<std::string, bool> kinds_asked_;
-    bool closed_ = false;
+    std::map<std::string, bool> requested_kinds_;
+    bool unknown_reported_ = false;
 };
 
 } // namespace knotvane::settings
