--- a/tests/fuzz/plan_fuzz.cpp
+++ b/tests/fuzz/plan_fuzz.cpp
@@ -62,7 +62,7 @@
             std::abort();
     }
     client.tick(1);
-    if (actions.hung_up > 1)
+    if (actions.disconnects > 1)
         std::abort();
     // Also starts a client from the same bytes as its cached state.
     edge::PlannerClient restarted_client(actions, config);
