--- a/src/planner/sqlite_state_store.cpp
+++ b/src/planner/sqlite_state_store.cpp
@@ -52,7 +52,7 @@
         if (code == SQLITE_BUSY || code == SQLITE_LOCKED)
             throw StateStoreInUse(where + "in use by another planner");
         if (code == SQLITE_CORRUPT || code == SQLITE_NOTADB)
-            what = "damaged: " + what + "; expected a whole store: bring it back, or --rebuild";
+            what = "damaged: " + what + "; expected an intact store: restore it, or use --rebuild";
         throw StateStoreError(where + what);
     }
 }
@@ -71,11 +71,11 @@
     std::error_code none;
     const auto size = std::filesystem::file_size(path_, none);
     if (!none && size > 0 && size < min_file_bytes)
-        throw StateStoreError("damaged: of " + std::to_string(size) +
-                              " bytes, expected a whole store");
+        throw StateStoreError("damaged: the file has only " + std::to_string(size) +
+                              " bytes; restore it from a copy, or use --rebuild");
     if (sqlite3_open_v2(path_.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, vfs) !=
         SQLITE_OK)
-        throw StateStoreError(db_ ? sqlite3_errmsg(db_) : "no memory");
+        throw StateStoreError(db_ ? sqlite3_errmsg(db_) : "out of memory");
     // Uses a rollback journal, which exists only during a commit: a truncated write-ahead log would
     // lose versions undetected. The lock is held until the process ends, also by a kill, so that no
     // two planners use one store.
@@ -119,8 +119,7 @@
     if (sqlite3_step(check) != SQLITE_ROW ||
         std::strcmp(reinterpret_cast<const char *>(sqlite3_column_text(check, 0)), "ok") != 0)
         throw StateStoreError(
-            "damaged: its pages don't hold together; expected a whole store: bring it back, "
-            "or --rebuild");
+            "damaged: SQLite's quick_check found inconsistent pages; restore it, or use --rebuild");
     sqlite3_reset(check);
 }
 
@@ -138,7 +137,8 @@
         if (!checksums_.contains(key) || checksums_.at(key) != column(stored, 3))
             throw StateStoreError(
                 "damaged: row " + std::to_string(kind) + "/" + std::to_string(column(stored, 1)) +
-                "/" + std::to_string(column(stored, 2)) + " does not match its checksum");
+                "/" + std::to_string(column(stored, 2)) +
+                " does not match its checksum; restore the store, or use --rebuild");
     }
 }
 
@@ -148,19 +148,22 @@
     const int result = sqlite3_step(meta);
     if (result == SQLITE_DONE) {
         if (!checksums_.empty())
-            throw StateStoreError("damaged: it has rows and does not say where it stands");
+            throw StateStoreError(
+                "damaged: it has rows but no position in table meta; restore it, or use --rebuild");
         return;
     }
     if (result != SQLITE_ROW)
         throw StateStoreError(sqlite3_errmsg(db_));
     if (sqlite3_column_int64(meta, 0) != format)
-        throw StateStoreError("format " + std::to_string(sqlite3_column_int64(meta, 0)) +
-                              ", expected " + std::to_string(format));
+        throw StateStoreError("unsupported format " +
+                              std::to_string(sqlite3_column_int64(meta, 0)) + ", expected " +
+                              std::to_string(format));
     position_ = {Term{column(meta, 1)}, column(meta, 2), Version{column(meta, 3)},
                  Version{column(meta, 4)}, column(meta, 5)};
     if (column(meta, 6) != all_rows_checksum_ ||
         column(meta, 7) != checksum(position_, all_rows_checksum_))
-        throw StateStoreError("damaged: its rows are not those that it was left with");
+        throw StateStoreError("damaged: rows are missing or changed since the last commit "
+                              "(checksum of all rows); restore it, or use --rebuild");
     sqlite3_reset(meta);
 }
 
