--- a/src/edge/attempt_tracker.cpp
+++ b/src/edge/attempt_tracker.cpp
@@ -106,13 +106,11 @@
     auto offset = request->node_request->offset;
     requests_.end_scheduled(action.request);
     if (!reject)
-        return requests_.fail(
-            id, nbd::e_io,
-            "errored: no node confirmed the request; it may or may not have been executed", offset);
+        return requests_.fail(id, nbd::e_io, "errored: it may have been done or not", offset);
     auto retry_after_ms = (action.delay + ms - 1) / ms;
     requests_.fail(id, nbd::e_nomem,
-                   "denied: no part of the request was executed; try again after " +
-                       std::to_string(retry_after_ms) + " ms",
+                   "denied: nothing was done; try again after " + std::to_string(retry_after_ms) +
+                       " ms",
                    offset);
 }
 
@@ -171,11 +169,11 @@
 AttemptTracker::find_refusal(const ScheduledRequest &request, const AttemptCompletion &completion) {
     auto status = completion.answer.status;
     if (status == node_protocol::Status::no_space)
-        return Refusal{nbd::e_nospc, "errored: the storage node has no space left"};
+        return Refusal{nbd::e_nospc, "errored: no space is left at its storage node"};
     if (status == node_protocol::Status::stale_epoch && !moves_to_new_epoch(request, completion))
-        return Refusal{nbd::e_io, "errored: a snapshot was taken while the change was in progress; "
-                                  "parts of it may have been "
-                                  "executed"};
+        return Refusal{
+            nbd::e_io,
+            "errored: a snapshot was taken in the middle of it; a part may have been done"};
     return std::nullopt;
 }
 
@@ -247,8 +245,8 @@
     auto extents = parse_extents(answer.payload);
     requests_.close(id);
     if (extents.empty())
-        return session.nbd().reply_error(
-            cookie, nbd::e_io, "errored: the node's answer holds no extent of the requested range");
+        return session.nbd().reply_error(cookie, nbd::e_io,
+                                         "errored: the node told nothing of the range");
     session.nbd().reply_block_status(cookie, extents);
 }
 
--- a/src/edge/client_session.cpp
+++ b/src/edge/client_session.cpp
@@ -32,9 +32,8 @@
     if (reported_losses_ == losses)
         return nbd_.reply_done(request);
     reported_losses_ = losses;
-    nbd_.reply_error(
-        request, nbd::e_io,
-        "errored: a node restarted and lost writes that were answered but not yet flushed");
+    nbd_.reply_error(request, nbd::e_io,
+                     "errored: a node lost writes that were answered and not flushed");
 }
 
 void ClientSession::flush_output() {
--- a/src/edge/request_splitter.cpp
+++ b/src/edge/request_splitter.cpp
@@ -152,8 +152,7 @@
     const auto &volume = *client_request.session->volume();
     const auto *workload = find_workload(client_request.command, *node_request);
     if (!workload) // can't happen with valid settings: they hold a workload for each request
-        return requests_.fail(id, nbd::e_io,
-                              "errored: no workload of the settings matches this request",
+        return requests_.fail(id, nbd::e_io, "errored: no workload is for this request",
                               node_request->offset);
     bool writes = is_change(client_request.command);
     node_request->deduplicated = writes && workload->deduplication_window > 0;
--- a/src/nbd/negotiation.cpp
+++ b/src/nbd/negotiation.cpp
@@ -23,9 +23,8 @@
 constexpr std::string_view allocation_context_name = "base:allocation";
 constexpr std::string_view base_namespace = "base:";
 
-constexpr std::string_view truncated_option = "option data is shorter than its fixed fields";
-constexpr std::string_view length_mismatch =
-    "lengths inside the option do not match its total length";
+constexpr std::string_view truncated_option = "option is cut short";
+constexpr std::string_view length_mismatch = "lengths in the option do not add up";
 
 /// The data of LIST_META_CONTEXT and SET_META_CONTEXT.
 struct MetaContextQuery {
@@ -56,7 +55,7 @@
         parsed.lists_base |= query == base_namespace;
         at += 4 + std::size_t{query_bytes};
     }
-    return at == data.size() ? std::string_view{} : "option has bytes after the last query";
+    return at == data.size() ? std::string_view{} : "bytes past the last query";
 }
 
 } // namespace
@@ -112,8 +111,7 @@
     if (length > max_option_bytes && option != opt_export_name) {
         input.consume(option_header_bytes);
         input.drop(length);
-        reply(option, rep_err_too_big,
-              "option is longer than " + std::to_string(max_option_bytes) + " bytes");
+        reply(option, rep_err_too_big, "option is longer than " + std::to_string(max_option_bytes));
         return true;
     }
     if (option == opt_export_name && length > max_string_bytes) {
@@ -146,8 +144,7 @@
     case opt_set_meta_context:
         return handle_meta_context(option, data);
     default:
-        return reply(option, rep_err_unsup,
-                     "option " + std::to_string(option) + " is not supported");
+        return reply(option, rep_err_unsup, "option " + std::to_string(option) + " is not offered");
     }
 }
 
@@ -168,7 +165,7 @@
 
 void Negotiation::handle_list(std::string_view data) {
     if (!data.empty())
-        return reply(opt_list, rep_err_invalid, "option LIST must have no data");
+        return reply(opt_list, rep_err_invalid, "LIST takes no data");
     for (const auto &name : handler_.export_names()) {
         std::string entry;
         put(entry, static_cast<std::uint32_t>(name.size()));
@@ -191,7 +188,7 @@
     auto name = data.substr(4, name_bytes);
     auto info = handler_.find_export(name);
     if (!info)
-        return reply(option, rep_err_unknown, "export does not exist");
+        return reply(option, rep_err_unknown, "no such export");
     put_info(option, *info);
     reply(option, rep_ack, "");
     if (option == opt_go)
@@ -217,8 +214,7 @@
 
 void Negotiation::handle_structured_reply(std::string_view data) {
     if (!data.empty())
-        return reply(opt_structured_reply, rep_err_invalid,
-                     "option STRUCTURED_REPLY must have no data");
+        return reply(opt_structured_reply, rep_err_invalid, "STRUCTURED_REPLY takes no data");
     structured_replies_ = true;
     reply(opt_structured_reply, rep_ack, "");
 }
@@ -228,13 +224,12 @@
     if (selects)
         allocation_context_ = false;
     if (!structured_replies_)
-        return reply(option, rep_err_invalid,
-                     "meta contexts require that structured replies are negotiated first");
+        return reply(option, rep_err_invalid, "contexts need structured replies first");
     MetaContextQuery query;
     if (auto error = parse(data, query); !error.empty())
         return reply(option, rep_err_invalid, error);
     if (!handler_.find_export(query.export_name))
-        return reply(option, rep_err_unknown, "export does not exist");
+        return reply(option, rep_err_unknown, "no such export");
 
     // A list without queries asks for all contexts.
     bool lists_all = !selects && (query.queries == 0 || query.lists_base);
--- a/src/nbd/session.cpp
+++ b/src/nbd/session.cpp
@@ -101,7 +101,7 @@
     input_.consume(request_header_bytes);
     input_.drop(header.length);
     put_error(header.client_cookie, e_overflow,
-              "a write may have at most " + std::to_string(max_request_bytes_) + " bytes");
+              "a write holds at most " + std::to_string(max_request_bytes_) + " bytes");
     return true;
 }
 
@@ -140,24 +140,21 @@
         cmd_flag_fua | cmd_flag_no_hole | cmd_flag_fast_zero,
         cmd_flag_req_one | cmd_flag_fua};
     if (header.command > cmd_block_status)
-        return Rejection{e_inval, "command " + std::to_string(header.command) + " is unknown"};
+        return Rejection{e_inval, "command " + std::to_string(header.command) + " is not known"};
     if ((header.flags & ~known_flags[header.command]) != 0)
-        return Rejection{e_inval, "flags " + std::to_string(header.flags) +
-                                      " are not all defined for command " +
-                                      std::to_string(header.command)};
+        return Rejection{e_inval, "flags " + std::to_string(header.flags) + " are not known here"};
     if (is_change(header.command) &&
         (negotiation_.chosen_export().transmission_flags & flag_read_only) != 0)
         return Rejection{e_perm, "the export is read-only"};
     if (!is_offered(header))
-        return Rejection{e_inval,
-                         "the command or one of its flags is not supported for this export"};
+        return Rejection{e_inval, "the command or its flag was not offered"};
     return check_range(header);
 }
 
 std::optional<Session::Rejection> Session::check_range(const RequestHeader &header) const {
     if (header.command == cmd_flush) {
         if (header.offset != 0 || header.length != 0)
-            return Rejection{e_inval, "a flush must have offset 0 and length 0"};
+            return Rejection{e_inval, "a flush has no range"};
         return std::nullopt;
     }
     const auto &info = negotiation_.chosen_export();
@@ -166,13 +163,12 @@
         return Rejection{e_inval, "the length is zero"};
     if (header.offset > info.size_bytes || header.length > info.size_bytes - header.offset)
         return Rejection{is_change(header.command) ? e_nospc : e_inval,
-                         "the range extends past the end of the export"};
+                         "the range ends past the export"};
     if (header.offset % alignment != 0 || header.length % alignment != 0)
-        return Rejection{e_inval,
-                         "the range is not aligned to " + std::to_string(alignment) + " bytes"};
+        return Rejection{e_inval, "the range is not aligned to " + std::to_string(alignment)};
     if (header.command == cmd_read && header.length > max_request_bytes_)
-        return Rejection{e_overflow, "a read may have at most " +
-                                         std::to_string(max_request_bytes_) + " bytes"};
+        return Rejection{e_overflow,
+                         "a read holds at most " + std::to_string(max_request_bytes_) + " bytes"};
     return std::nullopt;
 }
 
