--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -85,7 +85,7 @@
 void Server::follow_planner(const PlannerSettings &settings, std::uint64_t seed) {
     if (settings.address.empty())
         return;
-    plan_path_ = settings.plan_file;
+    cluster_state_path_ = settings.plan_file;
     planner_ = std::make_unique<loop::OutgoingConnection>(loop_, settings.address);
     planner_client_ = std::make_unique<PlannerClient>(
         *this, PlannerClientConfig{control::EdgeId{id_}, listener_->address(), seed,
@@ -97,8 +97,9 @@
     };
     core_->follow_cluster_state(planner_client_->replica().cluster_state());
     std::string fault;
-    planner_client_->start(loop::now(),
-                           plan_path_.empty() ? "" : settings::File::read_text(plan_path_, fault));
+    planner_client_->start(
+        loop::now(),
+        cluster_state_path_.empty() ? "" : settings::File::read_text(cluster_state_path_, fault));
 }
 
 void Server::volume_used(VolumeId volume, bool used) {
@@ -149,12 +150,13 @@
 }
 
 void Server::store_cluster_state(std::string bytes, bool replace) {
-    if (plan_path_.empty())
+    if (cluster_state_path_.empty())
         return;
-    bool written = write_cluster_state(plan_path_, bytes, replace);
+    bool written = write_cluster_state(cluster_state_path_, bytes, replace);
     if (!written && !std::exchange(store_failure_logged_, true))
-        log_event(plan_path_ + ": writing the cluster state failed; the next update is written "
-                               "again, until then a restart may find an outdated state or none");
+        log_event(cluster_state_path_ +
+                  ": writing the cluster state failed; the next update is written "
+                  "again, until then a restart may find an outdated state or none");
     if (written)
         store_failure_logged_ = false;
 }
--- a/src/edge/server.hpp
+++ b/src/edge/server.hpp
@@ -74,7 +74,7 @@
     Time end_of_moment();
     loop::Loop &loop_;
     std::string endpoint_path_; // path of the endpoint list; empty with a planner
-    std::string plan_path_;
+    std::string cluster_state_path_;
     std::vector<std::string> last_faults_; // in the endpoint list, already logged
     std::uint64_t id_ = 0;
     std::uint64_t last_client_ = 0;
