--- a/src/load/driver.cpp
+++ b/src/load/driver.cpp
@@ -9,54 +9,54 @@
 
 namespace knotvane::load {
 
-struct Stream::Conn final : Replies {
-    Stream &s;
+struct Stream::Connection final : Replies {
+    Stream &stream;
     std::shared_ptr<loop::Socket> socket;
     std::unique_ptr<Session> session;
     bool open = false;
-    Time leaves = 0;
-    struct Asked {
+    Time disconnect_at = 0;
+    struct Pending {
         Time intended;
         std::uint16_t command;
         std::uint32_t length;
-        bool again = false; // asked before
+        bool is_retry = false; // sent before and denied
     };
-    std::map<std::uint64_t, Asked> asked;
-    Time rests_until = 0;
+    std::map<std::uint64_t, Pending> pending;
+    Time backoff_until = 0;
 
-    explicit Conn(Stream &stream) : s(stream) {}
-    void come() {
+    explicit Connection(Stream &owner) : stream(owner) {}
+    void connect_to_edge() {
         open = false;
-        if (s.over_)
+        if (stream.finished_)
             return;
-        session = std::make_unique<Session>(*this, s.shape_.volume, s.shape_.structured);
-        socket = std::make_shared<loop::Socket>(s.loop_);
-        leaves = s.shape_.leave_every > 0 ? loop::now() + s.shape_.leave_every : 0;
+        session = std::make_unique<Session>(*this, stream.shape_.volume, stream.shape_.structured);
+        socket = std::make_shared<loop::Socket>(stream.loop_);
+        disconnect_at = stream.shape_.leave_every > 0 ? loop::now() + stream.shape_.leave_every : 0;
         socket->on_received = [this](std::string_view in) {
             session->bytes(in);
-            push();
+            flush_output();
         };
-        socket->on_disconnected = [this](loop::DisconnectReason) { gone(); };
+        socket->on_disconnected = [this](loop::DisconnectReason) { disconnect(); };
         auto self = socket;
-        socket->connect(s.shape_.address, [this, self](bool well) {
+        socket->connect(stream.shape_.address, [this, self](bool connected) {
             if (self != socket)
                 return;
-            if (!well)
-                gone();
+            if (!connected)
+                disconnect();
         });
     }
-    // Tells of all that had no answer, and comes again at the next tick.
-    void gone() {
-        for (auto &[cookie, a] : asked)
-            s.samples_.push_back(
-                {a.intended - s.began_, loop::now() - a.intended, a.length, a.command, ~0u});
-        asked.clear();
+    // Records every unanswered request as lost and closes the socket; the next tick reconnects.
+    void disconnect() {
+        for (auto &[cookie, a] : pending)
+            stream.samples_.push_back({a.intended - stream.started_at_, loop::now() - a.intended,
+                                       a.length, a.command, ~0u});
+        pending.clear();
         open = false;
         if (socket)
             socket->close(true);
         socket.reset();
     }
-    void push() {
+    void flush_output() {
         if (!socket)
             return;
         if (auto out = session->take_out(); !out.empty())
@@ -65,35 +65,34 @@
     }
     void opened(std::uint64_t, std::uint16_t) override {
         open = true;
-        if (s.shape_.rate == 0)
-            s.refill(*this);
+        if (stream.shape_.rate == 0)
+            stream.fill_window(*this);
     }
     void data(std::uint64_t, std::uint64_t, std::string_view) override {}
     void ended(std::uint64_t cookie, std::uint32_t error, std::string_view) override {
-        auto it = asked.find(cookie);
-        if (it == asked.end())
+        auto it = pending.find(cookie);
+        if (it == pending.end())
             return;
         auto a = it->second;
-        asked.erase(it);
-        s.samples_.push_back(
-            {a.intended - s.began_, loop::now() - a.intended, a.length, a.command, error});
-        bool again = error == nbd::e_nomem && !a.again && s.shape_.again_at_once > 0 &&
-                     static_cast<double>(s.chance_()) <
-                         s.shape_.again_at_once * static_cast<double>(s.chance_.max());
-        if (again && open && loop::now() < s.ends_)
-            s.ask(*this, loop::now(), true);
-        // A refused client waits: a tenth of a second is what clients of one machine do at the
-        // least.
+        pending.erase(it);
+        stream.samples_.push_back({a.intended - stream.started_at_, loop::now() - a.intended,
+                                   a.length, a.command, error});
+        bool retry = error == nbd::e_nomem && !a.is_retry && stream.shape_.again_at_once > 0 &&
+                     static_cast<double>(stream.random_()) <
+                         stream.shape_.again_at_once * static_cast<double>(stream.random_.max());
+        if (retry && open && loop::now() < stream.ends_at_)
+            stream.send_request(*this, loop::now(), true);
+        // After an error the client waits 100 ms, the shortest backoff of clients on one machine.
         if (error != 0)
-            rests_until = loop::now() + 100 * ms;
-        if (s.shape_.rate == 0 && error == 0)
-            s.refill(*this);
+            backoff_until = loop::now() + 100 * ms;
+        if (stream.shape_.rate == 0 && error == 0)
+            stream.fill_window(*this);
     }
-    void broken(std::string_view why) override { s.fault_ = why; }
+    void broken(std::string_view why) override { stream.fault_ = why; }
 };
 
 Stream::Stream(loop::Loop &loop, Shape shape)
-    : loop_(loop), shape_(std::move(shape)), chance_(static_cast<std::uint32_t>(shape_.seed)),
+    : loop_(loop), shape_(std::move(shape)), random_(static_cast<std::uint32_t>(shape_.seed)),
       timer_(new uv_timer_t) {
     uv_timer_init(loop_.raw(), timer_);
     timer_->data = this;
@@ -102,8 +101,8 @@
         static_cast<std::uint64_t>(shape_.begin / ms), 1);
 }
 Stream::~Stream() {
-    over_ = true;
-    for (auto &c : conns_)
+    finished_ = true;
+    for (auto &c : connections_)
         if (c->socket)
             c->socket->close(true);
     uv_close(reinterpret_cast<uv_handle_t *>(timer_),
@@ -112,100 +111,102 @@
 
 void Stream::tick() {
     Time now = loop::now();
-    if (over_)
+    if (finished_)
         return;
     if (!running_) {
         running_ = true;
-        began_ = next_ = now;
-        ends_ = now + shape_.length;
-        // What is out at the end has the longest client timeout of the embedded settings to come
-        // back.
-        drained_by_ = ends_ + 6 * sec;
+        started_at_ = next_due_ = now;
+        ends_at_ = now + shape_.length;
+        // Requests in flight at the end get the longest client timeout of the embedded settings
+        // to be answered.
+        drained_by_ = ends_at_ + 6 * sec;
         for (std::uint32_t i = 0; i < shape_.connections; ++i) {
-            conns_.push_back(std::make_unique<Conn>(*this));
-            conns_.back()->come();
+            connections_.push_back(std::make_unique<Connection>(*this));
+            connections_.back()->connect_to_edge();
         }
     }
-    bool quiet = true;
-    for (auto &c : conns_) {
-        quiet = quiet && c->asked.empty();
-        if (now >= ends_)
+    bool all_idle = true;
+    for (auto &c : connections_) {
+        all_idle = all_idle && c->pending.empty();
+        if (now >= ends_at_)
             continue;
         if (!c->socket)
-            c->come();
-        else if (c->leaves > 0 && now >= c->leaves)
-            c->gone();
+            c->connect_to_edge();
+        else if (c->disconnect_at > 0 && now >= c->disconnect_at)
+            c->disconnect();
         else if (shape_.rate == 0)
-            refill(*c);
+            fill_window(*c);
     }
-    if (now >= ends_ && (quiet || now >= drained_by_)) {
-        over_ = true;
+    if (now >= ends_at_ && (all_idle || now >= drained_by_)) {
+        finished_ = true;
         uv_timer_stop(timer_);
-        for (auto &c : conns_)
+        for (auto &c : connections_)
             if (c->socket) {
                 if (c->open)
-                    c->session->ask(nbd::cmd_disc, 0, 0, 0, 0), c->push();
+                    c->session->ask(nbd::cmd_disc, 0, 0, 0, 0), c->flush_output();
                 c->socket->close_when_sent();
                 c->socket.reset();
             }
         return;
     }
-    // Open loop: what is due is sent, or missed, by its own time; a slow answer does not slow the
-    // clock.
-    while (shape_.rate > 0 && next_ <= now && next_ < ends_) {
-        Conn *free = nullptr;
-        for (std::size_t i = 0; i < conns_.size() && !free; ++i) {
-            auto &c = *conns_[(turn_ + i) % conns_.size()];
-            if (c.open && c.asked.size() < shape_.flying)
-                free = &c;
+    // Open loop: each due request is sent or counted as missed at its intended time; slow replies
+    // don't delay later requests.
+    while (shape_.rate > 0 && next_due_ <= now && next_due_ < ends_at_) {
+        Connection *available = nullptr;
+        for (std::size_t i = 0; i < connections_.size() && !available; ++i) {
+            auto &c = *connections_[(next_connection_ + i) % connections_.size()];
+            if (c.open && c.pending.size() < shape_.flying)
+                available = &c;
         }
-        ++turn_;
-        if (free)
-            ask(*free, next_);
+        ++next_connection_;
+        if (available)
+            send_request(*available, next_due_);
         else
             ++missed_;
-        // Evenly spread gaps between half and one and a half of the mean: arrivals that bunch a
-        // little.
+        // Gaps are uniform between 0.5 and 1.5 times the mean, so that arrivals cluster slightly.
         auto gap = 1e9 / shape_.rate;
-        next_ += static_cast<Time>(
-            gap * (0.5 + static_cast<double>(chance_()) / static_cast<double>(chance_.max())));
+        next_due_ += static_cast<Time>(
+            gap * (0.5 + static_cast<double>(random_()) / static_cast<double>(random_.max())));
     }
-    for (auto &c : conns_)
-        c->push();
+    for (auto &c : connections_)
+        c->flush_output();
 }
 
-void Stream::refill(Conn &c) {
-    if (!c.open || loop::now() >= ends_ || loop::now() < c.rests_until)
+void Stream::fill_window(Connection &c) {
+    if (!c.open || loop::now() >= ends_at_ || loop::now() < c.backoff_until)
         return;
-    while (c.asked.size() < shape_.flying)
-        ask(c, loop::now());
+    while (c.pending.size() < shape_.flying)
+        send_request(c, loop::now());
 }
 
-void Stream::ask(Conn &c, Time intended, bool again) {
-    auto part = [&] {
-        return static_cast<double>(chance_()) / (static_cast<double>(chance_.max()) + 1);
+void Stream::send_request(Connection &c, Time intended, bool is_retry) {
+    auto random_fraction = [&] {
+        return static_cast<double>(random_()) / (static_cast<double>(random_.max()) + 1);
     };
     auto blocks = [&](std::uint64_t bytes) { return std::max<std::uint64_t>(1, bytes / 512); };
     auto least = blocks(shape_.least), most = blocks(shape_.most);
     auto length = static_cast<std::uint32_t>(
-        (least + static_cast<std::uint64_t>(part() * static_cast<double>(most - least + 1))) * 512);
-    // Aligned to its own size where all are of one size, as most programs do; anywhere else.
+        (least +
+         static_cast<std::uint64_t>(random_fraction() * static_cast<double>(most - least + 1))) *
+        512);
+    // Requests of a fixed size are aligned to that size, as most programs do; others to 512 bytes.
     std::uint64_t step = least == most ? length : 512;
-    std::uint64_t places = (shape_.region - length) / step + 1;
+    std::uint64_t positions = (shape_.region - length) / step + 1;
     std::uint64_t offset =
-        shape_.from + static_cast<std::uint64_t>(part() * static_cast<double>(places)) * step;
+        shape_.from +
+        static_cast<std::uint64_t>(random_fraction() * static_cast<double>(positions)) * step;
     auto cookie = ++cookie_;
-    double what = part();
-    std::uint16_t command = what < shape_.flushes   ? nbd::cmd_flush
-                            : part() < shape_.reads ? nbd::cmd_read
-                                                    : nbd::cmd_write;
-    c.asked[cookie] = {intended, command, command == nbd::cmd_flush ? 0 : length, again};
+    double command_draw = random_fraction();
+    std::uint16_t command = command_draw < shape_.flushes      ? nbd::cmd_flush
+                            : random_fraction() < shape_.reads ? nbd::cmd_read
+                                                               : nbd::cmd_write;
+    c.pending[cookie] = {intended, command, command == nbd::cmd_flush ? 0 : length, is_retry};
     if (command == nbd::cmd_flush) {
         c.session->ask(command, 0, cookie, 0, 0);
     } else if (command == nbd::cmd_read) {
         c.session->ask(command, 0, cookie, offset, length);
     } else {
-        // Each block of each write is like no other, so that what a read returns tells whose it is.
+        // Each 512-byte block of each write is unique, so that read data identifies its write.
         std::string data(length, 'x');
         for (std::uint32_t i = 0; i < length / 512; ++i) {
             std::uint64_t stamp[3] = {shape_.seed, cookie, i};
@@ -215,10 +216,10 @@
     }
 }
 
-Time quantile(std::vector<Time> times, double part) {
+Time quantile(std::vector<Time> times, double fraction) {
     if (times.empty())
         return 0;
-    auto at = static_cast<std::size_t>(part * static_cast<double>(times.size() - 1));
+    auto at = static_cast<std::size_t>(fraction * static_cast<double>(times.size() - 1));
     std::nth_element(times.begin(), times.begin() + static_cast<std::ptrdiff_t>(at), times.end());
     return times[at];
 }
--- a/src/load/driver.hpp
+++ b/src/load/driver.hpp
@@ -1,5 +1,5 @@
-// Drives an edge over sockets: streams of reads and writes, closed or open loop, on one loop.
-// Figures are kept as the samples themselves.
+// NBD load generator: streams of reads, writes and flushes sent to an edge over sockets, closed or
+// open loop, all on one event loop. Every request is kept as a sample; nothing is aggregated.
 #pragma once
 
 #include <cstdint>
@@ -15,61 +15,63 @@
 namespace knotvane::load {
 
 struct Sample {
-    Time at;   // when it was to be sent, from the stream's begin
-    Time took; // from then until its end
+    Time at;   // intended send time, relative to the stream's start
+    Time took; // from the intended send time to the reply
     std::uint32_t units_bytes;
     std::uint16_t command;
-    std::uint32_t error; // NBD's; ~0: its connection was lost
+    std::uint32_t error; // NBD error, 0: success, ~0: the connection was lost
 };
 
-// What one stream does.
+// The load of one stream: where it connects, and the mix, size and rate of its requests.
 struct Shape {
     std::string address, volume;
     std::uint32_t connections = 1, flying = 1;
-    double rate = 0;    // requests a second of all connections, open loop; 0: closed loop
-    double reads = 1;   // the part that reads; the rest writes
-    double flushes = 0; // the part that flushes, of all
-    std::uint32_t least = 4096, most = 4096;   // bytes
-    std::uint64_t from = 0, region = 16 << 20; // where it works
+    double rate = 0;    // requests per second over all connections (open loop); 0: closed loop
+    double reads = 1;   // fraction of non-flush requests that read; the rest write
+    double flushes = 0; // fraction of all requests that flush
+    std::uint32_t least = 4096, most = 4096;   // request length in bytes
+    std::uint64_t from = 0, region = 16 << 20; // first byte and length of the range used
     Time begin = 0, length = 5 * sec;
     Time leave_every =
-        0; // a connection is dropped with requests out and made again, each time after this
-    double again_at_once = 0; // the part of denied requests that is asked again at once, once
+        0; // age at which a connection is closed, with requests in flight, and reopened; 0: never
+    double again_at_once = 0; // fraction of denied requests that is retried at once, one time only
     bool structured = true;
     std::uint64_t seed = 1;
 };
 
 class Stream {
 public:
-    // Starts `begin` after now, on the loop's thread.
+    // Must be called on the loop's thread. Starts sending after `shape.begin`.
     Stream(loop::Loop &loop, Shape shape);
     ~Stream();
-    bool over() const { return over_; }
+    // All requests have been answered, or the time to wait for replies is over.
+    bool over() const { return finished_; }
     const std::vector<Sample> &samples() const { return samples_; }
+    // Open loop: requests that were due while no connection could take another one.
     std::uint64_t missed() const { return missed_; }
     const Shape &shape() const { return shape_; }
-    // What broke a session, last.
+    // The latest protocol error that broke a session; empty if there was none.
     const std::string &fault() const { return fault_; }
 
 private:
-    struct Conn;
+    struct Connection;
     void tick();
-    void ask(Conn &c, Time intended, bool again = false);
-    void refill(Conn &c);
+    void send_request(Connection &c, Time intended, bool is_retry = false);
+    void fill_window(Connection &c);
 
     loop::Loop &loop_;
     Shape shape_;
-    std::ranlux24_base chance_;
-    std::vector<std::unique_ptr<Conn>> conns_;
+    std::ranlux24_base random_;
+    std::vector<std::unique_ptr<Connection>> connections_;
     std::vector<Sample> samples_;
     uv_timer_t *timer_;
-    Time began_ = 0, next_ = 0, ends_ = 0, drained_by_ = 0;
-    std::uint64_t cookie_ = 0, missed_ = 0, turn_ = 0;
-    bool over_ = false, running_ = false;
+    Time started_at_ = 0, next_due_ = 0, ends_at_ = 0, drained_by_ = 0;
+    std::uint64_t cookie_ = 0, missed_ = 0, next_connection_ = 0;
+    bool finished_ = false, running_ = false;
     std::string fault_;
 };
 
-// The value that a part (0 to 1) of the times lies under; 0 without any.
-Time quantile(std::vector<Time> times, double part);
+// The quantile of `times` at `fraction` (0 to 1); 0 if there are none.
+Time quantile(std::vector<Time> times, double fraction);
 
 } // namespace knotvane::load
