--- a/src/settings/fleet_sections.cpp
+++ b/src/settings/fleet_sections.cpp
@@ -41,17 +41,17 @@
 void read_volumes(File &file, const std::map<std::string, PlanId> &plans,
                   const std::function<void(VolumeId, const std::string &, std::uint64_t,
                                            std::uint32_t, const std::string &, int)> &on_volume) {
-    std::map<std::uint64_t, std::string> ids;
+    std::map<std::uint64_t, std::string> names_by_id;
     std::set<std::string> names;
     for (auto *section : file.all("volume")) {
-        std::uint64_t by_name = XXH3_64bits(section->name().data(), section->name().size());
-        VolumeId id{section->count("id", 0, std::numeric_limits<std::uint64_t>::max(), by_name)};
+        std::uint64_t name_hash = XXH3_64bits(section->name().data(), section->name().size());
+        VolumeId id{section->count("id", 0, std::numeric_limits<std::uint64_t>::max(), name_hash)};
         if (section->name().find('@') != std::string::npos)
             section->fault("", "expected a name without '@', which separates a volume's name from "
                                "that of a snapshot");
         if (section->name().empty())
             section->fault("", "expected a section like [volume members]");
-        if (auto [it, is_new] = ids.try_emplace(id.value, section->name()); !is_new)
+        if (auto [it, is_new] = names_by_id.try_emplace(id.value, section->name()); !is_new)
             section->fault("id", "volume '" + it->second + "' has the same id");
         if (!names.insert(section->name()).second)
             section->fault("", "volume " + section->name() + " is defined twice");
--- a/src/settings/ini.hpp
+++ b/src/settings/ini.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// Settings files in INI format. All errors of a file are collected with their line numbers, and
-/// sections and keys that the program never is_requested for are reported as errors too.
+/// sections and keys that the program never requested are reported as errors too.
 #pragma once
 
 #include <cstdint>
@@ -74,13 +74,12 @@
     /// @return the text of the file.
     static std::string read_text(const std::string &path, std::string &fault);
 
-    /// @return the section `[kind]` without a name. If it is absent, an empty section is returned,
-    /// and
-    ///     an error is added if it is `required`.
+    /// @return the section `[kind]` without a name. If it is absent, an empty section is returned
+    /// and an error is added if it is `required`.
     Section &one(const std::string &kind, bool required);
     /// @return all sections of a kind, in the order of the file.
     std::vector<Section *> all(const std::string &kind);
-    /// Adds an error for each section and key that was never is_requested for.
+    /// Adds an error for each section and key that was never requested.
     /// @return all errors of the file, in the order of lines.
     std::vector<std::string> faults();
     /// Adds an error at a line; 0: of the file as a whole.
