--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -124,8 +124,8 @@
         on_relay([&] {
             relay = std::make_unique<relay::Relay>(relay_worker.loop(), writer);
             // The layout of fleet::edge_settings.
-            relay->put(record::Kind::figures, 0, 0, 0,
-                       rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
+            relay->put_record(record::Kind::figures, 0, 0, 0,
+                              rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
         fleet.on_told = [this](std::size_t edge, const edge::EndpointList &list) {
             relay_worker.loop().post([this, edge, nodes = list.entries] { told(edge, nodes); });
@@ -136,7 +136,7 @@
             on_relay([&] {
                 auto &known = fronts_[{edge, node}];
                 if (known.empty())
-                    known = relay->front_of_node(edge, node, address);
+                    known = relay->listen_for_node(edge, node, address);
                 front = known;
             });
             return front;
@@ -156,8 +156,8 @@
     }
     void told(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
         for (const auto &[endpoint, address] : nodes)
-            relay->put(record::Kind::told, edge, endpoint.node.value,
-                       static_cast<std::uint64_t>(endpoint.state));
+            relay->put_record(record::Kind::told, edge, endpoint.node.value,
+                              static_cast<std::uint64_t>(endpoint.state));
     }
     // The operator asks until the planner does it: it may be down.
     void drain(NodeId node, bool on) {
@@ -238,7 +238,7 @@
     Time now = loop::now(), until = now + t.length;
     auto id = fleet.node_id(t.node);
     log::write(log::info, "trouble", {{"kind", t.kind}, {"node", std::to_string(id.value)}});
-    on_relay([&] { relay->put(record::Kind::note, id.value, 0, 0, t.kind); });
+    on_relay([&] { relay->put_record(record::Kind::note, id.value, 0, 0, t.kind); });
     if (auto fault = node::fault_kind_from_name(t.kind)) {
         fleet.with_node(t.node, [&](node::Server &n) {
             n.storage_node().inject_fault({*fault, now, until, t.count, t.size});
@@ -254,7 +254,7 @@
         });
         on_relay([&] {
             if (t.lose)
-                relay->put(record::Kind::lost, id.value, 0, 0);
+                relay->put_record(record::Kind::lost, id.value, 0, 0);
         });
         at(until, [this, node = t.node, id] {
             Time started = 0;
@@ -264,7 +264,7 @@
                 started = n.storage_node().started_at();
             });
             on_relay([&] {
-                relay->put(record::Kind::started, id.value, 0, 0);
+                relay->put_record(record::Kind::started, id.value, 0, 0);
                 relay->unblock(id);
             });
             fleet.list_as(id, NodeState::ready, started);
@@ -287,7 +287,8 @@
         at(until, [this, node = t.node, id] {
             on_relay([&] { relay->block(id); });
             fleet.replace(node);
-            on_relay([&] { relay->put(record::Kind::started, fleet.node_id(node).value, 0, 0); });
+            on_relay(
+                [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             at(loop::now() + 2 * sec, [this, id] {
                 fleet.change_settings([&](planner::DesiredState &w) { w.nodes.erase(id); });
             });
@@ -299,7 +300,8 @@
             on_relay([&] { relay->block(id); });
             fleet.list_as(id, NodeState::removed, 0);
             fleet.replace(node);
-            on_relay([&] { relay->put(record::Kind::started, fleet.node_id(node).value, 0, 0); });
+            on_relay(
+                [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             tell(~std::size_t{0});
         });
     } else if (t.kind == "late_list") {
@@ -341,7 +343,7 @@
     std::vector<std::string> fronts(script.edges);
     stage.on_relay([&] {
         for (std::size_t e = 0; e < script.edges; ++e)
-            fronts[e] = stage.relay->front_of_edge(e, stage.fleet.edge_address(e));
+            fronts[e] = stage.relay->listen_for_clients(e, stage.fleet.edge_address(e));
     });
     driver.run([&] {
         for (auto &l : script.loads) {
