--- a/src/edge/server.cpp
+++ b/src/edge/server.cpp
@@ -155,8 +155,8 @@
     bool written = write_cluster_state(cluster_state_path_, bytes, replace);
     if (!written && !std::exchange(store_failure_logged_, true))
         log_event(cluster_state_path_ +
-                  ": writing the cluster state failed; the next update is written "
-                  "again, until then a restart may find an outdated state or none");
+                  ": writing the cluster state failed; after a restart the edge may "
+                  "find an outdated state or none");
     if (written)
         store_failure_logged_ = false;
 }
