--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -137,17 +137,17 @@
     std::uint64_t broken = 0, versions = 0;
     constexpr std::uint64_t days = 3;
     for (std::uint64_t seed = 1; seed <= days; ++seed) {
-        sim::PlanDay d;
+        sim::PlannerScenario d;
         d.seed = seed, d.edges = edges, d.nodes = std::max(3u, edges * 58 / 280),
         d.volumes = std::max(6u, edges);
-        d.length = 30 * sec, d.trouble_every = sec;
+        d.length = 30 * sec, d.fault_interval = sec;
         d.planner_dies = troubled, d.loss = troubled ? 0.02 : 0, d.repeats = troubled ? 0.02 : 0;
-        auto r = sim::play(d);
-        middle.insert(middle.end(), r.middle.begin(), r.middle.end());
-        last.insert(last.end(), r.last.begin(), r.last.end());
+        auto r = sim::simulate(d);
+        middle.insert(middle.end(), r.median_edge_delays.begin(), r.median_edge_delays.end());
+        last.insert(last.end(), r.last_edge_delays.begin(), r.last_edge_delays.end());
         out += static_cast<double>(r.planner_bytes_out) / seconds(r.length);
         in += static_cast<double>(r.planner_bytes_in) / seconds(r.length);
-        broken += r.broken.size(), versions += r.versions;
+        broken += r.violations.size(), versions += r.versions;
     }
     std::printf(
         "%5u %5u  %-8s %9llu %10.0f %10.0f %10.0f %10.0f %10.0f %10.0f %8llu\n", edges,
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -24,65 +24,67 @@
 constexpr Time never = std::numeric_limits<Time>::max();
 constexpr std::uint64_t volume_size = 512 << 10, extent = 64 << 10, span = 16 << 10,
                         unit = 16 << 10;
-constexpr std::uint64_t block = 4096, busy_blocks = 48; // clients meet in these, of three extents
+constexpr std::uint64_t block = 4096,
+                        active_blocks =
+                            48; // clients access only these blocks, which lie in three extents
 constexpr Time client_timeout = 1500 * ms, window = 700 * ms, key_rest = 800 * ms;
 constexpr VolumeId volume{7};
 using control::EdgeId;
 using planner::SessionId;
 using rules::WriteNo;
 
-// A connection of two ends: bytes arrive in order, some time later; an end that closed hears
-// nothing more, what it had sent still arrives.
-struct Wire {
+// A connection with two ends. Bytes arrive in order after a delay. A closed end receives nothing
+// more, but the bytes that it sent before still arrive.
+struct Connection {
     bool open[2] = {true, true};
     Time last[2] = {0, 0}, held = 0;
-    std::function<void(std::string_view)> hear[2];
-    std::function<void()> ended[2];
+    std::function<void(std::string_view)> on_bytes[2];
+    std::function<void()> on_closed[2];
 };
-using WirePtr = std::shared_ptr<Wire>;
+using ConnectionPtr = std::shared_ptr<Connection>;
 
-struct World;
+struct Simulation;
 
-struct NodeHost final : node::Transport {
-    World &w;
+struct SimulatedNode final : node::Transport {
+    Simulation &simulation;
     NodeId id;
     ShardId shard;
     std::string bytes;
     std::unique_ptr<store::Medium> medium = store::memory_medium(bytes);
     store::Store store{*medium};
     node::StorageNode disk;
-    std::unique_ptr<node::PlannerRegistration> reg;
-    WirePtr planner;
-    std::map<node::ConnectionId, WirePtr> conns;
+    std::unique_ptr<node::PlannerRegistration> registration;
+    ConnectionPtr planner;
+    std::map<node::ConnectionId, ConnectionPtr> connections;
     bool listening = true;
     Time wake = never;
 
-    NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now);
-    void send(node::ConnectionId conn, std::string out) override;
-    void close(node::ConnectionId conn, bool reset) override;
+    SimulatedNode(Simulation &world, NodeId i, ShardId s, std::uint64_t seed, Time now);
+    void send(node::ConnectionId connection_id, std::string out) override;
+    void close(node::ConnectionId connection_id, bool reset) override;
     void listen(bool open) override;
     void log_event(std::string) override {}
 };
 
-struct EdgeHost final : edge::Shell, edge::PlannerClientActions {
-    World &w;
+struct SimulatedEdge final : edge::Shell, edge::PlannerClientActions {
+    Simulation &simulation;
     std::uint64_t id;
-    std::uint64_t lives = 0;
+    std::uint64_t start_count = 0;
     std::unique_ptr<edge::Core> core;
-    std::unique_ptr<edge::PlannerClient> sub;
-    WirePtr planner;
-    std::map<edge::NodeConnectionId, WirePtr> links;
-    std::map<edge::ClientId, WirePtr> clients;
+    std::unique_ptr<edge::PlannerClient> planner_client;
+    ConnectionPtr planner;
+    std::map<edge::NodeConnectionId, ConnectionPtr> links;
+    std::map<edge::ClientId, ConnectionPtr> clients;
     std::uint64_t next_client = 0;
     bool paused = false, cut_off = false;
-    Time stood_still = 0; // until when it last did
-    std::vector<std::function<void()>> while_paused;
+    Time paused_until = 0; // end of the last pause
+    std::vector<std::function<void()>> deferred_calls;
     Time wake = never;
 
-    EdgeHost(World &world, std::uint64_t i) : w(world), id(i) {}
+    SimulatedEdge(Simulation &world, std::uint64_t i) : simulation(world), id(i) {}
     void start();
     void stop();
-    void in(const std::function<void()> &call);
+    void run_or_defer(const std::function<void()> &call);
     // ---- edge::Shell
     void connect(edge::NodeConnectionId link, const std::string &address) override;
     void send(edge::NodeConnectionId link, std::string bytes) override;
@@ -95,7 +97,7 @@
     void volume_used(VolumeId v, bool on) override;
     void snapshot_step_done(VolumeId as, control::SnapshotStep step,
                             control::EdgeIncarnation incarnation) override;
-    // ---- edge::Line
+    // ---- edge::PlannerClientActions
     void connect_planner() override;
     void disconnect_planner() override;
     void send_planner(std::string bytes) override;
@@ -110,106 +112,113 @@
     std::uint64_t lists = 0;
 };
 
-// Writes and reads all the time; says what it saw to the history.
-struct ClientHost final : load::Replies {
-    World &w;
+// Writes and reads continuously, and records its requests and replies in the history.
+struct SimulatedClient final : load::Replies {
+    Simulation &simulation;
     std::size_t edge;
     std::unique_ptr<load::Session> session;
-    WirePtr wire;
+    ConnectionPtr connection;
     std::uint64_t cookie = 0;
-    std::map<std::uint64_t, std::pair<WriteNo, Time>> flying;
-    ClientHost(World &world, std::size_t e) : w(world), edge(e) {}
-    void come();
-    void pump();
-    void flush_out();
-    void opened(std::uint64_t, std::uint16_t) override { pump(); }
+    std::map<std::uint64_t, std::pair<WriteNo, Time>> outstanding_writes;
+    SimulatedClient(Simulation &world, std::size_t e) : simulation(world), edge(e) {}
+    void connect();
+    void send_requests();
+    void send_pending_bytes();
+    void opened(std::uint64_t, std::uint16_t) override { send_requests(); }
     void data(std::uint64_t, std::uint64_t, std::string_view) override {}
     void ended(std::uint64_t c, std::uint32_t error, std::string_view) override;
     void broken(std::string_view) override {}
 };
 
-struct World final : planner::PlannerTransport {
-    const CutDay &day;
-    CutResult out;
+struct Simulation final : planner::PlannerTransport {
+    const SnapshotScenario &scenario;
+    SnapshotSimulationResult out;
     Time now = 100 * sec;
-    std::ranlux24_base chance;
+    std::ranlux24_base random;
     std::uint64_t seq = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
     std::unique_ptr<planner::Core> core;
-    MemoryKeeper state_store;
+    InMemoryStateStore state_store;
     Time planner_wake = never;
-    std::map<SessionId, WirePtr> sides;
-    std::uint64_t next_side = 0, instances = 0, next_conn = 0, taken_names = 0;
-    std::vector<std::unique_ptr<NodeHost>> nodes;
-    std::vector<std::unique_ptr<EdgeHost>> edges;
-    std::vector<std::unique_ptr<ClientHost>> clients;
+    std::map<SessionId, ConnectionPtr> planner_connections;
+    std::uint64_t next_session = 0, instances = 0, next_node_connection = 0, last_name_number = 0;
+    std::vector<std::unique_ptr<SimulatedNode>> nodes;
+    std::vector<std::unique_ptr<SimulatedEdge>> edges;
+    std::vector<std::unique_ptr<SimulatedClient>> clients;
     rules::History history;
-    // By name: when the take was called and returned; and what the snapshot held then.
-    struct Seen {
+    // By name: when the snapshot was requested and reported, and its contents at that time.
+    struct TakenSnapshot {
         Time called, returned;
         VolumeId id;
         std::map<std::uint64_t, WriteNo> held;
     };
-    std::map<std::string, Seen> snapshots;
-    bool quiet = false;
+    std::map<std::string, TakenSnapshot> snapshots;
+    bool faults_ended = false;
 
-    explicit World(const CutDay &d)
-        : day(d), chance(static_cast<std::ranlux24_base::result_type>(d.seed * 7919 + 5)) {}
-    std::uint64_t under(std::uint64_t n) {
-        return n <= 1 ? 0 : (std::uint64_t{chance()} << 24 | chance()) % n;
+    explicit Simulation(const SnapshotScenario &d)
+        : scenario(d), random(static_cast<std::ranlux24_base::result_type>(d.seed * 7919 + 5)) {}
+    std::uint64_t random_below(std::uint64_t n) {
+        return n <= 1 ? 0 : (std::uint64_t{random()} << 24 | random()) % n;
     }
-    Time time_under(Time t) { return static_cast<Time>(under(static_cast<std::uint64_t>(t))); }
-    bool lot(double p) {
-        return static_cast<double>(chance()) < p * static_cast<double>(chance.max());
+    Time random_time_below(Time t) {
+        return static_cast<Time>(random_below(static_cast<std::uint64_t>(t)));
+    }
+    bool happens(double p) {
+        return static_cast<double>(random()) < p * static_cast<double>(random.max());
+    }
+    void schedule(Time t, std::function<void()> f) {
+        queue.emplace(std::pair{t, ++seq}, std::move(f));
     }
-    void at(Time t, std::function<void()> f) { queue.emplace(std::pair{t, ++seq}, std::move(f)); }
     Time delay() {
-        return !quiet && lot(0.02) ? time_under(60 * ms) : 50 * us + time_under(500 * us);
+        return !faults_ended && happens(0.02) ? random_time_below(60 * ms)
+                                              : 50 * us + random_time_below(500 * us);
     }
-    void broken(std::string what) {
-        if (out.broken.size() < 10)
-            out.broken.push_back("seed " + std::to_string(day.seed) + ", " +
-                                 std::to_string(now / ms) + "ms: " + what);
+    void report_violation(std::string what) {
+        if (out.violations.size() < 10)
+            out.violations.push_back("seed " + std::to_string(scenario.seed) + ", " +
+                                     std::to_string(now / ms) + "ms: " + what);
     }
 
     // ---- Wires. `from`: the end that sends.
-    std::vector<std::weak_ptr<Wire>> transport;
-    WirePtr wire() {
-        auto made = std::make_shared<Wire>();
-        transport.push_back(made);
+    std::vector<std::weak_ptr<Connection>> connections;
+    ConnectionPtr make_connection() {
+        auto made = std::make_shared<Connection>();
+        connections.push_back(made);
         return made;
     }
     // Ends hold on to their wires.
-    ~World() override {
+    ~Simulation() override {
         queue.clear();
-        for (auto &weak : transport)
-            if (auto wire = weak.lock())
+        for (auto &weak : connections)
+            if (auto connection = weak.lock())
                 for (int end : {0, 1})
-                    wire->hear[end] = nullptr, wire->ended[end] = nullptr;
+                    connection->on_bytes[end] = nullptr, connection->on_closed[end] = nullptr;
     }
-    void send(const WirePtr &wire, int from, std::string bytes) {
-        if (!wire->open[from])
+    void send(const ConnectionPtr &connection, int from, std::string bytes) {
+        if (!connection->open[from])
             return;
-        auto &last = wire->last[from];
-        last = std::max({last, now + delay(), wire->held});
-        at(last, [wire, to = 1 - from, b = std::move(bytes)] {
-            if (wire->open[to])
-                wire->hear[to](b);
+        auto &last = connection->last[from];
+        last = std::max({last, now + delay(), connection->held});
+        schedule(last, [connection, to = 1 - from, b = std::move(bytes)] {
+            if (connection->open[to])
+                connection->on_bytes[to](b);
         });
     }
-    void close(const WirePtr &wire, int from) {
-        if (!std::exchange(wire->open[from], false))
+    void close(const ConnectionPtr &connection, int from) {
+        if (!std::exchange(connection->open[from], false))
             return;
-        at(std::max(wire->last[from], now + delay()), [wire, to = 1 - from] { end(wire, to); });
+        schedule(std::max(connection->last[from], now + delay()),
+                 [connection, to = 1 - from] { end(connection, to); });
     }
-    // A connection that was given up before it came about has nobody at its far end.
-    static void end(const WirePtr &wire, int side) {
-        if (std::exchange(wire->open[side], false) && wire->ended[side])
-            wire->ended[side]();
+    // A connection closed before it was established has no callback at its other end.
+    static void end(const ConnectionPtr &connection, int end_index) {
+        if (std::exchange(connection->open[end_index], false) && connection->on_closed[end_index])
+            connection->on_closed[end_index]();
     }
-    void sever(const WirePtr &wire) {
-        for (int side : {0, 1})
-            at(now + time_under(20 * ms), [wire, side] { end(wire, side); });
+    void sever(const ConnectionPtr &connection) {
+        for (int end_index : {0, 1})
+            schedule(now + random_time_below(20 * ms),
+                     [connection, end_index] { end(connection, end_index); });
     }
 
     // ---- The planner.
@@ -220,13 +229,13 @@
         control::Volume v;
         v.name = "v", v.size = volume_size, v.alignment_bytes = 512;
         p.volumes[volume] = {v, "p", 0};
-        for (std::uint32_t i = 0; i < day.nodes; ++i)
+        for (std::uint32_t i = 0; i < scenario.nodes; ++i)
             p.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
                                       0};
         return p;
     }
-    void planner_start() {
-        state_store.lives_on();
+    void start_planner() {
+        state_store.restart();
         planner::PlannerConfig config;
         config.lease = 3 * sec;
         config.lease_margin = 250 * ms;
@@ -239,116 +248,122 @@
         for (auto &[key, row] : state_store.rows) {
             auto [kind, a, b] = key;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
-                broken("a row is not read back: " + fault);
+                report_violation("the planner cannot restore a stored row: " + fault);
         }
         planner::PlannerStart from{state_store.position, ++instances, false};
         if (state_store.position.term == planner::Term{0})
-            from.position.lineage = day.seed + 1;
+            from.position.lineage = scenario.seed + 1;
         from.position.term = planner::Term{state_store.position.term.value + 1};
         if (!core->start(now, from))
-            return planner_die();
+            return crash_planner();
         for (auto &[line, what] : core->apply_desired_state(now, wanted()))
-            broken("settings refused: " + what);
-        planner_run();
+            report_violation("the planner rejected the desired state: " + what);
+        run_planner();
     }
-    void planner_die() {
-        ++out.met["planner deaths"];
+    void crash_planner() {
+        ++out.event_counts["planner deaths"];
         core.reset();
         planner_wake = never;
-        for (auto &[id, wire] : std::exchange(sides, {}))
-            close(wire, 1);
-        at(now + 50 * ms + time_under(800 * ms), [this] {
+        for (auto &[id, connection] : std::exchange(planner_connections, {}))
+            close(connection, 1);
+        schedule(now + 50 * ms + random_time_below(800 * ms), [this] {
             if (!core)
-                planner_start();
+                start_planner();
         });
     }
-    void planner_run() {
+    void run_planner() {
         if (!core)
             return;
         core->settle(now);
         if (state_store.died)
-            return planner_die();
+            return crash_planner();
         auto due = core->next_due();
         if (due >= planner_wake)
             return;
         planner_wake = due;
-        at(std::max(due, now + 1), [this, due] {
+        schedule(std::max(due, now + 1), [this, due] {
             if (planner_wake != due)
                 return;
             planner_wake = never;
-            planner_run();
+            run_planner();
         });
     }
-    // A connection to the planner, whose end is 1; no answer where there is none.
-    WirePtr to_planner(std::function<void(std::string_view)> hear, std::function<void()> ended) {
-        auto wire = this->wire();
-        SessionId side{++next_side};
-        wire->hear[0] = std::move(hear), wire->ended[0] = std::move(ended);
-        wire->hear[1] = [this, side](std::string_view b) {
+    // Connects to the planner, which is end 1. Without a running planner there is no reply.
+    ConnectionPtr to_planner(std::function<void(std::string_view)> hear,
+                             std::function<void()> ended) {
+        auto connection = make_connection();
+        SessionId session_id{++next_session};
+        connection->on_bytes[0] = std::move(hear), connection->on_closed[0] = std::move(ended);
+        connection->on_bytes[1] = [this, session_id](std::string_view b) {
             if (!core)
                 return;
-            core->received(now, side, b);
-            planner_run();
+            core->received(now, session_id, b);
+            run_planner();
         };
-        wire->ended[1] = [this, side] {
-            sides.erase(side);
+        connection->on_closed[1] = [this, session_id] {
+            planner_connections.erase(session_id);
             if (!core)
                 return;
-            core->disconnected(now, side);
-            planner_run();
+            core->disconnected(now, session_id);
+            run_planner();
         };
-        sides[side] = wire;
-        core->connected(now, side);
-        return wire;
+        planner_connections[session_id] = connection;
+        core->connected(now, session_id);
+        return connection;
     }
-    void send(SessionId side, std::string bytes) override {
-        if (auto it = sides.find(side); it != sides.end())
+    void send(SessionId session_id, std::string bytes) override {
+        if (auto it = planner_connections.find(session_id); it != planner_connections.end())
             send(it->second, 1, std::move(bytes));
     }
-    void close(SessionId side) override {
-        auto it = sides.find(side);
-        if (it == sides.end())
+    void close(SessionId session_id) override {
+        auto it = planner_connections.find(session_id);
+        if (it == planner_connections.end())
             return;
-        auto wire = it->second;
-        sides.erase(it);
-        close(wire, 1);
-        at(now, [this, side] {
+        auto connection = it->second;
+        planner_connections.erase(it);
+        close(connection, 1);
+        schedule(now, [this, session_id] {
             if (core)
-                core->disconnected(now, side), planner_run();
+                core->disconnected(now, session_id), run_planner();
         });
     }
     void log_event(std::string) override {}
-    void retired() override { broken("the only planner retired"); }
+    void retired() override {
+        report_violation("the only planner retired, although no newer term exists");
+    }
 
-    // ---- Stirring.
+    // ---- Timers and due work.
     template <class Host, class Due>
     void wake(Host &h, Due due, const std::function<void()> &run) {
         if (due >= h.wake)
             return;
         h.wake = due;
-        at(std::max(due, now + 1), [&h, due, run] {
+        schedule(std::max(due, now + 1), [&h, due, run] {
             if (h.wake != due)
                 return;
             h.wake = never;
             run();
         });
     }
-    void stir(NodeHost &n) {
+    void run_due_work(SimulatedNode &n) {
         n.disk.tick(now);
-        n.reg->tick(now);
-        wake(n, std::min(n.disk.next_due(), n.reg->next_due()), [this, &n] { stir(n); });
+        n.registration->tick(now);
+        wake(n, std::min(n.disk.next_due(), n.registration->next_due()),
+             [this, &n] { run_due_work(n); });
     }
-    void stir(EdgeHost &e) {
+    void run_due_work(SimulatedEdge &e) {
         if (!e.core || e.paused)
             return;
-        e.sub->tick(now);
+        e.planner_client->tick(now);
         e.core->settle(now);
-        wake(e, std::min(e.core->next_due(), e.sub->next_due()), [this, &e] { stir(e); });
+        wake(e, std::min(e.core->next_due(), e.planner_client->next_due()),
+             [this, &e] { run_due_work(e); });
     }
 
     // ---- Operators.
-    // From the planner's store: it may have died since it said so. 0: not there.
-    VolumeId id_of(const std::string &name) const {
+    // Looks up the name in the planner's store, because the planner may have crashed since it
+    // replied. Returns 0 if there is no such volume.
+    VolumeId find_volume_id(const std::string &name) const {
         struct Row final : control::MessageHandler {
             std::string name;
             using MessageHandler::handle;
@@ -369,7 +384,7 @@
     void operate(std::string question, std::function<void(bool done)> heard) {
         if (!core)
             return;
-        struct Ear final : control::MessageHandler {
+        struct ResultHandler final : control::MessageHandler {
             std::function<void(bool)> heard;
             using MessageHandler::handle;
             void handle(const control::OperationResult &m) override {
@@ -378,31 +393,32 @@
             }
             void handle_unexpected(std::string_view) override {}
         };
-        auto ear = std::make_shared<Ear>();
+        auto result_handler = std::make_shared<ResultHandler>();
         auto reader = std::make_shared<control::MessageDecoder>();
-        ear->heard = std::move(heard);
-        auto wire =
-            to_planner([ear, reader](std::string_view b) { reader->decode(b, *ear); }, [] {});
-        send(wire, 0, std::move(question));
+        result_handler->heard = std::move(heard);
+        auto connection = to_planner(
+            [result_handler, reader](std::string_view b) { reader->decode(b, *result_handler); },
+            [] {});
+        send(connection, 0, std::move(question));
     }
-    void take() {
-        auto name = std::to_string(++taken_names);
+    void take_snapshot() {
+        auto name = std::to_string(++last_name_number);
         Time called = now;
         operate(control::encode(
                     control::SnapshotRequest{control::SnapshotOperation::take, "v", name, ""}),
                 [this, name, called](bool done) {
                     auto full = "v@" + name;
                     if (!done)
-                        return void(++out.refused);
-                    ++out.taken;
-                    auto id = id_of(full);
-                    snapshots[full] = {called, now, id, held(id)};
-                    if (lot(0.3))
-                        drop_or_clone(full);
+                        return void(++out.snapshots_refused);
+                    ++out.snapshots_taken;
+                    auto id = find_volume_id(full);
+                    snapshots[full] = {called, now, id, stored_writes(id)};
+                    if (happens(0.3))
+                        drop_or_clone_snapshot(full);
                 });
     }
-    void drop_or_clone(const std::string &full) {
-        if (lot(0.5)) {
+    void drop_or_clone_snapshot(const std::string &full) {
+        if (happens(0.5)) {
             operate(control::encode(
                         control::SnapshotRequest{control::SnapshotOperation::drop, full, "", ""}),
                     [this, full](bool done) {
@@ -411,39 +427,39 @@
                     });
             return;
         }
-        auto as = "c" + std::to_string(++taken_names);
+        auto as = "c" + std::to_string(++last_name_number);
         operate(control::encode(
                     control::SnapshotRequest{control::SnapshotOperation::clone, full, as, ""}),
                 [this, full, as](bool done) {
                     if (!done || !snapshots.contains(full))
                         return;
                     ++out.clones;
-                    if (held(id_of(as)) != snapshots.at(full).held)
-                        broken("clone " + as + " does not hold what " + full + " does");
+                    if (stored_writes(find_volume_id(as)) != snapshots.at(full).held)
+                        report_violation("clone " + as + " differs from snapshot " + full);
                 });
     }
-    // What stores hold of a volume, by block: which write's bytes.
-    std::map<std::uint64_t, WriteNo> held(VolumeId id) {
+    // Reads the volume from the stores and returns the number of the write in each block.
+    std::map<std::uint64_t, WriteNo> stored_writes(VolumeId id) {
         edge::Layout layout(extent, span, all_shards());
         std::map<std::uint64_t, WriteNo> got;
-        for (std::uint64_t b = 0; b < busy_blocks; ++b) {
+        for (std::uint64_t b = 0; b < active_blocks; ++b) {
             auto shard = layout.shard_of(volume, b * block);
             auto &n = *nodes[static_cast<std::size_t>(shard.value)];
             std::string bytes;
             if (!n.store.contains(id)) {
-                broken("snapshot " + std::to_string(id.value & 0xffff) + " is not at node " +
-                       std::to_string(n.id.value));
+                report_violation("snapshot " + std::to_string(id.value & 0xffff) +
+                                 " is missing on node " + std::to_string(n.id.value));
                 return got;
             }
             if (!n.store.read(id, b * block, block, bytes))
-                broken("a block does not match its checksum");
+                report_violation("block " + std::to_string(b) + " does not match its checksum");
             std::uint64_t no = 0;
             std::memcpy(&no, bytes.data(), sizeof no);
             if (no == 0)
                 continue;
             for (std::size_t i = 0; i < block; i += sizeof no)
                 if (std::memcmp(bytes.data() + i, &no, sizeof no) != 0)
-                    broken("a block holds two writes");
+                    report_violation("block " + std::to_string(b) + " contains data of two writes");
             got[b] = WriteNo{no};
         }
         return got;
@@ -451,58 +467,63 @@
     void judge(const std::string &full) {
         auto &s = snapshots.at(full);
         for (auto &what : history.judge(s.called, s.returned, s.held))
-            broken(full + ": " + what);
+            report_violation(full + ": " + what);
     }
     std::vector<ShardId> all_shards() const {
         std::vector<ShardId> out_shards;
-        for (std::uint32_t i = 0; i < day.nodes; ++i)
+        for (std::uint32_t i = 0; i < scenario.nodes; ++i)
             out_shards.emplace_back(static_cast<std::int32_t>(i));
         return out_shards;
     }
 
-    void trouble();
-    CutResult run();
+    void inject_random_fault();
+    SnapshotSimulationResult run();
 };
 
 // ---- Nodes.
-NodeHost::NodeHost(World &world, NodeId i, ShardId s, std::uint64_t seed, Time now)
-    : w(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
+SimulatedNode::SimulatedNode(Simulation &world, NodeId i, ShardId s, std::uint64_t seed, Time now)
+    : simulation(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
     disk.set_service_model({.unit_time = ms, .cores = 2, .slots = 4, .queue_capacity = 64});
     node::PlannerRegistration::Actions line;
     line.connect = [this] {
-        w.at(w.now + w.delay(), [this] {
+        simulation.schedule(simulation.now + simulation.delay(), [this] {
             if (!listening)
                 return;
-            if (!w.core) {
-                reg->disconnected(w.now);
-                return w.stir(*this);
+            if (!simulation.core) {
+                registration->disconnected(simulation.now);
+                return simulation.run_due_work(*this);
             }
-            planner =
-                w.to_planner([this](std::string_view b) { reg->received(w.now, b), w.stir(*this); },
-                             [this] { planner.reset(), reg->disconnected(w.now), w.stir(*this); });
-            reg->connected(w.now);
-            w.stir(*this);
+            planner = simulation.to_planner(
+                [this](std::string_view b) {
+                    registration->received(simulation.now, b), simulation.run_due_work(*this);
+                },
+                [this] {
+                    planner.reset(), registration->disconnected(simulation.now),
+                        simulation.run_due_work(*this);
+                });
+            registration->connected(simulation.now);
+            simulation.run_due_work(*this);
         });
     };
     line.disconnect = [this] {
         if (auto p = std::exchange(planner, nullptr))
-            w.close(p, 0);
+            simulation.close(p, 0);
     };
     line.send = [this](std::string b) {
         if (planner)
-            w.send(planner, 0, std::move(b));
+            simulation.send(planner, 0, std::move(b));
     };
     line.log_event = [](std::string) {};
     line.open_snapshot = [this](VolumeId of, VolumeId as, std::uint32_t epoch,
                                 const std::vector<control::EdgeIncarnation> &late) {
         std::set<control::EdgeIncarnation> who(late.begin(), late.end());
-        if (w.day.nodes_let_in)
-            for (std::uint32_t e = 0; e < w.day.edges; ++e)
-                who.insert(w.edges[e]->core
-                               ? control::EdgeIncarnation{w.edges[e]->core->incarnation()}
+        if (simulation.scenario.nodes_admit_all_edges)
+            for (std::uint32_t e = 0; e < simulation.scenario.edges; ++e)
+                who.insert(simulation.edges[e]->core
+                               ? control::EdgeIncarnation{simulation.edges[e]->core->incarnation()}
                                : control::EdgeIncarnation{});
-        if (w.day.nodes_cut_once) {
-            // As a store that knows nothing of late changes: sealed at once.
+        if (simulation.scenario.nodes_seal_at_once) {
+            // Seals the snapshot at once, like a store without support for late writes.
             auto how = store.take_snapshot(of, as);
             return static_cast<control::SnapshotResult>(how);
         }
@@ -515,42 +536,44 @@
         return static_cast<control::SnapshotResult>(disk.clone(of, as));
     };
     line.diff = [this](VolumeId a, VolumeId b) { return store.diff(a, b); };
-    reg = std::make_unique<node::PlannerRegistration>(
+    registration = std::make_unique<node::PlannerRegistration>(
         line, node::PlannerRegistrationConfig{id, shard, ZoneId{0}, std::to_string(id.value),
                                               seed + id.value, 100 * ms});
-    reg->start(now, 1, now - 3600 * sec);
+    registration->start(now, 1, now - 3600 * sec);
 }
-void NodeHost::send(node::ConnectionId conn, std::string out) {
-    if (auto it = conns.find(conn); it != conns.end())
-        w.send(it->second, 1, std::move(out));
+void SimulatedNode::send(node::ConnectionId connection_id, std::string out) {
+    if (auto it = connections.find(connection_id); it != connections.end())
+        simulation.send(it->second, 1, std::move(out));
 }
-void NodeHost::close(node::ConnectionId conn, bool) {
-    auto it = conns.find(conn);
-    if (it == conns.end())
+void SimulatedNode::close(node::ConnectionId connection_id, bool) {
+    auto it = connections.find(connection_id);
+    if (it == connections.end())
         return;
-    w.close(it->second, 1);
-    conns.erase(it);
+    simulation.close(it->second, 1);
+    connections.erase(it);
 }
-void NodeHost::listen(bool open) {
+void SimulatedNode::listen(bool open) {
     listening = open;
 }
 
 // ---- Edges.
-void EdgeHost::in(const std::function<void()> &call) {
+void SimulatedEdge::run_or_defer(const std::function<void()> &call) {
     if (paused)
-        while_paused.push_back(call);
+        deferred_calls.push_back(call);
     else if (core)
-        call(), w.stir(*this);
+        call(), simulation.run_due_work(*this);
 }
-void EdgeHost::start() {
-    ++lives;
+void SimulatedEdge::start() {
+    ++start_count;
     core = std::make_unique<edge::Core>(
-        *this, [&](SchedulerActions &a) { return make_scheduler(a, w.day.seed + id); },
-        edge::CoreConfig{id, w.day.seed + lives * 1000, extent, span, unit, w.all_shards()});
+        *this,
+        [&](SchedulerActions &a) { return make_scheduler(a, simulation.scenario.seed + id); },
+        edge::CoreConfig{id, simulation.scenario.seed + start_count * 1000, extent, span, unit,
+                         simulation.all_shards()});
     auto &s = core->scheduler();
     SchedulerConfig config;
     config.self = SchedulerId{static_cast<std::uint32_t>(id)};
-    config.scheduler_count = w.day.edges;
+    config.scheduler_count = simulation.scenario.edges;
     config.max_retry_after = sec;
     config.units = {2, 9, 0.35, 0.08};
     config.attempts = {3, false, true};
@@ -573,251 +596,257 @@
     }
     core->set_node_connections({2, 250 * ms, 300 * ms, 2 * sec, 1 << 20});
     core->set_admission_limits({16, 64 << 10, 256, 4 << 20});
-    core->start(w.now);
-    sub = std::make_unique<edge::PlannerClient>(
-        *this, edge::PlannerClientConfig{EdgeId{id}, "e", w.day.seed + lives * 31 + id, 100 * ms,
-                                         3600 * sec});
-    core->follow_cluster_state(sub->replica().cluster_state());
+    core->start(simulation.now);
+    planner_client = std::make_unique<edge::PlannerClient>(
+        *this,
+        edge::PlannerClientConfig{EdgeId{id}, "e", simulation.scenario.seed + start_count * 31 + id,
+                                  100 * ms, 3600 * sec});
+    core->follow_cluster_state(planner_client->replica().cluster_state());
     lists = 0;
-    sub->start(w.now, {});
-    w.stir(*this);
+    planner_client->start(simulation.now, {});
+    simulation.run_due_work(*this);
 }
-void EdgeHost::stop() {
+void SimulatedEdge::stop() {
     if (planner)
-        w.close(std::exchange(planner, nullptr), 0);
-    for (auto &[l, wire] : std::exchange(links, {}))
-        w.close(wire, 0);
-    for (auto &[c, wire] : std::exchange(clients, {}))
-        w.close(wire, 1);
-    core.reset(), sub.reset();
-    paused = false, while_paused.clear(), wake = never;
+        simulation.close(std::exchange(planner, nullptr), 0);
+    for (auto &[l, connection] : std::exchange(links, {}))
+        simulation.close(connection, 0);
+    for (auto &[c, connection] : std::exchange(clients, {}))
+        simulation.close(connection, 1);
+    core.reset(), planner_client.reset();
+    paused = false, deferred_calls.clear(), wake = never;
 }
-void EdgeHost::connect(edge::NodeConnectionId link, const std::string &address) {
-    auto wire = w.wire();
-    links[link] = wire;
-    auto incarnation = lives;
-    wire->hear[0] = [this, link, incarnation](std::string_view b) {
-        in([this, link, incarnation, bytes = std::string(b)] {
-            if (incarnation == lives && links.contains(link))
-                core->node_received(w.now, link, bytes);
+void SimulatedEdge::connect(edge::NodeConnectionId link, const std::string &address) {
+    auto connection = simulation.make_connection();
+    links[link] = connection;
+    auto incarnation = start_count;
+    connection->on_bytes[0] = [this, link, incarnation](std::string_view b) {
+        run_or_defer([this, link, incarnation, bytes = std::string(b)] {
+            if (incarnation == start_count && links.contains(link))
+                core->node_received(simulation.now, link, bytes);
         });
     };
-    wire->ended[0] = [this, link, incarnation] {
-        in([this, link, incarnation] {
-            if (incarnation == lives && links.erase(link))
-                core->node_disconnected(w.now, link);
+    connection->on_closed[0] = [this, link, incarnation] {
+        run_or_defer([this, link, incarnation] {
+            if (incarnation == start_count && links.erase(link))
+                core->node_disconnected(simulation.now, link);
         });
     };
-    auto &n = *w.nodes[std::stoull(address) - 1];
-    w.at(w.now + w.delay(), [this, link, incarnation, wire, &n] {
-        if (!wire->open[0])
-            return;
-        if (!n.listening) {
-            wire->open[0] = false;
-            return in([this, link, incarnation] {
-                if (incarnation == lives && links.erase(link))
-                    core->node_connect_failed(w.now, link);
+    auto &n = *simulation.nodes[std::stoull(address) - 1];
+    simulation.schedule(
+        simulation.now + simulation.delay(), [this, link, incarnation, connection, &n] {
+            if (!connection->open[0])
+                return;
+            if (!n.listening) {
+                connection->open[0] = false;
+                return run_or_defer([this, link, incarnation] {
+                    if (incarnation == start_count && links.erase(link))
+                        core->node_connect_failed(simulation.now, link);
+                });
+            }
+            node::ConnectionId connection_id{++simulation.next_node_connection};
+            n.connections[connection_id] = connection;
+            connection->on_bytes[1] = [this, &n, connection_id](std::string_view b) {
+                n.disk.received(simulation.now, connection_id, b), simulation.run_due_work(n);
+            };
+            connection->on_closed[1] = [this, &n, connection_id] {
+                n.connections.erase(connection_id), n.disk.disconnected(connection_id);
+            };
+            n.disk.connected(simulation.now, connection_id);
+            run_or_defer([this, link, incarnation] {
+                if (incarnation == start_count && links.contains(link))
+                    core->node_connected(simulation.now, link);
             });
-        }
-        node::ConnectionId conn{++w.next_conn};
-        n.conns[conn] = wire;
-        wire->hear[1] = [this, &n, conn](std::string_view b) {
-            n.disk.received(w.now, conn, b), w.stir(n);
-        };
-        wire->ended[1] = [this, &n, conn] { n.conns.erase(conn), n.disk.disconnected(conn); };
-        n.disk.connected(w.now, conn);
-        in([this, link, incarnation] {
-            if (incarnation == lives && links.contains(link))
-                core->node_connected(w.now, link);
         });
-    });
 }
-void EdgeHost::send(edge::NodeConnectionId link, std::string bytes) {
+void SimulatedEdge::send(edge::NodeConnectionId link, std::string bytes) {
     auto it = links.find(link);
     if (it == links.end())
         return;
     auto size = bytes.size();
-    w.send(it->second, 0, std::move(bytes));
-    w.at(w.now, [this, link, size, incarnation = lives] {
-        in([this, link, size, incarnation] {
-            if (incarnation == lives && links.contains(link))
-                core->node_sent(w.now, link, size);
+    simulation.send(it->second, 0, std::move(bytes));
+    simulation.schedule(simulation.now, [this, link, size, incarnation = start_count] {
+        run_or_defer([this, link, size, incarnation] {
+            if (incarnation == start_count && links.contains(link))
+                core->node_sent(simulation.now, link, size);
         });
     });
 }
-void EdgeHost::close(edge::NodeConnectionId link) {
+void SimulatedEdge::close(edge::NodeConnectionId link) {
     auto it = links.find(link);
     if (it == links.end())
         return;
-    auto wire = it->second;
+    auto connection = it->second;
     links.erase(it);
-    w.close(wire, 0);
+    simulation.close(connection, 0);
 }
-void EdgeHost::send_client(edge::ClientId client, std::string bytes) {
+void SimulatedEdge::send_client(edge::ClientId client, std::string bytes) {
     auto it = clients.find(client);
     if (it == clients.end())
         return;
     auto size = bytes.size();
-    w.send(it->second, 1, std::move(bytes));
-    w.at(w.now, [this, client, size, incarnation = lives] {
-        in([this, client, size, incarnation] {
-            if (incarnation == lives && clients.contains(client))
-                core->client_sent(w.now, client, size);
+    simulation.send(it->second, 1, std::move(bytes));
+    simulation.schedule(simulation.now, [this, client, size, incarnation = start_count] {
+        run_or_defer([this, client, size, incarnation] {
+            if (incarnation == start_count && clients.contains(client))
+                core->client_sent(simulation.now, client, size);
         });
     });
 }
-void EdgeHost::close_client(edge::ClientId client) {
+void SimulatedEdge::close_client(edge::ClientId client) {
     auto it = clients.find(client);
     if (it == clients.end())
         return;
-    auto wire = it->second;
+    auto connection = it->second;
     clients.erase(it);
-    w.close(wire, 1);
+    simulation.close(connection, 1);
 }
-void EdgeHost::attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) {
-    sub->attempt_completed(w.now, node, how);
+void SimulatedEdge::attempt_completed(RequestId, NodeId node, AttemptOutcome how, Time) {
+    planner_client->attempt_completed(simulation.now, node, how);
 }
-void EdgeHost::volume_used(VolumeId v, bool on) {
-    sub->volume_used(w.now, v, on);
+void SimulatedEdge::volume_used(VolumeId v, bool on) {
+    planner_client->volume_used(simulation.now, v, on);
 }
-void EdgeHost::snapshot_step_done(VolumeId as, control::SnapshotStep step,
-                                  control::EdgeIncarnation l) {
-    sub->report_snapshot_step(as, step, l);
+void SimulatedEdge::snapshot_step_done(VolumeId as, control::SnapshotStep step,
+                                       control::EdgeIncarnation l) {
+    planner_client->report_snapshot_step(as, step, l);
 }
-void EdgeHost::connect_planner() {
-    w.at(w.now + w.delay(), [this, incarnation = lives] {
-        if (incarnation != lives || !sub || paused)
+void SimulatedEdge::connect_planner() {
+    simulation.schedule(simulation.now + simulation.delay(), [this, incarnation = start_count] {
+        if (incarnation != start_count || !planner_client || paused)
             return;
-        if (!w.core || cut_off) {
-            sub->disconnected(w.now);
-            return w.stir(*this);
+        if (!simulation.core || cut_off) {
+            planner_client->disconnected(simulation.now);
+            return simulation.run_due_work(*this);
         }
-        auto wire = std::make_shared<WirePtr>();
-        *wire = planner = w.to_planner(
+        auto connection = std::make_shared<ConnectionPtr>();
+        *connection = planner = simulation.to_planner(
             [this, incarnation](std::string_view b) {
-                in([this, incarnation, bytes = std::string(b)] {
-                    if (incarnation == lives && planner)
-                        sub->received(w.now, bytes);
+                run_or_defer([this, incarnation, bytes = std::string(b)] {
+                    if (incarnation == start_count && planner)
+                        planner_client->received(simulation.now, bytes);
                 });
             },
-            [this, incarnation, wire] {
-                in([this, incarnation, wire] {
-                    if (incarnation == lives && planner == *wire)
-                        planner.reset(), sub->disconnected(w.now);
+            [this, incarnation, connection] {
+                run_or_defer([this, incarnation, connection] {
+                    if (incarnation == start_count && planner == *connection)
+                        planner.reset(), planner_client->disconnected(simulation.now);
                 });
             });
-        sub->connected(w.now);
-        w.stir(*this);
+        planner_client->connected(simulation.now);
+        simulation.run_due_work(*this);
     });
 }
-void EdgeHost::disconnect_planner() {
+void SimulatedEdge::disconnect_planner() {
     if (planner)
-        w.close(std::exchange(planner, nullptr), 0);
+        simulation.close(std::exchange(planner, nullptr), 0);
 }
-void EdgeHost::send_planner(std::string bytes) {
+void SimulatedEdge::send_planner(std::string bytes) {
     if (planner)
-        w.send(planner, 0, std::move(bytes));
+        simulation.send(planner, 0, std::move(bytes));
 }
-void EdgeHost::cluster_state_changed(const control::ClusterState &table, bool nodes, bool plans,
-                                     const std::map<NodeId, Time> &started) {
+void SimulatedEdge::cluster_state_changed(const control::ClusterState &table, bool nodes,
+                                          bool plans, const std::map<NodeId, Time> &started) {
     if (plans)
         for (auto &[pid, p] : table.plans)
             core->set_plan(pid, edge::plan_config(p));
-    core->cluster_state_changed(w.now);
-    if (!nodes || !core->endpoint_list_begin(w.now, ++lists))
+    core->cluster_state_changed(simulation.now);
+    if (!nodes || !core->endpoint_list_begin(simulation.now, ++lists))
         return;
     for (auto &[nid, n] : table.nodes)
         core->endpoint_listed({nid, n.shard, n.zone, n.state, started.at(nid)}, n.address);
     core->endpoint_list_end();
 }
-void EdgeHost::quota_share_changed(VolumeId v, double hosts) {
-    core->quota_share_changed(w.now, v, hosts);
+void SimulatedEdge::quota_share_changed(VolumeId v, double hosts) {
+    core->quota_share_changed(simulation.now, v, hosts);
 }
-void EdgeHost::snapshot_hold(const control::SnapshotHold &order) {
+void SimulatedEdge::snapshot_hold(const control::SnapshotHold &order) {
     auto [of, as, epoch, longest] = order;
-    if (w.day.edges_begin_on)
-        return sub->report_snapshot_step(as, control::SnapshotStep::holding,
-                                         control::EdgeIncarnation{core->incarnation()});
-    core->hold_snapshot(w.now, {of, as, epoch}, longest);
-    if (w.day.nobody_waits)
-        sub->report_snapshot_step(as, control::SnapshotStep::drained,
-                                  control::EdgeIncarnation{core->incarnation()});
+    if (simulation.scenario.edges_skip_hold)
+        return planner_client->report_snapshot_step(as, control::SnapshotStep::holding,
+                                                    control::EdgeIncarnation{core->incarnation()});
+    core->hold_snapshot(simulation.now, {of, as, epoch}, longest);
+    if (simulation.scenario.edges_report_drained_at_once)
+        planner_client->report_snapshot_step(as, control::SnapshotStep::drained,
+                                             control::EdgeIncarnation{core->incarnation()});
 }
-void EdgeHost::snapshot_resume(const control::SnapshotResume &order) {
+void SimulatedEdge::snapshot_resume(const control::SnapshotResume &order) {
     auto [of, as, epoch] = order;
-    if (w.day.edges_begin_on) {
-        // Goes by the new epoch when it hears of it, and never held anything back.
-        core->hold_snapshot(w.now, {of, as, epoch}, sec);
+    if (simulation.scenario.edges_skip_hold) {
+        // Enters the new epoch when told, without having held any writes.
+        core->hold_snapshot(simulation.now, {of, as, epoch}, sec);
     }
-    core->resume_snapshot(w.now, {of, as, epoch});
+    core->resume_snapshot(simulation.now, {of, as, epoch});
 }
-void EdgeHost::snapshot_release(const control::SnapshotRelease &order) {
-    core->release_snapshot(w.now, order.volume, order.snapshot);
+void SimulatedEdge::snapshot_release(const control::SnapshotRelease &order) {
+    core->release_snapshot(simulation.now, order.volume, order.snapshot);
 }
-void EdgeHost::planner_lost() {
-    core->planner_lost(w.now);
+void SimulatedEdge::planner_lost() {
+    core->planner_lost(simulation.now);
 }
 
 // ---- Clients.
-void ClientHost::come() {
-    if (w.quiet)
+void SimulatedClient::connect() {
+    if (simulation.faults_ended)
         return;
-    auto &e = *w.edges[edge];
-    if (!e.core || e.sub->replica().cluster_state().names.empty()) {
-        w.at(w.now + 20 * ms, [this] { come(); });
+    auto &e = *simulation.edges[edge];
+    if (!e.core || e.planner_client->replica().cluster_state().names.empty()) {
+        simulation.schedule(simulation.now + 20 * ms, [this] { connect(); });
         return;
     }
-    flying.clear();
-    wire = w.wire();
+    outstanding_writes.clear();
+    connection = simulation.make_connection();
     session = std::make_unique<load::Session>(*this, "v", true);
     edge::ClientId id{++e.next_client};
-    e.clients[id] = wire;
-    auto mine = wire;
-    auto incarnation = e.lives;
-    wire->hear[0] = [this, mine](std::string_view b) {
-        if (wire != mine)
+    e.clients[id] = connection;
+    auto mine = connection;
+    auto incarnation = e.start_count;
+    connection->on_bytes[0] = [this, mine](std::string_view b) {
+        if (connection != mine)
             return;
         session->bytes(b);
-        flush_out();
+        send_pending_bytes();
     };
-    wire->ended[0] = [this, mine] {
-        if (wire == mine)
-            w.at(w.now + 10 * ms + w.time_under(20 * ms), [this] { come(); });
+    connection->on_closed[0] = [this, mine] {
+        if (connection == mine)
+            simulation.schedule(simulation.now + 10 * ms + simulation.random_time_below(20 * ms),
+                                [this] { connect(); });
     };
-    wire->hear[1] = [&e, id, incarnation, this](std::string_view b) {
-        e.in([&e, id, incarnation, this, bytes = std::string(b)] {
-            if (incarnation == e.lives && e.clients.contains(id))
-                e.core->client_received(w.now, id, bytes);
+    connection->on_bytes[1] = [&e, id, incarnation, this](std::string_view b) {
+        e.run_or_defer([&e, id, incarnation, this, bytes = std::string(b)] {
+            if (incarnation == e.start_count && e.clients.contains(id))
+                e.core->client_received(simulation.now, id, bytes);
         });
     };
-    wire->ended[1] = [&e, id, incarnation, this] {
-        e.in([&e, id, incarnation, this] {
-            if (incarnation == e.lives && e.clients.erase(id))
-                e.core->client_disconnected(w.now, id);
+    connection->on_closed[1] = [&e, id, incarnation, this] {
+        e.run_or_defer([&e, id, incarnation, this] {
+            if (incarnation == e.start_count && e.clients.erase(id))
+                e.core->client_disconnected(simulation.now, id);
         });
     };
-    e.in([&e, id, this] { e.core->client_connected(w.now, id); });
+    e.run_or_defer([&e, id, this] { e.core->client_connected(simulation.now, id); });
 }
-void ClientHost::pump() {
-    while (session->is_open() && session->flying() < 4 && !w.quiet) {
+void SimulatedClient::send_requests() {
+    while (session->is_open() && session->flying() < 4 && !simulation.faults_ended) {
         auto c = ++cookie;
-        auto first = w.under(busy_blocks);
+        auto first = simulation.random_below(active_blocks);
         auto blocks = static_cast<std::uint32_t>(
-            1 + (w.lot(0.4) ? w.under(10) : 0)); // some go over spans and extents
-        blocks = std::min<std::uint32_t>(blocks, static_cast<std::uint32_t>(busy_blocks - first));
-        if (w.lot(0.1)) {
+            1 + (simulation.happens(0.4) ? simulation.random_below(10)
+                                         : 0)); // some cross span and extent boundaries
+        blocks = std::min<std::uint32_t>(blocks, static_cast<std::uint32_t>(active_blocks - first));
+        if (simulation.happens(0.1)) {
             session->ask(nbd::cmd_flush, 0, c, 0, 0);
             continue;
         }
-        if (w.lot(0.1)) {
+        if (simulation.happens(0.1)) {
             session->ask(nbd::cmd_read, 0, c, first * block,
                          static_cast<std::uint32_t>(blocks * block));
             continue;
         }
-        bool fua = w.lot(0.5);
-        auto no = w.history.begins(w.now, first, blocks, fua);
-        ++w.out.writes;
-        flying[c] = {no, w.now};
+        bool fua = simulation.happens(0.5);
+        auto no = simulation.history.begins(simulation.now, first, blocks, fua);
+        ++simulation.out.writes;
+        outstanding_writes[c] = {no, simulation.now};
         std::string data(blocks * block, '\0');
         for (std::size_t i = 0; i < data.size(); i += sizeof no.value)
             std::memcpy(data.data() + i, &no.value, sizeof no.value);
@@ -825,112 +854,114 @@
                      static_cast<std::uint32_t>(data.size()), data);
     }
 }
-void ClientHost::ended(std::uint64_t c, std::uint32_t error, std::string_view) {
-    if (auto it = flying.find(c); it != flying.end()) {
-        w.history.ends(it->second.first, w.now, error == 0);
-        w.out.answered += error == 0;
-        // Both ways may take some time; an edge that stood still could not answer.
-        if (w.now - it->second.second > client_timeout + 150 * ms &&
-            w.edges[edge]->stood_still < it->second.second)
-            w.broken("a write was answered after " +
-                     std::to_string((w.now - it->second.second) / ms) + "ms");
+void SimulatedClient::ended(std::uint64_t c, std::uint32_t error, std::string_view) {
+    if (auto it = outstanding_writes.find(c); it != outstanding_writes.end()) {
+        simulation.history.ends(it->second.first, simulation.now, error == 0);
+        simulation.out.answered += error == 0;
+        // Allows 150 ms for both network directions; a paused edge cannot reply in time.
+        if (simulation.now - it->second.second > client_timeout + 150 * ms &&
+            simulation.edges[edge]->paused_until < it->second.second)
+            simulation.report_violation(
+                "the reply to a write took longer than the client timeout: " +
+                std::to_string((simulation.now - it->second.second) / ms) + "ms");
         if (error == 0)
-            w.out.took.push_back(w.now - it->second.second);
-        flying.erase(it);
+            simulation.out.write_latencies.push_back(simulation.now - it->second.second);
+        outstanding_writes.erase(it);
     }
     if (error == 0)
-        return pump();
-    w.at(w.now + w.time_under(40 * ms), [this, mine = wire] {
-        if (wire == mine)
-            pump(), flush_out();
-    });
+        return send_requests();
+    simulation.schedule(simulation.now + simulation.random_time_below(40 * ms),
+                        [this, mine = connection] {
+                            if (connection == mine)
+                                send_requests(), send_pending_bytes();
+                        });
 }
-void ClientHost::flush_out() {
+void SimulatedClient::send_pending_bytes() {
     auto bytes = session->take_out();
     if (!bytes.empty())
-        w.send(wire, 0, std::move(bytes));
+        simulation.send(connection, 0, std::move(bytes));
 }
 
-// ---- Troubles.
-void World::trouble() {
-    auto &e = *edges[under(edges.size())];
-    auto &n = *nodes[under(nodes.size())];
-    switch (under(11)) {
-    case 0: // a node's process ends and comes back; some lose what was not flushed
+// ---- Faults.
+void Simulation::inject_random_fault() {
+    auto &e = *edges[random_below(edges.size())];
+    auto &n = *nodes[random_below(nodes.size())];
+    switch (random_below(11)) {
+    case 0: // a node process restarts; some lose unflushed data
     {
-        bool lose = lot(0.5);
-        ++out.met[lose ? "node restarts with loss" : "node restarts"];
-        n.reg->stop(now);
+        bool lose = happens(0.5);
+        ++out.event_counts[lose ? "node restarts with loss" : "node restarts"];
+        n.registration->stop(now);
         if (lose)
             history.lost(now);
         n.disk.restart(now, lose);
-        n.reg->start(now, static_cast<std::uint64_t>(now), now);
-        stir(n);
+        n.registration->start(now, static_cast<std::uint64_t>(now), now);
+        run_due_work(n);
         break;
     }
     case 1:
         if (!core)
             break;
-        if (lot(0.5)) {
-            planner_die();
+        if (happens(0.5)) {
+            crash_planner();
         } else {
-            state_store.die_at = 1 + static_cast<int>(under(2));
+            state_store.commit_fault = 1 + static_cast<int>(random_below(2));
         }
         break;
-    case 2: // an edge is cut off from the planner for a while, and goes on serving
+    case 2: // an edge loses the planner for a while and continues to serve clients
         if (!e.planner || e.cut_off)
             break;
-        ++out.met["edges cut off"];
+        ++out.event_counts["edges cut off"];
         e.cut_off = true;
         sever(e.planner);
-        at(now + time_under(2 * sec), [&e] { e.cut_off = false; });
+        schedule(now + random_time_below(2 * sec), [&e] { e.cut_off = false; });
         break;
-    case 3: // its word with the planner is late
+    case 3: // messages between the edge and the planner are delayed
         if (!e.planner)
             break;
-        ++out.met["planner's word late"];
-        e.planner->held = now + time_under(1200 * ms);
+        ++out.event_counts["planner's word late"];
+        e.planner->held = now + random_time_below(1200 * ms);
         break;
     case 4:
         if (e.paused || !e.core)
             break;
-        ++out.met["edges paused"];
+        ++out.event_counts["edges paused"];
         e.paused = true;
-        at(now + time_under(1500 * ms), [this, &e, incarnation = e.lives] {
-            if (incarnation != e.lives || !e.paused)
+        schedule(now + random_time_below(1500 * ms), [this, &e, incarnation = e.start_count] {
+            if (incarnation != e.start_count || !e.paused)
                 return;
-            e.paused = false, e.stood_still = now;
-            stir(e);
-            for (auto &call : std::exchange(e.while_paused, {}))
+            e.paused = false, e.paused_until = now;
+            run_due_work(e);
+            for (auto &call : std::exchange(e.deferred_calls, {}))
                 call();
-            e.wake = never, stir(e);
+            e.wake = never, run_due_work(e);
         });
         break;
     case 5:
         if (!e.core)
             break;
-        ++out.met["edge restarts"];
+        ++out.event_counts["edge restarts"];
         e.stop();
-        at(now + 20 * ms + time_under(500 * ms), [&e] {
+        schedule(now + 20 * ms + random_time_below(500 * ms), [&e] {
             if (!e.core)
                 e.start();
         });
         break;
     case 6:
-    case 7: // shots under way come late, past their edge's patience
+    case 7: // attempts in transit arrive after the edge's timeout
         if (e.links.empty())
             break;
         {
             auto l = e.links.begin();
-            std::advance(l, static_cast<std::ptrdiff_t>(under(e.links.size())));
-            ++out.met["shots held"];
-            l->second->held = now + time_under(1200 * ms);
+            std::advance(l, static_cast<std::ptrdiff_t>(random_below(e.links.size())));
+            ++out.event_counts["shots held"];
+            l->second->held = now + random_time_below(1200 * ms);
         }
         break;
     case 8:
         if (e.links.empty())
             break;
-        ++out.met["links severed"];
+        ++out.event_counts["links severed"];
         sever(e.links.begin()->second);
         break;
     default: {
@@ -940,38 +971,38 @@
                                                     node::FaultKind::go_silent,
                                                     node::FaultKind::reject_requests,
                                                     node::FaultKind::truncate_answer};
-        ++out.met["node faults"];
-        double magnitude = lot(0.5) ? 0.2 : 6;
-        Time until = now + 20 * ms + time_under(700 * ms);
+        ++out.event_counts["node faults"];
+        double magnitude = happens(0.5) ? 0.2 : 6;
+        Time until = now + 20 * ms + random_time_below(700 * ms);
         n.disk.inject_fault(
-            {.kind = kinds[under(6)], .from = now, .until = until, .magnitude = magnitude});
+            {.kind = kinds[random_below(6)], .from = now, .until = until, .magnitude = magnitude});
         n.disk.tick(now);
-        stir(n);
+        run_due_work(n);
     }
     }
 }
 
-CutResult World::run() {
-    planner_start();
-    for (std::uint32_t i = 0; i < day.nodes; ++i) {
-        nodes.push_back(std::make_unique<NodeHost>(
-            *this, NodeId{i + 1}, ShardId{static_cast<std::int32_t>(i)}, day.seed, now));
-        stir(*nodes.back());
-    }
-    for (std::uint32_t i = 0; i < day.edges; ++i) {
-        edges.push_back(std::make_unique<EdgeHost>(*this, i));
+SnapshotSimulationResult Simulation::run() {
+    start_planner();
+    for (std::uint32_t i = 0; i < scenario.nodes; ++i) {
+        nodes.push_back(std::make_unique<SimulatedNode>(
+            *this, NodeId{i + 1}, ShardId{static_cast<std::int32_t>(i)}, scenario.seed, now));
+        run_due_work(*nodes.back());
+    }
+    for (std::uint32_t i = 0; i < scenario.edges; ++i) {
+        edges.push_back(std::make_unique<SimulatedEdge>(*this, i));
         edges.back()->start();
     }
-    for (std::uint32_t i = 0; i < day.clients; ++i) {
-        clients.push_back(std::make_unique<ClientHost>(*this, i % day.edges));
-        clients.back()->come();
+    for (std::uint32_t i = 0; i < scenario.clients; ++i) {
+        clients.push_back(std::make_unique<SimulatedClient>(*this, i % scenario.edges));
+        clients.back()->connect();
     }
-    Time begin = now + 500 * ms, end = begin + day.length;
-    for (int i = 0; i < static_cast<int>(day.trouble * 3 * seconds(day.length)); ++i)
-        at(begin + time_under(day.length), [this] { trouble(); });
-    for (int i = 0; i < static_cast<int>(4 * seconds(day.length)); ++i)
-        at(begin + time_under(day.length), [this] { take(); });
-    at(end, [this] { quiet = true; });
+    Time begin = now + 500 * ms, end = begin + scenario.length;
+    for (int i = 0; i < static_cast<int>(scenario.fault_rate * 3 * seconds(scenario.length)); ++i)
+        schedule(begin + random_time_below(scenario.length), [this] { inject_random_fault(); });
+    for (int i = 0; i < static_cast<int>(4 * seconds(scenario.length)); ++i)
+        schedule(begin + random_time_below(scenario.length), [this] { take_snapshot(); });
+    schedule(end, [this] { faults_ended = true; });
     Time last = end + 8 * sec;
     while (!queue.empty() && queue.begin()->first.first <= last) {
         auto first = queue.begin();
@@ -983,10 +1014,10 @@
     }
     for (auto &[full, s] : snapshots) {
         judge(full);
-        if (held(s.id) != s.held)
-            broken(full + " changed after it was taken");
+        if (stored_writes(s.id) != s.held)
+            report_violation(full + " changed after it was taken");
     }
-    // What failed left nothing; what planner and nodes hold is the same.
+    // Failed snapshots leave nothing behind; planner and nodes have the same volumes.
     if (!core)
         return std::move(out);
     for (auto &n : nodes) {
@@ -996,20 +1027,22 @@
                 expected.insert(id);
         for (auto id : n->store.snapshots())
             if (!expected.contains(id) && !core->is_incomplete(id))
-                broken("node " + std::to_string(n->id.value) + " holds a cut that was undone");
+                report_violation("node " + std::to_string(n->id.value) +
+                                 " holds a snapshot or clone that the planner does not have");
         for (auto id : expected)
             if (!n->store.contains(id))
-                broken("node " + std::to_string(n->id.value) + " lacks a cut that is whole");
+                report_violation("node " + std::to_string(n->id.value) +
+                                 " lacks a complete snapshot or clone");
         for (auto &line : n->store.check())
-            broken("node's store: " + line);
+            report_violation("node's store: " + line);
     }
     return std::move(out);
 }
 
 } // namespace
 
-CutResult play(const CutDay &day) {
-    return World(day).run();
+SnapshotSimulationResult simulate(const SnapshotScenario &scenario) {
+    return Simulation(scenario).run();
 }
 
 } // namespace knotvane::sim
--- a/src/sim/cutting.hpp
+++ b/src/sim/cutting.hpp
@@ -1,7 +1,7 @@
-// Snapshots in virtual time: the real cores of planner, edges, nodes, their stores and clients,
-// joined by a network that delays, holds and cuts, with deaths of everything in the middle of a
-// cut. One thread, one seed. Each snapshot is judged by rules::History from what the clients saw
-// and what the stores hold.
+// Simulates snapshots in virtual time: real planner, edge and node cores with their stores, and
+// clients, connected by a network that delays and disconnects. Every process can crash while a
+// snapshot is being taken. It is single-threaded and driven by one seed. rules::History checks each
+// snapshot against the replies that clients received and the contents of the stores.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,27 @@
 
 namespace knotvane::sim {
 
-struct CutDay {
+struct SnapshotScenario {
     std::uint64_t seed = 1;
     Time length = 6 * sec;
     std::uint32_t nodes = 3, edges = 3, clients = 6;
-    double trouble = 1; // times the usual number
-    // Guards left out on purpose, to prove that the check would notice.
-    bool edges_begin_on = false; // edges say that they hold changes back, and do not
-    bool nodes_let_in = false;   // nodes take changes of before the cut from any edge
-    bool nodes_cut_once = false; // changes of before that come late go to the volume alone
-    bool nobody_waits = false;   // edges say at once that all that began before has ended
+    double fault_rate = 1; // relative to the usual rate
+    // Disable safeguards to verify that the check detects the violation.
+    bool edges_skip_hold = false;       // edges report that they hold writes, but do not
+    bool nodes_admit_all_edges = false; // nodes accept writes of the previous epoch from any edge
+    bool nodes_seal_at_once = false;    // late writes of the previous epoch reach the volume only
+    bool edges_report_drained_at_once =
+        false; // edges report at once that earlier writes have ended
 };
 
-struct CutResult {
-    std::vector<std::string> broken;
-    std::uint64_t writes = 0, answered = 0, taken = 0, refused = 0, clones = 0, events = 0;
-    std::vector<Time> took; // writes answered well
-    std::map<std::string, std::uint64_t> met;
+struct SnapshotSimulationResult {
+    std::vector<std::string> violations;
+    std::uint64_t writes = 0, answered = 0, snapshots_taken = 0, snapshots_refused = 0, clones = 0,
+                  events = 0;
+    std::vector<Time> write_latencies; // latencies of successful writes
+    std::map<std::string, std::uint64_t> event_counts;
 };
 
-CutResult play(const CutDay &day);
+SnapshotSimulationResult simulate(const SnapshotScenario &scenario);
 
 } // namespace knotvane::sim
--- a/src/sim/keeper.hpp
+++ b/src/sim/keeper.hpp
@@ -1,5 +1,5 @@
-// The planner's store in virtual time: durable for as long as the day, dies before or after a
-// commit when told to.
+// An in-memory planner state store for simulations. Committed rows survive simulated planner
+// crashes; a commit can be made to fail before or after it takes effect.
 #pragma once
 
 #include <map>
@@ -12,42 +12,43 @@
 
 namespace knotvane::sim {
 
-struct MemoryKeeper final : planner::StateStore {
+struct InMemoryStateStore final : planner::StateStore {
     struct Row {
         planner::Version stamp;
         std::string body;
     };
     using Key = std::tuple<planner::StateStore::Row, std::uint64_t, std::uint64_t>;
-    std::map<Key, std::optional<Row>> gathered;
+    std::map<Key, std::optional<Row>> pending_changes;
     std::map<Key, Row> rows;
     planner::StorePosition position;
-    int die_at = 0; // 1: the next commit does not come about, 2: it does and nobody hears of it
+    int commit_fault =
+        0; // 1: the next commit has no effect and fails; 2: it takes effect but reports failure
     bool died = false;
 
     void put(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b, planner::Version stamp,
              std::string body) override {
-        gathered[{r, a, b}] = Row{stamp, std::move(body)};
+        pending_changes[{r, a, b}] = Row{stamp, std::move(body)};
     }
     void erase(planner::StateStore::Row r, std::uint64_t a, std::uint64_t b) override {
-        gathered[{r, a, b}] = {};
+        pending_changes[{r, a, b}] = {};
     }
     bool commit(const planner::StorePosition &committed) override {
-        if (die_at == 1) {
+        if (commit_fault == 1) {
             died = true;
             return false;
         }
-        for (auto &[key, row] : gathered)
+        for (auto &[key, row] : pending_changes)
             if (row)
                 rows[key] = *row;
             else
                 rows.erase(key);
-        gathered.clear();
+        pending_changes.clear();
         position = committed;
-        died = die_at == 2;
+        died = commit_fault == 2;
         return !died;
     }
-    // The process is gone: what was gathered with it.
-    void lives_on() { gathered.clear(), die_at = 0, died = false; }
+    // Simulates a process restart: discards uncommitted changes.
+    void restart() { pending_changes.clear(), commit_fault = 0, died = false; }
 };
 
 } // namespace knotvane::sim
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -22,42 +22,49 @@
 using control::Version;
 using planner::SessionId;
 
-struct World final : planner::PlannerTransport {
-    struct EdgeHost final : edge::PlannerClientActions {
-        World &w;
+struct Simulation final : planner::PlannerTransport {
+    struct SimulatedEdge final : edge::PlannerClientActions {
+        Simulation &simulation;
         EdgeId id;
         double drift;
         Time offset;
-        std::unique_ptr<edge::PlannerClient> sub;
+        std::unique_ptr<edge::PlannerClient> planner_client;
         std::string disk;
-        SessionId side{0};
+        SessionId session_id{0};
         bool up = false, paused = false;
         Time wake = never;
         std::set<VolumeId> serving;
-        std::map<VolumeId, std::int64_t> usable; // as the decisions were told
+        std::map<VolumeId, std::int64_t>
+            usable; // in millionths of the limit, as the edge's scheduler was told
         std::map<NodeId, NodeState> nodes;
         planner::Term term;
         Version version;
 
-        EdgeHost(World &world, EdgeId i, double d, Time o) : w(world), id(i), drift(d), offset(o) {}
+        SimulatedEdge(Simulation &world, EdgeId i, double d, Time o)
+            : simulation(world), id(i), drift(d), offset(o) {}
         Time clock() const {
-            return offset + w.now + static_cast<Time>(static_cast<double>(w.now) * drift);
+            return offset + simulation.now +
+                   static_cast<Time>(static_cast<double>(simulation.now) * drift);
         }
         Time real(Time local) const {
             if (local >= never / 4)
                 return never;
             return static_cast<Time>(static_cast<double>(local - offset) / (1 + drift)) + 1;
         }
-        void connect_planner() override { w.dial(*this); }
-        void disconnect_planner() override { w.hang_up(side, true), side = SessionId{0}; }
-        void send_planner(std::string bytes) override { w.to_planner(side, std::move(bytes)); }
+        void connect_planner() override { simulation.connect(*this); }
+        void disconnect_planner() override {
+            simulation.disconnect(session_id, true), session_id = SessionId{0};
+        }
+        void send_planner(std::string bytes) override {
+            simulation.to_planner(session_id, std::move(bytes));
+        }
         void store_cluster_state(std::string bytes, bool replace) override {
             disk = replace ? std::move(bytes) : disk + bytes;
         }
         void log_event(std::string) override {}
         void cluster_state_changed(const control::ClusterState &table, bool, bool,
                                    const std::map<NodeId, Time> &started) override {
-            w.taken(*this, table, started);
+            simulation.apply_cluster_state(*this, table, started);
         }
         void quota_share_changed(VolumeId v, double hosts) override {
             auto is =
@@ -65,200 +72,206 @@
                     ? 0
                     : std::llround(static_cast<double>(control::full_limit_millionths) / hosts);
             if (!paused)
-                w.usable[v] += is - usable[v];
+                simulation.usable[v] += is - usable[v];
             usable[v] = is;
         }
     };
-    struct NodeHost {
+    struct SimulatedNode {
         NodeId id;
-        std::unique_ptr<node::PlannerRegistration> reg;
-        SessionId side{0};
+        std::unique_ptr<node::PlannerRegistration> registration;
+        SessionId session_id{0};
         std::uint64_t incarnation = 1;
         bool running = true;
         Time wake = never;
     };
-    struct Conn {
+    struct Connection {
         std::function<void(std::string_view)> to_far;
         std::function<void()> cut;
         bool open = true, first = true;
     };
 
-    const PlanDay &day;
-    PlanResult out;
-    std::ranlux24_base chance;
+    const PlannerScenario &scenario;
+    PlannerSimulationResult out;
+    std::ranlux24_base random;
     Time now = 1000 * sec;
     std::multimap<Time, std::function<void()>> events;
     std::unique_ptr<planner::Core> core;
-    MemoryKeeper disk;
+    InMemoryStateStore disk;
     Time planner_wake = never;
     bool planner_paused = false;
-    std::vector<std::function<void()>> while_paused;
-    std::vector<std::unique_ptr<EdgeHost>> edges;
-    std::vector<std::unique_ptr<NodeHost>> nodes;
-    std::map<SessionId, Conn> conns;
-    std::uint64_t next_side = 0, instances = 0;
+    std::vector<std::function<void()>> deferred_calls;
+    std::vector<std::unique_ptr<SimulatedEdge>> edges;
+    std::vector<std::unique_ptr<SimulatedNode>> nodes;
+    std::map<SessionId, Connection> connections;
+    std::uint64_t next_session = 0, instances = 0;
     planner::DesiredState wanted;
     std::map<VolumeId, std::int64_t> usable;
     std::map<std::pair<std::uint64_t, Version>, std::string> content; // by lineage and version
-    std::map<NodeId, bool> drain_said;                                // by the operator, last word
-    std::map<NodeId, std::set<Version>> undrained; // in which versions at the earliest
+    std::map<NodeId, bool> requested_drain;                           // the operator's last request
+    std::map<NodeId, std::set<Version>>
+        undrained; // the earliest versions that can contain each undrain
     std::map<Version, Time> durable_at;
     std::map<Version, std::vector<Time>> reached;
-    bool quiet = false;
+    bool faults_ended = false;
 
-    explicit World(const PlanDay &d)
-        : day(d), chance(static_cast<std::ranlux24_base::result_type>(d.seed)) {}
+    explicit Simulation(const PlannerScenario &d)
+        : scenario(d), random(static_cast<std::ranlux24_base::result_type>(d.seed)) {}
 
-    Time under(Time most) {
-        auto drawn = static_cast<std::uint64_t>(chance()) << 24 | chance();
+    Time random_below(Time most) {
+        auto drawn = static_cast<std::uint64_t>(random()) << 24 | random();
         return static_cast<Time>(drawn % static_cast<std::uint64_t>(std::max<Time>(1, most)));
     }
     bool happens(double p) {
-        return static_cast<double>(chance()) < p * static_cast<double>(chance.max());
+        return static_cast<double>(random()) < p * static_cast<double>(random.max());
     }
-    void at(Time when, std::function<void()> call) { events.emplace(when, std::move(call)); }
-    void broken(std::string what) {
-        if (out.broken.size() < 10)
-            out.broken.push_back("seed " + std::to_string(day.seed) + ", " +
-                                 std::to_string(now / ms) + "ms: " + what);
+    void schedule(Time when, std::function<void()> call) { events.emplace(when, std::move(call)); }
+    void report_violation(std::string what) {
+        if (out.violations.size() < 10)
+            out.violations.push_back("seed " + std::to_string(scenario.seed) + ", " +
+                                     std::to_string(now / ms) + "ms: " + what);
     }
 
-    // ---- Network. A connection's first message comes first; after it each takes a time of its
-    // own.
-    void pass(SessionId side, std::string bytes, Time extra,
-              std::function<void(std::string_view)> to) {
-        auto it = conns.find(side);
-        if (it == conns.end() || !it->second.open)
+    // ---- Network. A connection's first message arrives first; later messages have independent
+    // delays and can overtake each other.
+    void transmit(SessionId session_id, std::string bytes, Time extra,
+                  std::function<void(std::string_view)> to) {
+        auto it = connections.find(session_id);
+        if (it == connections.end() || !it->second.open)
             return;
         bool first = std::exchange(it->second.first, false);
-        if (!quiet && !first && happens(day.loss))
+        if (!faults_ended && !first && happens(scenario.loss))
             return;
-        int copies = !quiet && !first && happens(day.repeats) ? 2 : 1;
+        int copies = !faults_ended && !first && happens(scenario.repeats) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
-            at(now + (first ? 1 : 1 + under(quiet ? 5 * ms : day.delay) + extra),
-               [this, side, bytes, to] {
-                   auto c = conns.find(side);
-                   if (c != conns.end() && c->second.open)
-                       to(bytes);
-               });
+            schedule(now + (first
+                                ? 1
+                                : 1 + random_below(faults_ended ? 5 * ms : scenario.delay) + extra),
+                     [this, session_id, bytes, to] {
+                         auto c = connections.find(session_id);
+                         if (c != connections.end() && c->second.open)
+                             to(bytes);
+                     });
     }
-    void dial(EdgeHost &e) {
-        at(now + under(2 * ms) + 1, [this, &e] {
-            if (!e.sub || e.paused)
+    void connect(SimulatedEdge &e) {
+        schedule(now + random_below(2 * ms) + 1, [this, &e] {
+            if (!e.planner_client || e.paused)
                 return;
             if (!core) {
-                e.sub->disconnected(e.clock());
+                e.planner_client->disconnected(e.clock());
                 return run(e);
             }
-            SessionId side{++next_side};
-            e.side = side, e.up = true;
-            auto far = [this, &e, side](std::string_view in) {
-                if (e.side != side || !e.sub)
+            SessionId session_id{++next_session};
+            e.session_id = session_id, e.up = true;
+            auto far = [this, &e, session_id](std::string_view in) {
+                if (e.session_id != session_id || !e.planner_client)
                     return;
                 std::string bytes(in);
-                auto call = [this, &e, side, bytes] {
-                    if (e.side != side || !e.sub)
+                auto call = [this, &e, session_id, bytes] {
+                    if (e.session_id != session_id || !e.planner_client)
                         return;
-                    e.sub->received(e.clock(), bytes);
+                    e.planner_client->received(e.clock(), bytes);
                     run(e);
                 };
                 if (e.paused)
-                    at(now + 10 * ms, [this, &e, far_call = call] { retry_paused(e, far_call); });
+                    schedule(now + 10 * ms,
+                             [this, &e, far_call = call] { retry_paused(e, far_call); });
                 else
                     call();
             };
-            conns[side] = {far, [this, &e, side] {
-                               if (e.side != side)
-                                   return;
-                               e.side = SessionId{0}, e.up = false;
-                               if (!e.sub)
-                                   return;
-                               e.sub->disconnected(e.clock());
-                               if (!e.paused)
-                                   run(e);
-                           }};
-            planner_in([this, side] { core->connected(now, side); });
-            e.sub->connected(e.clock());
+            connections[session_id] = {far, [this, &e, session_id] {
+                                           if (e.session_id != session_id)
+                                               return;
+                                           e.session_id = SessionId{0}, e.up = false;
+                                           if (!e.planner_client)
+                                               return;
+                                           e.planner_client->disconnected(e.clock());
+                                           if (!e.paused)
+                                               run(e);
+                                       }};
+            run_in_planner([this, session_id] { core->connected(now, session_id); });
+            e.planner_client->connected(e.clock());
             run(e);
         });
     }
-    void retry_paused(EdgeHost &e, std::function<void()> call) {
+    void retry_paused(SimulatedEdge &e, std::function<void()> call) {
         if (e.paused)
-            at(now + 10 * ms, [this, &e, call] { retry_paused(e, call); });
+            schedule(now + 10 * ms, [this, &e, call] { retry_paused(e, call); });
         else
             call();
     }
-    void dial(NodeHost &n) {
-        at(now + under(2 * ms) + 1, [this, &n] {
+    void connect(SimulatedNode &n) {
+        schedule(now + random_below(2 * ms) + 1, [this, &n] {
             if (!n.running)
                 return;
             if (!core) {
-                n.reg->disconnected(now);
+                n.registration->disconnected(now);
                 return run(n);
             }
-            SessionId side{++next_side};
-            n.side = side;
-            conns[side] = {[this, &n, side](std::string_view in) {
-                               if (n.side == side && n.running)
-                                   n.reg->received(now, in), run(n);
-                           },
-                           [this, &n, side] {
-                               if (n.side != side)
-                                   return;
-                               n.side = SessionId{0};
-                               if (n.running)
-                                   n.reg->disconnected(now), run(n);
-                           }};
-            planner_in([this, side] { core->connected(now, side); });
-            n.reg->connected(now);
+            SessionId session_id{++next_session};
+            n.session_id = session_id;
+            connections[session_id] = {[this, &n, session_id](std::string_view in) {
+                                           if (n.session_id == session_id && n.running)
+                                               n.registration->received(now, in), run(n);
+                                       },
+                                       [this, &n, session_id] {
+                                           if (n.session_id != session_id)
+                                               return;
+                                           n.session_id = SessionId{0};
+                                           if (n.running)
+                                               n.registration->disconnected(now), run(n);
+                                       }};
+            run_in_planner([this, session_id] { core->connected(now, session_id); });
+            n.registration->connected(now);
             run(n);
         });
     }
-    void to_planner(SessionId side, std::string bytes) {
+    void to_planner(SessionId session_id, std::string bytes) {
         out.planner_bytes_in += bytes.size();
-        pass(side, std::move(bytes), 0, [this, side](std::string_view in) {
-            planner_in([this, side, bytes = std::string(in)] { core->received(now, side, bytes); });
+        transmit(session_id, std::move(bytes), 0, [this, session_id](std::string_view in) {
+            run_in_planner([this, session_id, bytes = std::string(in)] {
+                core->received(now, session_id, bytes);
+            });
         });
     }
-    // The far side closed, or we did.
-    void hang_up(SessionId side, bool by_far) {
-        auto it = conns.find(side);
-        if (it == conns.end() || !std::exchange(it->second.open, false))
+    // Closes the connection from the edge's or node's side; tells the planner if `by_far`.
+    void disconnect(SessionId session_id, bool by_far) {
+        auto it = connections.find(session_id);
+        if (it == connections.end() || !std::exchange(it->second.open, false))
             return;
         if (by_far)
-            planner_in([this, side] { core->disconnected(now, side); });
+            run_in_planner([this, session_id] { core->disconnected(now, session_id); });
     }
 
     // ---- The planner.
-    void planner_in(const std::function<void()> &call) {
+    void run_in_planner(const std::function<void()> &call) {
         if (planner_paused) {
-            while_paused.push_back(call);
+            deferred_calls.push_back(call);
             return;
         }
         if (!core)
             return;
         call();
-        planner_run();
+        run_planner();
     }
-    void planner_run() {
+    void run_planner() {
         if (!core || planner_paused)
             return;
         auto before = disk.position.version;
         core->settle(now);
         if (disk.died)
-            return planner_die();
+            return crash_planner();
         if (before != disk.position.version)
             durable_at[disk.position.version] = now, ++out.versions;
         auto due = core->next_due();
         planner_wake = due == never ? never : std::max(now, due);
     }
-    void planner_start() {
-        // A store as it is on disk: what was gathered is lost with the process.
-        disk.lives_on();
+    void start_planner() {
+        // The store as it is on disk: uncommitted changes are lost with the process.
+        disk.restart();
         planner::PlannerConfig config;
-        config.lease = day.lease;
-        config.lease_margin = day.lease / 20 + 100 * ms;
-        config.fade = day.fade;
+        config.lease = scenario.lease;
+        config.lease_margin = scenario.lease / 20 + 100 * ms;
+        config.fade = scenario.fade;
         config.node_silence = 2 * sec;
         config.node_removal_delay = sec;
         config.node_return_delay = sec;
@@ -266,110 +279,117 @@
         core = std::make_unique<planner::Core>(*this, disk, config);
         for (auto &[key, row] : disk.rows) {
             auto [kind, a, b] = key;
-            if (day.planner_forgets && kind == planner::StateStore::Row::quota_share)
+            if (scenario.planner_loses_quota_shares &&
+                kind == planner::StateStore::Row::quota_share)
                 continue;
             if (auto fault = core->restore(kind, a, b, row.stamp, row.body); !fault.empty())
-                broken("a row is not read back: " + fault);
+                report_violation("the planner cannot restore a stored row: " + fault);
         }
         ++out.terms;
         planner::PlannerStart from{disk.position, ++instances, false};
         if (disk.position.term == planner::Term{0})
-            from.position.lineage = day.seed + 1;
+            from.position.lineage = scenario.seed + 1;
         from.position.term = planner::Term{disk.position.term.value + 1};
         if (!core->start(now, from))
-            return planner_die();
+            return crash_planner();
         for (auto &[line, what] : core->apply_desired_state(now, wanted))
-            broken("settings refused: " + what);
-        planner_run();
+            report_violation("the planner rejected the desired state: " + what);
+        run_planner();
     }
-    void planner_die() {
-        ++out.met["planner deaths"];
+    void crash_planner() {
+        ++out.event_counts["planner deaths"];
         core.reset();
-        planner_paused = false, while_paused.clear(), planner_wake = never;
-        for (auto &[side, c] : std::exchange(conns, {}))
+        planner_paused = false, deferred_calls.clear(), planner_wake = never;
+        for (auto &[session_id, c] : std::exchange(connections, {}))
             if (c.open)
                 c.cut();
-        at(now + 100 * ms + (quiet ? 0 : under(happens(0.2) ? 30 * sec : 2 * sec)), [this] {
-            if (!core)
-                planner_start();
-        });
+        schedule(now + 100 * ms +
+                     (faults_ended ? 0 : random_below(happens(0.2) ? 30 * sec : 2 * sec)),
+                 [this] {
+                     if (!core)
+                         start_planner();
+                 });
     }
-    void send(SessionId side, std::string bytes) override {
+    void send(SessionId session_id, std::string bytes) override {
         out.planner_bytes_out += bytes.size();
-        auto it = conns.find(side);
-        if (it != conns.end())
-            pass(side, std::move(bytes), day.late > 0 && !quiet ? under(day.late) : 0,
-                 it->second.to_far);
+        auto it = connections.find(session_id);
+        if (it != connections.end())
+            transmit(session_id, std::move(bytes),
+                     scenario.late > 0 && !faults_ended ? random_below(scenario.late) : 0,
+                     it->second.to_far);
     }
-    void close(SessionId side) override {
-        auto it = conns.find(side);
-        if (it == conns.end() || !std::exchange(it->second.open, false))
+    void close(SessionId session_id) override {
+        auto it = connections.find(session_id);
+        if (it == connections.end() || !std::exchange(it->second.open, false))
             return;
-        at(now + 1, [this, side] {
-            if (auto c = conns.find(side); c != conns.end()) {
+        schedule(now + 1, [this, session_id] {
+            if (auto c = connections.find(session_id); c != connections.end()) {
                 auto cut = c->second.cut;
-                conns.erase(c);
+                connections.erase(c);
                 cut();
             }
-            planner_in([this, side] { core->disconnected(now, side); });
+            run_in_planner([this, session_id] { core->disconnected(now, session_id); });
         });
     }
     void log_event(std::string) override {}
-    void retired() override { broken("the only planner retired"); }
+    void retired() override {
+        report_violation("the only planner retired, although no newer term exists");
+    }
 
     // ---- Edges and nodes.
-    void run(EdgeHost &e) {
-        if (!e.sub || e.paused)
+    void run(SimulatedEdge &e) {
+        if (!e.planner_client || e.paused)
             return;
-        e.sub->tick(e.clock());
-        e.wake = std::max(now, e.real(e.sub->next_due()));
+        e.planner_client->tick(e.clock());
+        e.wake = std::max(now, e.real(e.planner_client->next_due()));
     }
-    void run(NodeHost &n) {
+    void run(SimulatedNode &n) {
         if (!n.running)
             return;
-        n.reg->tick(now);
-        n.wake = std::max(now, n.reg->next_due());
+        n.registration->tick(now);
+        n.wake = std::max(now, n.registration->next_due());
     }
-    void start(EdgeHost &e) {
-        e.sub = std::make_unique<edge::PlannerClient>(
-            e, edge::PlannerClientConfig{e.id, "e", day.seed + instances++, day.lease / 6,
+    void start(SimulatedEdge &e) {
+        e.planner_client = std::make_unique<edge::PlannerClient>(
+            e, edge::PlannerClientConfig{e.id, "e", scenario.seed + instances++, scenario.lease / 6,
                                          24 * 3600 * sec});
-        e.sub->start(e.clock(), e.disk);
+        e.planner_client->start(e.clock(), e.disk);
         run(e);
     }
-    void stop(EdgeHost &e) {
+    void stop(SimulatedEdge &e) {
         for (auto &[v, u] : e.usable)
             if (!e.paused)
                 usable[v] -= u;
         e.usable.clear(), e.serving.clear();
         e.paused = false;
-        auto side = std::exchange(e.side, SessionId{0});
-        e.sub.reset();
+        auto session_id = std::exchange(e.session_id, SessionId{0});
+        e.planner_client.reset();
         e.wake = never;
-        hang_up(side, true);
+        disconnect(session_id, true);
     }
-    void pause(EdgeHost &e, bool on) {
-        if (!e.sub || e.paused == on)
+    void pause(SimulatedEdge &e, bool on) {
+        if (!e.planner_client || e.paused == on)
             return;
-        // What stands still uses nothing; what wakes has looked at its clock before it does.
+        // A paused edge uses none of its quota; a resumed edge reads its clock before it uses any.
         if (on) {
             for (auto &[v, u] : e.usable)
                 usable[v] -= u;
             e.paused = true, e.wake = never;
         } else {
-            e.sub->tick(e.clock());
+            e.planner_client->tick(e.clock());
             e.paused = false;
             for (auto &[v, u] : e.usable)
                 usable[v] += u;
             run(e);
         }
     }
-    void taken(EdgeHost &e, const control::ClusterState &table,
-               const std::map<NodeId, Time> &started) {
-        auto &copy = e.sub->replica();
+    void apply_cluster_state(SimulatedEdge &e, const control::ClusterState &table,
+                             const std::map<NodeId, Time> &started) {
+        auto &copy = e.planner_client->replica();
         if (copy.term() < e.term || copy.version() < e.version)
-            broken("edge " + std::to_string(e.id.value) + " went back from version " +
-                   std::to_string(e.version.value) + " to " + std::to_string(copy.version().value));
+            report_violation("edge " + std::to_string(e.id.value) + " returned from version " +
+                             std::to_string(e.version.value) + " to older version " +
+                             std::to_string(copy.version().value));
         std::string all;
         for (auto &[id, n] : table.nodes)
             all += control::encode(control::NodeUpdate{id, n});
@@ -379,8 +399,8 @@
             all += control::encode(control::VolumeUpdate{id, v});
         auto [it, is_new] = content.try_emplace({copy.lineage(), copy.version()}, all);
         if (!is_new && it->second != all)
-            broken("version " + std::to_string(copy.version().value) +
-                   " is held with two contents");
+            report_violation("version " + std::to_string(copy.version().value) +
+                             " has different contents on two edges");
         for (auto &[id, n] : table.nodes) {
             auto was = e.nodes.find(id);
             auto &ended = undrained[id];
@@ -388,10 +408,13 @@
                 n.state == NodeState::ready &&
                 (ended.upper_bound(e.version) == ended.end() ||
                  *ended.upper_bound(e.version) > copy.version()))
-                broken("the drain of node " + std::to_string(id.value) + " ended unsaid");
+                report_violation("the drain of node " + std::to_string(id.value) +
+                                 " ended without an undrain request");
             e.nodes[id] = n.state;
             if (started.at(id) > e.clock())
-                broken("a node started in an edge's future");
+                report_violation("node " + std::to_string(id.value) +
+                                 " has a start time in the future of edge " +
+                                 std::to_string(e.id.value));
         }
         e.term = copy.term(), e.version = copy.version();
         reached[copy.version()].push_back(now);
@@ -399,141 +422,143 @@
     void check() {
         for (auto &[v, sum] : usable)
             if (sum > static_cast<std::int64_t>(control::full_limit_millionths))
-                broken("edges use " + std::to_string(sum) + " millionths of volume " +
-                       std::to_string(v.value) + "'s limit");
+                report_violation("edges use " + std::to_string(sum) + " millionths of volume " +
+                                 std::to_string(v.value) + "'s limit");
     }
 
-    // ---- Troubles.
-    void restart(NodeHost &n, Time down) {
+    // ---- Faults.
+    void restart(SimulatedNode &n, Time down) {
         if (!n.running)
             return;
         n.running = false;
-        n.reg->stop(now);
-        hang_up(std::exchange(n.side, SessionId{0}), true);
-        at(now + down, [this, &n] {
+        n.registration->stop(now);
+        disconnect(std::exchange(n.session_id, SessionId{0}), true);
+        schedule(now + down, [this, &n] {
             n.running = true;
-            n.reg->start(now, ++n.incarnation, now);
+            n.registration->start(now, ++n.incarnation, now);
             run(n);
         });
     }
     void drain(NodeId node, bool on) {
         if (!core || planner_paused)
             return;
-        SessionId side{++next_side};
-        conns[side] = {[](std::string_view) {}, [] {}};
-        drain_said[node] = on; // from here on it may be either, until it is durable
-        planner_in([this, side] { core->connected(now, side); });
+        SessionId session_id{++next_session};
+        connections[session_id] = {[](std::string_view) {}, [] {}};
+        requested_drain[node] = on; // until the planner commits it, either state is valid
+        run_in_planner([this, session_id] { core->connected(now, session_id); });
         if (!on)
             undrained[node].insert(core->state().open_version());
-        planner_in([this, side, node, on] {
+        run_in_planner([this, session_id, node, on] {
             core->received(
-                now, side,
+                now, session_id,
                 control::encode(control::DrainRequest{node, on, control::DrainMode::force}));
         });
-        ++out.met[on ? "drains" : "undrains"];
+        ++out.event_counts[on ? "drains" : "undrains"];
     }
-    void trouble() {
-        auto &e = *edges[chance() % edges.size()];
-        auto &n = *nodes[chance() % nodes.size()];
-        switch (chance() % 10) {
-        case 0: { // an edge's process ends and another comes
-            ++out.met["edge restarts"];
+    void inject_random_fault() {
+        auto &e = *edges[random() % edges.size()];
+        auto &n = *nodes[random() % nodes.size()];
+        switch (random() % 10) {
+        case 0: { // an edge process ends and a new one starts later
+            ++out.event_counts["edge restarts"];
             stop(e);
-            at(now + under(10 * sec), [this, &e] {
-                if (!e.sub)
+            schedule(now + random_below(10 * sec), [this, &e] {
+                if (!e.planner_client)
                     start(e);
             });
             break;
         }
         case 1:
         case 2:
-        case 3: { // clients come and go
-            if (!e.sub || e.paused)
+        case 3: { // clients start or stop using a volume
+            if (!e.planner_client || e.paused)
                 break;
-            VolumeId v{1 + chance() % day.volumes};
+            VolumeId v{1 + random() % scenario.volumes};
             bool on = !e.serving.contains(v);
-            if (on && e.serving.size() >= day.served)
+            if (on && e.serving.size() >= scenario.served)
                 break;
             if (on)
                 e.serving.insert(v);
             else
                 e.serving.erase(v);
-            e.sub->volume_used(e.clock(), v, on);
+            e.planner_client->volume_used(e.clock(), v, on);
             run(e);
-            ++out.met[on ? "volumes taken up" : "volumes left"];
+            ++out.event_counts[on ? "volumes taken up" : "volumes left"];
             break;
         }
-        case 4: { // an edge stands still, past its lease at times
-            ++out.met["edge pauses"];
+        case 4: { // an edge pauses, sometimes beyond its lease
+            ++out.event_counts["edge pauses"];
             pause(e, true);
-            at(now + under(2 * day.lease), [this, &e] { pause(e, false); });
+            schedule(now + random_below(2 * scenario.lease), [this, &e] { pause(e, false); });
             break;
         }
         case 5:
-            restart(n, 50 * ms + under(3 * sec)), ++out.met["node restarts"];
+            restart(n, 50 * ms + random_below(3 * sec)), ++out.event_counts["node restarts"];
             break;
         case 6:
-            drain(n.id, !drain_said[n.id]);
+            drain(n.id, !requested_drain[n.id]);
             break;
         case 7:
-            if (!day.halls)
+            if (!scenario.group_restarts)
                 break;
-            ++out.met["halls"];
+            ++out.event_counts["halls"];
             for (std::size_t i = 0; i < nodes.size(); i += 2)
-                restart(*nodes[i], 500 * ms + under(sec));
+                restart(*nodes[i], 500 * ms + random_below(sec));
             break;
-        case 8: // the connection between goes
-            if (e.side.value) {
-                auto side = e.side;
-                auto it = conns.find(side);
-                if (it != conns.end() && it->second.open) {
+        case 8: // the connection between edge and planner breaks
+            if (e.session_id.value) {
+                auto session_id = e.session_id;
+                auto it = connections.find(session_id);
+                if (it != connections.end() && it->second.open) {
                     it->second.open = false;
                     auto cut = it->second.cut;
-                    planner_in([this, side] { core->disconnected(now, side); });
+                    run_in_planner([this, session_id] { core->disconnected(now, session_id); });
                     cut();
                 }
             }
             break;
         case 9: {
-            if (!day.planner_dies || !core)
+            if (!scenario.planner_dies || !core)
                 break;
-            auto how = chance() % 4;
+            auto how = random() % 4;
             if (how == 0) {
-                planner_die();
+                crash_planner();
             } else if (how < 3) {
-                disk.die_at = static_cast<int>(how);
-            } else if (!planner_paused) { // stopped, past all leases at times, and woken
-                ++out.met["planner pauses"];
+                disk.commit_fault = static_cast<int>(how);
+            } else if (!planner_paused) { // the planner pauses, sometimes beyond all leases, and
+                                          // resumes
+                ++out.event_counts["planner pauses"];
                 planner_paused = true, planner_wake = never;
-                at(now + under(2 * day.lease), [this] {
+                schedule(now + random_below(2 * scenario.lease), [this] {
                     if (!std::exchange(planner_paused, false))
                         return;
-                    auto calls = std::exchange(while_paused, {});
+                    auto calls = std::exchange(deferred_calls, {});
                     for (auto &call : calls)
-                        planner_in(call);
-                    planner_run();
+                        run_in_planner(call);
+                    run_planner();
                 });
             }
             break;
         }
         }
-        if (!quiet)
-            at(now + 1 + under(2 * day.trouble_every), [this] { trouble(); });
+        if (!faults_ended)
+            schedule(now + 1 + random_below(2 * scenario.fault_interval),
+                     [this] { inject_random_fault(); });
     }
 
-    bool agreed() {
+    bool all_agree() {
         if (!core || planner_paused || disk.position.version != core->version())
             return false;
         for (auto &e : edges) {
-            if (!e->sub || e->paused)
+            if (!e->planner_client || e->paused)
                 return false;
-            if (e->sub->replica().version() != core->version() ||
-                e->sub->replica().term() != core->term())
+            if (e->planner_client->replica().version() != core->version() ||
+                e->planner_client->replica().term() != core->term())
                 return false;
-            if (e->sub->past_lease(e->clock()) > 0)
+            if (e->planner_client->past_lease(e->clock()) > 0)
                 return false;
         }
-        // What is parted is all that can be: whoever serves a volume has its even part.
+        // Limits are fully distributed: all edges that serve a volume have equal quota shares.
         std::map<VolumeId, std::vector<std::int64_t>> parts;
         for (auto &e : edges)
             for (auto v : e->serving)
@@ -545,16 +570,17 @@
         return true;
     }
 
-    // What is not as it should be in the end, for who reads a failing seed.
-    std::string why() {
+    // Describes the state of planner and edges when they do not agree, to analyse a failing seed.
+    std::string describe_disagreement() {
         std::string out_text =
             core ? "planner at version " + std::to_string(core->version().value) : "no planner";
         for (auto &e : edges) {
             out_text += "; edge " + std::to_string(e->id.value);
-            if (!e->sub)
+            if (!e->planner_client)
                 continue;
-            out_text += " version " + std::to_string(e->sub->replica().version().value) +
-                        " past lease " + std::to_string(e->sub->past_lease(e->clock()) / ms) + "ms";
+            out_text += " version " + std::to_string(e->planner_client->replica().version().value) +
+                        " past lease " +
+                        std::to_string(e->planner_client->past_lease(e->clock()) / ms) + "ms";
             for (auto v : e->serving)
                 out_text +=
                     " volume " + std::to_string(v.value) + ":" + std::to_string(e->usable[v]);
@@ -565,36 +591,38 @@
     void play() {
         wanted.version = 1;
         wanted.plans["p"] = {"p", 1, 100, 0, 1, 100, 50};
-        for (std::uint32_t i = 1; i <= day.volumes; ++i)
+        for (std::uint32_t i = 1; i <= scenario.volumes; ++i)
             wanted.volumes[VolumeId{i}] = {{"v" + std::to_string(i), 1 << 30, 512, {}}, "p", 0};
-        for (std::uint32_t i = 1; i <= day.nodes; ++i)
+        for (std::uint32_t i = 1; i <= scenario.nodes; ++i)
             wanted.nodes[NodeId{i}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
                                        0};
-        planner_start();
-        for (std::uint32_t i = 0; i < day.edges; ++i) {
-            // Clocks a hundredth off at most, set hours apart.
-            double drift = (static_cast<double>(chance() % 2001) - 1000) / 1e5;
-            edges.push_back(std::make_unique<EdgeHost>(*this, EdgeId{i}, drift, under(3600 * sec)));
-            at(now + under(sec), [this, e = edges.back().get()] { start(*e); });
+        start_planner();
+        for (std::uint32_t i = 0; i < scenario.edges; ++i) {
+            // Clocks drift by at most 1 % and start up to one hour apart.
+            double drift = (static_cast<double>(random() % 2001) - 1000) / 1e5;
+            edges.push_back(
+                std::make_unique<SimulatedEdge>(*this, EdgeId{i}, drift, random_below(3600 * sec)));
+            schedule(now + random_below(sec), [this, e = edges.back().get()] { start(*e); });
         }
-        for (std::uint32_t i = 1; i <= day.nodes; ++i) {
-            nodes.push_back(std::make_unique<NodeHost>());
+        for (std::uint32_t i = 1; i <= scenario.nodes; ++i) {
+            nodes.push_back(std::make_unique<SimulatedNode>());
             auto *n = nodes.back().get();
             n->id = NodeId{i};
-            n->reg = std::make_unique<node::PlannerRegistration>(
+            n->registration = std::make_unique<node::PlannerRegistration>(
                 node::PlannerRegistration::Actions{
-                    [this, n] { dial(*n); },
-                    [this, n] { hang_up(std::exchange(n->side, SessionId{0}), true); },
-                    [this, n](std::string b) { to_planner(n->side, std::move(b)); },
+                    [this, n] { connect(*n); },
+                    [this, n] { disconnect(std::exchange(n->session_id, SessionId{0}), true); },
+                    [this, n](std::string b) { to_planner(n->session_id, std::move(b)); },
                     [](std::string) {}},
                 node::PlannerRegistrationConfig{n->id, ShardId{static_cast<std::int32_t>(i)},
-                                                ZoneId{0}, "n" + std::to_string(i), day.seed + i,
-                                                500 * ms});
-            at(now + under(sec),
-               [this, n] { n->reg->start(now, n->incarnation, now - 3600 * sec), run(*n); });
+                                                ZoneId{0}, "n" + std::to_string(i),
+                                                scenario.seed + i, 500 * ms});
+            schedule(now + random_below(sec), [this, n] {
+                n->registration->start(now, n->incarnation, now - 3600 * sec), run(*n);
+            });
         }
-        Time began = now, ends = now + day.length, last = ends + 120 * sec;
-        at(now + 2 * sec, [this] { trouble(); });
+        Time began = now, ends = now + scenario.length, last = ends + 120 * sec;
+        schedule(now + 2 * sec, [this] { inject_random_fault(); });
         bool ended = false;
         while (now < last) {
             Time next = std::min(events.empty() ? never : events.begin()->first, planner_wake);
@@ -603,10 +631,10 @@
             for (auto &n : nodes)
                 next = std::min(next, n->wake);
             if (next >= ends && !ended) {
-                ended = quiet = true, now = ends;
+                ended = faults_ended = true, now = ends;
                 for (auto &e : edges) {
                     pause(*e, false);
-                    if (!e->sub)
+                    if (!e->planner_client)
                         start(*e);
                 }
                 continue;
@@ -621,7 +649,7 @@
                 call();
             } else if (planner_wake <= now) {
                 planner_wake = never;
-                planner_run();
+                run_planner();
             } else {
                 for (auto &e : edges)
                     if (e->wake <= now)
@@ -630,36 +658,37 @@
                     if (n->wake <= now)
                         n->wake = never, run(*n);
             }
-            if (day.edges_never_lapse)
+            if (scenario.edges_ignore_lease_expiry)
                 for (auto &e : edges)
-                    if (e->sub && e->side.value == 0)
-                        never_lapse(*e);
+                    if (e->planner_client && e->session_id.value == 0)
+                        ignore_lease_expiry(*e);
             check();
-            if (out.broken.size() >= 10)
+            if (out.violations.size() >= 10)
                 break;
-            if (ended && agreed()) {
+            if (ended && all_agree()) {
                 out.settled_after = now - ends;
                 break;
             }
         }
-        if (out.broken.empty() && (now >= last || out.settled_after == 0) && !agreed())
-            broken("two quiet minutes, and not all agree: " + why());
+        if (out.violations.empty() && (now >= last || out.settled_after == 0) && !all_agree())
+            report_violation("planner and edges do not agree two minutes after the last fault: " +
+                             describe_disagreement());
         out.length = now - began;
         for (auto &[version, when] : durable_at) {
             auto it = reached.find(version);
-            if (it == reached.end() || it->second.size() < day.edges)
+            if (it == reached.end() || it->second.size() < scenario.edges)
                 continue;
             auto sorted = it->second;
             std::sort(sorted.begin(), sorted.end());
-            out.middle.push_back(sorted[sorted.size() / 2] - when);
-            out.last.push_back(sorted.back() - when);
+            out.median_edge_delays.push_back(sorted[sorted.size() / 2] - when);
+            out.last_edge_delays.push_back(sorted.back() - when);
         }
     }
-    // An edge that goes on with what it had, whatever its clock says.
-    void never_lapse(EdgeHost &e) {
+    // Lets an edge keep its quota shares after its lease expired.
+    void ignore_lease_expiry(SimulatedEdge &e) {
         for (auto v : e.serving) {
-            auto part = e.sub->replica().cluster_state().quota_shares.find(v);
-            if (part == e.sub->replica().cluster_state().quota_shares.end())
+            auto part = e.planner_client->replica().cluster_state().quota_shares.find(v);
+            if (part == e.planner_client->replica().cluster_state().quota_shares.end())
                 continue;
             e.quota_share_changed(v, static_cast<double>(control::full_limit_millionths) /
                                          std::max(1u, part->second.millionths));
@@ -669,10 +698,10 @@
 
 } // namespace
 
-PlanResult play(const PlanDay &day) {
-    World w(day);
-    w.play();
-    return std::move(w.out);
+PlannerSimulationResult simulate(const PlannerScenario &scenario) {
+    Simulation simulation(scenario);
+    simulation.play();
+    return std::move(simulation.out);
 }
 
 } // namespace knotvane::sim
--- a/src/sim/planning.hpp
+++ b/src/sim/planning.hpp
@@ -1,8 +1,9 @@
-// Planner, edges' subscriptions and nodes' registrations in virtual time: the real cores, a network
-// between them that delays, loses, repeats and reorders, clocks that run unlike, and deaths of
-// everything. One thread, one seed. After every event it is checked that no limit is parted past
-// its whole, that no two edges hold one version with different content, that none goes back, and
-// that no drain ends unsaid.
+// Simulates the planner, the edges' planner clients and the nodes' registrations in virtual time:
+// real cores, a network that delays, loses, duplicates and reorders messages, drifting clocks, and
+// crashes of every process. It is single-threaded and driven by one seed. After every event it
+// checks that the quota shares of a volume do not exceed its limit, that a version has the same
+// content on all edges, that no edge returns to an older version, and that no drain ends without an
+// operator's request.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +15,32 @@
 
 namespace knotvane::sim {
 
-struct PlanDay {
+struct PlannerScenario {
     std::uint64_t seed = 1;
-    Time length = 60 * sec; // of trouble; then it is quiet until all agree
+    Time length =
+        60 * sec; // of the phase with faults; a phase without faults follows until all agree
     std::uint32_t edges = 5, nodes = 4, volumes = 6;
-    std::uint32_t served = 3;     // volumes an edge has clients of, at most
-    Time trouble_every = 2 * sec; // of the fleet: joins, leaves, drains, halls, deaths
-    bool planner_dies = true, halls = true;
+    std::uint32_t served = 3;      // maximum number of volumes per edge that have clients
+    Time fault_interval = 2 * sec; // mean interval of faults and changes in the cluster
+    bool planner_dies = true, group_restarts = true;
     double loss = 0.02, repeats = 0.02;
-    Time delay = 50 * ms, late = 0; // of a message at most; late: of the planner's own, at most
+    Time delay = 50 * ms,
+         late = 0; // maximum message delay; late: maximum extra delay of the planner's messages
     Time lease = 6 * sec, fade = 20 * sec;
-    // Guards left out on purpose, to prove that the checks would notice.
-    bool edges_never_lapse = false, planner_forgets = false;
+    // Disable safeguards to verify that the checks detect the violation.
+    bool edges_ignore_lease_expiry = false, planner_loses_quota_shares = false;
 };
 
-struct PlanResult {
-    std::vector<std::string> broken;
-    // How long a change took from being durable to the last edge that is up and reached, and to the
-    // middle one.
-    std::vector<Time> last, middle;
+struct PlannerSimulationResult {
+    std::vector<std::string> violations;
+    // Times from the commit of a version until the last edge and the median edge applied it.
+    std::vector<Time> last_edge_delays, median_edge_delays;
     std::uint64_t planner_bytes_out = 0, planner_bytes_in = 0, events = 0, versions = 0, terms = 0;
-    Time settled_after = 0; // from the end of trouble until all agree
+    Time settled_after = 0; // from the end of the faults until all agree
     Time length = 0;
-    std::map<std::string, std::uint64_t> met;
+    std::map<std::string, std::uint64_t> event_counts;
 };
 
-PlanResult play(const PlanDay &day);
+PlannerSimulationResult simulate(const PlannerScenario &scenario);
 
 } // namespace knotvane::sim
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -16,28 +16,28 @@
 constexpr Time client_timeout = 2 * sec, window = 800 * ms, key_rest = 900 * ms,
                drain_grace = 250 * ms;
 constexpr std::uint64_t volume_size = 1 << 20, extent = 128 << 10, span = 32 << 10, unit = 16 << 10;
-// Clients work in a part of the volume, so that their ranges meet.
-constexpr std::uint64_t busy_part = 192 << 10;
+// Clients access only this many bytes of the volume, so that their ranges overlap.
+constexpr std::uint64_t active_size = 192 << 10;
 constexpr Time connect_time = 250 * ms;
 constexpr Time unit_time = 2 * ms;
 constexpr double limit_rate = 300, limit_burst = 60;
 
-struct World;
+struct Simulation;
 
-// One direction of a connection: bytes arrive in order, in pieces, some time later.
+// One direction of a connection: bytes arrive in order, after a delay, possibly split into pieces.
 struct Pipe {
     Time last = 0;
 };
 
-struct Conn {
+struct Connection {
     std::uint64_t id;
     bool open = true;
     Pipe to_edge, from_edge;
     Time held_until = 0;
 };
 
-struct NodeHost final : node::Transport {
-    World &w;
+struct SimulatedNode final : node::Transport {
+    Simulation &simulation;
     NodeId id;
     ShardId shard;
     std::string &bytes;
@@ -49,9 +49,10 @@
     std::map<node::ConnectionId, std::pair<std::size_t, edge::NodeConnectionId>>
         peers; // edge, link
 
-    NodeHost(World &world, NodeId i, ShardId s, std::string &b, std::uint64_t seed, Time now)
-        : w(world), id(i), shard(s), bytes(b), medium(store::memory_medium(b)), store(*medium),
-          disk(i, s, store, *this, seed, now) {
+    SimulatedNode(Simulation &world, NodeId i, ShardId s, std::string &b, std::uint64_t seed,
+                  Time now)
+        : simulation(world), id(i), shard(s), bytes(b), medium(store::memory_medium(b)),
+          store(*medium), disk(i, s, store, *this, seed, now) {
         disk.set_service_model(
             {.unit_time = unit_time, .cores = 2, .slots = 4, .queue_capacity = 24});
         disk.set_slow_start({.initial_capacity = 0.25,
@@ -59,26 +60,26 @@
                              .overload_window = sec,
                              .overload_factor = 4});
     }
-    void send(node::ConnectionId conn, std::string out) override;
-    void close(node::ConnectionId conn, bool reset) override;
+    void send(node::ConnectionId connection, std::string out) override;
+    void close(node::ConnectionId connection, bool reset) override;
     void listen(bool open) override { listening = open; }
     void log_event(std::string) override {}
 };
 
-struct EdgeHost final : edge::Shell {
-    World &w;
+struct SimulatedEdge final : edge::Shell {
+    Simulation &simulation;
     std::size_t index;
     std::unique_ptr<edge::Core> core;
     Time wake = never;
     struct Link {
-        Conn conn;
+        Connection connection;
         NodeId node;
-        node::ConnectionId at_node;
+        node::ConnectionId node_connection;
         bool up = false;
     };
     std::map<edge::NodeConnectionId, std::shared_ptr<Link>> links;
 
-    EdgeHost(World &world, std::size_t i) : w(world), index(i) {}
+    SimulatedEdge(Simulation &world, std::size_t i) : simulation(world), index(i) {}
     void connect(edge::NodeConnectionId link, const std::string &address) override;
     void send(edge::NodeConnectionId link, std::string bytes) override;
     void close(edge::NodeConnectionId link) override;
@@ -89,105 +90,114 @@
     void attempt_completed(RequestId, NodeId, AttemptOutcome, Time) override {}
 };
 
-struct ClientHost final : load::Replies {
-    World &w;
+struct SimulatedClient final : load::Replies {
+    Simulation &simulation;
     std::uint64_t id;
     std::size_t edge;
     std::unique_ptr<load::Session> session;
-    std::shared_ptr<Conn> conn;
+    std::shared_ptr<Connection> connection;
     std::uint64_t next = 0;
-    std::uint32_t most_flying;
+    std::uint32_t max_outstanding;
     bool structured;
 
-    ClientHost(World &world, std::uint64_t i, std::size_t e) : w(world), id(i), edge(e) {}
-    void come();
+    SimulatedClient(Simulation &world, std::uint64_t i, std::size_t e)
+        : simulation(world), id(i), edge(e) {}
+    void connect();
     void leave();
-    void pump();
-    void flush_out();
-    void opened(std::uint64_t, std::uint16_t) override { pump(); }
+    void send_requests();
+    void send_pending_bytes();
+    void opened(std::uint64_t, std::uint16_t) override { send_requests(); }
     void data(std::uint64_t, std::uint64_t, std::string_view) override {}
     void ended(std::uint64_t, std::uint32_t error, std::string_view) override;
     void broken(std::string_view) override {}
 };
 
-struct World {
-    Day day;
-    Time now = sec; // not zero, so that no time is mistaken for none
-    std::ranlux24_base chance;
-    std::uint64_t seq = 0, next_wire = 0, next_conn = 0, next_client = 0, next_node = 0,
-                  version = 0;
+struct Simulation {
+    Scenario scenario;
+    Time now = sec; // not zero, because code under test may use 0 for "no time"
+    std::ranlux24_base random;
+    std::uint64_t seq = 0, next_connection = 0, next_node_connection = 0, next_client = 0,
+                  next_node = 0, version = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
     rules::Judge judge{20 * ms};
-    std::vector<std::string> discs; // by shard
-    std::map<NodeId, std::unique_ptr<NodeHost>> nodes;
-    std::map<NodeId, std::pair<NodeState, Time>> listed;
+    std::vector<std::string> stored_bytes; // by shard
+    std::map<NodeId, std::unique_ptr<SimulatedNode>> nodes;
+    std::map<NodeId, std::pair<NodeState, Time>> endpoint_states;
     std::map<NodeId, ShardId> shards;
-    std::vector<std::unique_ptr<EdgeHost>> edges;
-    std::vector<std::unique_ptr<ClientHost>> clients;
-    std::map<edge::ClientId, ClientHost *> by_id;
+    std::vector<std::unique_ptr<SimulatedEdge>> edges;
+    std::vector<std::unique_ptr<SimulatedClient>> clients;
+    std::map<edge::ClientId, SimulatedClient *> client_by_id;
     Result result;
     bool over = false;
 
-    explicit World(const Day &d)
-        : day(d), chance(static_cast<std::uint32_t>(d.seed * 2654435761u + 1)) {}
+    explicit Simulation(const Scenario &d)
+        : scenario(d), random(static_cast<std::uint32_t>(d.seed * 2654435761u + 1)) {}
 
-    bool small_buffers() const { return day.seed % 8 == 0; }
-    // A number under n, and a time under t.
-    std::uint64_t under(std::uint64_t n) {
-        return n <= 1 ? 0 : (std::uint64_t{chance()} << 24 | chance()) % n;
+    bool small_buffers() const { return scenario.seed % 8 == 0; }
+    // Random values in [0, n) and [0, t).
+    std::uint64_t random_below(std::uint64_t n) {
+        return n <= 1 ? 0 : (std::uint64_t{random()} << 24 | random()) % n;
     }
-    Time time_under(Time t) { return static_cast<Time>(under(static_cast<std::uint64_t>(t))); }
-    bool lot(double p) {
-        return static_cast<double>(chance()) < p * static_cast<double>(chance.max());
+    Time random_time_below(Time t) {
+        return static_cast<Time>(random_below(static_cast<std::uint64_t>(t)));
+    }
+    bool happens(double p) {
+        return static_cast<double>(random()) < p * static_cast<double>(random.max());
+    }
+    void schedule(Time t, std::function<void()> f) {
+        queue.emplace(std::pair{t, ++seq}, std::move(f));
+    }
+    // Network delay: usually below 0.5 ms, in 1 % of cases up to 40 ms.
+    Time delay() {
+        return happens(0.01) ? random_time_below(40 * ms) : 50 * us + random_time_below(400 * us);
     }
-    void at(Time t, std::function<void()> f) { queue.emplace(std::pair{t, ++seq}, std::move(f)); }
-    // Mostly well under a millisecond, at times far longer.
-    Time delay() { return lot(0.01) ? time_under(40 * ms) : 50 * us + time_under(400 * us); }
 
-    // Sends bytes along one direction in a few pieces; `arrive` gets each.
-    void carry(Conn &c, Pipe &p, std::string bytes,
-               const std::function<void(std::string_view)> &arrive) {
+    // Sends bytes in one direction, split into up to three pieces; calls `arrive` for each piece.
+    void send_in_pieces(Connection &c, Pipe &p, std::string bytes,
+                        const std::function<void(std::string_view)> &arrive) {
         auto all = std::make_shared<std::string>(std::move(bytes));
-        std::size_t pieces = lot(0.2) ? 1 + under(3) : 1;
+        std::size_t pieces = happens(0.2) ? 1 + random_below(3) : 1;
         for (std::size_t i = 0, from = 0; i < pieces; ++i) {
-            std::size_t to = i + 1 == pieces ? all->size() : from + under(all->size() - from + 1);
+            std::size_t to =
+                i + 1 == pieces ? all->size() : from + random_below(all->size() - from + 1);
             p.last = std::max({p.last, now + delay(), c.held_until});
-            at(p.last,
-               [all, from, to, arrive] { arrive(std::string_view(*all).substr(from, to - from)); });
+            schedule(p.last, [all, from, to, arrive] {
+                arrive(std::string_view(*all).substr(from, to - from));
+            });
             from = to;
         }
     }
 
-    void settle(EdgeHost &e) {
+    void settle(SimulatedEdge &e) {
         e.core->settle(now);
         Time due = e.core->next_due();
         if (due < e.wake) {
             e.wake = due;
-            at(std::max(due, now), [this, &e, due] {
+            schedule(std::max(due, now), [this, &e, due] {
                 if (e.wake == due)
                     e.wake = never, settle(e);
             });
         }
     }
-    void stir(NodeHost &n) {
+    void run_due_work(SimulatedNode &n) {
         Time due = n.disk.next_due();
         if (due < n.wake) {
             n.wake = due;
-            at(std::max(due, now), [this, id = n.id, due] {
+            schedule(std::max(due, now), [this, id = n.id, due] {
                 auto it = nodes.find(id);
                 if (it == nodes.end() || it->second->wake != due)
                     return;
                 it->second->wake = never;
                 it->second->disk.tick(now);
-                stir(*it->second);
+                run_due_work(*it->second);
             });
         }
     }
 
-    void tell_list(EdgeHost &e) {
+    void deliver_endpoint_list(SimulatedEdge &e) {
         if (!e.core->endpoint_list_begin(now, version))
             return;
-        for (auto &[id, state] : listed) {
+        for (auto &[id, state] : endpoint_states) {
             e.core->endpoint_listed({id, shards[id], ZoneId{0}, state.first, state.second},
                                     std::to_string(id.value));
             judge.told(now, rules::EdgeId{e.index}, id, state.first);
@@ -195,27 +205,28 @@
         e.core->endpoint_list_end();
         settle(e);
     }
-    // Every edge hears of the list's change at a time of its own.
-    void change_list() {
+    // Delivers the changed endpoint list to each edge after an independent random delay.
+    void change_endpoint_list() {
         ++version;
         for (auto &e : edges)
-            at(now + time_under(400 * ms), [this, &e] { tell_list(*e); });
+            schedule(now + random_time_below(400 * ms), [this, &e] { deliver_endpoint_list(*e); });
     }
 
-    NodeHost &add_node(ShardId shard) {
+    SimulatedNode &add_node(ShardId shard) {
         NodeId id{++next_node};
-        auto &n = nodes[id] = std::make_unique<NodeHost>(
-            *this, id, shard, discs[static_cast<std::size_t>(shard.value)], day.seed, now);
+        auto &n = nodes[id] = std::make_unique<SimulatedNode>(
+            *this, id, shard, stored_bytes[static_cast<std::size_t>(shard.value)], scenario.seed,
+            now);
         shards[id] = shard;
-        listed[id] = {NodeState::ready, now};
+        endpoint_states[id] = {NodeState::ready, now};
         return *n;
     }
 
-    void set_up(edge::Core &core, std::size_t index) {
+    void configure_edge(edge::Core &core, std::size_t index) {
         auto &s = core.scheduler();
         SchedulerConfig config;
         config.self = SchedulerId{static_cast<std::uint32_t>(index)};
-        config.scheduler_count = day.edges;
+        config.scheduler_count = scenario.edges;
         config.max_retry_after = sec;
         config.units = {2, 9, 0.35, 0.08};
         config.attempts = {3, false, true};
@@ -231,18 +242,21 @@
             workload.deduplication_scope = DeduplicationScope::shard;
             if (writes) {
                 workload.idempotency =
-                    day.at_most_once ? Idempotency::at_most_once : Idempotency::deduplicated;
+                    scenario.at_most_once ? Idempotency::at_most_once : Idempotency::deduplicated;
                 workload.deduplication_window = window;
-                workload.ordered_by_key = !day.without_turns;
-                workload.key_cooldown = day.at_most_once ? client_timeout + 100 * ms : key_rest;
+                workload.ordered_by_key = !scenario.without_key_order;
+                workload.key_cooldown =
+                    scenario.at_most_once ? client_timeout + 100 * ms : key_rest;
             }
             WorkloadId id{i};
             s.set_workload(id, workload);
-            core.add_workload({id, static_cast<edge::Command>(i), ~0u, "", client_timeout,
-                               writes && !day.at_most_once && !day.without_marks ? window : 0});
+            core.add_workload(
+                {id, static_cast<edge::Command>(i), ~0u, "", client_timeout,
+                 writes && !scenario.at_most_once && !scenario.without_repeat_detection ? window
+                                                                                        : 0});
         }
         PlanConfig plan{1, 100, 50, 1, 0, 0};
-        if (day.limits) {
+        if (scenario.limits) {
             plan.limit_rate = limit_rate;
             plan.limit_burst = limit_burst;
         }
@@ -254,34 +268,36 @@
         core.start(now);
     }
 
-    void trouble();
+    void inject_random_fault();
     Result run();
 };
 
-void NodeHost::send(node::ConnectionId conn, std::string out) {
-    auto it = peers.find(conn);
+void SimulatedNode::send(node::ConnectionId connection, std::string out) {
+    auto it = peers.find(connection);
     if (it == peers.end())
         return;
-    auto &e = *w.edges[it->second.first];
+    auto &e = *simulation.edges[it->second.first];
     auto l = e.links.find(it->second.second);
-    if (l == e.links.end() || !l->second->conn.open)
+    if (l == e.links.end() || !l->second->connection.open)
         return;
     auto link = l->second;
     auto link_id = it->second.second;
-    w.carry(link->conn, link->conn.to_edge, std::move(out),
-            [&e, link, link_id](std::string_view b) {
-                if (!link->conn.open)
-                    return;
-                e.w.judge.bytes(e.w.now, rules::WireId{link->conn.id}, false, b);
-                e.core->node_received(e.w.now, link_id, b);
-                e.w.settle(e);
-            });
+    simulation.send_in_pieces(link->connection, link->connection.to_edge, std::move(out),
+                              [&e, link, link_id](std::string_view b) {
+                                  if (!link->connection.open)
+                                      return;
+                                  e.simulation.judge.bytes(e.simulation.now,
+                                                           rules::WireId{link->connection.id},
+                                                           false, b);
+                                  e.core->node_received(e.simulation.now, link_id, b);
+                                  e.simulation.settle(e);
+                              });
 }
-void NodeHost::close(node::ConnectionId conn, bool reset) {
-    auto it = peers.find(conn);
+void SimulatedNode::close(node::ConnectionId connection, bool reset) {
+    auto it = peers.find(connection);
     if (it == peers.end())
         return;
-    auto &e = *w.edges[it->second.first];
+    auto &e = *simulation.edges[it->second.first];
     auto link_id = it->second.second;
     peers.erase(it);
     auto l = e.links.find(link_id);
@@ -289,328 +305,346 @@
         return;
     auto link = l->second;
     auto end = [&e, link, link_id] {
-        if (!link->conn.open)
+        if (!link->connection.open)
             return;
-        link->conn.open = false;
+        link->connection.open = false;
         e.links.erase(link_id);
-        e.w.judge.closed(e.w.now, rules::WireId{link->conn.id}, false);
-        e.core->node_disconnected(e.w.now, link_id);
-        e.w.settle(e);
+        e.simulation.judge.closed(e.simulation.now, rules::WireId{link->connection.id}, false);
+        e.core->node_disconnected(e.simulation.now, link_id);
+        e.simulation.settle(e);
     };
-    // What was sent before a plain close still arrives; a reset may overtake it.
-    w.at(reset ? w.now + w.delay() : std::max(link->conn.to_edge.last, w.now + w.delay()), end);
+    // Bytes sent before an orderly close still arrive; a reset may overtake them.
+    simulation.schedule(
+        reset ? simulation.now + simulation.delay()
+              : std::max(link->connection.to_edge.last, simulation.now + simulation.delay()),
+        end);
 }
 
-void EdgeHost::connect(edge::NodeConnectionId id, const std::string &address) {
+void SimulatedEdge::connect(edge::NodeConnectionId id, const std::string &address) {
     NodeId n{std::stoull(address)};
     auto link = std::make_shared<Link>();
-    link->conn.id = ++w.next_wire;
+    link->connection.id = ++simulation.next_connection;
     link->node = n;
     links[id] = link;
-    if (w.day.cuts > 0 && w.lot(0.01))
-        return; // lost on the way: the time-out of connecting has to notice
-    w.at(w.now + w.delay(), [this, id, link, n] {
-        if (!link->conn.open)
+    if (simulation.scenario.cuts > 0 && simulation.happens(0.01))
+        return; // the connection attempt is lost: the edge must notice by its connect timeout
+    simulation.schedule(simulation.now + simulation.delay(), [this, id, link, n] {
+        if (!link->connection.open)
             return;
-        auto it = w.nodes.find(n);
-        if (it == w.nodes.end() || !it->second->listening) {
-            links.erase(id), link->conn.open = false;
-            core->node_connect_failed(w.now, id);
-            return w.settle(*this);
+        auto it = simulation.nodes.find(n);
+        if (it == simulation.nodes.end() || !it->second->listening) {
+            links.erase(id), link->connection.open = false;
+            core->node_connect_failed(simulation.now, id);
+            return simulation.settle(*this);
         }
-        link->at_node = node::ConnectionId{++w.next_conn};
-        it->second->peers[link->at_node] = {index, id};
-        w.judge.node_wire(w.now, rules::WireId{link->conn.id}, rules::EdgeId{index}, n);
+        link->node_connection = node::ConnectionId{++simulation.next_node_connection};
+        it->second->peers[link->node_connection] = {index, id};
+        simulation.judge.node_wire(simulation.now, rules::WireId{link->connection.id},
+                                   rules::EdgeId{index}, n);
         link->up = true;
-        core->node_connected(w.now, id);
-        it->second->disk.connected(w.now, link->at_node);
-        w.settle(*this);
+        core->node_connected(simulation.now, id);
+        it->second->disk.connected(simulation.now, link->node_connection);
+        simulation.settle(*this);
     });
 }
-void EdgeHost::send(edge::NodeConnectionId id, std::string bytes) {
+void SimulatedEdge::send(edge::NodeConnectionId id, std::string bytes) {
     auto it = links.find(id);
     if (it == links.end())
         return;
     auto link = it->second;
-    w.judge.bytes(w.now, rules::WireId{link->conn.id}, true, bytes);
+    simulation.judge.bytes(simulation.now, rules::WireId{link->connection.id}, true, bytes);
     auto size = bytes.size();
-    w.carry(link->conn, link->conn.from_edge, std::move(bytes), [this, link](std::string_view b) {
-        auto n = w.nodes.find(link->node);
-        // What is under way when the edge closes still arrives: that is where late copies come
-        // from.
-        if (n == w.nodes.end() || !n->second->peers.contains(link->at_node))
-            return;
-        n->second->disk.received(w.now, link->at_node, b);
-        w.stir(*n->second);
-    });
-    w.at(w.now, [this, id, size] {
+    simulation.send_in_pieces(
+        link->connection, link->connection.from_edge, std::move(bytes),
+        [this, link](std::string_view b) {
+            auto n = simulation.nodes.find(link->node);
+            // Bytes in transit when the edge closes still arrive. This produces late duplicate
+            // requests.
+            if (n == simulation.nodes.end() || !n->second->peers.contains(link->node_connection))
+                return;
+            n->second->disk.received(simulation.now, link->node_connection, b);
+            simulation.run_due_work(*n->second);
+        });
+    simulation.schedule(simulation.now, [this, id, size] {
         if (!links.contains(id))
             return;
-        core->node_sent(w.now, id, size);
-        w.settle(*this);
+        core->node_sent(simulation.now, id, size);
+        simulation.settle(*this);
     });
 }
-void EdgeHost::close(edge::NodeConnectionId id) {
+void SimulatedEdge::close(edge::NodeConnectionId id) {
     auto it = links.find(id);
     if (it == links.end())
         return;
     auto link = it->second;
     links.erase(it);
-    link->conn.open = false;
-    w.judge.closed(w.now, rules::WireId{link->conn.id}, true);
-    w.at(std::max(link->conn.from_edge.last, w.now + w.delay()), [this, link] {
-        if (auto n = w.nodes.find(link->node); n != w.nodes.end()) {
-            n->second->peers.erase(link->at_node);
-            n->second->disk.disconnected(link->at_node);
-        }
-    });
+    link->connection.open = false;
+    simulation.judge.closed(simulation.now, rules::WireId{link->connection.id}, true);
+    simulation.schedule(
+        std::max(link->connection.from_edge.last, simulation.now + simulation.delay()),
+        [this, link] {
+            if (auto n = simulation.nodes.find(link->node); n != simulation.nodes.end()) {
+                n->second->peers.erase(link->node_connection);
+                n->second->disk.disconnected(link->node_connection);
+            }
+        });
 }
-void EdgeHost::send_client(edge::ClientId id, std::string bytes) {
-    auto it = w.by_id.find(id);
-    if (it == w.by_id.end())
+void SimulatedEdge::send_client(edge::ClientId id, std::string bytes) {
+    auto it = simulation.client_by_id.find(id);
+    if (it == simulation.client_by_id.end())
         return;
     auto *c = it->second;
-    auto conn = c->conn;
-    w.judge.bytes(w.now, rules::WireId{conn->id}, true, bytes);
+    auto connection = c->connection;
+    simulation.judge.bytes(simulation.now, rules::WireId{connection->id}, true, bytes);
     auto size = bytes.size();
-    w.carry(*conn, conn->to_edge, std::move(bytes), [c, conn](std::string_view b) {
-        if (c->conn != conn || !conn->open)
-            return;
-        c->session->bytes(b);
-        c->flush_out();
-    });
-    w.at(w.now + w.delay(), [this, id, size] {
-        core->client_sent(w.now, id, size);
-        w.settle(*this);
+    simulation.send_in_pieces(*connection, connection->to_edge, std::move(bytes),
+                              [c, connection](std::string_view b) {
+                                  if (c->connection != connection || !connection->open)
+                                      return;
+                                  c->session->bytes(b);
+                                  c->send_pending_bytes();
+                              });
+    simulation.schedule(simulation.now + simulation.delay(), [this, id, size] {
+        core->client_sent(simulation.now, id, size);
+        simulation.settle(*this);
     });
 }
-void EdgeHost::close_client(edge::ClientId id) {
-    auto it = w.by_id.find(id);
-    if (it == w.by_id.end())
+void SimulatedEdge::close_client(edge::ClientId id) {
+    auto it = simulation.client_by_id.find(id);
+    if (it == simulation.client_by_id.end())
         return;
     auto *c = it->second;
-    auto conn = c->conn;
-    w.by_id.erase(it);
-    w.judge.closed(w.now, rules::WireId{conn->id}, true);
-    conn->open = false;
-    if (!w.over)
-        w.at(w.now + 10 * ms, [c, conn] {
-            if (c->conn == conn)
-                c->come();
+    auto connection = c->connection;
+    simulation.client_by_id.erase(it);
+    simulation.judge.closed(simulation.now, rules::WireId{connection->id}, true);
+    connection->open = false;
+    if (!simulation.over)
+        simulation.schedule(simulation.now + 10 * ms, [c, connection] {
+            if (c->connection == connection)
+                c->connect();
         });
 }
 
-void ClientHost::come() {
-    if (w.over)
+void SimulatedClient::connect() {
+    if (simulation.over)
         return;
-    conn = std::make_shared<Conn>();
-    conn->id = ++w.next_wire;
-    structured = w.lot(0.7);
-    most_flying = 1 + static_cast<std::uint32_t>(w.under(8));
+    connection = std::make_shared<Connection>();
+    connection->id = ++simulation.next_connection;
+    structured = simulation.happens(0.7);
+    max_outstanding = 1 + static_cast<std::uint32_t>(simulation.random_below(8));
     session = std::make_unique<load::Session>(*this, "v", structured);
-    id = ++w.next_client;
-    w.by_id[edge::ClientId{id}] = this;
-    w.judge.client_wire(w.now, rules::WireId{conn->id}, rules::EdgeId{edge}, VolumeId{edge + 1});
-    w.edges[edge]->core->client_connected(w.now, edge::ClientId{id});
-    w.settle(*w.edges[edge]);
+    id = ++simulation.next_client;
+    simulation.client_by_id[edge::ClientId{id}] = this;
+    simulation.judge.client_wire(simulation.now, rules::WireId{connection->id}, rules::EdgeId{edge},
+                                 VolumeId{edge + 1});
+    simulation.edges[edge]->core->client_connected(simulation.now, edge::ClientId{id});
+    simulation.settle(*simulation.edges[edge]);
 }
-void ClientHost::leave() {
-    if (!conn || !conn->open)
+void SimulatedClient::leave() {
+    if (!connection || !connection->open)
         return;
-    conn->open = false;
-    auto old = conn;
+    connection->open = false;
+    auto old = connection;
     auto gone = edge::ClientId{id};
-    w.at(std::max(old->from_edge.last, w.now), [this, gone, old] {
-        w.judge.closed(w.now, rules::WireId{old->id}, false);
-        w.by_id.erase(gone);
-        w.edges[edge]->core->client_disconnected(w.now, gone);
-        w.settle(*w.edges[edge]);
-        come();
+    simulation.schedule(std::max(old->from_edge.last, simulation.now), [this, gone, old] {
+        simulation.judge.closed(simulation.now, rules::WireId{old->id}, false);
+        simulation.client_by_id.erase(gone);
+        simulation.edges[edge]->core->client_disconnected(simulation.now, gone);
+        simulation.settle(*simulation.edges[edge]);
+        connect();
     });
 }
-void ClientHost::pump() {
-    while (session->is_open() && session->flying() < most_flying && !w.over) {
+void SimulatedClient::send_requests() {
+    while (session->is_open() && session->flying() < max_outstanding && !simulation.over) {
         auto cookie = ++next;
-        std::uint64_t offset = w.under(busy_part / 512) * 512;
-        auto length = static_cast<std::uint32_t>((1 + w.under(w.lot(0.8) ? 8 : 100)) * 512);
-        auto what = w.under(100);
+        std::uint64_t offset = simulation.random_below(active_size / 512) * 512;
+        auto length = static_cast<std::uint32_t>(
+            (1 + simulation.random_below(simulation.happens(0.8) ? 8 : 100)) * 512);
+        auto what = simulation.random_below(100);
         if (what < 45) {
             session->ask(nbd::cmd_read, 0, cookie, offset, length);
         } else if (what < 85) {
             std::string data;
             for (std::uint32_t i = 0; i < length / 512; ++i) {
-                // Each block of each write is like no other.
+                // Every block of every write has unique content.
                 std::string stamp = std::to_string(id) + ":" + std::to_string(cookie) + ":" +
                                     std::to_string(i) + ":";
                 stamp.resize(512, 'x');
                 data += stamp;
             }
-            session->ask(nbd::cmd_write, w.lot(0.1) ? nbd::cmd_flag_fua : 0, cookie, offset, length,
-                         data);
+            session->ask(nbd::cmd_write, simulation.happens(0.1) ? nbd::cmd_flag_fua : 0, cookie,
+                         offset, length, data);
         } else if (what < 90) {
-            session->ask(w.lot(0.5) ? nbd::cmd_trim : nbd::cmd_write_zeroes, 0, cookie, offset,
-                         length);
+            session->ask(simulation.happens(0.5) ? nbd::cmd_trim : nbd::cmd_write_zeroes, 0, cookie,
+                         offset, length);
         } else {
             session->ask(nbd::cmd_flush, 0, cookie, 0, 0);
         }
-        if (w.lot(0.3))
-            break; // the rest with the next answer
+        if (simulation.happens(0.3))
+            break; // sends further requests after the next reply
     }
-    // A client without anything at work asks again after a while.
-    if (session->is_open() && session->flying() == 0 && !w.over)
-        w.at(w.now + w.time_under(50 * ms), [this, c = conn] {
-            if (conn == c && conn->open)
-                pump(), flush_out();
-        });
+    // A client without outstanding requests tries again after a delay.
+    if (session->is_open() && session->flying() == 0 && !simulation.over)
+        simulation.schedule(simulation.now + simulation.random_time_below(50 * ms),
+                            [this, c = connection] {
+                                if (connection == c && connection->open)
+                                    send_requests(), send_pending_bytes();
+                            });
 }
-void ClientHost::ended(std::uint64_t, std::uint32_t error, std::string_view) {
-    // Mostly a refused client waits a little; some ask again at once.
-    if (error == 0 || w.lot(0.1))
-        return pump();
-    w.at(w.now + w.time_under(100 * ms), [this, c = conn] {
-        if (conn == c && conn->open)
-            pump(), flush_out();
-    });
+void SimulatedClient::ended(std::uint64_t, std::uint32_t error, std::string_view) {
+    // After an error a client usually waits before its next request; 10 % retry immediately.
+    if (error == 0 || simulation.happens(0.1))
+        return send_requests();
+    simulation.schedule(simulation.now + simulation.random_time_below(100 * ms),
+                        [this, c = connection] {
+                            if (connection == c && connection->open)
+                                send_requests(), send_pending_bytes();
+                        });
 }
-void ClientHost::flush_out() {
+void SimulatedClient::send_pending_bytes() {
     auto out = session->take_out();
-    if (out.empty() || !conn->open)
+    if (out.empty() || !connection->open)
         return;
-    auto c = conn;
+    auto c = connection;
     auto from = edge::ClientId{id};
-    w.carry(*conn, conn->from_edge, std::move(out), [this, c, from](std::string_view b) {
-        if (!w.by_id.contains(from))
-            return;
-        w.judge.bytes(w.now, rules::WireId{c->id}, false, b);
-        w.edges[edge]->core->client_received(w.now, from, b);
-        w.settle(*w.edges[edge]);
-    });
+    simulation.send_in_pieces(
+        *connection, connection->from_edge, std::move(out), [this, c, from](std::string_view b) {
+            if (!simulation.client_by_id.contains(from))
+                return;
+            simulation.judge.bytes(simulation.now, rules::WireId{c->id}, false, b);
+            simulation.edges[edge]->core->client_received(simulation.now, from, b);
+            simulation.settle(*simulation.edges[edge]);
+        });
 }
 
-// Draws one trouble and makes it happen now.
-void World::trouble() {
+// Chooses a random fault and injects it now.
+void Simulation::inject_random_fault() {
     static constexpr const char *names[] = {"mute", "hang", "slow", "reset",  "refuse",
                                             "full", "fail", "cut",  "garble", "late"};
     auto it = nodes.begin();
-    std::advance(it, static_cast<std::ptrdiff_t>(under(nodes.size())));
-    NodeHost &n = *it->second;
-    double kinds[] = {day.faults, day.cuts, day.restarts, day.drains};
-    double pick =
-        static_cast<double>(under(1000)) / 1000 * (kinds[0] + kinds[1] + kinds[2] + kinds[3]);
+    std::advance(it, static_cast<std::ptrdiff_t>(random_below(nodes.size())));
+    SimulatedNode &n = *it->second;
+    double kinds[] = {scenario.faults, scenario.cuts, scenario.restarts, scenario.drains};
+    double pick = static_cast<double>(random_below(1000)) / 1000 *
+                  (kinds[0] + kinds[1] + kinds[2] + kinds[3]);
     if (pick < kinds[0]) {
-        auto kind = under(10);
-        ++result.met[names[kind]];
-        bool counted = kind != 1 && kind != 4 && lot(0.5);
-        double magnitude =
-            kind == 2 ? 2 + static_cast<double>(under(20)) : 0.05 * static_cast<double>(under(50));
-        std::uint64_t count = counted ? 1 + under(4) : 0;
-        Time until = now + 50 * ms + time_under(1500 * ms);
+        auto kind = random_below(10);
+        ++result.event_counts[names[kind]];
+        bool counted = kind != 1 && kind != 4 && happens(0.5);
+        double magnitude = kind == 2 ? 2 + static_cast<double>(random_below(20))
+                                     : 0.05 * static_cast<double>(random_below(50));
+        std::uint64_t count = counted ? 1 + random_below(4) : 0;
+        Time until = now + 50 * ms + random_time_below(1500 * ms);
         n.disk.inject_fault({static_cast<node::FaultKind>(kind), now, until, count, magnitude});
         n.disk.tick(now);
-        stir(n);
+        run_due_work(n);
     } else if (pick < kinds[0] + kinds[1]) {
-        auto &e = *edges[under(edges.size())];
+        auto &e = *edges[random_below(edges.size())];
         if (e.links.empty())
             return;
         auto l = e.links.begin();
-        std::advance(l, static_cast<std::ptrdiff_t>(under(e.links.size())));
+        std::advance(l, static_cast<std::ptrdiff_t>(random_below(e.links.size())));
         auto link = l->second;
         auto id = l->first;
-        if (lot(0.6)) { // everything on it is late, in both directions
-            ++result.met["held"];
-            link->conn.held_until = now + time_under(1800 * ms);
+        if (happens(0.6)) { // delays all traffic on the connection, in both directions
+            ++result.event_counts["held"];
+            link->connection.held_until = now + random_time_below(1800 * ms);
         } else if (link->up) {
-            ++result.met["severed"];
-            link->conn.open = false;
+            ++result.event_counts["severed"];
+            link->connection.open = false;
             e.links.erase(id);
-            judge.closed(now, rules::WireId{link->conn.id}, false);
-            if (lot(0.5))
-                n.peers.erase(link->at_node);
+            judge.closed(now, rules::WireId{link->connection.id}, false);
+            if (happens(0.5))
+                n.peers.erase(link->node_connection);
             e.core->node_disconnected(now, id);
             settle(e);
         }
     } else if (pick < kinds[0] + kinds[1] + kinds[2]) {
-        bool lose = lot(0.4);
-        ++result.met[lose ? "restart with loss" : "restart"];
+        bool lose = happens(0.4);
+        ++result.event_counts[lose ? "restart with loss" : "restart"];
         judge.started(now, n.id);
         if (lose)
             judge.lost(now, n.id);
         n.disk.restart(now, lose);
-        listed[n.id].second = now;
-        change_list();
+        endpoint_states[n.id].second = now;
+        change_endpoint_list();
     } else {
-        if (listed[n.id].first != NodeState::ready)
+        if (endpoint_states[n.id].first != NodeState::ready)
             return;
-        ++result.met["drain and replacement"];
-        listed[n.id].first = NodeState::draining;
-        change_list();
-        at(now + 500 * ms + time_under(sec), [this, id = n.id] {
-            // Gone with all its connections; its shard is served by another from then on.
+        ++result.event_counts["drain and replacement"];
+        endpoint_states[n.id].first = NodeState::draining;
+        change_endpoint_list();
+        schedule(now + 500 * ms + random_time_below(sec), [this, id = n.id] {
+            // Removes the node and its connections. A new node serves its shard from now on.
             auto old = std::move(nodes.at(id));
             nodes.erase(id);
             auto shard = old->shard;
             while (!old->peers.empty())
                 old->close(old->peers.begin()->first, true);
             old.reset();
-            listed[id].first = NodeState::removed;
+            endpoint_states[id].first = NodeState::removed;
             judge.started(now, add_node(shard).id);
-            change_list();
+            change_endpoint_list();
         });
     }
 }
 
-Result World::run() {
+Result Simulation::run() {
     for (int i = 0; i < 5; ++i) {
         bool writes = i == 1 || i == 2;
         judge.set_workload(i, client_timeout,
-                           !writes            ? Idempotency::idempotent
-                           : day.at_most_once ? Idempotency::at_most_once
-                                              : Idempotency::deduplicated,
+                           !writes                 ? Idempotency::idempotent
+                           : scenario.at_most_once ? Idempotency::at_most_once
+                                                   : Idempotency::deduplicated,
                            writes ? window : 0,
-                           writes ? (day.at_most_once ? client_timeout + 100 * ms : key_rest) : 0);
+                           writes ? (scenario.at_most_once ? client_timeout + 100 * ms : key_rest)
+                                  : 0);
     }
     judge.set_cut(extent, span);
     judge.set_shots(3, false);
     judge.set_drain(drain_grace);
     judge.set_cold(2 / seconds(unit_time), 0.25, 3 * sec, sec, 4);
-    // On days with small buffers shots wait for them, too, which the wires do not show.
+    // With small buffers, attempts also wait for buffer space, which the recorded traffic does not
+    // show; the rule cannot be checked then.
     if (!small_buffers())
         judge.set_further(0.3, 4, 2 * sec);
     judge.set_hold(connect_time + 20 * ms);
-    discs.resize(day.nodes);
-    for (std::uint32_t i = 0; i < day.nodes; ++i)
+    stored_bytes.resize(scenario.nodes);
+    for (std::uint32_t i = 0; i < scenario.nodes; ++i)
         add_node(ShardId{static_cast<std::int32_t>(i)});
     std::vector<ShardId> all;
-    for (std::uint32_t i = 0; i < day.nodes; ++i)
+    for (std::uint32_t i = 0; i < scenario.nodes; ++i)
         all.emplace_back(static_cast<std::int32_t>(i));
     ++version;
-    for (std::size_t i = 0; i < day.edges; ++i) {
-        edges.push_back(std::make_unique<EdgeHost>(*this, i));
+    for (std::size_t i = 0; i < scenario.edges; ++i) {
+        edges.push_back(std::make_unique<SimulatedEdge>(*this, i));
         auto &e = *edges.back();
         e.core = std::make_unique<edge::Core>(
-            e, [&](SchedulerActions &a) { return make_scheduler(a, day.seed + i); },
-            edge::CoreConfig{i, day.seed, extent, span, unit, all});
-        set_up(*e.core, i);
-        if (day.limits && !small_buffers())
-            judge.set_limit(VolumeId{i + 1}, limit_rate, limit_burst,
-                            // Units are drawn at the first shot; where its connection never comes
-                            // up, the wires first see the second, up to that time later.
-                            limit_burst / 10 +
-                                (day.cuts > 0 ? limit_rate * seconds(connect_time) : 0));
-        tell_list(e);
+            e, [&](SchedulerActions &a) { return make_scheduler(a, scenario.seed + i); },
+            edge::CoreConfig{i, scenario.seed, extent, span, unit, all});
+        configure_edge(*e.core, i);
+        if (scenario.limits && !small_buffers())
+            judge.set_limit(
+                VolumeId{i + 1}, limit_rate, limit_burst,
+                // Units are charged at the first attempt. If its connection is never established,
+                // the recorded traffic first shows the second attempt, up to connect_time later.
+                limit_burst / 10 + (scenario.cuts > 0 ? limit_rate * seconds(connect_time) : 0));
+        deliver_endpoint_list(e);
     }
-    for (std::size_t i = 0; i < day.clients; ++i) {
-        clients.push_back(std::make_unique<ClientHost>(*this, 0, i % day.edges));
-        clients.back()->come();
+    for (std::size_t i = 0; i < scenario.clients; ++i) {
+        clients.push_back(std::make_unique<SimulatedClient>(*this, 0, i % scenario.edges));
+        clients.back()->connect();
     }
     double troubles =
-        2 + 4 * seconds(day.length) * (day.faults + day.cuts + day.restarts + day.drains) / 4;
+        2 + 4 * seconds(scenario.length) *
+                (scenario.faults + scenario.cuts + scenario.restarts + scenario.drains) / 4;
     for (int i = 0; i < static_cast<int>(troubles); ++i)
-        at(now + time_under(day.length), [this] { trouble(); });
+        schedule(now + random_time_below(scenario.length), [this] { inject_random_fault(); });
     for (int i = 0; i < 3; ++i)
-        at(now + time_under(day.length), [this] { clients[under(clients.size())]->leave(); });
-    at(now + day.length, [this] { over = true; });
-    Time last = now + day.length + 3 * client_timeout;
+        schedule(now + random_time_below(scenario.length),
+                 [this] { clients[random_below(clients.size())]->leave(); });
+    schedule(now + scenario.length, [this] { over = true; });
+    Time last = now + scenario.length + 3 * client_timeout;
     while (!queue.empty() && queue.begin()->first.first <= last) {
         auto first = queue.begin();
         now = std::max(now, first->first.first);
@@ -620,26 +654,26 @@
         ++result.events;
     }
     judge.finish(now);
-    result.broken = judge.broken();
+    result.violations = judge.broken();
     result.requests = judge.requests(), result.delivered = judge.delivered(),
     result.shots = judge.shots();
     static constexpr const char *rules[] = {"answers", "effects", "drains", "cold",
                                             "order",   "further", "limits", "data"};
     for (std::size_t i = 0; i < 8; ++i)
-        result.met[std::string("judged ") + rules[i]] =
+        result.event_counts[std::string("judged ") + rules[i]] =
             judge.judged(static_cast<rules::Rule>(i + 1));
     for (auto &e : edges)
         if (e->core->scheduled_requests() > 0)
-            result.broken.push_back("an edge still holds " +
-                                    std::to_string(e->core->scheduled_requests()) +
-                                    " tasks at the end");
+            result.violations.push_back("edge " + std::to_string(e->index) + " still holds " +
+                                        std::to_string(e->core->scheduled_requests()) +
+                                        " scheduled requests at the end of the simulation");
     return std::move(result);
 }
 
 } // namespace
 
-Result play(const Day &day) {
-    return World(day).run();
+Result simulate(const Day &scenario) {
+    return Simulation(scenario).run();
 }
 
 } // namespace knotvane::sim
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -1,6 +1,6 @@
-// The gateway in virtual time: the real cores of edges and nodes, clients that drive them, a
-// network between them that delays, splits and cuts, and the judge of the rules beside the edges.
-// One thread, one seed: a day that fails replays.
+// Simulates the gateway in virtual time: real edge and node cores, load clients, a network that
+// delays, splits and disconnects, and the rule checker that observes the edges' traffic. It is
+// single-threaded and driven by one seed, so a failed run can be reproduced.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,29 @@
 
 namespace knotvane::sim {
 
-// What a day brings, each as the chance that it is in it (0 to 1) or a number.
-struct Day {
+// Configures a simulation run. Fault fields are relative rates: 1 is the usual rate, 0 is none.
+struct Scenario {
     std::uint64_t seed = 1;
     Time length = 4 * sec;
     std::uint32_t nodes = 3, edges = 1, clients = 3;
-    double faults = 1;   // times the usual number of node faults
-    double cuts = 1;     // connections held or reset on the way
-    double restarts = 1; // of nodes, some losing what was not flushed
-    double drains = 1;   // nodes replaced, their list told late
+    double faults = 1;   // node faults
+    double cuts = 1;     // connections delayed or disconnected by the network
+    double restarts = 1; // node restarts, some losing unflushed data
+    double drains = 1;   // nodes drained and replaced; edges receive the changed endpoint list late
     bool at_most_once = false;
     bool limits = false;
-    // Guards left out on purpose, to prove that the judge would notice.
-    bool without_turns = false, without_marks = false;
+    // Disable safeguards to verify that the rule checker detects the violation.
+    bool without_key_order = false, without_repeat_detection = false;
 };
 
 struct Result {
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     std::uint64_t requests = 0, delivered = 0, shots = 0, events = 0;
-    std::map<std::string, std::uint64_t> met; // faults by name, and how often each rule was judged
+    std::map<std::string, std::uint64_t>
+        event_counts; // faults by name, and the number of checks per rule
 };
 
-// Plays one day to its end and judges it.
-Result play(const Day &day);
+// Runs the scenario to its end and returns all rule violations.
+Result simulate(const Scenario &scenario);
 
 } // namespace knotvane::sim
--- a/tests/sim/cutting_test.cpp
+++ b/tests/sim/cutting_test.cpp
@@ -1,5 +1,5 @@
-// Snapshots in virtual time with everything dying in the middle, and the guards without which they
-// would be wrong.
+// Simulates snapshots in virtual time with crashes of every process, and checks that disabling a
+// safeguard is detected.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -11,29 +11,30 @@
 using namespace knotvane;
 
 namespace {
-// Plays so many seeds, from the first on; how many days were broken.
-int broken_days(int first, int seeds, const std::function<void(sim::CutDay &)> &change,
-                std::map<std::string, std::uint64_t> *met = nullptr) {
+// Runs `seeds` simulations starting at seed `first`; returns how many reported violations.
+int count_failed_runs(int first, int seeds,
+                      const std::function<void(sim::SnapshotScenario &)> &change,
+                      std::map<std::string, std::uint64_t> *met = nullptr) {
     int out = 0;
     for (int seed = first; seed < first + seeds; ++seed) {
-        sim::CutDay day;
+        sim::SnapshotScenario day;
         day.seed = static_cast<std::uint64_t>(seed);
         change(day);
-        auto r = sim::play(day);
-        out += !r.broken.empty();
+        auto r = sim::simulate(day);
+        out += !r.violations.empty();
         if (!met)
             continue;
-        for (auto &[what, n] : r.met)
+        for (auto &[what, n] : r.event_counts)
             (*met)[what] += n;
-        (*met)["taken"] += r.taken, (*met)["refused"] += r.refused,
+        (*met)["taken"] += r.snapshots_taken, (*met)["refused"] += r.snapshots_refused,
             (*met)["answered"] += r.answered, (*met)["clones"] += r.clones,
             (*met)["writes"] += r.writes;
-        for (auto &line : r.broken)
+        for (auto &line : r.violations)
             MESSAGE(line);
     }
     return out;
 }
-// More days by hand: KNOTVANE_DAYS=1000.
+// KNOTVANE_DAYS=1000 runs more seeds.
 int days(int usual) {
     auto *given = std::getenv("KNOTVANE_DAYS");
     return given ? std::atoi(given) : usual;
@@ -41,9 +42,9 @@
 } // namespace
 
 TEST_SUITE("snapshots in virtual time") {
-    TEST_CASE("any trouble: a snapshot is exact, or there is nothing of it") {
+    TEST_CASE("under any fault a snapshot is exact or leaves nothing behind") {
         std::map<std::string, std::uint64_t> met;
-        CHECK(broken_days(
+        CHECK(count_failed_runs(
                   1, days(20), [](auto &) {}, &met) == 0);
         for (auto &[what, n] : met)
             MESSAGE(what << ": " << n);
@@ -53,13 +54,13 @@
               "edges paused", "edge restarts", "shots held", "links severed", "node faults"})
             CHECK_MESSAGE(met[what] > 0, what);
     }
-    TEST_CASE("each guard left out is noticed") {
-        // From seeds at which it shows soon.
-        CHECK(broken_days(17, 4, [](auto &d) { d.edges_begin_on = true; }) > 0);
-        CHECK(broken_days(1, 2, [](auto &d) { d.nodes_let_in = true; }) > 0);
-        CHECK(broken_days(1, 2, [](auto &d) { d.nodes_cut_once = true; }) > 0);
-        // No guard of exactness: who is not waited for is refused, and its change errored where a
-        // part was done.
-        CHECK(broken_days(5, 4, [](auto &d) { d.nobody_waits = true; }) == 0);
+    TEST_CASE("each disabled safeguard is detected") {
+        // Starts at seeds that show the violation early.
+        CHECK(count_failed_runs(17, 4, [](auto &d) { d.edges_skip_hold = true; }) > 0);
+        CHECK(count_failed_runs(1, 2, [](auto &d) { d.nodes_admit_all_edges = true; }) > 0);
+        CHECK(count_failed_runs(1, 2, [](auto &d) { d.nodes_seal_at_once = true; }) > 0);
+        // This safeguard is not needed for exactness: without waiting, nodes reject the late
+        // writes, and a partially applied write ends with an error.
+        CHECK(count_failed_runs(5, 4, [](auto &d) { d.edges_report_drained_at_once = true; }) == 0);
     }
 }
--- a/tests/sim/planning_test.cpp
+++ b/tests/sim/planning_test.cpp
@@ -1,4 +1,4 @@
-// Planner, edges and nodes in virtual time, from seeds.
+// Runs seeded simulations of planner, edges and nodes in virtual time.
 #include <doctest/doctest.h>
 
 #include "sim/planning.hpp"
@@ -6,16 +6,17 @@
 using namespace knotvane;
 
 namespace {
-std::uint64_t broken_days(sim::PlanDay day, std::uint64_t from, std::uint64_t days,
-                          std::string &first, std::map<std::string, std::uint64_t> *met = nullptr) {
+std::uint64_t count_failed_runs(sim::PlannerScenario day, std::uint64_t from, std::uint64_t days,
+                                std::string &first,
+                                std::map<std::string, std::uint64_t> *met = nullptr) {
     std::uint64_t broken = 0;
     for (day.seed = from; day.seed < from + days; ++day.seed) {
-        auto r = sim::play(day);
-        broken += !r.broken.empty();
-        if (first.empty() && !r.broken.empty())
-            first = r.broken[0];
+        auto r = sim::simulate(day);
+        broken += !r.violations.empty();
+        if (first.empty() && !r.violations.empty())
+            first = r.violations[0];
         if (met)
-            for (auto &[what, n] : r.met)
+            for (auto &[what, n] : r.event_counts)
                 (*met)[what] += n;
     }
     return broken;
@@ -23,43 +24,42 @@
 } // namespace
 
 TEST_SUITE("planner and edges in virtual time") {
-    TEST_CASE("messages lost, repeated and reordered, deaths of everything: no limit passed, no "
-              "version twofold") {
+    TEST_CASE("lost, duplicated and reordered messages and crashes break no limit or version") {
         std::string first;
         std::map<std::string, std::uint64_t> met;
-        sim::PlanDay day;
-        day.trouble_every = 300 * ms;
-        CHECK(broken_days(day, 1, 30, first, &met) == 0);
+        sim::PlannerScenario day;
+        day.fault_interval = 300 * ms;
+        CHECK(count_failed_runs(day, 1, 30, first, &met) == 0);
         CHECK(first == "");
         for (auto what : {"planner deaths", "planner pauses", "edge pauses", "edge restarts",
                           "drains", "undrains", "halls", "volumes taken up", "volumes left"})
             CHECK(met[what] > 5);
     }
-    TEST_CASE("a planner that is late by up to 30 s") {
+    TEST_CASE("limits and versions hold when planner messages are up to 30 s late") {
         std::string first;
-        sim::PlanDay day;
-        day.late = 30 * sec, day.trouble_every = 500 * ms;
-        CHECK(broken_days(day, 100, 10, first) == 0);
+        sim::PlannerScenario day;
+        day.late = 30 * sec, day.fault_interval = 500 * ms;
+        CHECK(count_failed_runs(day, 100, 10, first) == 0);
         CHECK(first == "");
     }
-    TEST_CASE("many edges, a hall that restarts, a planner that dies: all agree again") {
+    TEST_CASE("many edges agree again after group restarts and planner crashes") {
         std::string first;
-        sim::PlanDay day;
+        sim::PlannerScenario day;
         day.edges = 60, day.nodes = 20, day.volumes = 30, day.length = 8 * sec,
-        day.trouble_every = 200 * ms;
-        CHECK(broken_days(day, 7, 2, first) == 0);
+        day.fault_interval = 200 * ms;
+        CHECK(count_failed_runs(day, 7, 2, first) == 0);
         CHECK(first == "");
     }
     TEST_CASE(
-        "the checks notice: edges that never lapse, a planner that forgets what it gave out") {
+        "the checks detect edges that ignore their lease and a planner that loses quota shares") {
         std::string first;
-        sim::PlanDay day;
-        day.trouble_every = 300 * ms, day.edges_never_lapse = true;
-        CHECK(broken_days(day, 1, 8, first) > 0);
+        sim::PlannerScenario day;
+        day.fault_interval = 300 * ms, day.edges_ignore_lease_expiry = true;
+        CHECK(count_failed_runs(day, 1, 8, first) > 0);
         CHECK(first.find("limit") != std::string::npos);
         first.clear();
-        day.edges_never_lapse = false, day.planner_forgets = true;
-        CHECK(broken_days(day, 1, 8, first) > 0);
+        day.edges_ignore_lease_expiry = false, day.planner_loses_quota_shares = true;
+        CHECK(count_failed_runs(day, 1, 8, first) > 0);
         CHECK(first.find("limit") != std::string::npos);
     }
 }
--- a/tests/sim/sim_test.cpp
+++ b/tests/sim/sim_test.cpp
@@ -1,6 +1,6 @@
-// Short days in virtual time, from seeds, with every kind of trouble: the rules and the data must
-// hold. A day that fails names its seed; KNOTVANE_SEED=n plays that one alone, KNOTVANE_DAYS=n
-// plays more.
+// Runs short seeded simulations with every kind of fault; no rule may be violated and no wrong data
+// returned. A failure names its seed. KNOTVANE_SEED=n runs only that seed, KNOTVANE_DAYS=n sets the
+// number of seeds.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -11,13 +11,13 @@
 using namespace knotvane;
 
 namespace {
-sim::Day day_of(std::uint64_t seed) {
-    sim::Day d;
+sim::Scenario scenario_for_seed(std::uint64_t seed) {
+    sim::Scenario d;
     d.seed = seed;
     d.edges = 1 + seed % 2;
     d.at_most_once = seed % 5 == 4;
     d.limits = seed % 7 == 3;
-    // Some days hold one kind of trouble alone: its effects show without the others'.
+    // Some seeds have only one kind of fault, so that its effects are not hidden by others.
     if (seed % 4 == 1)
         d.restarts = d.drains = d.cuts = 0;
     if (seed % 4 == 2)
@@ -26,48 +26,51 @@
         d.cuts = d.faults = 0;
     return d;
 }
-std::uint64_t number_from(const char *name, std::uint64_t otherwise) {
+std::uint64_t environment_number(const char *name, std::uint64_t fallback) {
     const char *v = std::getenv(name);
-    return v ? std::strtoull(v, nullptr, 10) : otherwise;
+    return v ? std::strtoull(v, nullptr, 10) : fallback;
 }
 } // namespace
 
-TEST_CASE("no day of random troubles breaks a rule or returns wrong data") {
-    std::uint64_t first = number_from("KNOTVANE_SEED", 1);
-    std::uint64_t days = std::getenv("KNOTVANE_SEED") ? 1 : number_from("KNOTVANE_DAYS", 40);
+TEST_CASE("no simulation with random faults violates a rule or returns wrong data") {
+    std::uint64_t first = environment_number("KNOTVANE_SEED", 1);
+    std::uint64_t days = std::getenv("KNOTVANE_SEED") ? 1 : environment_number("KNOTVANE_DAYS", 40);
     std::map<std::string, std::uint64_t> met;
     std::uint64_t requests = 0, delivered = 0, bad = 0;
     for (auto seed = first; seed < first + days; ++seed) {
-        auto r = sim::play(day_of(seed));
-        for (auto &b : r.broken) {
+        auto r = sim::simulate(scenario_for_seed(seed));
+        for (auto &b : r.violations) {
             INFO("seed " << seed);
             FAIL_CHECK(b);
         }
-        bad += !r.broken.empty();
+        bad += !r.violations.empty();
         requests += r.requests, delivered += r.delivered;
-        for (auto &[name, n] : r.met)
+        for (auto &[name, n] : r.event_counts)
             met[name] += n;
     }
     std::cout << days << " days, " << requests << " requests, " << delivered << " delivered, "
               << bad << " bad days\n";
     for (auto &[name, n] : met)
         std::cout << "  " << name << ": " << n << "\n";
-    CHECK(delivered > requests / 10); // clients that ask again at once count each time
+    CHECK(delivered > requests / 10); // immediate retries of clients count as requests
 }
 
-TEST_CASE("the judge notices when a guard is left out") {
+TEST_CASE("the rule checker detects each disabled safeguard") {
     auto broken = [](auto leave_out) {
         std::string all;
         for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-            auto d = day_of(4 * seed + 2); // connections held back: copies that come late
+            auto d = scenario_for_seed(4 * seed +
+                                       2); // connections are delayed, so duplicates arrive late
             d.at_most_once = false;
             leave_out(d);
-            for (auto &b : sim::play(d).broken)
+            for (auto &b : sim::simulate(d).violations)
                 all += b + "\n";
         }
         return all;
     };
-    CHECK(broken([](sim::Day &d) { d.without_turns = true; }).find("rule 5") != std::string::npos);
-    CHECK(broken([](sim::Day &d) { d.without_turns = d.without_marks = true; }).find("rule data") !=
+    CHECK(broken([](sim::Scenario &d) { d.without_key_order = true; }).find("rule 5") !=
           std::string::npos);
+    CHECK(broken([](sim::Scenario &d) {
+              d.without_key_order = d.without_repeat_detection = true;
+          }).find("rule data") != std::string::npos);
 }
