--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -672,7 +672,7 @@
 
 } // namespace
 
-Result simulate(const Day &scenario) {
+Result simulate(const Scenario &scenario) {
     return Simulation(scenario).run();
 }
 
