--- a/src/cli/operators.hpp
+++ b/src/cli/operators.hpp
@@ -1,5 +1,6 @@
-// What the commands for operators have in common: where the planner is, how an answer is waited for
-// and shown.
+/// \file
+/// Parts common to the commands that operate a planner: its default address, error handling and the
+/// formatting of ages.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +11,27 @@
 
 namespace knotvane::cli {
 
-inline constexpr const char *default_planner = "127.0.0.1:10810";
+inline constexpr const char *default_planner_address = "127.0.0.1:10810";
 
-inline std::string ago(std::int64_t ms_ago) {
-    if (ms_ago < 0)
+/// Formats an age in milliseconds, for example "250ms", "30s" or "15min"; "-" if it is negative.
+inline std::string format_age(std::int64_t age_ms) {
+    if (age_ms < 0)
         return "-";
-    if (ms_ago < 10'000)
-        return std::to_string(ms_ago) + "ms";
-    if (ms_ago < 600'000)
-        return std::to_string(ms_ago / 1000) + "s";
-    return std::to_string(ms_ago / 60'000) + "min";
+    if (age_ms < 10'000)
+        return std::to_string(age_ms) + "ms";
+    if (age_ms < 600'000)
+        return std::to_string(age_ms / 1000) + "s";
+    return std::to_string(age_ms / 60'000) + "min";
 }
 
-// A planner that does not answer is a thing that fell short, not a wrong use.
-inline int visit(const std::function<int()> &call) {
+/// Runs a command and prints the message of an exception, such as that of a planner that does not
+/// answer.
+/// @return the exit code of the command, or 1 (failed, not a usage error) after an exception.
+inline int run_reporting_errors(const std::function<int()> &command) {
     try {
-        return call();
-    } catch (const std::exception &e) {
-        std::fprintf(stderr, "%s\n", e.what());
+        return command();
+    } catch (const std::exception &error) {
+        std::fprintf(stderr, "%s\n", error.what());
         return 1;
     }
 }
--- a/src/cli/snapshots.cpp
+++ b/src/cli/snapshots.cpp
@@ -1,4 +1,4 @@
-// What operators ask of snapshots and clones.
+// The commands `snapshot` and `clone`, which call a planner.
 #include "cli/commands.hpp"
 
 #include <cstdio>
@@ -15,101 +15,114 @@
 namespace knotvane::cli {
 namespace {
 
-// A cut waits for changes that began before it, at most; then it is tried again or the reason is
-// told.
-constexpr Time patience = 90 * sec;
+// Timeout of a call. A snapshot waits for the changes that began before it; if they take too long,
+// the planner retries or reports the reason.
+constexpr Time call_timeout = 90 * sec;
 
-int ask(const std::string &planner, const control::SnapshotRequest &request) {
-    auto result = planner::AdminClient(planner, patience).snapshot(request);
+int send_request(const std::string &planner, const control::SnapshotRequest &request) {
+    auto result = planner::AdminClient(planner, call_timeout).snapshot(request);
     std::fprintf(result.done ? stdout : stderr, "%s\n", result.text.c_str());
     return result.done ? 0 : 1;
 }
 
-void table(const nlohmann::json &s) {
-    if (!s["cuts"].empty())
+void print_snapshots(const nlohmann::json &status) {
+    if (!status["cuts"].empty())
         std::printf("%-40s %-9s %-24s %14s %8s %-11s %s\n", "name", "kind", "of", "bytes", "age",
                     "pays", "used by edges");
-    for (auto &c : s["cuts"])
-        std::printf("%-40s %-9s %-24s %14s %8s %-11s %s\n", c["name"].get<std::string>().c_str(),
-                    c["kind"].get<std::string>().c_str(), c["of"].get<std::string>().c_str(),
-                    c["size"].dump().c_str(), ago(c["age_ms"].get<std::int64_t>()).c_str(),
-                    c["pays"].get<std::string>().c_str(),
-                    c["used_by"].empty() ? "-" : c["used_by"].dump().c_str());
-    for (auto &c : s["cuts_under_way"])
-        std::printf("under way for %s: %s %s\n", ago(c["since_ms"].get<std::int64_t>()).c_str(),
-                    c["name"].get<std::string>().c_str(), c["what"].get<std::string>().c_str());
-    for (auto &c : s["cuts_undone"])
-        std::printf("to be taken back at shards %s: id %s\n", c["shards_left"].dump().c_str(),
-                    c["id"].dump().c_str());
-    if (s["cuts"].empty() && s["cuts_under_way"].empty() && s["cuts_undone"].empty())
+    for (auto &cut : status["cuts"])
+        std::printf("%-40s %-9s %-24s %14s %8s %-11s %s\n", cut["name"].get<std::string>().c_str(),
+                    cut["kind"].get<std::string>().c_str(), cut["of"].get<std::string>().c_str(),
+                    cut["size"].dump().c_str(),
+                    format_age(cut["age_ms"].get<std::int64_t>()).c_str(),
+                    cut["pays"].get<std::string>().c_str(),
+                    cut["used_by"].empty() ? "-" : cut["used_by"].dump().c_str());
+    for (auto &cut : status["cuts_under_way"])
+        std::printf("in progress for %s: %s %s\n",
+                    format_age(cut["since_ms"].get<std::int64_t>()).c_str(),
+                    cut["name"].get<std::string>().c_str(), cut["what"].get<std::string>().c_str());
+    for (auto &cut : status["cuts_undone"])
+        std::printf("still to be removed from shards %s: id %s\n",
+                    cut["shards_left"].dump().c_str(), cut["id"].dump().c_str());
+    if (status["cuts"].empty() && status["cuts_under_way"].empty() && status["cuts_undone"].empty())
         std::printf("there are no snapshots and no clones\n");
 }
 
 } // namespace
 
-void add_snapshots(CLI::App &app, int &code) {
+void add_snapshots(CLI::App &app, int &exit_code) {
     struct Options {
-        std::string planner = default_planner, a, b, plan;
+        std::string planner = default_planner_address, first, second, plan;
         bool json = false;
     };
     using Operation = control::SnapshotOperation;
-    auto o = std::make_shared<Options>();
+    auto options = std::make_shared<Options>();
     auto *snapshot =
         app.add_subcommand("snapshot", "take, list, drop and compare snapshots of volumes");
     snapshot->require_subcommand(1);
-    auto command = [&](CLI::App *to, const char *name, const char *about, Operation operation) {
-        auto *cmd = to->add_subcommand(name, about);
-        cmd->add_option("--planner", o->planner, "its address");
-        cmd->callback([o, &code, operation] {
-            code = visit([&] { return ask(o->planner, {operation, o->a, o->b, o->plan}); });
+    auto add_command = [&](CLI::App *parent, const char *name, const char *description,
+                           Operation operation) {
+        auto *command = parent->add_subcommand(name, description);
+        command->add_option("--planner", options->planner, "address of the planner");
+        command->callback([options, &exit_code, operation] {
+            exit_code = run_reporting_errors([&] {
+                return send_request(options->planner,
+                                    {operation, options->first, options->second, options->plan});
+            });
         });
-        return cmd;
+        return command;
     };
-    auto *take =
-        command(snapshot, "take",
-                "every write answered before, none begun after; found over NBD as VOLUME@NAME",
-                Operation::take);
-    take->add_option("VOLUME", o->a, "its name")->required();
-    take->add_option("NAME", o->b, "of the snapshot")->required();
-    take->footer(
-        "Exit code 0 only if it is whole; else nothing is left of it.\nExample: knotvane snapshot "
-        "take members before-rules");
-    auto *drop =
-        command(snapshot, "drop", "drop a snapshot or a clone; refused while a client has it open",
-                Operation::drop);
-    drop->add_option("NAME", o->a, "VOLUME@NAME, or a clone's name")->required();
+    auto *take = add_command(
+        snapshot, "take",
+        "take a snapshot with all writes answered before and none begun after; its NBD export "
+        "is VOLUME@NAME",
+        Operation::take);
+    take->add_option("VOLUME", options->first, "name of the volume")->required();
+    take->add_option("NAME", options->second, "name of the snapshot")->required();
+    take->footer("Exit code 0 only if the snapshot is complete; otherwise none of it "
+                 "remains.\nExample: knotvane snapshot "
+                 "take members before-rules");
+    auto *drop = add_command(snapshot, "drop",
+                             "drop a snapshot or a clone; refused while a client has it open",
+                             Operation::drop);
+    drop->add_option("NAME", options->first, "VOLUME@NAME, or a clone's name")->required();
     drop->footer("Example: knotvane snapshot drop members@before-rules");
-    auto *diff =
-        command(snapshot, "diff", "the ranges in which two differ, as offset and length in bytes",
-                Operation::compare);
-    diff->add_option("A", o->a, "VOLUME@NAME, or a volume or clone as it is now")->required();
-    diff->add_option("B", o->b, "another of the same origin")->required();
+    auto *diff = add_command(
+        snapshot, "diff",
+        "list the ranges in which two volumes or snapshots differ, as offset and length in bytes",
+        Operation::compare);
+    diff->add_option("A", options->first, "VOLUME@NAME, or a volume or clone as it is now")
+        ->required();
+    diff->add_option("B", options->second, "another one that stems from the same volume")
+        ->required();
     diff->footer("Example: knotvane snapshot diff members@before-rules members");
     auto *list = snapshot->add_subcommand(
-        "list", "snapshots and clones, those under way, and what is still to be taken back");
-    list->add_option("--planner", o->planner, "its address");
-    list->add_flag("--json", o->json, "as JSON");
-    list->callback([o, &code] {
-        code = visit([&] {
-            auto s = nlohmann::json::parse(planner::AdminClient(o->planner, 3 * sec).status());
-            if (!o->json)
-                table(s);
+        "list", "list snapshots and clones, those in progress, and those still to be removed");
+    list->add_option("--planner", options->planner, "address of the planner");
+    list->add_flag("--json", options->json, "print JSON");
+    list->callback([options, &exit_code] {
+        exit_code = run_reporting_errors([&] {
+            auto status =
+                nlohmann::json::parse(planner::AdminClient(options->planner, 3 * sec).status());
+            if (!options->json)
+                print_snapshots(status);
             else
-                std::printf("%s\n", nlohmann::json{{"cuts", s["cuts"]},
-                                                   {"cuts_under_way", s["cuts_under_way"]},
-                                                   {"cuts_undone", s["cuts_undone"]}}
+                std::printf("%s\n", nlohmann::json{{"cuts", status["cuts"]},
+                                                   {"cuts_under_way", status["cuts_under_way"]},
+                                                   {"cuts_undone", status["cuts_undone"]}}
                                         .dump()
                                         .c_str());
             return 0;
         });
     });
-    auto *clone = command(&app, "clone", "a writable copy of a snapshot, sharing what is unchanged",
-                          Operation::clone);
-    clone->add_option("SNAPSHOT", o->a, "VOLUME@NAME")->required();
-    clone->add_option("NAME", o->b, "of the clone, found over NBD by it")->required();
+    auto *clone = add_command(
+        &app, "clone", "make a writable copy of a snapshot that shares unchanged data with it",
+        Operation::clone);
+    clone->add_option("SNAPSHOT", options->first, "VOLUME@NAME")->required();
+    clone->add_option("NAME", options->second, "name of the clone and of its NBD export")
+        ->required();
     clone->add_option(
-        "--plan", o->plan,
-        "a plan of its own, without a reserve; without it pays from its source's part");
+        "--plan", options->plan,
+        "its own plan, which must have no reserve; default: it uses its source's share");
     clone->footer("Example: knotvane clone members@before-rules members-test");
 }
 
--- a/src/cli/store.cpp
+++ b/src/cli/store.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-void add_store(CLI::App &app, int &code) {
+void add_store(CLI::App &app, int &exit_code) {
     auto path = std::make_shared<std::string>();
     auto *store = app.add_subcommand("store", "inspect a node's store");
     store->require_subcommand(1);
@@ -52,7 +52,7 @@
     check_command->footer(
         "Exit codes: 0 good, 1 findings, one line each, 2 usage.\nExample: knotvane store "
         "check /srv/shard-0.store");
-    check_command->callback([path, &code] { code = check(*path); });
+    check_command->callback([path, &exit_code] { exit_code = check(*path); });
 }
 
 } // namespace knotvane::cli
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -13,7 +13,7 @@
 
 namespace knotvane::cli {
 
-void add_trace(CLI::App &app, int &code) {
+void add_trace(CLI::App &app, int &exit_code) {
     auto paths = std::make_shared<std::vector<std::string>>();
     auto *command = app.add_subcommand("trace", "compare the scheduler's view with what happened "
                                                 "on the sockets, from logs written with --trace");
@@ -23,13 +23,13 @@
         ->required();
     command->footer(
         "Exit codes: 0 success, 2 a file can't be read.\nExample: knotvane trace scheduler.log");
-    command->callback([paths, &code] {
+    command->callback([paths, &exit_code] {
         http_gateway::TraceSummary summary;
         for (auto &path : *paths) {
             std::ifstream file(path == "-" ? "/dev/stdin" : path);
             if (!file) {
                 std::fprintf(stderr, "%s: can't open this log file\n", path.c_str());
-                code = 2;
+                exit_code = 2;
                 return;
             }
             for (std::string line; std::getline(file, line);)
