--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -127,7 +127,7 @@
             relay->put_record(record::Kind::figures, 0, 0, 0,
                               rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
-        fleet.on_told = [this](std::size_t edge, const edge::EndpointList &list) {
+        fleet.on_endpoint_list = [this](std::size_t edge, const edge::EndpointList &list) {
             relay_worker.loop().post([this, edge, nodes = list.entries] { told(edge, nodes); });
         };
         fleet.address_for = [this](std::size_t edge, NodeId node, const std::string &address) {
@@ -224,7 +224,7 @@
         }
         if (script.planner)
             return; // tells its edges itself
-        fleet.tell(edge);
+        fleet.write_endpoint_list(edge);
         on_relay([&] { told(edge, fleet.list().entries); });
     }
     void begin(const Trouble &t);
@@ -267,7 +267,7 @@
                 relay->put_record(record::Kind::started, id.value, 0, 0);
                 relay->unblock(id);
             });
-            fleet.list_as(id, NodeState::ready, started);
+            fleet.set_listed_state(id, NodeState::ready, started);
             tell(~std::size_t{0});
         });
     } else if (t.kind == "planner_kill") {
@@ -286,7 +286,7 @@
             return; // it comes back by an undrain
         at(until, [this, node = t.node, id] {
             on_relay([&] { relay->block(id); });
-            fleet.replace(node);
+            fleet.replace_node(node);
             on_relay(
                 [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             at(loop::now() + 2 * sec, [this, id] {
@@ -294,12 +294,12 @@
             });
         });
     } else if (t.kind == "drain") {
-        fleet.list_as(id, NodeState::draining, 0);
+        fleet.set_listed_state(id, NodeState::draining, 0);
         tell(~std::size_t{0});
         at(until, [this, node = t.node, id] {
             on_relay([&] { relay->block(id); });
-            fleet.list_as(id, NodeState::removed, 0);
-            fleet.replace(node);
+            fleet.set_listed_state(id, NodeState::removed, 0);
+            fleet.replace_node(node);
             on_relay(
                 [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
             tell(~std::size_t{0});
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -1,6 +1,7 @@
 #include "fleet/fleet.hpp"
 
 #include <algorithm>
+#include <cerrno>
 #include <chrono>
 #include <csignal>
 #include <cstdio>
@@ -48,7 +49,8 @@
     for (auto &a : arguments)
         argv.push_back(const_cast<char *>(a.c_str()));
     argv.push_back(nullptr);
-    // What is blocked here for a thread that waits for signals must reach the program.
+    // Signals blocked in this process, for its signal-waiting thread, must not stay blocked in the
+    // child.
     posix_spawnattr_t attributes;
     posix_spawnattr_init(&attributes);
     sigset_t none;
@@ -58,10 +60,10 @@
     int failed = posix_spawn(&pid_, program.c_str(), nullptr, &attributes, argv.data(), environ);
     posix_spawnattr_destroy(&attributes);
     if (failed != 0)
-        throw std::runtime_error(program + ": can't be started: " + std::strerror(failed));
+        throw std::runtime_error(program + ": can't start the program: " + std::strerror(failed));
 }
 Process::~Process() {
-    if (ended() >= 0)
+    if (exit_code() >= 0)
         return;
     ::kill(pid_, SIGKILL);
     int status = 0;
@@ -70,7 +72,7 @@
 void Process::signal(int number) const {
     ::kill(pid_, number);
 }
-int Process::ended() {
+int Process::exit_code() {
     int status = 0;
     if (code_ < 0 && ::waitpid(pid_, &status, WNOHANG) == pid_)
         code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
@@ -80,13 +82,13 @@
 std::string sections(const std::string &text, std::initializer_list<std::string_view> kinds) {
     std::istringstream in(text);
     std::string line, out;
-    bool take = false;
+    bool selected = false;
     while (std::getline(in, line)) {
         if (!line.empty() && line[0] == '[') {
             auto kind = line.substr(1, line.find_first_of(" ]") - 1);
-            take = std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
+            selected = std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
         }
-        if (take)
+        if (selected)
             out += line + "\n";
     }
     return out;
@@ -103,7 +105,7 @@
            std::to_string(shards) + "\n\n" + scheduling;
 }
 std::string default_scheduling() {
-    // Two plans as the first users have them; times and windows of a record-keeping site.
+    // Two plans, with deadlines and deduplication windows typical of a record-keeping site.
     return R"([plan standard]
 weight = 1
 usual = 200
@@ -179,7 +181,7 @@
 }
 
 namespace {
-void must_be_good(settings::File &file) {
+void throw_on_faults(settings::File &file) {
     std::string all;
     for (auto &f : file.faults())
         all += (all.empty() ? "" : "\n") + f;
@@ -188,19 +190,19 @@
 }
 } // namespace
 
-Fleet::Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t ports,
+Fleet::Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t first_port,
              std::string scheduling, std::string service, MakeScheduler make, bool planner,
              bool sync)
     : dir_(std::move(dir)), scheduling_(std::move(scheduling)), service_(std::move(service)),
-      ports_(ports), sync_(sync), make_(std::move(make)) {
+      first_port_(first_port), sync_(sync), make_(std::move(make)) {
     address_for = [](std::size_t, NodeId, const std::string &address) { return address; };
     if (planner)
-        plan(nodes);
+        prepare_planner(nodes);
     for (std::uint64_t i = 0; i < nodes; ++i) {
         auto host = std::make_unique<NodeHost>();
         host->shard = ShardId{static_cast<std::int32_t>(i)};
         host->store = dir_ + "/shard-" + std::to_string(i) + ".store";
-        // The first ones have been up for long, as a gateway's nodes mostly have when it starts.
+        // The initial nodes claim one hour of uptime, so that edges don't treat them as cold.
         start_node(*host, NodeId{++next_node_}, 3600 * sec);
         nodes_.push_back(std::move(host));
     }
@@ -220,10 +222,11 @@
         auto text =
             node_settings(id.value, static_cast<std::uint64_t>(host.shard.value), "127.0.0.1:0",
                           host.store, service_, age, planner_address_, sync_);
-        settings::File first("embedded node settings", text), again("embedded node settings", text);
-        node::check(first);
-        must_be_good(first);
-        host.server = std::make_unique<node::Server>(host.worker->loop(), again);
+        settings::File to_check("embedded node settings", text),
+            to_apply("embedded node settings", text);
+        node::check(to_check);
+        throw_on_faults(to_check);
+        host.server = std::make_unique<node::Server>(host.worker->loop(), to_apply);
         host.address = host.server->address();
     });
     host.id = id;
@@ -235,26 +238,25 @@
     return dir_ + "/nodes-" + std::to_string(edge) + ".ini";
 }
 
-// ---- The planner.
-void Fleet::plan(std::uint64_t nodes) {
-    // What it tells, and what the edges' own settings keep.
+void Fleet::prepare_planner(std::uint64_t nodes) {
+    // The planner announces plans and volumes; the other sections stay in the edges' settings.
     settings::File file("embedded settings", scheduling_);
     std::map<std::string, PlanId> plans;
     settings::read_plans(file, [&](const std::string &name, double weight, double usual,
                                    double reserve, double price, double rate, double burst) {
-        wanted_.plans[name] = {name, weight, usual, reserve, price, rate, burst};
+        desired_state_.plans[name] = {name, weight, usual, reserve, price, rate, burst};
         plans[name] = {};
     });
     settings::read_volumes(file, plans,
                            [&](VolumeId id, const std::string &name, std::uint64_t size,
                                std::uint32_t least, const std::string &plan, int line) {
-                               wanted_.volumes[id] = {{name, size, least, {}}, plan, line};
+                               desired_state_.volumes[id] = {{name, size, least, {}}, plan, line};
                            });
     scheduling_ = sections(scheduling_, {"workload", "shots", "units", "nodes", "door"});
     for (std::uint64_t i = 0; i < nodes; ++i)
-        wanted_.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0}, false, "",
-                                        0};
-    // A port that is free now, the same for all the planner's lives.
+        desired_state_.nodes[NodeId{i + 1}] = {ShardId{static_cast<std::int32_t>(i)}, ZoneId{0},
+                                               false, "", 0};
+    // Picks a port that is free now; the planner keeps it across restarts.
     Worker worker;
     worker.run([&] {
         planner_address_ = loop::Listener(worker.loop(), "127.0.0.1:0", [](auto) {}).address();
@@ -266,12 +268,12 @@
     start_planner(true);
 }
 void Fleet::start_planner(bool first) {
-    auto beside =
+    auto program =
         std::filesystem::read_symlink("/proc/self/exe").parent_path() / "knotvane-planner";
     std::vector<std::string> arguments{"--config", dir_ + "/planner.ini", "--log", "error"};
     if (first)
         arguments.push_back("--new");
-    planner_ = std::make_unique<Process>(beside.string(), arguments);
+    planner_ = std::make_unique<Process>(program.string(), arguments);
 }
 void Fleet::kill_planner() {
     planner_.reset();
@@ -284,85 +286,88 @@
         const planner::AdminClient client(planner_address_, sec);
         return client.drain({node, on, control::DrainMode::force}).done;
     } catch (const std::exception &) {
-        return false; // it is down or slow
+        return false; // the planner is down or slow
     }
 }
 void Fleet::change_settings(const std::function<void(planner::DesiredState &)> &call) {
-    ++wanted_.version;
-    call(wanted_);
-    auto path = dir_ + "/fleet.ini", beside = path + ".new";
-    std::ofstream(beside) << planner::write_fleet(wanted_);
-    if (std::rename(beside.c_str(), path.c_str()) != 0)
-        throw std::runtime_error(path + ": can't be written");
+    ++desired_state_.version;
+    call(desired_state_);
+    auto path = dir_ + "/fleet.ini", temporary = path + ".new";
+    std::ofstream(temporary) << planner::write_fleet(desired_state_);
+    if (std::rename(temporary.c_str(), path.c_str()) != 0)
+        throw std::runtime_error(path + ": can't be replaced by " + temporary + ": " +
+                                 std::strerror(errno));
 }
 
 void Fleet::start() {
     if (planner_address_.empty())
-        tell_all();
+        write_all_endpoint_lists();
     for (std::size_t i = 0; i < edges_.size(); ++i) {
         auto &host = *edges_[i];
-        auto listen = "127.0.0.1:" + std::to_string(ports_ == 0 ? 0 : ports_ + i);
+        auto listen = "127.0.0.1:" + std::to_string(first_port_ == 0 ? 0 : first_port_ + i);
         auto text = edge_settings(i, edges_.size(), listen, list_path(i), nodes_.size(),
                                   scheduling_, planner_address_);
         host.worker->run([&] {
-            settings::File first("embedded edge settings", text),
-                again("embedded edge settings", text);
-            edge::check(first);
-            must_be_good(first);
-            host.server = std::make_unique<edge::Server>(host.worker->loop(), again, make_);
+            settings::File to_check("embedded edge settings", text),
+                to_apply("embedded edge settings", text);
+            edge::check(to_check);
+            throw_on_faults(to_check);
+            host.server = std::make_unique<edge::Server>(host.worker->loop(), to_apply, make_);
             host.address = host.server->address();
             host.server->resolve_address = [this, i](NodeId node, const std::string &address) {
                 return planner_address_.empty() ? address : address_for(i, node, address);
             };
             if (!planner_address_.empty())
                 host.server->on_endpoint_list = [this, i](const edge::EndpointList &list) {
-                    if (on_told)
-                        on_told(i, list);
+                    if (on_endpoint_list)
+                        on_endpoint_list(i, list);
                 };
         });
     }
     if (planner_address_.empty())
         return;
-    // All that the planner will say is said once every edge knows every node.
+    // An edge that knows every node has received the planner's whole state.
     for (Time until = loop::now() + 20 * sec; loop::now() < until;) {
-        std::size_t know = 0;
+        std::size_t informed = 0;
         for (std::size_t e = 0; e < edges_.size(); ++e)
             with_edge(e, [&](edge::Server &s) {
                 auto &copy = s.planner_client()->replica();
-                know += copy.cluster_state().nodes.size() == nodes_.size();
+                informed += copy.cluster_state().nodes.size() == nodes_.size();
             });
-        if (know == edges_.size())
+        if (informed == edges_.size())
             return;
-        if (planner_->ended() >= 0)
+        if (planner_->exit_code() >= 0)
             break;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    throw std::runtime_error(
-        "the planner tells the edges of no nodes" +
-        (planner_->ended() >= 0 ? ": it ended with " + std::to_string(planner_->ended()) : ""));
+    throw std::runtime_error("edges did not learn of all nodes from the planner" +
+                             (planner_->exit_code() >= 0 ? ": the planner exited with code " +
+                                                               std::to_string(planner_->exit_code())
+                                                         : ""));
 }
 
-void Fleet::list_as(NodeId node, NodeState state, Time started) {
+void Fleet::set_listed_state(NodeId node, NodeState state, Time started) {
     for (auto &[endpoint, address] : list_.entries)
         if (endpoint.node == node) {
             endpoint.state = state;
             endpoint.started_at = started;
         }
 }
-void Fleet::tell(std::size_t edge) {
+void Fleet::write_endpoint_list(std::size_t edge) {
     ++list_.version;
-    auto told = list_;
-    for (auto &[endpoint, address] : told.entries)
+    auto announced = list_;
+    for (auto &[endpoint, address] : announced.entries)
         address = address_for(edge, endpoint.node, address);
-    // Written beside and renamed: a reader finds the old list or the new one.
-    auto path = list_path(edge), beside = path + ".new";
-    std::ofstream(beside) << format_endpoint_list(told);
-    if (std::rename(beside.c_str(), path.c_str()) != 0)
-        throw std::runtime_error(path + ": can't be written");
+    // Written to a temporary file and renamed, so that readers see the old list or the new one.
+    auto path = list_path(edge), temporary = path + ".new";
+    std::ofstream(temporary) << format_endpoint_list(announced);
+    if (std::rename(temporary.c_str(), path.c_str()) != 0)
+        throw std::runtime_error(path + ": can't be replaced by " + temporary + ": " +
+                                 std::strerror(errno));
 }
-void Fleet::tell_all() {
+void Fleet::write_all_endpoint_lists() {
     for (std::size_t i = 0; i < edges_.size(); ++i)
-        tell(i);
+        write_endpoint_list(i);
 }
 
 void Fleet::with_node(std::size_t node, const std::function<void(node::Server &)> &call) {
@@ -379,7 +384,7 @@
             call(*edges_[edge]->server);
     });
 }
-void Fleet::replace(std::size_t node) {
+void Fleet::replace_node(std::size_t node) {
     NodeId id{++next_node_};
     if (!planner_address_.empty())
         change_settings([&](planner::DesiredState &w) {
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,5 +1,6 @@
-// A whole gateway in one process, on loopback: nodes and edges, each with a loop and a thread of
-// its own, and the node lists that the edges read. What `knotvane local` and `knotvane day` run.
+// A complete gateway in one process, on loopback: nodes and edges, each with its own event loop and
+// thread, and the endpoint list files that the edges read. Used by `knotvane local`, `knotvane
+// day`, tests and benchmarks.
 #pragma once
 
 #include <functional>
@@ -20,13 +21,13 @@
 
 namespace knotvane::fleet {
 
-// A loop on a thread of its own; what is made on it is destroyed on it.
+// An event loop with its own thread. Objects created on the thread must be destroyed on it.
 class Worker {
 public:
     Worker();
     ~Worker();
     loop::Loop &loop() { return loop_; }
-    // Runs a call on the loop's thread and waits for it. Throws what the call throws.
+    // Runs `call` on the loop's thread and blocks until it returns. Rethrows its exceptions.
     void run(const std::function<void()> &call);
 
 private:
@@ -34,35 +35,36 @@
     std::thread thread_;
 };
 
-// A program of its own beside this one, so that it can be killed.
+// A child process, so that tests and scripted days can kill it.
 class Process {
 public:
-    // Starts it; its errors go where ours go. Throws std::runtime_error.
+    // Starts the program; it inherits our standard error. Throws std::runtime_error.
     Process(const std::string &program, const std::vector<std::string> &arguments);
-    // Kills it and waits for its end.
+    // Sends SIGKILL if the process still runs and waits until it has ended.
     ~Process();
     Process(const Process &) = delete;
     void signal(int number) const;
-    // Its exit code, once it has ended; -1 before.
-    int ended();
+    // The exit code, 128 plus the signal's number if a signal ended it, or -1 while it runs.
+    int exit_code();
 
 private:
     int pid_ = -1, code_ = -1;
 };
 
-// The sections of some kinds out of a settings text, headers included.
+// Extracts the INI sections of the given kinds from `text`, headers included.
 std::string sections(const std::string &text, std::initializer_list<std::string_view> kinds);
 
-// Embedded defaults. The edge's text needs its id, how many there are, the address to listen on,
-// the list's path (with a planner, where the last plan is kept) and the number of shards.
+// Settings texts with embedded defaults. `list` is the path of the edge's endpoint list file or,
+// with a planner, of the file that caches the last cluster state (`plan_file`). `age`: how long the
+// node claims to have been running.
 std::string edge_settings(std::uint64_t id, std::uint64_t edges, const std::string &listen,
                           const std::string &list, std::uint64_t shards,
                           const std::string &scheduling, const std::string &planner = "");
 std::string node_settings(std::uint64_t id, std::uint64_t shard, const std::string &listen,
                           const std::string &store, const std::string &service, Time age = 0,
                           const std::string &planner = "", bool sync = false);
-// Volumes, plans, workloads and rules for an edge; how a node serves. Both can be replaced by a
-// day's own.
+// Default volumes, plans, workloads and attempt rules of an edge, and default service settings of a
+// node. A day file can replace either.
 std::string default_scheduling();
 std::string default_service();
 
@@ -84,66 +86,70 @@
     };
 
 public:
-    // `dir` holds stores and lists. `ports`: the first edge listens there, the next ones above; 0:
-    // free ones. Throws std::runtime_error, settings' faults among them. `planner`: nodes, plans
-    // and volumes come from a planner, a process of its own. `sync`: nodes make flushes durable on
-    // the disk, not only against the end of their process.
-    Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t ports,
+    // `dir` holds the stores and endpoint lists. Edges listen on consecutive first_port from
+    // `first_port`, or on free first_port if it is 0. `planner`: a planner in a separate process
+    // announces nodes, plans and volumes. `sync`: flushes are durable on disk; otherwise they
+    // survive only the end of the node's process. Throws std::runtime_error, also for faulty
+    // settings.
+    Fleet(std::string dir, std::uint64_t nodes, std::uint64_t edges, std::uint16_t first_port,
           std::string scheduling, std::string service, MakeScheduler make, bool planner = false,
           bool sync = false);
     ~Fleet();
 
-    // Where edge and node can be reached; an edge's list may name other addresses (a relay's).
+    // Listen addresses of an edge and a node. An edge's list may name other ones, such as a
+    // relay's.
     const std::string &edge_address(std::size_t edge) const { return edges_[edge]->address; }
     const std::string &node_address(std::size_t node) const { return nodes_[node]->address; }
     std::size_t edges() const { return edges_.size(); }
     std::size_t nodes() const { return nodes_.size(); }
     NodeId node_id(std::size_t node) const { return nodes_[node]->id; }
     ShardId node_shard(std::size_t node) const { return nodes_[node]->shard; }
-    // Gives the address that an edge is told of a node. Set before start.
+    // Maps a node's listen address to the address announced to an edge. Set before start().
     std::function<std::string(std::size_t edge, NodeId node, const std::string &address)>
         address_for;
-    // Writes the lists and starts the edges; with a planner waits until they have heard of every
-    // node.
+    // Writes the endpoint lists and starts the edges. With a planner, waits up to 20 s until every
+    // edge knows every node. Throws std::runtime_error.
     void start();
 
-    // ---- With a planner. Empty without one.
+    // Empty without a planner. The members up to change_settings() require one.
     const std::string &planner_address() const { return planner_address_; }
-    // An edge has taken news of nodes; called on the edge's thread. Set before start.
-    std::function<void(std::size_t edge, const edge::EndpointList &list)> on_told;
-    // Ends the planner's process without a word, or stops and wakes it; and starts it again.
+    // Called on the edge's thread when it has applied an endpoint list. Set before start().
+    std::function<void(std::size_t edge, const edge::EndpointList &list)> on_endpoint_list;
+    // Kill the planner with SIGKILL, suspend or resume it (SIGSTOP, SIGCONT), and start it.
+    // `first`: with a new store.
     void kill_planner();
     void pause_planner(bool on) const;
     void start_planner(bool first = false);
-    // The operator's word. False where the planner does not answer or does not do it.
+    // Requests the start (`on`) or end of a drain, as an operator does. Returns false if the
+    // planner doesn't answer within 1 s or refuses.
     bool drain(NodeId node, bool on) const;
-    // The fleet's file without a node, or with the settings changed as the call likes.
+    // Lets `call` edit the desired state and replaces the planner's fleet file by a new version.
     void change_settings(const std::function<void(planner::DesiredState &)> &call);
 
-    // A node as the lists name it, from the next tell on.
-    void list_as(NodeId node, NodeState state, Time started);
-    // Writes the list of one edge, or of all; a new version each time.
-    void tell(std::size_t edge);
-    void tell_all();
+    // Changes a node's entry in the endpoint lists that are written from now on.
+    void set_listed_state(NodeId node, NodeState state, Time started);
+    // Write the endpoint list of one edge or of all, each time with a new version.
+    void write_endpoint_list(std::size_t edge);
+    void write_all_endpoint_lists();
     const edge::EndpointList &list() const { return list_; }
 
-    // On the node's own thread.
+    // Run `call` on the server's own thread; do nothing if the server is stopped.
     void with_node(std::size_t node, const std::function<void(node::Server &)> &call);
     void with_edge(std::size_t edge, const std::function<void(edge::Server &)> &call);
-    // The node's process ends and another, under a new id, serves its store. The lists are not told
-    // of it here.
-    void replace(std::size_t node);
+    // Stops the node and starts another one, with a new id, on the same store. Doesn't write the
+    // endpoint lists.
+    void replace_node(std::size_t node);
     void stop_edge(std::size_t edge);
 
 private:
     void start_node(NodeHost &host, NodeId id, Time age);
-    void plan(std::uint64_t nodes);
+    void prepare_planner(std::uint64_t nodes);
     std::string list_path(std::size_t edge) const;
 
     std::string dir_, scheduling_, service_, planner_address_;
-    planner::DesiredState wanted_;
+    planner::DesiredState desired_state_;
     std::unique_ptr<Process> planner_;
-    std::uint16_t ports_;
+    std::uint16_t first_port_;
     bool sync_;
     MakeScheduler make_;
     std::uint64_t next_node_ = 0;
--- a/tests/gateway/planner_test.cpp
+++ b/tests/gateway/planner_test.cpp
@@ -81,9 +81,9 @@
     }
 };
 int ended(fleet::Process &p) {
-    for (int i = 0; i < 500 && p.ended() < 0; ++i)
+    for (int i = 0; i < 500 && p.exit_code() < 0; ++i)
         pause(10 * ms);
-    return p.ended();
+    return p.exit_code();
 }
 
 } // namespace
@@ -105,7 +105,7 @@
                 f.process->signal(SIGKILL);
             });
             bool unsure = false;
-            while (f.process->ended() < 0) {
+            while (f.process->exit_code() < 0) {
                 try {
                     const planner::AdminClient client(f.address, sec);
                     if (client.drain({NodeId{1}, !drains, control::DrainMode::apply}).done)
@@ -139,7 +139,7 @@
         // A planner that stands still keeps the store: nobody may take over from one that can wake.
         f.process->signal(SIGSTOP);
         pause(300 * ms);
-        CHECK(standby->ended() == -1);
+        CHECK(standby->exit_code() == -1);
         f.process->signal(SIGCONT);
         CHECK(f.status()["term"] == 1);
         f.process.reset();
@@ -172,7 +172,7 @@
         pause(300 * ms);
         CHECK(f.status()["settings"] == 1);
         auto bad = next;
-        bad.version = 3, bad.plans["p"].weight = 0, bad.plans["p"].reserve = 5;
+        bad.version = 3, bad.plans["p"].weight = 0, bad.plans["p"].reserved_rate = 5;
         f.write(planner::write_fleet(bad));
         pause(300 * ms);
         CHECK(f.status()["nodes"].size() == 4);
