--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -59,7 +59,7 @@
     bool listening = true;
     Time wake = never;
 
-    SimulatedNode(Simulation &world, NodeId i, ShardId s, std::uint64_t seed, Time now);
+    SimulatedNode(Simulation &owner, NodeId i, ShardId s, std::uint64_t seed, Time now);
     void send(node::ConnectionId connection_id, std::string out) override;
     void close(node::ConnectionId connection_id, bool reset) override;
     void listen(bool open) override;
@@ -81,7 +81,7 @@
     std::vector<std::function<void()>> deferred_calls;
     Time wake = never;
 
-    SimulatedEdge(Simulation &world, std::uint64_t i) : simulation(world), id(i) {}
+    SimulatedEdge(Simulation &owner, std::uint64_t i) : simulation(owner), id(i) {}
     void start();
     void stop();
     void run_or_defer(const std::function<void()> &call);
@@ -115,12 +115,12 @@
 // Writes and reads continuously, and records its requests and replies in the history.
 struct SimulatedClient final : load::Replies {
     Simulation &simulation;
-    std::size_t edge;
+    std::size_t edge_index;
     std::unique_ptr<load::Session> session;
     ConnectionPtr connection;
     std::uint64_t cookie = 0;
     std::map<std::uint64_t, std::pair<WriteNo, Time>> outstanding_writes;
-    SimulatedClient(Simulation &world, std::size_t e) : simulation(world), edge(e) {}
+    SimulatedClient(Simulation &owner, std::size_t edge) : simulation(owner), edge_index(edge) {}
     void connect();
     void send_requests();
     void send_pending_bytes();
@@ -135,7 +135,7 @@
     SnapshotSimulationResult out;
     Time now = 100 * sec;
     std::ranlux24_base random;
-    std::uint64_t seq = 0;
+    std::uint64_t sequence = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
     std::unique_ptr<planner::Core> core;
     InMemoryStateStore state_store;
@@ -155,19 +155,20 @@
     std::map<std::string, TakenSnapshot> snapshots;
     bool faults_ended = false;
 
-    explicit Simulation(const SnapshotScenario &d)
-        : scenario(d), random(static_cast<std::ranlux24_base::result_type>(d.seed * 7919 + 5)) {}
-    std::uint64_t random_below(std::uint64_t n) {
-        return n <= 1 ? 0 : (std::uint64_t{random()} << 24 | random()) % n;
+    explicit Simulation(const SnapshotScenario &configuration)
+        : scenario(configuration),
+          random(static_cast<std::ranlux24_base::result_type>(configuration.seed * 7919 + 5)) {}
+    std::uint64_t random_below(std::uint64_t limit) {
+        return limit <= 1 ? 0 : (std::uint64_t{random()} << 24 | random()) % limit;
     }
     Time random_time_below(Time t) {
         return static_cast<Time>(random_below(static_cast<std::uint64_t>(t)));
     }
-    bool happens(double p) {
-        return static_cast<double>(random()) < p * static_cast<double>(random.max());
+    bool happens(double probability) {
+        return static_cast<double>(random()) < probability * static_cast<double>(random.max());
     }
-    void schedule(Time t, std::function<void()> f) {
-        queue.emplace(std::pair{t, ++seq}, std::move(f));
+    void schedule(Time time, std::function<void()> call) {
+        queue.emplace(std::pair{time, ++sequence}, std::move(call));
     }
     Time delay() {
         return !faults_ended && happens(0.02) ? random_time_below(60 * ms)
@@ -334,30 +335,30 @@
 
     // ---- Timers and due work.
     template <class Host, class Due>
-    void wake(Host &h, Due due, const std::function<void()> &run) {
-        if (due >= h.wake)
+    void wake(Host &host, Due due, const std::function<void()> &run) {
+        if (due >= host.wake)
             return;
-        h.wake = due;
-        schedule(std::max(due, now + 1), [&h, due, run] {
-            if (h.wake != due)
+        host.wake = due;
+        schedule(std::max(due, now + 1), [&host, due, run] {
+            if (host.wake != due)
                 return;
-            h.wake = never;
+            host.wake = never;
             run();
         });
     }
-    void run_due_work(SimulatedNode &n) {
-        n.disk.tick(now);
-        n.registration->tick(now);
-        wake(n, std::min(n.disk.next_due(), n.registration->next_due()),
-             [this, &n] { run_due_work(n); });
+    void run_due_work(SimulatedNode &node) {
+        node.disk.tick(now);
+        node.registration->tick(now);
+        wake(node, std::min(node.disk.next_due(), node.registration->next_due()),
+             [this, &node] { run_due_work(node); });
     }
-    void run_due_work(SimulatedEdge &e) {
-        if (!e.core || e.paused)
+    void run_due_work(SimulatedEdge &edge) {
+        if (!edge.core || edge.paused)
             return;
-        e.planner_client->tick(now);
-        e.core->settle(now);
-        wake(e, std::min(e.core->next_due(), e.planner_client->next_due()),
-             [this, &e] { run_due_work(e); });
+        edge.planner_client->tick(now);
+        edge.core->settle(now);
+        wake(edge, std::min(edge.core->next_due(), edge.planner_client->next_due()),
+             [this, &edge] { run_due_work(edge); });
     }
 
     // ---- Operators.
@@ -444,14 +445,14 @@
         std::map<std::uint64_t, WriteNo> got;
         for (std::uint64_t b = 0; b < active_blocks; ++b) {
             auto shard = layout.shard_of(volume, b * block);
-            auto &n = *nodes[static_cast<std::size_t>(shard.value)];
+            auto &node = *nodes[static_cast<std::size_t>(shard.value)];
             std::string bytes;
-            if (!n.store.contains(id)) {
+            if (!node.store.contains(id)) {
                 report_violation("snapshot " + std::to_string(id.value & 0xffff) +
-                                 " is missing on node " + std::to_string(n.id.value));
+                                 " is missing on node " + std::to_string(node.id.value));
                 return got;
             }
-            if (!n.store.read(id, b * block, block, bytes))
+            if (!node.store.read(id, b * block, block, bytes))
                 report_violation("block " + std::to_string(b) + " does not match its checksum");
             std::uint64_t no = 0;
             std::memcpy(&no, bytes.data(), sizeof no);
@@ -481,8 +482,8 @@
 };
 
 // ---- Nodes.
-SimulatedNode::SimulatedNode(Simulation &world, NodeId i, ShardId s, std::uint64_t seed, Time now)
-    : simulation(world), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
+SimulatedNode::SimulatedNode(Simulation &owner, NodeId i, ShardId s, std::uint64_t seed, Time now)
+    : simulation(owner), id(i), shard(s), disk(i, s, store, *this, seed, now - 3600 * sec) {
     disk.set_service_model({.unit_time = ms, .cores = 2, .slots = 4, .queue_capacity = 64});
     node::PlannerRegistration::Actions line;
     line.connect = [this] {
@@ -518,10 +519,11 @@
                                 const std::vector<control::EdgeIncarnation> &late) {
         std::set<control::EdgeIncarnation> who(late.begin(), late.end());
         if (simulation.scenario.nodes_admit_all_edges)
-            for (std::uint32_t e = 0; e < simulation.scenario.edges; ++e)
-                who.insert(simulation.edges[e]->core
-                               ? control::EdgeIncarnation{simulation.edges[e]->core->incarnation()}
-                               : control::EdgeIncarnation{});
+            for (std::uint32_t edge = 0; edge < simulation.scenario.edges; ++edge)
+                who.insert(
+                    simulation.edges[edge]->core
+                        ? control::EdgeIncarnation{simulation.edges[edge]->core->incarnation()}
+                        : control::EdgeIncarnation{});
         if (simulation.scenario.nodes_seal_at_once) {
             // Seals the snapshot at once, like a store without support for late writes.
             auto how = store.take_snapshot(of, as);
@@ -632,12 +634,12 @@
                 core->node_disconnected(simulation.now, link);
         });
     };
-    auto &n = *simulation.nodes[std::stoull(address) - 1];
+    auto &node = *simulation.nodes[std::stoull(address) - 1];
     simulation.schedule(
-        simulation.now + simulation.delay(), [this, link, incarnation, connection, &n] {
+        simulation.now + simulation.delay(), [this, link, incarnation, connection, &node] {
             if (!connection->open[0])
                 return;
-            if (!n.listening) {
+            if (!node.listening) {
                 connection->open[0] = false;
                 return run_or_defer([this, link, incarnation] {
                     if (incarnation == start_count && links.erase(link))
@@ -645,14 +647,14 @@
                 });
             }
             node::ConnectionId connection_id{++simulation.next_node_connection};
-            n.connections[connection_id] = connection;
-            connection->on_bytes[1] = [this, &n, connection_id](std::string_view b) {
-                n.disk.received(simulation.now, connection_id, b), simulation.run_due_work(n);
+            node.connections[connection_id] = connection;
+            connection->on_bytes[1] = [this, &node, connection_id](std::string_view b) {
+                node.disk.received(simulation.now, connection_id, b), simulation.run_due_work(node);
             };
-            connection->on_closed[1] = [this, &n, connection_id] {
-                n.connections.erase(connection_id), n.disk.disconnected(connection_id);
+            connection->on_closed[1] = [this, &node, connection_id] {
+                node.connections.erase(connection_id), node.disk.disconnected(connection_id);
             };
-            n.disk.connected(simulation.now, connection_id);
+            node.disk.connected(simulation.now, connection_id);
             run_or_defer([this, link, incarnation] {
                 if (incarnation == start_count && links.contains(link))
                     core->node_connected(simulation.now, link);
@@ -753,8 +755,9 @@
     core->cluster_state_changed(simulation.now);
     if (!nodes || !core->endpoint_list_begin(simulation.now, ++lists))
         return;
-    for (auto &[nid, n] : table.nodes)
-        core->endpoint_listed({nid, n.shard, n.zone, n.state, started.at(nid)}, n.address);
+    for (auto &[nid, node] : table.nodes)
+        core->endpoint_listed({nid, node.shard, node.zone, node.state, started.at(nid)},
+                              node.address);
     core->endpoint_list_end();
 }
 void SimulatedEdge::quota_share_changed(VolumeId v, double hosts) {
@@ -789,18 +792,18 @@
 void SimulatedClient::connect() {
     if (simulation.faults_ended)
         return;
-    auto &e = *simulation.edges[edge];
-    if (!e.core || e.planner_client->replica().cluster_state().names.empty()) {
+    auto &edge = *simulation.edges[edge_index];
+    if (!edge.core || edge.planner_client->replica().cluster_state().names.empty()) {
         simulation.schedule(simulation.now + 20 * ms, [this] { connect(); });
         return;
     }
     outstanding_writes.clear();
     connection = simulation.make_connection();
     session = std::make_unique<load::Session>(*this, "v", true);
-    edge::ClientId id{++e.next_client};
-    e.clients[id] = connection;
+    edge::ClientId id{++edge.next_client};
+    edge.clients[id] = connection;
     auto mine = connection;
-    auto incarnation = e.start_count;
+    auto incarnation = edge.start_count;
     connection->on_bytes[0] = [this, mine](std::string_view b) {
         if (connection != mine)
             return;
@@ -812,19 +815,19 @@
             simulation.schedule(simulation.now + 10 * ms + simulation.random_time_below(20 * ms),
                                 [this] { connect(); });
     };
-    connection->on_bytes[1] = [&e, id, incarnation, this](std::string_view b) {
-        e.run_or_defer([&e, id, incarnation, this, bytes = std::string(b)] {
-            if (incarnation == e.start_count && e.clients.contains(id))
-                e.core->client_received(simulation.now, id, bytes);
+    connection->on_bytes[1] = [&edge, id, incarnation, this](std::string_view b) {
+        edge.run_or_defer([&edge, id, incarnation, this, bytes = std::string(b)] {
+            if (incarnation == edge.start_count && edge.clients.contains(id))
+                edge.core->client_received(simulation.now, id, bytes);
         });
     };
-    connection->on_closed[1] = [&e, id, incarnation, this] {
-        e.run_or_defer([&e, id, incarnation, this] {
-            if (incarnation == e.start_count && e.clients.erase(id))
-                e.core->client_disconnected(simulation.now, id);
+    connection->on_closed[1] = [&edge, id, incarnation, this] {
+        edge.run_or_defer([&edge, id, incarnation, this] {
+            if (incarnation == edge.start_count && edge.clients.erase(id))
+                edge.core->client_disconnected(simulation.now, id);
         });
     };
-    e.run_or_defer([&e, id, this] { e.core->client_connected(simulation.now, id); });
+    edge.run_or_defer([&edge, id, this] { edge.core->client_connected(simulation.now, id); });
 }
 void SimulatedClient::send_requests() {
     while (session->is_open() && session->flying() < 4 && !simulation.faults_ended) {
@@ -860,7 +863,7 @@
         simulation.out.answered += error == 0;
         // Allows 150 ms for both network directions; a paused edge cannot reply in time.
         if (simulation.now - it->second.second > client_timeout + 150 * ms &&
-            simulation.edges[edge]->paused_until < it->second.second)
+            simulation.edges[edge_index]->paused_until < it->second.second)
             simulation.report_violation(
                 "the reply to a write took longer than the client timeout: " +
                 std::to_string((simulation.now - it->second.second) / ms) + "ms");
@@ -884,19 +887,19 @@
 
 // ---- Faults.
 void Simulation::inject_random_fault() {
-    auto &e = *edges[random_below(edges.size())];
-    auto &n = *nodes[random_below(nodes.size())];
+    auto &edge = *edges[random_below(edges.size())];
+    auto &node = *nodes[random_below(nodes.size())];
     switch (random_below(11)) {
     case 0: // a node process restarts; some lose unflushed data
     {
         bool lose = happens(0.5);
         ++out.event_counts[lose ? "node restarts with loss" : "node restarts"];
-        n.registration->stop(now);
+        node.registration->stop(now);
         if (lose)
             history.lost(now);
-        n.disk.restart(now, lose);
-        n.registration->start(now, static_cast<std::uint64_t>(now), now);
-        run_due_work(n);
+        node.disk.restart(now, lose);
+        node.registration->start(now, static_cast<std::uint64_t>(now), now);
+        run_due_work(node);
         break;
     }
     case 1:
@@ -909,60 +912,60 @@
         }
         break;
     case 2: // an edge loses the planner for a while and continues to serve clients
-        if (!e.planner || e.cut_off)
+        if (!edge.planner || edge.cut_off)
             break;
         ++out.event_counts["edges cut off"];
-        e.cut_off = true;
-        sever(e.planner);
-        schedule(now + random_time_below(2 * sec), [&e] { e.cut_off = false; });
+        edge.cut_off = true;
+        sever(edge.planner);
+        schedule(now + random_time_below(2 * sec), [&edge] { edge.cut_off = false; });
         break;
     case 3: // messages between the edge and the planner are delayed
-        if (!e.planner)
+        if (!edge.planner)
             break;
         ++out.event_counts["planner's word late"];
-        e.planner->held = now + random_time_below(1200 * ms);
+        edge.planner->held = now + random_time_below(1200 * ms);
         break;
     case 4:
-        if (e.paused || !e.core)
+        if (edge.paused || !edge.core)
             break;
         ++out.event_counts["edges paused"];
-        e.paused = true;
-        schedule(now + random_time_below(1500 * ms), [this, &e, incarnation = e.start_count] {
-            if (incarnation != e.start_count || !e.paused)
+        edge.paused = true;
+        schedule(now + random_time_below(1500 * ms), [this, &edge, incarnation = edge.start_count] {
+            if (incarnation != edge.start_count || !edge.paused)
                 return;
-            e.paused = false, e.paused_until = now;
-            run_due_work(e);
-            for (auto &call : std::exchange(e.deferred_calls, {}))
+            edge.paused = false, edge.paused_until = now;
+            run_due_work(edge);
+            for (auto &call : std::exchange(edge.deferred_calls, {}))
                 call();
-            e.wake = never, run_due_work(e);
+            edge.wake = never, run_due_work(edge);
         });
         break;
     case 5:
-        if (!e.core)
+        if (!edge.core)
             break;
         ++out.event_counts["edge restarts"];
-        e.stop();
-        schedule(now + 20 * ms + random_time_below(500 * ms), [&e] {
-            if (!e.core)
-                e.start();
+        edge.stop();
+        schedule(now + 20 * ms + random_time_below(500 * ms), [&edge] {
+            if (!edge.core)
+                edge.start();
         });
         break;
     case 6:
     case 7: // attempts in transit arrive after the edge's timeout
-        if (e.links.empty())
+        if (edge.links.empty())
             break;
         {
-            auto l = e.links.begin();
-            std::advance(l, static_cast<std::ptrdiff_t>(random_below(e.links.size())));
+            auto l = edge.links.begin();
+            std::advance(l, static_cast<std::ptrdiff_t>(random_below(edge.links.size())));
             ++out.event_counts["shots held"];
             l->second->held = now + random_time_below(1200 * ms);
         }
         break;
     case 8:
-        if (e.links.empty())
+        if (edge.links.empty())
             break;
         ++out.event_counts["links severed"];
-        sever(e.links.begin()->second);
+        sever(edge.links.begin()->second);
         break;
     default: {
         static constexpr node::FaultKind kinds[] = {node::FaultKind::hang,
@@ -974,10 +977,10 @@
         ++out.event_counts["node faults"];
         double magnitude = happens(0.5) ? 0.2 : 6;
         Time until = now + 20 * ms + random_time_below(700 * ms);
-        n.disk.inject_fault(
+        node.disk.inject_fault(
             {.kind = kinds[random_below(6)], .from = now, .until = until, .magnitude = magnitude});
-        n.disk.tick(now);
-        run_due_work(n);
+        node.disk.tick(now);
+        run_due_work(node);
     }
     }
 }
@@ -1020,20 +1023,20 @@
     // Failed snapshots leave nothing behind; planner and nodes have the same volumes.
     if (!core)
         return std::move(out);
-    for (auto &n : nodes) {
+    for (auto &node : nodes) {
         std::set<VolumeId> expected;
         for (auto &[id, v] : core->state().cluster_state().volumes)
             if (v.is_snapshot_or_clone())
                 expected.insert(id);
-        for (auto id : n->store.snapshots())
+        for (auto id : node->store.snapshots())
             if (!expected.contains(id) && !core->is_incomplete(id))
-                report_violation("node " + std::to_string(n->id.value) +
+                report_violation("node " + std::to_string(node->id.value) +
                                  " holds a snapshot or clone that the planner does not have");
         for (auto id : expected)
-            if (!n->store.contains(id))
-                report_violation("node " + std::to_string(n->id.value) +
+            if (!node->store.contains(id))
+                report_violation("node " + std::to_string(node->id.value) +
                                  " lacks a complete snapshot or clone");
-        for (auto &line : n->store.check())
+        for (auto &line : node->store.check())
             report_violation("node's store: " + line);
     }
     return std::move(out);
--- a/src/sim/planning.cpp
+++ b/src/sim/planning.cpp
@@ -40,8 +40,8 @@
         planner::Term term;
         Version version;
 
-        SimulatedEdge(Simulation &world, EdgeId i, double d, Time o)
-            : simulation(world), id(i), drift(d), offset(o) {}
+        SimulatedEdge(Simulation &owner, EdgeId i, double d, Time o)
+            : simulation(owner), id(i), drift(d), offset(o) {}
         Time clock() const {
             return offset + simulation.now +
                    static_cast<Time>(static_cast<double>(simulation.now) * drift);
@@ -114,15 +114,16 @@
     std::map<Version, std::vector<Time>> reached;
     bool faults_ended = false;
 
-    explicit Simulation(const PlannerScenario &d)
-        : scenario(d), random(static_cast<std::ranlux24_base::result_type>(d.seed)) {}
+    explicit Simulation(const PlannerScenario &configuration)
+        : scenario(configuration),
+          random(static_cast<std::ranlux24_base::result_type>(configuration.seed)) {}
 
     Time random_below(Time most) {
         auto drawn = static_cast<std::uint64_t>(random()) << 24 | random();
         return static_cast<Time>(drawn % static_cast<std::uint64_t>(std::max<Time>(1, most)));
     }
-    bool happens(double p) {
-        return static_cast<double>(random()) < p * static_cast<double>(random.max());
+    bool happens(double probability) {
+        return static_cast<double>(random()) < probability * static_cast<double>(random.max());
     }
     void schedule(Time when, std::function<void()> call) { events.emplace(when, std::move(call)); }
     void report_violation(std::string what) {
@@ -152,77 +153,77 @@
                              to(bytes);
                      });
     }
-    void connect(SimulatedEdge &e) {
-        schedule(now + random_below(2 * ms) + 1, [this, &e] {
-            if (!e.planner_client || e.paused)
+    void connect(SimulatedEdge &edge) {
+        schedule(now + random_below(2 * ms) + 1, [this, &edge] {
+            if (!edge.planner_client || edge.paused)
                 return;
             if (!core) {
-                e.planner_client->disconnected(e.clock());
-                return run(e);
+                edge.planner_client->disconnected(edge.clock());
+                return run(edge);
             }
             SessionId session_id{++next_session};
-            e.session_id = session_id, e.up = true;
-            auto far = [this, &e, session_id](std::string_view in) {
-                if (e.session_id != session_id || !e.planner_client)
+            edge.session_id = session_id, edge.up = true;
+            auto far = [this, &edge, session_id](std::string_view in) {
+                if (edge.session_id != session_id || !edge.planner_client)
                     return;
                 std::string bytes(in);
-                auto call = [this, &e, session_id, bytes] {
-                    if (e.session_id != session_id || !e.planner_client)
+                auto call = [this, &edge, session_id, bytes] {
+                    if (edge.session_id != session_id || !edge.planner_client)
                         return;
-                    e.planner_client->received(e.clock(), bytes);
-                    run(e);
+                    edge.planner_client->received(edge.clock(), bytes);
+                    run(edge);
                 };
-                if (e.paused)
+                if (edge.paused)
                     schedule(now + 10 * ms,
-                             [this, &e, far_call = call] { retry_paused(e, far_call); });
+                             [this, &edge, far_call = call] { retry_paused(edge, far_call); });
                 else
                     call();
             };
-            connections[session_id] = {far, [this, &e, session_id] {
-                                           if (e.session_id != session_id)
+            connections[session_id] = {far, [this, &edge, session_id] {
+                                           if (edge.session_id != session_id)
                                                return;
-                                           e.session_id = SessionId{0}, e.up = false;
-                                           if (!e.planner_client)
+                                           edge.session_id = SessionId{0}, edge.up = false;
+                                           if (!edge.planner_client)
                                                return;
-                                           e.planner_client->disconnected(e.clock());
-                                           if (!e.paused)
-                                               run(e);
+                                           edge.planner_client->disconnected(edge.clock());
+                                           if (!edge.paused)
+                                               run(edge);
                                        }};
             run_in_planner([this, session_id] { core->connected(now, session_id); });
-            e.planner_client->connected(e.clock());
-            run(e);
+            edge.planner_client->connected(edge.clock());
+            run(edge);
         });
     }
-    void retry_paused(SimulatedEdge &e, std::function<void()> call) {
-        if (e.paused)
-            schedule(now + 10 * ms, [this, &e, call] { retry_paused(e, call); });
+    void retry_paused(SimulatedEdge &edge, std::function<void()> call) {
+        if (edge.paused)
+            schedule(now + 10 * ms, [this, &edge, call] { retry_paused(edge, call); });
         else
             call();
     }
-    void connect(SimulatedNode &n) {
-        schedule(now + random_below(2 * ms) + 1, [this, &n] {
-            if (!n.running)
+    void connect(SimulatedNode &node) {
+        schedule(now + random_below(2 * ms) + 1, [this, &node] {
+            if (!node.running)
                 return;
             if (!core) {
-                n.registration->disconnected(now);
-                return run(n);
+                node.registration->disconnected(now);
+                return run(node);
             }
             SessionId session_id{++next_session};
-            n.session_id = session_id;
-            connections[session_id] = {[this, &n, session_id](std::string_view in) {
-                                           if (n.session_id == session_id && n.running)
-                                               n.registration->received(now, in), run(n);
+            node.session_id = session_id;
+            connections[session_id] = {[this, &node, session_id](std::string_view in) {
+                                           if (node.session_id == session_id && node.running)
+                                               node.registration->received(now, in), run(node);
                                        },
-                                       [this, &n, session_id] {
-                                           if (n.session_id != session_id)
+                                       [this, &node, session_id] {
+                                           if (node.session_id != session_id)
                                                return;
-                                           n.session_id = SessionId{0};
-                                           if (n.running)
-                                               n.registration->disconnected(now), run(n);
+                                           node.session_id = SessionId{0};
+                                           if (node.running)
+                                               node.registration->disconnected(now), run(node);
                                        }};
             run_in_planner([this, session_id] { core->connected(now, session_id); });
-            n.registration->connected(now);
-            run(n);
+            node.registration->connected(now);
+            run(node);
         });
     }
     void to_planner(SessionId session_id, std::string bytes) {
@@ -337,62 +338,62 @@
     }
 
     // ---- Edges and nodes.
-    void run(SimulatedEdge &e) {
-        if (!e.planner_client || e.paused)
+    void run(SimulatedEdge &edge) {
+        if (!edge.planner_client || edge.paused)
             return;
-        e.planner_client->tick(e.clock());
-        e.wake = std::max(now, e.real(e.planner_client->next_due()));
+        edge.planner_client->tick(edge.clock());
+        edge.wake = std::max(now, edge.real(edge.planner_client->next_due()));
     }
-    void run(SimulatedNode &n) {
-        if (!n.running)
+    void run(SimulatedNode &node) {
+        if (!node.running)
             return;
-        n.registration->tick(now);
-        n.wake = std::max(now, n.registration->next_due());
+        node.registration->tick(now);
+        node.wake = std::max(now, node.registration->next_due());
     }
-    void start(SimulatedEdge &e) {
-        e.planner_client = std::make_unique<edge::PlannerClient>(
-            e, edge::PlannerClientConfig{e.id, "e", scenario.seed + instances++, scenario.lease / 6,
-                                         24 * 3600 * sec});
-        e.planner_client->start(e.clock(), e.disk);
-        run(e);
+    void start(SimulatedEdge &edge) {
+        edge.planner_client = std::make_unique<edge::PlannerClient>(
+            edge, edge::PlannerClientConfig{edge.id, "e", scenario.seed + instances++,
+                                            scenario.lease / 6, 24 * 3600 * sec});
+        edge.planner_client->start(edge.clock(), edge.disk);
+        run(edge);
     }
-    void stop(SimulatedEdge &e) {
-        for (auto &[v, u] : e.usable)
-            if (!e.paused)
+    void stop(SimulatedEdge &edge) {
+        for (auto &[v, u] : edge.usable)
+            if (!edge.paused)
                 usable[v] -= u;
-        e.usable.clear(), e.serving.clear();
-        e.paused = false;
-        auto session_id = std::exchange(e.session_id, SessionId{0});
-        e.planner_client.reset();
-        e.wake = never;
+        edge.usable.clear(), edge.serving.clear();
+        edge.paused = false;
+        auto session_id = std::exchange(edge.session_id, SessionId{0});
+        edge.planner_client.reset();
+        edge.wake = never;
         disconnect(session_id, true);
     }
-    void pause(SimulatedEdge &e, bool on) {
-        if (!e.planner_client || e.paused == on)
+    void pause(SimulatedEdge &edge, bool on) {
+        if (!edge.planner_client || edge.paused == on)
             return;
         // A paused edge uses none of its quota; a resumed edge reads its clock before it uses any.
         if (on) {
-            for (auto &[v, u] : e.usable)
+            for (auto &[v, u] : edge.usable)
                 usable[v] -= u;
-            e.paused = true, e.wake = never;
+            edge.paused = true, edge.wake = never;
         } else {
-            e.planner_client->tick(e.clock());
-            e.paused = false;
-            for (auto &[v, u] : e.usable)
+            edge.planner_client->tick(edge.clock());
+            edge.paused = false;
+            for (auto &[v, u] : edge.usable)
                 usable[v] += u;
-            run(e);
+            run(edge);
         }
     }
-    void apply_cluster_state(SimulatedEdge &e, const control::ClusterState &table,
+    void apply_cluster_state(SimulatedEdge &edge, const control::ClusterState &table,
                              const std::map<NodeId, Time> &started) {
-        auto &copy = e.planner_client->replica();
-        if (copy.term() < e.term || copy.version() < e.version)
-            report_violation("edge " + std::to_string(e.id.value) + " returned from version " +
-                             std::to_string(e.version.value) + " to older version " +
+        auto &copy = edge.planner_client->replica();
+        if (copy.term() < edge.term || copy.version() < edge.version)
+            report_violation("edge " + std::to_string(edge.id.value) + " returned from version " +
+                             std::to_string(edge.version.value) + " to older version " +
                              std::to_string(copy.version().value));
         std::string all;
-        for (auto &[id, n] : table.nodes)
-            all += control::encode(control::NodeUpdate{id, n});
+        for (auto &[id, node] : table.nodes)
+            all += control::encode(control::NodeUpdate{id, node});
         for (auto &[id, p] : table.plans)
             all += control::encode(control::PlanUpdate{id, p});
         for (auto &[id, v] : table.volumes)
@@ -401,22 +402,22 @@
         if (!is_new && it->second != all)
             report_violation("version " + std::to_string(copy.version().value) +
                              " has different contents on two edges");
-        for (auto &[id, n] : table.nodes) {
-            auto was = e.nodes.find(id);
+        for (auto &[id, node] : table.nodes) {
+            auto was = edge.nodes.find(id);
             auto &ended = undrained[id];
-            if (was != e.nodes.end() && was->second == NodeState::draining &&
-                n.state == NodeState::ready &&
-                (ended.upper_bound(e.version) == ended.end() ||
-                 *ended.upper_bound(e.version) > copy.version()))
+            if (was != edge.nodes.end() && was->second == NodeState::draining &&
+                node.state == NodeState::ready &&
+                (ended.upper_bound(edge.version) == ended.end() ||
+                 *ended.upper_bound(edge.version) > copy.version()))
                 report_violation("the drain of node " + std::to_string(id.value) +
                                  " ended without an undrain request");
-            e.nodes[id] = n.state;
-            if (started.at(id) > e.clock())
+            edge.nodes[id] = node.state;
+            if (started.at(id) > edge.clock())
                 report_violation("node " + std::to_string(id.value) +
                                  " has a start time in the future of edge " +
-                                 std::to_string(e.id.value));
+                                 std::to_string(edge.id.value));
         }
-        e.term = copy.term(), e.version = copy.version();
+        edge.term = copy.term(), edge.version = copy.version();
         reached[copy.version()].push_back(now);
     }
     void check() {
@@ -427,16 +428,16 @@
     }
 
     // ---- Faults.
-    void restart(SimulatedNode &n, Time down) {
-        if (!n.running)
+    void restart(SimulatedNode &node, Time down) {
+        if (!node.running)
             return;
-        n.running = false;
-        n.registration->stop(now);
-        disconnect(std::exchange(n.session_id, SessionId{0}), true);
-        schedule(now + down, [this, &n] {
-            n.running = true;
-            n.registration->start(now, ++n.incarnation, now);
-            run(n);
+        node.running = false;
+        node.registration->stop(now);
+        disconnect(std::exchange(node.session_id, SessionId{0}), true);
+        schedule(now + down, [this, &node] {
+            node.running = true;
+            node.registration->start(now, ++node.incarnation, now);
+            run(node);
         });
     }
     void drain(NodeId node, bool on) {
@@ -456,47 +457,47 @@
         ++out.event_counts[on ? "drains" : "undrains"];
     }
     void inject_random_fault() {
-        auto &e = *edges[random() % edges.size()];
-        auto &n = *nodes[random() % nodes.size()];
+        auto &edge = *edges[random() % edges.size()];
+        auto &node = *nodes[random() % nodes.size()];
         switch (random() % 10) {
         case 0: { // an edge process ends and a new one starts later
             ++out.event_counts["edge restarts"];
-            stop(e);
-            schedule(now + random_below(10 * sec), [this, &e] {
-                if (!e.planner_client)
-                    start(e);
+            stop(edge);
+            schedule(now + random_below(10 * sec), [this, &edge] {
+                if (!edge.planner_client)
+                    start(edge);
             });
             break;
         }
         case 1:
         case 2:
         case 3: { // clients start or stop using a volume
-            if (!e.planner_client || e.paused)
+            if (!edge.planner_client || edge.paused)
                 break;
             VolumeId v{1 + random() % scenario.volumes};
-            bool on = !e.serving.contains(v);
-            if (on && e.serving.size() >= scenario.served)
+            bool on = !edge.serving.contains(v);
+            if (on && edge.serving.size() >= scenario.served)
                 break;
             if (on)
-                e.serving.insert(v);
+                edge.serving.insert(v);
             else
-                e.serving.erase(v);
-            e.planner_client->volume_used(e.clock(), v, on);
-            run(e);
+                edge.serving.erase(v);
+            edge.planner_client->volume_used(edge.clock(), v, on);
+            run(edge);
             ++out.event_counts[on ? "volumes taken up" : "volumes left"];
             break;
         }
         case 4: { // an edge pauses, sometimes beyond its lease
             ++out.event_counts["edge pauses"];
-            pause(e, true);
-            schedule(now + random_below(2 * scenario.lease), [this, &e] { pause(e, false); });
+            pause(edge, true);
+            schedule(now + random_below(2 * scenario.lease), [this, &edge] { pause(edge, false); });
             break;
         }
         case 5:
-            restart(n, 50 * ms + random_below(3 * sec)), ++out.event_counts["node restarts"];
+            restart(node, 50 * ms + random_below(3 * sec)), ++out.event_counts["node restarts"];
             break;
         case 6:
-            drain(n.id, !requested_drain[n.id]);
+            drain(node.id, !requested_drain[node.id]);
             break;
         case 7:
             if (!scenario.group_restarts)
@@ -506,8 +507,8 @@
                 restart(*nodes[i], 500 * ms + random_below(sec));
             break;
         case 8: // the connection between edge and planner breaks
-            if (e.session_id.value) {
-                auto session_id = e.session_id;
+            if (edge.session_id.value) {
+                auto session_id = edge.session_id;
                 auto it = connections.find(session_id);
                 if (it != connections.end() && it->second.open) {
                     it->second.open = false;
@@ -549,20 +550,20 @@
     bool all_agree() {
         if (!core || planner_paused || disk.position.version != core->version())
             return false;
-        for (auto &e : edges) {
-            if (!e->planner_client || e->paused)
+        for (auto &edge : edges) {
+            if (!edge->planner_client || edge->paused)
                 return false;
-            if (e->planner_client->replica().version() != core->version() ||
-                e->planner_client->replica().term() != core->term())
+            if (edge->planner_client->replica().version() != core->version() ||
+                edge->planner_client->replica().term() != core->term())
                 return false;
-            if (e->planner_client->past_lease(e->clock()) > 0)
+            if (edge->planner_client->past_lease(edge->clock()) > 0)
                 return false;
         }
         // Limits are fully distributed: all edges that serve a volume have equal quota shares.
         std::map<VolumeId, std::vector<std::int64_t>> parts;
-        for (auto &e : edges)
-            for (auto v : e->serving)
-                parts[v].push_back(e->usable[v]);
+        for (auto &edge : edges)
+            for (auto v : edge->serving)
+                parts[v].push_back(edge->usable[v]);
         for (auto &[v, all] : parts)
             for (auto p : all)
                 if (p != static_cast<std::int64_t>(control::full_limit_millionths / all.size()))
@@ -574,16 +575,17 @@
     std::string describe_disagreement() {
         std::string out_text =
             core ? "planner at version " + std::to_string(core->version().value) : "no planner";
-        for (auto &e : edges) {
-            out_text += "; edge " + std::to_string(e->id.value);
-            if (!e->planner_client)
+        for (auto &edge : edges) {
+            out_text += "; edge " + std::to_string(edge->id.value);
+            if (!edge->planner_client)
                 continue;
-            out_text += " version " + std::to_string(e->planner_client->replica().version().value) +
+            out_text += " version " +
+                        std::to_string(edge->planner_client->replica().version().value) +
                         " past lease " +
-                        std::to_string(e->planner_client->past_lease(e->clock()) / ms) + "ms";
-            for (auto v : e->serving)
+                        std::to_string(edge->planner_client->past_lease(edge->clock()) / ms) + "ms";
+            for (auto v : edge->serving)
                 out_text +=
-                    " volume " + std::to_string(v.value) + ":" + std::to_string(e->usable[v]);
+                    " volume " + std::to_string(v.value) + ":" + std::to_string(edge->usable[v]);
         }
         return out_text;
     }
@@ -602,23 +604,25 @@
             double drift = (static_cast<double>(random() % 2001) - 1000) / 1e5;
             edges.push_back(
                 std::make_unique<SimulatedEdge>(*this, EdgeId{i}, drift, random_below(3600 * sec)));
-            schedule(now + random_below(sec), [this, e = edges.back().get()] { start(*e); });
+            schedule(now + random_below(sec), [this, edge = edges.back().get()] { start(*edge); });
         }
         for (std::uint32_t i = 1; i <= scenario.nodes; ++i) {
             nodes.push_back(std::make_unique<SimulatedNode>());
-            auto *n = nodes.back().get();
-            n->id = NodeId{i};
-            n->registration = std::make_unique<node::PlannerRegistration>(
+            auto *node = nodes.back().get();
+            node->id = NodeId{i};
+            node->registration = std::make_unique<node::PlannerRegistration>(
                 node::PlannerRegistration::Actions{
-                    [this, n] { connect(*n); },
-                    [this, n] { disconnect(std::exchange(n->session_id, SessionId{0}), true); },
-                    [this, n](std::string b) { to_planner(n->session_id, std::move(b)); },
+                    [this, node] { connect(*node); },
+                    [this, node] {
+                        disconnect(std::exchange(node->session_id, SessionId{0}), true);
+                    },
+                    [this, node](std::string b) { to_planner(node->session_id, std::move(b)); },
                     [](std::string) {}},
-                node::PlannerRegistrationConfig{n->id, ShardId{static_cast<std::int32_t>(i)},
+                node::PlannerRegistrationConfig{node->id, ShardId{static_cast<std::int32_t>(i)},
                                                 ZoneId{0}, "n" + std::to_string(i),
                                                 scenario.seed + i, 500 * ms});
-            schedule(now + random_below(sec), [this, n] {
-                n->registration->start(now, n->incarnation, now - 3600 * sec), run(*n);
+            schedule(now + random_below(sec), [this, node] {
+                node->registration->start(now, node->incarnation, now - 3600 * sec), run(*node);
             });
         }
         Time began = now, ends = now + scenario.length, last = ends + 120 * sec;
@@ -626,16 +630,16 @@
         bool ended = false;
         while (now < last) {
             Time next = std::min(events.empty() ? never : events.begin()->first, planner_wake);
-            for (auto &e : edges)
-                next = std::min(next, e->wake);
-            for (auto &n : nodes)
-                next = std::min(next, n->wake);
+            for (auto &edge : edges)
+                next = std::min(next, edge->wake);
+            for (auto &node : nodes)
+                next = std::min(next, node->wake);
             if (next >= ends && !ended) {
                 ended = faults_ended = true, now = ends;
-                for (auto &e : edges) {
-                    pause(*e, false);
-                    if (!e->planner_client)
-                        start(*e);
+                for (auto &edge : edges) {
+                    pause(*edge, false);
+                    if (!edge->planner_client)
+                        start(*edge);
                 }
                 continue;
             }
@@ -651,17 +655,17 @@
                 planner_wake = never;
                 run_planner();
             } else {
-                for (auto &e : edges)
-                    if (e->wake <= now)
-                        e->wake = never, run(*e);
-                for (auto &n : nodes)
-                    if (n->wake <= now)
-                        n->wake = never, run(*n);
+                for (auto &edge : edges)
+                    if (edge->wake <= now)
+                        edge->wake = never, run(*edge);
+                for (auto &node : nodes)
+                    if (node->wake <= now)
+                        node->wake = never, run(*node);
             }
             if (scenario.edges_ignore_lease_expiry)
-                for (auto &e : edges)
-                    if (e->planner_client && e->session_id.value == 0)
-                        ignore_lease_expiry(*e);
+                for (auto &edge : edges)
+                    if (edge->planner_client && edge->session_id.value == 0)
+                        ignore_lease_expiry(*edge);
             check();
             if (out.violations.size() >= 10)
                 break;
@@ -685,13 +689,13 @@
         }
     }
     // Lets an edge keep its quota shares after its lease expired.
-    void ignore_lease_expiry(SimulatedEdge &e) {
-        for (auto v : e.serving) {
-            auto part = e.planner_client->replica().cluster_state().quota_shares.find(v);
-            if (part == e.planner_client->replica().cluster_state().quota_shares.end())
+    void ignore_lease_expiry(SimulatedEdge &edge) {
+        for (auto v : edge.serving) {
+            auto part = edge.planner_client->replica().cluster_state().quota_shares.find(v);
+            if (part == edge.planner_client->replica().cluster_state().quota_shares.end())
                 continue;
-            e.quota_share_changed(v, static_cast<double>(control::full_limit_millionths) /
-                                         std::max(1u, part->second.millionths));
+            edge.quota_share_changed(v, static_cast<double>(control::full_limit_millionths) /
+                                            std::max(1u, part->second.millionths));
         }
     }
 };
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -49,9 +49,9 @@
     std::map<node::ConnectionId, std::pair<std::size_t, edge::NodeConnectionId>>
         peers; // edge, link
 
-    SimulatedNode(Simulation &world, NodeId i, ShardId s, std::string &b, std::uint64_t seed,
+    SimulatedNode(Simulation &owner, NodeId i, ShardId s, std::string &b, std::uint64_t seed,
                   Time now)
-        : simulation(world), id(i), shard(s), bytes(b), medium(store::memory_medium(b)),
+        : simulation(owner), id(i), shard(s), bytes(b), medium(store::memory_medium(b)),
           store(*medium), disk(i, s, store, *this, seed, now) {
         disk.set_service_model(
             {.unit_time = unit_time, .cores = 2, .slots = 4, .queue_capacity = 24});
@@ -79,7 +79,7 @@
     };
     std::map<edge::NodeConnectionId, std::shared_ptr<Link>> links;
 
-    SimulatedEdge(Simulation &world, std::size_t i) : simulation(world), index(i) {}
+    SimulatedEdge(Simulation &owner, std::size_t i) : simulation(owner), index(i) {}
     void connect(edge::NodeConnectionId link, const std::string &address) override;
     void send(edge::NodeConnectionId link, std::string bytes) override;
     void close(edge::NodeConnectionId link) override;
@@ -93,15 +93,15 @@
 struct SimulatedClient final : load::Replies {
     Simulation &simulation;
     std::uint64_t id;
-    std::size_t edge;
+    std::size_t edge_index;
     std::unique_ptr<load::Session> session;
     std::shared_ptr<Connection> connection;
     std::uint64_t next = 0;
     std::uint32_t max_outstanding;
     bool structured;
 
-    SimulatedClient(Simulation &world, std::uint64_t i, std::size_t e)
-        : simulation(world), id(i), edge(e) {}
+    SimulatedClient(Simulation &owner, std::uint64_t i, std::size_t edge)
+        : simulation(owner), id(i), edge_index(edge) {}
     void connect();
     void leave();
     void send_requests();
@@ -116,7 +116,7 @@
     Scenario scenario;
     Time now = sec; // not zero, because code under test may use 0 for "no time"
     std::ranlux24_base random;
-    std::uint64_t seq = 0, next_connection = 0, next_node_connection = 0, next_client = 0,
+    std::uint64_t sequence = 0, next_connection = 0, next_node_connection = 0, next_client = 0,
                   next_node = 0, version = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
     rules::Judge judge{20 * ms};
@@ -130,22 +130,23 @@
     Result result;
     bool over = false;
 
-    explicit Simulation(const Scenario &d)
-        : scenario(d), random(static_cast<std::uint32_t>(d.seed * 2654435761u + 1)) {}
+    explicit Simulation(const Scenario &configuration)
+        : scenario(configuration),
+          random(static_cast<std::uint32_t>(configuration.seed * 2654435761u + 1)) {}
 
     bool small_buffers() const { return scenario.seed % 8 == 0; }
-    // Random values in [0, n) and [0, t).
-    std::uint64_t random_below(std::uint64_t n) {
-        return n <= 1 ? 0 : (std::uint64_t{random()} << 24 | random()) % n;
+    // Random values in [0, node) and [0, t).
+    std::uint64_t random_below(std::uint64_t limit) {
+        return limit <= 1 ? 0 : (std::uint64_t{random()} << 24 | random()) % limit;
     }
     Time random_time_below(Time t) {
         return static_cast<Time>(random_below(static_cast<std::uint64_t>(t)));
     }
-    bool happens(double p) {
-        return static_cast<double>(random()) < p * static_cast<double>(random.max());
+    bool happens(double probability) {
+        return static_cast<double>(random()) < probability * static_cast<double>(random.max());
     }
-    void schedule(Time t, std::function<void()> f) {
-        queue.emplace(std::pair{t, ++seq}, std::move(f));
+    void schedule(Time time, std::function<void()> call) {
+        queue.emplace(std::pair{time, ++sequence}, std::move(call));
     }
     // Network delay: usually below 0.5 ms, in 1 % of cases up to 40 ms.
     Time delay() {
@@ -168,22 +169,22 @@
         }
     }
 
-    void settle(SimulatedEdge &e) {
-        e.core->settle(now);
-        Time due = e.core->next_due();
-        if (due < e.wake) {
-            e.wake = due;
-            schedule(std::max(due, now), [this, &e, due] {
-                if (e.wake == due)
-                    e.wake = never, settle(e);
+    void settle(SimulatedEdge &edge) {
+        edge.core->settle(now);
+        Time due = edge.core->next_due();
+        if (due < edge.wake) {
+            edge.wake = due;
+            schedule(std::max(due, now), [this, &edge, due] {
+                if (edge.wake == due)
+                    edge.wake = never, settle(edge);
             });
         }
     }
-    void run_due_work(SimulatedNode &n) {
-        Time due = n.disk.next_due();
-        if (due < n.wake) {
-            n.wake = due;
-            schedule(std::max(due, now), [this, id = n.id, due] {
+    void run_due_work(SimulatedNode &node) {
+        Time due = node.disk.next_due();
+        if (due < node.wake) {
+            node.wake = due;
+            schedule(std::max(due, now), [this, id = node.id, due] {
                 auto it = nodes.find(id);
                 if (it == nodes.end() || it->second->wake != due)
                     return;
@@ -194,32 +195,33 @@
         }
     }
 
-    void deliver_endpoint_list(SimulatedEdge &e) {
-        if (!e.core->endpoint_list_begin(now, version))
+    void deliver_endpoint_list(SimulatedEdge &edge) {
+        if (!edge.core->endpoint_list_begin(now, version))
             return;
         for (auto &[id, state] : endpoint_states) {
-            e.core->endpoint_listed({id, shards[id], ZoneId{0}, state.first, state.second},
-                                    std::to_string(id.value));
-            judge.told(now, rules::EdgeId{e.index}, id, state.first);
+            edge.core->endpoint_listed({id, shards[id], ZoneId{0}, state.first, state.second},
+                                       std::to_string(id.value));
+            judge.told(now, rules::EdgeId{edge.index}, id, state.first);
         }
-        e.core->endpoint_list_end();
-        settle(e);
+        edge.core->endpoint_list_end();
+        settle(edge);
     }
     // Delivers the changed endpoint list to each edge after an independent random delay.
     void change_endpoint_list() {
         ++version;
-        for (auto &e : edges)
-            schedule(now + random_time_below(400 * ms), [this, &e] { deliver_endpoint_list(*e); });
+        for (auto &edge : edges)
+            schedule(now + random_time_below(400 * ms),
+                     [this, &edge] { deliver_endpoint_list(*edge); });
     }
 
     SimulatedNode &add_node(ShardId shard) {
         NodeId id{++next_node};
-        auto &n = nodes[id] = std::make_unique<SimulatedNode>(
+        auto &node = nodes[id] = std::make_unique<SimulatedNode>(
             *this, id, shard, stored_bytes[static_cast<std::size_t>(shard.value)], scenario.seed,
             now);
         shards[id] = shard;
         endpoint_states[id] = {NodeState::ready, now};
-        return *n;
+        return *node;
     }
 
     void configure_edge(edge::Core &core, std::size_t index) {
@@ -276,42 +278,43 @@
     auto it = peers.find(connection);
     if (it == peers.end())
         return;
-    auto &e = *simulation.edges[it->second.first];
-    auto l = e.links.find(it->second.second);
-    if (l == e.links.end() || !l->second->connection.open)
+    auto &edge = *simulation.edges[it->second.first];
+    auto l = edge.links.find(it->second.second);
+    if (l == edge.links.end() || !l->second->connection.open)
         return;
     auto link = l->second;
     auto link_id = it->second.second;
     simulation.send_in_pieces(link->connection, link->connection.to_edge, std::move(out),
-                              [&e, link, link_id](std::string_view b) {
+                              [&edge, link, link_id](std::string_view b) {
                                   if (!link->connection.open)
                                       return;
-                                  e.simulation.judge.bytes(e.simulation.now,
-                                                           rules::WireId{link->connection.id},
-                                                           false, b);
-                                  e.core->node_received(e.simulation.now, link_id, b);
-                                  e.simulation.settle(e);
+                                  edge.simulation.judge.bytes(edge.simulation.now,
+                                                              rules::WireId{link->connection.id},
+                                                              false, b);
+                                  edge.core->node_received(edge.simulation.now, link_id, b);
+                                  edge.simulation.settle(edge);
                               });
 }
 void SimulatedNode::close(node::ConnectionId connection, bool reset) {
     auto it = peers.find(connection);
     if (it == peers.end())
         return;
-    auto &e = *simulation.edges[it->second.first];
+    auto &edge = *simulation.edges[it->second.first];
     auto link_id = it->second.second;
     peers.erase(it);
-    auto l = e.links.find(link_id);
-    if (l == e.links.end())
+    auto l = edge.links.find(link_id);
+    if (l == edge.links.end())
         return;
     auto link = l->second;
-    auto end = [&e, link, link_id] {
+    auto end = [&edge, link, link_id] {
         if (!link->connection.open)
             return;
         link->connection.open = false;
-        e.links.erase(link_id);
-        e.simulation.judge.closed(e.simulation.now, rules::WireId{link->connection.id}, false);
-        e.core->node_disconnected(e.simulation.now, link_id);
-        e.simulation.settle(e);
+        edge.links.erase(link_id);
+        edge.simulation.judge.closed(edge.simulation.now, rules::WireId{link->connection.id},
+                                     false);
+        edge.core->node_disconnected(edge.simulation.now, link_id);
+        edge.simulation.settle(edge);
     };
     // Bytes sent before an orderly close still arrive; a reset may overtake them.
     simulation.schedule(
@@ -321,17 +324,17 @@
 }
 
 void SimulatedEdge::connect(edge::NodeConnectionId id, const std::string &address) {
-    NodeId n{std::stoull(address)};
+    NodeId node{std::stoull(address)};
     auto link = std::make_shared<Link>();
     link->connection.id = ++simulation.next_connection;
-    link->node = n;
+    link->node = node;
     links[id] = link;
     if (simulation.scenario.cuts > 0 && simulation.happens(0.01))
         return; // the connection attempt is lost: the edge must notice by its connect timeout
-    simulation.schedule(simulation.now + simulation.delay(), [this, id, link, n] {
+    simulation.schedule(simulation.now + simulation.delay(), [this, id, link, node] {
         if (!link->connection.open)
             return;
-        auto it = simulation.nodes.find(n);
+        auto it = simulation.nodes.find(node);
         if (it == simulation.nodes.end() || !it->second->listening) {
             links.erase(id), link->connection.open = false;
             core->node_connect_failed(simulation.now, id);
@@ -340,7 +343,7 @@
         link->node_connection = node::ConnectionId{++simulation.next_node_connection};
         it->second->peers[link->node_connection] = {index, id};
         simulation.judge.node_wire(simulation.now, rules::WireId{link->connection.id},
-                                   rules::EdgeId{index}, n);
+                                   rules::EdgeId{index}, node);
         link->up = true;
         core->node_connected(simulation.now, id);
         it->second->disk.connected(simulation.now, link->node_connection);
@@ -354,17 +357,18 @@
     auto link = it->second;
     simulation.judge.bytes(simulation.now, rules::WireId{link->connection.id}, true, bytes);
     auto size = bytes.size();
-    simulation.send_in_pieces(
-        link->connection, link->connection.from_edge, std::move(bytes),
-        [this, link](std::string_view b) {
-            auto n = simulation.nodes.find(link->node);
-            // Bytes in transit when the edge closes still arrive. This produces late duplicate
-            // requests.
-            if (n == simulation.nodes.end() || !n->second->peers.contains(link->node_connection))
-                return;
-            n->second->disk.received(simulation.now, link->node_connection, b);
-            simulation.run_due_work(*n->second);
-        });
+    simulation.send_in_pieces(link->connection, link->connection.from_edge, std::move(bytes),
+                              [this, link](std::string_view b) {
+                                  auto node = simulation.nodes.find(link->node);
+                                  // Bytes in transit when the edge closes still arrive. This
+                                  // produces late duplicate requests.
+                                  if (node == simulation.nodes.end() ||
+                                      !node->second->peers.contains(link->node_connection))
+                                      return;
+                                  node->second->disk.received(simulation.now, link->node_connection,
+                                                              b);
+                                  simulation.run_due_work(*node->second);
+                              });
     simulation.schedule(simulation.now, [this, id, size] {
         if (!links.contains(id))
             return;
@@ -383,9 +387,9 @@
     simulation.schedule(
         std::max(link->connection.from_edge.last, simulation.now + simulation.delay()),
         [this, link] {
-            if (auto n = simulation.nodes.find(link->node); n != simulation.nodes.end()) {
-                n->second->peers.erase(link->node_connection);
-                n->second->disk.disconnected(link->node_connection);
+            if (auto node = simulation.nodes.find(link->node); node != simulation.nodes.end()) {
+                node->second->peers.erase(link->node_connection);
+                node->second->disk.disconnected(link->node_connection);
             }
         });
 }
@@ -435,10 +439,10 @@
     session = std::make_unique<load::Session>(*this, "v", structured);
     id = ++simulation.next_client;
     simulation.client_by_id[edge::ClientId{id}] = this;
-    simulation.judge.client_wire(simulation.now, rules::WireId{connection->id}, rules::EdgeId{edge},
-                                 VolumeId{edge + 1});
-    simulation.edges[edge]->core->client_connected(simulation.now, edge::ClientId{id});
-    simulation.settle(*simulation.edges[edge]);
+    simulation.judge.client_wire(simulation.now, rules::WireId{connection->id},
+                                 rules::EdgeId{edge_index}, VolumeId{edge_index + 1});
+    simulation.edges[edge_index]->core->client_connected(simulation.now, edge::ClientId{id});
+    simulation.settle(*simulation.edges[edge_index]);
 }
 void SimulatedClient::leave() {
     if (!connection || !connection->open)
@@ -449,8 +453,8 @@
     simulation.schedule(std::max(old->from_edge.last, simulation.now), [this, gone, old] {
         simulation.judge.closed(simulation.now, rules::WireId{old->id}, false);
         simulation.client_by_id.erase(gone);
-        simulation.edges[edge]->core->client_disconnected(simulation.now, gone);
-        simulation.settle(*simulation.edges[edge]);
+        simulation.edges[edge_index]->core->client_disconnected(simulation.now, gone);
+        simulation.settle(*simulation.edges[edge_index]);
         connect();
     });
 }
@@ -512,8 +516,8 @@
             if (!simulation.client_by_id.contains(from))
                 return;
             simulation.judge.bytes(simulation.now, rules::WireId{c->id}, false, b);
-            simulation.edges[edge]->core->client_received(simulation.now, from, b);
-            simulation.settle(*simulation.edges[edge]);
+            simulation.edges[edge_index]->core->client_received(simulation.now, from, b);
+            simulation.settle(*simulation.edges[edge_index]);
         });
 }
 
@@ -523,7 +527,7 @@
                                             "full", "fail", "cut",  "garble", "late"};
     auto it = nodes.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(random_below(nodes.size())));
-    SimulatedNode &n = *it->second;
+    SimulatedNode &node = *it->second;
     double kinds[] = {scenario.faults, scenario.cuts, scenario.restarts, scenario.drains};
     double pick = static_cast<double>(random_below(1000)) / 1000 *
                   (kinds[0] + kinds[1] + kinds[2] + kinds[3]);
@@ -535,15 +539,15 @@
                                      : 0.05 * static_cast<double>(random_below(50));
         std::uint64_t count = counted ? 1 + random_below(4) : 0;
         Time until = now + 50 * ms + random_time_below(1500 * ms);
-        n.disk.inject_fault({static_cast<node::FaultKind>(kind), now, until, count, magnitude});
-        n.disk.tick(now);
-        run_due_work(n);
+        node.disk.inject_fault({static_cast<node::FaultKind>(kind), now, until, count, magnitude});
+        node.disk.tick(now);
+        run_due_work(node);
     } else if (pick < kinds[0] + kinds[1]) {
-        auto &e = *edges[random_below(edges.size())];
-        if (e.links.empty())
+        auto &edge = *edges[random_below(edges.size())];
+        if (edge.links.empty())
             return;
-        auto l = e.links.begin();
-        std::advance(l, static_cast<std::ptrdiff_t>(random_below(e.links.size())));
+        auto l = edge.links.begin();
+        std::advance(l, static_cast<std::ptrdiff_t>(random_below(edge.links.size())));
         auto link = l->second;
         auto id = l->first;
         if (happens(0.6)) { // delays all traffic on the connection, in both directions
@@ -552,29 +556,29 @@
         } else if (link->up) {
             ++result.event_counts["severed"];
             link->connection.open = false;
-            e.links.erase(id);
+            edge.links.erase(id);
             judge.closed(now, rules::WireId{link->connection.id}, false);
             if (happens(0.5))
-                n.peers.erase(link->node_connection);
-            e.core->node_disconnected(now, id);
-            settle(e);
+                node.peers.erase(link->node_connection);
+            edge.core->node_disconnected(now, id);
+            settle(edge);
         }
     } else if (pick < kinds[0] + kinds[1] + kinds[2]) {
         bool lose = happens(0.4);
         ++result.event_counts[lose ? "restart with loss" : "restart"];
-        judge.started(now, n.id);
+        judge.started(now, node.id);
         if (lose)
-            judge.lost(now, n.id);
-        n.disk.restart(now, lose);
-        endpoint_states[n.id].second = now;
+            judge.lost(now, node.id);
+        node.disk.restart(now, lose);
+        endpoint_states[node.id].second = now;
         change_endpoint_list();
     } else {
-        if (endpoint_states[n.id].first != NodeState::ready)
+        if (endpoint_states[node.id].first != NodeState::ready)
             return;
         ++result.event_counts["drain and replacement"];
-        endpoint_states[n.id].first = NodeState::draining;
+        endpoint_states[node.id].first = NodeState::draining;
         change_endpoint_list();
-        schedule(now + 500 * ms + random_time_below(sec), [this, id = n.id] {
+        schedule(now + 500 * ms + random_time_below(sec), [this, id = node.id] {
             // Removes the node and its connections. A new node serves its shard from now on.
             auto old = std::move(nodes.at(id));
             nodes.erase(id);
@@ -618,18 +622,18 @@
     ++version;
     for (std::size_t i = 0; i < scenario.edges; ++i) {
         edges.push_back(std::make_unique<SimulatedEdge>(*this, i));
-        auto &e = *edges.back();
-        e.core = std::make_unique<edge::Core>(
-            e, [&](SchedulerActions &a) { return make_scheduler(a, scenario.seed + i); },
+        auto &edge = *edges.back();
+        edge.core = std::make_unique<edge::Core>(
+            edge, [&](SchedulerActions &a) { return make_scheduler(a, scenario.seed + i); },
             edge::CoreConfig{i, scenario.seed, extent, span, unit, all});
-        configure_edge(*e.core, i);
+        configure_edge(*edge.core, i);
         if (scenario.limits && !small_buffers())
             judge.set_limit(
                 VolumeId{i + 1}, limit_rate, limit_burst,
                 // Units are charged at the first attempt. If its connection is never established,
                 // the recorded traffic first shows the second attempt, up to connect_time later.
                 limit_burst / 10 + (scenario.cuts > 0 ? limit_rate * seconds(connect_time) : 0));
-        deliver_endpoint_list(e);
+        deliver_endpoint_list(edge);
     }
     for (std::size_t i = 0; i < scenario.clients; ++i) {
         clients.push_back(std::make_unique<SimulatedClient>(*this, 0, i % scenario.edges));
@@ -662,10 +666,10 @@
     for (std::size_t i = 0; i < 8; ++i)
         result.event_counts[std::string("judged ") + rules[i]] =
             judge.judged(static_cast<rules::Rule>(i + 1));
-    for (auto &e : edges)
-        if (e->core->scheduled_requests() > 0)
-            result.violations.push_back("edge " + std::to_string(e->index) + " still holds " +
-                                        std::to_string(e->core->scheduled_requests()) +
+    for (auto &edge : edges)
+        if (edge->core->scheduled_requests() > 0)
+            result.violations.push_back("edge " + std::to_string(edge->index) + " still holds " +
+                                        std::to_string(edge->core->scheduled_requests()) +
                                         " scheduled requests at the end of the simulation");
     return std::move(result);
 }
--- a/tests/sim/cutting_test.cpp
+++ b/tests/sim/cutting_test.cpp
@@ -17,19 +17,19 @@
                       std::map<std::string, std::uint64_t> *met = nullptr) {
     int out = 0;
     for (int seed = first; seed < first + seeds; ++seed) {
-        sim::SnapshotScenario day;
-        day.seed = static_cast<std::uint64_t>(seed);
-        change(day);
-        auto r = sim::simulate(day);
-        out += !r.violations.empty();
+        sim::SnapshotScenario scenario;
+        scenario.seed = static_cast<std::uint64_t>(seed);
+        change(scenario);
+        auto result = sim::simulate(scenario);
+        out += !result.violations.empty();
         if (!met)
             continue;
-        for (auto &[what, n] : r.event_counts)
+        for (auto &[what, n] : result.event_counts)
             (*met)[what] += n;
-        (*met)["taken"] += r.snapshots_taken, (*met)["refused"] += r.snapshots_refused,
-            (*met)["answered"] += r.answered, (*met)["clones"] += r.clones,
-            (*met)["writes"] += r.writes;
-        for (auto &line : r.violations)
+        (*met)["taken"] += result.snapshots_taken, (*met)["refused"] += result.snapshots_refused,
+            (*met)["answered"] += result.answered, (*met)["clones"] += result.clones,
+            (*met)["writes"] += result.writes;
+        for (auto &line : result.violations)
             MESSAGE(line);
     }
     return out;
@@ -56,11 +56,15 @@
     }
     TEST_CASE("each disabled safeguard is detected") {
         // Starts at seeds that show the violation early.
-        CHECK(count_failed_runs(17, 4, [](auto &d) { d.edges_skip_hold = true; }) > 0);
-        CHECK(count_failed_runs(1, 2, [](auto &d) { d.nodes_admit_all_edges = true; }) > 0);
-        CHECK(count_failed_runs(1, 2, [](auto &d) { d.nodes_seal_at_once = true; }) > 0);
+        CHECK(count_failed_runs(17, 4, [](auto &scenario) { scenario.edges_skip_hold = true; }) >
+              0);
+        CHECK(count_failed_runs(1, 2,
+                                [](auto &scenario) { scenario.nodes_admit_all_edges = true; }) > 0);
+        CHECK(count_failed_runs(1, 2, [](auto &scenario) { scenario.nodes_seal_at_once = true; }) >
+              0);
         // This safeguard is not needed for exactness: without waiting, nodes reject the late
         // writes, and a partially applied write ends with an error.
-        CHECK(count_failed_runs(5, 4, [](auto &d) { d.edges_report_drained_at_once = true; }) == 0);
+        CHECK(count_failed_runs(
+                  5, 4, [](auto &scenario) { scenario.edges_report_drained_at_once = true; }) == 0);
     }
 }
--- a/tests/sim/sim_test.cpp
+++ b/tests/sim/sim_test.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 sim::Scenario scenario_for_seed(std::uint64_t seed) {
-    sim::Scenario d;
-    d.seed = seed;
-    d.edges = 1 + seed % 2;
-    d.at_most_once = seed % 5 == 4;
-    d.limits = seed % 7 == 3;
+    sim::Scenario scenario;
+    scenario.seed = seed;
+    scenario.edges = 1 + seed % 2;
+    scenario.at_most_once = seed % 5 == 4;
+    scenario.limits = seed % 7 == 3;
     // Some seeds have only one kind of fault, so that its effects are not hidden by others.
     if (seed % 4 == 1)
-        d.restarts = d.drains = d.cuts = 0;
+        scenario.restarts = scenario.drains = scenario.cuts = 0;
     if (seed % 4 == 2)
-        d.restarts = d.drains = d.faults = 0;
+        scenario.restarts = scenario.drains = scenario.faults = 0;
     if (seed % 4 == 3)
-        d.cuts = d.faults = 0;
-    return d;
+        scenario.cuts = scenario.faults = 0;
+    return scenario;
 }
 std::uint64_t environment_number(const char *name, std::uint64_t fallback) {
     const char *v = std::getenv(name);
@@ -38,14 +38,14 @@
     std::map<std::string, std::uint64_t> met;
     std::uint64_t requests = 0, delivered = 0, bad = 0;
     for (auto seed = first; seed < first + days; ++seed) {
-        auto r = sim::simulate(scenario_for_seed(seed));
-        for (auto &b : r.violations) {
+        auto result = sim::simulate(scenario_for_seed(seed));
+        for (auto &b : result.violations) {
             INFO("seed " << seed);
             FAIL_CHECK(b);
         }
-        bad += !r.violations.empty();
-        requests += r.requests, delivered += r.delivered;
-        for (auto &[name, n] : r.event_counts)
+        bad += !result.violations.empty();
+        requests += result.requests, delivered += result.delivered;
+        for (auto &[name, n] : result.event_counts)
             met[name] += n;
     }
     std::cout << days << " days, " << requests << " requests, " << delivered << " delivered, "
@@ -56,21 +56,22 @@
 }
 
 TEST_CASE("the rule checker detects each disabled safeguard") {
-    auto broken = [](auto leave_out) {
+    auto broken = [](auto disable_safeguard) {
         std::string all;
         for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-            auto d = scenario_for_seed(4 * seed +
-                                       2); // connections are delayed, so duplicates arrive late
-            d.at_most_once = false;
-            leave_out(d);
-            for (auto &b : sim::simulate(d).violations)
+            auto scenario = scenario_for_seed(
+                4 * seed + 2); // connections are delayed, so duplicates arrive late
+            scenario.at_most_once = false;
+            disable_safeguard(scenario);
+            for (auto &b : sim::simulate(scenario).violations)
                 all += b + "\n";
         }
         return all;
     };
-    CHECK(broken([](sim::Scenario &d) { d.without_key_order = true; }).find("rule 5") !=
-          std::string::npos);
-    CHECK(broken([](sim::Scenario &d) {
-              d.without_key_order = d.without_repeat_detection = true;
+    CHECK(broken([](sim::Scenario &scenario) {
+              scenario.without_key_order = true;
+          }).find("rule 5") != std::string::npos);
+    CHECK(broken([](sim::Scenario &scenario) {
+              scenario.without_key_order = scenario.without_repeat_detection = true;
           }).find("rule data") != std::string::npos);
 }
