--- a/src/cli/edge_main.cpp
+++ b/src/cli/edge_main.cpp
@@ -12,7 +12,7 @@
     for (int i = 1; i < argc; ++i)
         if (std::strcmp(argv[i], "--platform") == 0)
             return cli::run_platform(argc, argv);
-    return cli::run_part(
+    return cli::run_program(
         argc, argv,
         "knotvane-edge: serves NBD clients and schedules their requests to storage nodes",
         [](settings::File &file) { edge::check(file); },
--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -16,92 +16,103 @@
 namespace knotvane::cli {
 namespace {
 
-// A folder of its own where none is given; taken away at the end.
-struct Folder {
+// The folder of the stores: the given one, or else a new temporary one, which is removed with this
+// object.
+struct StoreFolder {
     std::string path;
-    bool ours = false;
-    explicit Folder(const std::string &given) : path(given) {
+    bool is_temporary = false;
+    explicit StoreFolder(const std::string &given) : path(given) {
         if (!path.empty()) {
             std::filesystem::create_directories(path);
             return;
         }
         auto pattern = (std::filesystem::temp_directory_path() / "knotvane-XXXXXX").string();
         if (!mkdtemp(pattern.data()))
-            throw std::runtime_error("no folder can be made at " + pattern);
-        path = pattern, ours = true;
+            throw std::runtime_error("can't create a temporary folder at " + pattern);
+        path = pattern, is_temporary = true;
     }
-    ~Folder() {
-        if (ours)
+    ~StoreFolder() {
+        if (is_temporary)
             std::filesystem::remove_all(path);
     }
 };
 
-void local(std::uint64_t nodes, std::uint64_t edges, const std::string &dir, std::uint16_t port,
-           bool planner) {
-    Folder folder(dir);
-    // Blocked in all threads that come; taken here in turn.
-    sigset_t ends;
-    sigemptyset(&ends);
-    sigaddset(&ends, SIGINT);
-    sigaddset(&ends, SIGTERM);
-    pthread_sigmask(SIG_BLOCK, &ends, nullptr);
+void run_local(std::uint64_t nodes, std::uint64_t edges, const std::string &dir, std::uint16_t port,
+               bool planner) {
+    StoreFolder folder(dir);
+    // The signals are blocked in this thread and in all threads that it starts, so that only the
+    // sigwait below receives them.
+    sigset_t stop_signals;
+    sigemptyset(&stop_signals);
+    sigaddset(&stop_signals, SIGINT);
+    sigaddset(&stop_signals, SIGTERM);
+    pthread_sigmask(SIG_BLOCK, &stop_signals, nullptr);
     fleet::Fleet fleet(
         folder.path, nodes, edges, port, fleet::default_scheduling(), fleet::default_service(),
-        [](SchedulerActions &a, std::uint64_t seed) { return make_scheduler(a, seed); }, planner);
+        [](SchedulerActions &actions, std::uint64_t seed) { return make_scheduler(actions, seed); },
+        planner);
     fleet.start();
     if (planner)
         std::printf("planner %s\n", fleet.planner_address().c_str());
-    for (std::size_t e = 0; e < fleet.edges(); ++e)
+    for (std::size_t edge = 0; edge < fleet.edges(); ++edge)
         for (auto volume : {"members", "reports"})
-            std::printf("nbd://%s/%s\n", fleet.edge_address(e).c_str(), volume);
+            std::printf("nbd://%s/%s\n", fleet.edge_address(edge).c_str(), volume);
     std::fflush(stdout);
     int signal = 0;
-    sigwait(&ends, &signal);
+    sigwait(&stop_signals, &signal);
     log::write(log::info, "stopping", {{"signal", std::to_string(signal)}});
 }
 
 } // namespace
 
-void add_local(CLI::App &app, int &code) {
+void add_local(CLI::App &app, int &exit_code) {
     struct Options {
         std::uint64_t nodes = 3, edges = 1;
         std::string dir;
         std::uint16_t port = 0;
         bool planner = false;
     };
-    auto o = std::make_shared<Options>();
-    auto *cmd =
-        app.add_subcommand("local", "run a whole gateway on loopback with embedded defaults");
-    cmd->add_option("--nodes", o->nodes, "stand-in storage nodes, a shard each")
+    auto options = std::make_shared<Options>();
+    auto *command =
+        app.add_subcommand("local", "run a whole gateway on loopback with built-in settings");
+    command
+        ->add_option("--nodes", options->nodes,
+                     "simulated storage nodes; each is a shard of its own")
         ->check(CLI::Range(1, 64));
-    cmd->add_option("--edges", o->edges,
-                    "edges; with more than one a volume's flush covers its own edge only")
+    command
+        ->add_option(
+            "--edges", options->edges,
+            "edges; with more than one, a volume's flush covers only writes through the same edge")
         ->check(CLI::Range(1, 64));
-    cmd->add_option("--dir", o->dir,
-                    "folder for the stores; kept. Without it a new one is used and removed");
-    cmd->add_option("--port", o->port, "the first edge's port, the next ones above; 0: free ones");
-    cmd->add_flag("--planner", o->planner,
-                  "with a planner, a process of its own; see `knotvane status`");
-    cmd->footer("Prints a line nbd://ADDRESS:PORT/VOLUME for each edge and volume once it serves.\n"
-                "Example: knotvane local --nodes 4 --dir /tmp/kv\n"
-                "         nbdcopy FILE nbd://127.0.0.1:PORT/members");
-    cmd->callback([o, &code] {
-        local(o->nodes, o->edges, o->dir, o->port, o->planner);
-        code = 0;
+    command->add_option(
+        "--dir", options->dir,
+        "folder for the stores, which is kept; default: a temporary folder, removed at the end");
+    command->add_option(
+        "--port", options->port,
+        "port of the first edge; the others use the following ports; 0: any free ports");
+    command->add_flag("--planner", options->planner,
+                      "also run a planner, as a process of its own; see `knotvane status`");
+    command->footer(
+        "Prints a line nbd://ADDRESS:PORT/VOLUME for each edge and volume once they are ready.\n"
+        "Example: knotvane local --nodes 4 --dir /tmp/kv\n"
+        "         nbdcopy FILE nbd://127.0.0.1:PORT/members");
+    command->callback([options, &exit_code] {
+        run_local(options->nodes, options->edges, options->dir, options->port, options->planner);
+        exit_code = 0;
     });
 }
 
-void add_check(CLI::App &app, int &code) {
+void add_check(CLI::App &app, int &exit_code) {
     auto files = std::make_shared<std::vector<std::string>>();
-    auto *cmd = app.add_subcommand(
+    auto *command = app.add_subcommand(
         "check",
         "check settings files: an edge's, a node's, a planner's, a fleet's or a list of nodes");
-    cmd->add_option("FILE", *files, "settings files")->required();
-    cmd->footer("Every fault of every file is printed, one line each with file, line and what was "
-                "expected.\n"
-                "Example: knotvane check edge.ini nodes.ini");
-    cmd->callback([files, &code] {
-        code = 0;
+    command->add_option("FILE", *files, "settings files")->required();
+    command->footer(
+        "Prints each error of each file on a line, with the file, the line and what was expected.\n"
+        "Example: knotvane check edge.ini nodes.ini");
+    command->callback([files, &exit_code] {
+        exit_code = 0;
         for (auto &path : *files) {
             std::string fault;
             auto text = settings::File::read_text(path, fault);
@@ -122,10 +133,10 @@
                     edge::check(file);
                 faults = file.faults();
             }
-            for (auto &f : faults)
-                std::fprintf(stderr, "%s\n", f.c_str());
+            for (auto &message : faults)
+                std::fprintf(stderr, "%s\n", message.c_str());
             if (!faults.empty())
-                code = 2;
+                exit_code = 2;
             std::printf("%s: %s\n", path.c_str(),
                         faults.empty() ? "good"
                                        : (std::to_string(faults.size()) + " faults").c_str());
--- a/src/cli/node_main.cpp
+++ b/src/cli/node_main.cpp
@@ -4,7 +4,7 @@
 
 int main(int argc, char **argv) {
     using namespace knotvane;
-    return cli::run_part(
+    return cli::run_program(
         argc, argv, "knotvane-node: a storage node for tests, with simulated performance",
         [](settings::File &file) { node::check(file); },
         [](loop::Loop &loop, settings::File &file) -> std::shared_ptr<void> {
--- a/src/cli/planner_main.cpp
+++ b/src/cli/planner_main.cpp
@@ -66,7 +66,7 @@
 int main(int argc, char **argv) {
     bool first = false, rebuild = false, standby = false;
     int code = 0;
-    int ran = cli::run_part(
+    int ran = cli::run_program(
         argc, argv,
         "knotvane-planner: manages members, drains and the edges' shares of limits.\n"
         "Exit codes: 0 stopped, 1 failed to run, 2 usage or settings, 3 another planner is "
--- a/src/cli/run_program.hpp
+++ b/src/cli/run_program.hpp
@@ -1,5 +1,6 @@
-// What the programs that run one part have in common: arguments, checked settings, a loop until a
-// signal.
+/// \file
+/// The common main function of the edge, node and planner programs: parses the arguments, checks
+/// the settings and runs an event loop until a signal stops it.
 #pragma once
 
 #include <cstdio>
@@ -14,55 +15,59 @@
 
 namespace knotvane::cli {
 
-// `check` reads the settings for their faults; `start` makes the part on the loop and gives back
-// what keeps it alive. Exit codes: 0 stopped by a signal, 1 it could not run, 2 usage or settings.
-inline int run_part(
+/// Runs a program. `check` reads the settings file and collects its errors. `start` creates the
+/// server on the loop; the object it returns is destroyed once the loop has stopped. `options` adds
+/// further options.
+/// @return the exit code: 0 stopped by a signal, 1 failed to run, 2 invalid usage or settings.
+inline int run_program(
     int argc, char **argv, const std::string &about,
     const std::function<void(settings::File &)> &check,
     const std::function<std::shared_ptr<void>(loop::Loop &, settings::File &)> &start,
     const std::function<void(CLI::App &)> &options = [](CLI::App &) {}) {
     CLI::App app{about};
-    std::string config, level = "info";
-    bool json = false;
-    app.add_option("--config", config, "settings (INI); see `knotvane check`")->required();
-    app.add_option("--log", level, "least level of the log")
+    std::string config, log_level = "info";
+    bool log_json = false;
+    app.add_option("--config", config, "settings file (INI); to check it, see `knotvane check`")
+        ->required();
+    app.add_option("--log", log_level, "lowest level that is logged")
         ->check(CLI::IsMember({"debug", "info", "warn", "error"}));
-    app.add_flag("--log-json", json, "log as JSON lines");
+    app.add_flag("--log-json", log_json, "log one JSON object per line");
     options(app);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError &e) {
-        return app.exit(e) == 0 ? 0 : 2;
+    } catch (const CLI::ParseError &error) {
+        return app.exit(error) == 0 ? 0 : 2;
     }
     std::string fault;
     auto text = settings::File::read_text(config, fault);
-    settings::File first(config, text), again(config, text);
+    settings::File checked_file(config, text), file(config, text);
     if (fault.empty())
-        check(first);
-    auto faults = fault.empty() ? first.faults() : std::vector<std::string>{fault};
-    for (auto &f : faults)
-        std::fprintf(stderr, "%s\n", f.c_str());
+        check(checked_file);
+    auto faults = fault.empty() ? checked_file.faults() : std::vector<std::string>{fault};
+    for (auto &message : faults)
+        std::fprintf(stderr, "%s\n", message.c_str());
     if (!faults.empty())
         return 2;
-    log::start(level, json);
-    int code = 0;
+    log::start(log_level, log_json);
+    int exit_code = 0;
     try {
         loop::Loop loop;
-        uv_signal_t ends[2];
+        uv_signal_t stop_signals[2];
         for (int i = 0; i < 2; ++i) {
-            uv_signal_init(loop.raw(), &ends[i]);
+            uv_signal_init(loop.raw(), &stop_signals[i]);
             uv_signal_start(
-                &ends[i], [](uv_signal_t *s, int) { uv_stop(s->loop); }, i == 0 ? SIGINT : SIGTERM);
+                &stop_signals[i], [](uv_signal_t *handle, int) { uv_stop(handle->loop); },
+                i == 0 ? SIGINT : SIGTERM);
         }
-        auto part = start(loop, again);
+        auto server = start(loop, file);
         loop.run();
-        part.reset();
-    } catch (const std::exception &e) {
-        std::fprintf(stderr, "%s\n", e.what());
-        code = 1;
+        server.reset();
+    } catch (const std::exception &error) {
+        std::fprintf(stderr, "%s\n", error.what());
+        exit_code = 1;
     }
     log::stop();
-    return code;
+    return exit_code;
 }
 
 } // namespace knotvane::cli
