--- a/src/cli/days.cpp
+++ b/src/cli/days.cpp
@@ -16,154 +16,181 @@
 namespace knotvane::cli {
 namespace {
 
-// Wires' times and the edge's own differ by what threads and sockets take on a busy machine.
-constexpr Time slack = 60 * ms;
+// Tolerance of the time rules. The times recorded on the connections differ from the edge's own by
+// the delays of threads and sockets on a busy machine.
+constexpr Time time_tolerance = 60 * ms;
 
-double msecs(Time t) {
-    return static_cast<double>(t) / 1e6;
+double to_ms(Time time) {
+    return static_cast<double>(time) / 1e6;
 }
 
-int judge(const std::string &path) {
-    rules::Judge judge(slack);
+// Judges a recording, prints the verdict and returns the exit code.
+int judge_recording(const std::string &path) {
+    rules::Judge judge(time_tolerance);
     auto fault = rules::judge_file(path, judge);
     if (!fault.empty()) {
         std::fprintf(stderr, "%s\n", fault.c_str());
         return 2;
     }
-    std::printf("rules, judged from what passed on the sockets: %llu requests, %llu shots\n%s",
+    std::printf("rules, judged from the recorded socket traffic: %llu requests, %llu shots\n%s",
                 static_cast<unsigned long long>(judge.requests()),
                 static_cast<unsigned long long>(judge.shots()), rules::verdict(judge).c_str());
     std::printf(rules::kept(judge) ? "every rule held\n" : "RULES WERE BROKEN\n");
     return rules::kept(judge) ? 0 : 1;
 }
 
-// `then`: called with what came of the loads.
-int play_text(const std::string &path, const std::string &text, std::string fault,
-              const std::string &record, const std::string &policy,
-              const std::function<void(const std::map<std::string, day::Tally> &)> &then) {
+// Plays a script, prints the results of its loads and judges its recording. `on_loads_done`, if
+// set, is called with the results of the loads. Returns the exit code.
+int play_script(
+    const std::string &path, const std::string &text, std::string fault, const std::string &record,
+    const std::string &policy,
+    const std::function<void(const std::map<std::string, day::Tally> &)> &on_loads_done) {
     std::vector<std::string> faults;
     if (!fault.empty())
         faults.push_back(fault);
     day::Script script;
     if (faults.empty())
         script = day::read_script(path, text, faults);
-    for (auto &f : faults)
-        std::fprintf(stderr, "%s\n", f.c_str());
+    for (auto &message : faults)
+        std::fprintf(stderr, "%s\n", message.c_str());
     if (!faults.empty())
         return 2;
-    auto pattern = (std::filesystem::temp_directory_path() / "knotvane-day-XXXXXX").string();
-    if (!mkdtemp(pattern.data()))
-        throw std::runtime_error("no folder can be made at " + pattern);
-    auto recording = record.empty() ? pattern + "/day.recording" : record;
+    auto folder = (std::filesystem::temp_directory_path() / "knotvane-day-XXXXXX").string();
+    if (!mkdtemp(folder.data()))
+        throw std::runtime_error("can't create a temporary folder at " + folder);
+    auto recording = record.empty() ? folder + "/day.recording" : record;
     auto tallies =
-        day::play(script, pattern, recording, [&](SchedulerActions &a, std::uint64_t seed) {
-            return policy == "none" ? day::make_passthrough(a) : make_scheduler(a, seed);
+        day::play(script, folder, recording, [&](SchedulerActions &actions, std::uint64_t seed) {
+            return policy == "none" ? day::make_passthrough(actions)
+                                    : make_scheduler(actions, seed);
         });
     if (auto it = tallies.find(day::snapshots); it != tallies.end()) {
-        auto &t = it->second;
-        std::printf("snapshots: %llu taken, %llu not; in %.1f ms, the slowest %.1f\n",
-                    static_cast<unsigned long long>(t.good),
-                    static_cast<unsigned long long>(t.denied), msecs(load::quantile(t.took, 0.5)),
-                    msecs(load::quantile(t.took, 1)));
+        auto &tally = it->second;
+        std::printf("snapshots: %llu taken, %llu failed; median %.1f ms, max %.1f ms\n",
+                    static_cast<unsigned long long>(tally.good),
+                    static_cast<unsigned long long>(tally.denied),
+                    to_ms(load::quantile(tally.took, 0.5)), to_ms(load::quantile(tally.took, 1)));
         tallies.erase(it);
     }
-    if (then)
-        then(tallies);
+    if (on_loads_done)
+        on_loads_done(tallies);
     std::printf("%-18s %8s %8s %8s %8s %8s %8s %9s %9s %8s\n", "load", "asked", "good", "in time",
                 "denied", "errored", "lost", "p50 ms", "p99 ms", "value");
     double value = 0, due = 0;
-    for (auto &[name, t] : tallies) {
-        auto n = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
+    for (auto &[name, tally] : tallies) {
+        auto to_printable = [](std::uint64_t count) {
+            return static_cast<unsigned long long>(count);
+        };
         std::printf("%-18s %8llu %8llu %8llu %8llu %8llu %8llu %9.2f %9.2f %7.1f%%\n", name.c_str(),
-                    n(t.asked), n(t.good), n(t.in_time), n(t.denied), n(t.errored), n(t.lost),
-                    msecs(load::quantile(t.took, 0.5)), msecs(load::quantile(t.took, 0.99)),
-                    t.value_due > 0 ? 100 * t.value / t.value_due : 0);
-        value += t.value, due += t.value_due;
+                    to_printable(tally.asked), to_printable(tally.good),
+                    to_printable(tally.in_time), to_printable(tally.denied),
+                    to_printable(tally.errored), to_printable(tally.lost),
+                    to_ms(load::quantile(tally.took, 0.5)), to_ms(load::quantile(tally.took, 0.99)),
+                    tally.value_due > 0 ? 100 * tally.value / tally.value_due : 0);
+        value += tally.value, due += tally.value_due;
     }
-    std::printf("value in time by second, percent:\n");
-    for (auto &[name, t] : tallies) {
+    std::printf("value delivered in time, by second, in percent:\n");
+    for (auto &[name, tally] : tallies) {
         std::printf("%-18s", name.c_str());
-        for (auto [got, asked] : t.course)
-            asked > 0 ? std::printf(" %3.0f", 100 * got / asked) : std::printf("   .");
+        for (auto [delivered, requested] : tally.course)
+            requested > 0 ? std::printf(" %3.0f", 100 * delivered / requested)
+                          : std::printf("   .");
         std::printf("\n");
     }
-    std::printf("value delivered in time: %.1f%% of what was asked for\n",
+    std::printf("value delivered in time: %.1f%% of the requested value\n",
                 due > 0 ? 100 * value / due : 0);
-    int code = judge(recording);
+    int exit_code = judge_recording(recording);
     if (!record.empty())
         std::printf("recording: %s\n", record.c_str());
-    std::filesystem::remove_all(pattern);
-    return code;
+    std::filesystem::remove_all(folder);
+    return exit_code;
 }
 
-int play(const std::string &path, const std::string &record, const std::string &policy) {
+int play_file(const std::string &path, const std::string &record, const std::string &policy) {
     std::string fault;
     auto text = settings::File::read_text(path, fault);
-    return play_text(path, text, fault, record, policy, nullptr);
+    return play_script(path, text, fault, record, policy, nullptr);
 }
 
-int outage(std::uint32_t times, std::uint64_t seed, const std::string &record) {
-    auto o = day::make_outages(times, seed);
+int run_outages(std::uint32_t times, std::uint64_t seed, const std::string &record) {
+    auto outages = day::make_outages(times, seed);
     double ratio = 0;
     std::uint64_t lost = 0;
-    int code = play_text("outage", o.script, "", record, "knotvane", [&](auto &tallies) {
-        auto [good, all] = day::in_time(tallies, o.before);
-        auto [dead_good, dead_all] = day::in_time(tallies, o.dead);
-        double before = all ? static_cast<double>(good) / static_cast<double>(all) : 0;
-        double dead = dead_all ? static_cast<double>(dead_good) / static_cast<double>(dead_all) : 0;
-        ratio = before > 0 ? dead / before : 0;
-        for (auto &[name, t] : tallies)
-            lost += t.lost;
-        std::printf("planner killed %u times while a node drains: in time before %.2f%% of %llu, "
-                    "while it is dead "
-                    "%.2f%% of %llu, ratio %.4f; requests lost %llu\n",
-                    times, 100 * before, static_cast<unsigned long long>(all), 100 * dead,
-                    static_cast<unsigned long long>(dead_all), ratio,
-                    static_cast<unsigned long long>(lost));
-    });
-    return code != 0 ? code : ratio < 0.98 || lost > 0 ? 1 : 0;
+    int exit_code =
+        play_script("outage", outages.script, "", record, "knotvane", [&](auto &tallies) {
+            auto [good_before, all_before] = day::in_time(tallies, outages.before);
+            auto [good_down, all_down] = day::in_time(tallies, outages.dead);
+            double before =
+                all_before ? static_cast<double>(good_before) / static_cast<double>(all_before) : 0;
+            double down =
+                all_down ? static_cast<double>(good_down) / static_cast<double>(all_down) : 0;
+            ratio = before > 0 ? down / before : 0;
+            for (auto &[name, tally] : tallies)
+                lost += tally.lost;
+            std::printf(
+                "planner killed %u times while a node drains: served in time %.2f%% of "
+                "%llu requests before and %.2f%% of %llu while the planner was down, ratio %.4f; "
+                "requests lost: %llu\n",
+                times, 100 * before, static_cast<unsigned long long>(all_before), 100 * down,
+                static_cast<unsigned long long>(all_down), ratio,
+                static_cast<unsigned long long>(lost));
+        });
+    return exit_code != 0 ? exit_code : ratio < 0.98 || lost > 0 ? 1 : 0;
 }
 
 } // namespace
 
-void add_days(CLI::App &app, int &code) {
-    struct Options {
+void add_days(CLI::App &app, int &exit_code) {
+    struct DayOptions {
         std::string file, record, policy = "knotvane";
         std::vector<std::string> recordings;
     };
-    auto o = std::make_shared<Options>();
-    auto *d = app.add_subcommand(
-        "day", "play a scripted day on loopback and judge the rules from its recording");
-    d->add_option("FILE", o->file, "the day's script (INI)")->required();
-    d->add_option("--record", o->record, "keep the recording there");
-    d->add_option("--policy", o->policy,
-                  "none: send everything at once, the baseline to compare with")
+    auto day_options = std::make_shared<DayOptions>();
+    auto *day_command = app.add_subcommand(
+        "day", "run a scripted day on loopback and check the rules from its recording");
+    day_command->add_option("FILE", day_options->file, "the day's script (INI)")->required();
+    day_command->add_option("--record", day_options->record, "file to keep the recording in");
+    day_command
+        ->add_option("--policy", day_options->policy,
+                     "none: send every request at once, as a baseline")
         ->check(CLI::IsMember({"knotvane", "none"}));
-    d->footer("Exit code 0 only if every rule held.\nExample: knotvane day days/bad-day.ini "
-              "--record /tmp/bad.recording");
-    d->callback([o, &code] { code = play(o->file, o->record, o->policy); });
-    struct Deaths {
+    day_command->footer(
+        "Exit code 0 only if every rule held.\nExample: knotvane day days/bad-day.ini "
+        "--record /tmp/bad.recording");
+    day_command->callback([day_options, &exit_code] {
+        exit_code = play_file(day_options->file, day_options->record, day_options->policy);
+    });
+    struct OutageOptions {
         std::uint32_t times = 5;
         std::uint64_t seed = 1;
         std::string record;
     };
-    auto x = std::make_shared<Deaths>();
-    auto *q = app.add_subcommand("outage",
-                                 "kill the planner again and again while a node drains under load");
-    q->add_option("--times", x->times, "how often; 2.6 seconds each")->check(CLI::Range(1, 1000));
-    q->add_option("--seed", x->seed, "draws when and for how long");
-    q->add_option("--record", x->record, "keep the recording there");
-    q->footer("Exit code 0 only if every rule held, no request was lost and service in time while "
-              "the planner was "
-              "dead\nwas within 2% of before. Example: knotvane outage --times 50 --seed 1");
-    q->callback([x, &code] { code = outage(x->times, x->seed, x->record); });
-    auto *r = app.add_subcommand("rules", "judge the seven rules from recordings alone");
-    r->add_option("RECORDING", o->recordings, "files that `day --record` wrote")->required();
-    r->footer("Example: knotvane rules /tmp/bad.recording");
-    r->callback([o, &code] {
-        code = 0;
-        for (auto &path : o->recordings)
-            code = std::max(code, judge(path));
+    auto outage_options = std::make_shared<OutageOptions>();
+    auto *outage_command =
+        app.add_subcommand("outage", "kill the planner repeatedly while a node drains under load");
+    outage_command
+        ->add_option("--times", outage_options->times, "number of kills; each takes 2.6 seconds")
+        ->check(CLI::Range(1, 1000));
+    outage_command->add_option("--seed", outage_options->seed, "seed of the times and durations");
+    outage_command->add_option("--record", outage_options->record, "file to keep the recording in");
+    outage_command->footer(
+        "Exit code 0 only if every rule held, no request was lost, and the share of requests "
+        "served in time\nwhile the planner was down was at least 98% of the share before.\n"
+        "Example: knotvane outage --times 50 --seed 1");
+    outage_command->callback([outage_options, &exit_code] {
+        exit_code =
+            run_outages(outage_options->times, outage_options->seed, outage_options->record);
+    });
+    auto *rules_command =
+        app.add_subcommand("rules", "check the seven rules from recordings alone");
+    rules_command
+        ->add_option("RECORDING", day_options->recordings, "files that `day --record` wrote")
+        ->required();
+    rules_command->footer("Example: knotvane rules /tmp/bad.recording");
+    rules_command->callback([day_options, &exit_code] {
+        exit_code = 0;
+        for (auto &path : day_options->recordings)
+            exit_code = std::max(exit_code, judge_recording(path));
     });
 }
 
