--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -20,9 +20,9 @@
 namespace knotvane::day {
 namespace {
 
-constexpr const char *others[] = {"restart",       "drain",   "hold",      "split",
-                                  "swallow",       "sever",   "late_list", "planner_kill",
-                                  "planner_pause", "undrain", "snapshot"};
+constexpr const char *script_fault_kinds[] = {
+    "restart",   "drain",        "hold",          "split",   "swallow", "sever",
+    "late_list", "planner_kill", "planner_pause", "undrain", "snapshot"};
 
 } // namespace
 
@@ -37,10 +37,10 @@
     if (s.service.empty())
         s.service = fleet::default_service();
     settings::File file(name, fleet::sections(text, {"day", "load", "trouble"}));
-    // Settings of the parts are checked as the parts will read them.
-    settings::File edge(name + " (edge's part)",
+    // Checks the sections for edges and nodes in the same way as the servers do.
+    settings::File edge(name + " (edge settings)",
                         fleet::edge_settings(0, 1, "127.0.0.1:0", "x", 1, s.scheduling));
-    settings::File node(name + " (nodes' part)",
+    settings::File node(name + " (node settings)",
                         fleet::node_settings(1, 0, "127.0.0.1:0", "x", s.service));
     edge::check(edge);
     node::check(node);
@@ -84,20 +84,21 @@
         x.count = t->count("count", 0, 1000000, 0), x.size = t->number("size", 0, 1e6, 0);
         x.lose = t->flag("lose", false);
         bool known = node::fault_kind_from_name(x.kind).has_value() ||
-                     std::find(std::begin(others), std::end(others), x.kind) != std::end(others);
+                     std::find(std::begin(script_fault_kinds), std::end(script_fault_kinds),
+                               x.kind) != std::end(script_fault_kinds);
         if (!known) {
             std::string all;
             for (auto k : node::fault_kind_names)
                 all += std::string(k) + ", ";
-            for (auto *k : others)
-                all += std::string(k) + (k == std::end(others)[-1] ? "" : ", ");
+            for (auto *k : script_fault_kinds)
+                all += std::string(k) + (k == std::end(script_fault_kinds)[-1] ? "" : ", ");
             t->fault("kind", "expected one of " + all);
         }
         if (x.kind == "snapshot")
             x.volume = t->text("volume");
         if (!s.planner &&
             (x.kind.starts_with("planner") || x.kind == "undrain" || x.kind == "snapshot"))
-            t->fault("kind", "goes with planner = yes in [day]");
+            t->fault("kind", "requires planner = yes in [day]");
         s.troubles.push_back(std::move(x));
     }
     std::stable_sort(s.troubles.begin(), s.troubles.end(),
@@ -109,31 +110,32 @@
 
 namespace {
 
-struct Stage {
+struct DayRunner {
     const Script &script;
     record::Writer writer;
     fleet::Worker relay_worker;
     std::unique_ptr<relay::Relay> relay;
     fleet::Fleet fleet;
-    std::vector<std::pair<Time, std::function<void()>>> later;
+    std::vector<std::pair<Time, std::function<void()>>> scheduled_calls;
 
-    Stage(const Script &s, const std::string &dir, const std::string &recording,
-          const fleet::MakeScheduler &make)
+    DayRunner(const Script &s, const std::string &dir, const std::string &recording,
+              const fleet::MakeScheduler &make)
         : script(s), writer(recording),
           fleet(dir, s.nodes, s.edges, 0, s.scheduling, s.service, make, s.planner) {
-        on_relay([&] {
+        run_on_relay([&] {
             relay = std::make_unique<relay::Relay>(relay_worker.loop(), writer);
-            // The layout of fleet::edge_settings.
+            // Extent and span sizes of fleet::edge_settings().
             relay->put_record(record::Kind::figures, 0, 0, 0,
                               rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
         fleet.on_endpoint_list = [this](std::size_t edge, const edge::EndpointList &list) {
-            relay_worker.loop().post([this, edge, nodes = list.entries] { told(edge, nodes); });
+            relay_worker.loop().post(
+                [this, edge, nodes = list.entries] { record_endpoint_list(edge, nodes); });
         };
         fleet.address_for = [this](std::size_t edge, NodeId node, const std::string &address) {
             std::string front;
-            // On the relay's thread: edges that hear from a planner ask at the same time.
-            on_relay([&] {
+            // Serialized on the relay's thread: with a planner, several edges call this at once.
+            run_on_relay([&] {
                 auto &known = fronts_[{edge, node}];
                 if (known.empty())
                     known = relay->listen_for_node(edge, node, address);
@@ -142,33 +144,34 @@
             return front;
         };
     }
-    ~Stage() {
-        for (auto &t : operators)
+    ~DayRunner() {
+        for (auto &t : operator_threads)
             t.join();
-        // Edges tell the relay what they hear until they end.
+        // Stops the edges first: until then they post endpoint lists to the relay.
         for (std::size_t e = 0; e < fleet.edges(); ++e)
             fleet.stop_edge(e);
-        on_relay([&] {
+        run_on_relay([&] {
             relay.reset();
             writer.put(loop::now(), record::Kind::end, 0, 0, 0, {});
             writer.flush();
         });
     }
-    void told(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
+    void record_endpoint_list(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
         for (const auto &[endpoint, address] : nodes)
             relay->put_record(record::Kind::told, edge, endpoint.node.value,
                               static_cast<std::uint64_t>(endpoint.state));
     }
-    // The operator asks until the planner does it: it may be down.
+    // Retries every 50 ms until the planner accepts, because it may be down.
     void drain(NodeId node, bool on) {
         if (!fleet.drain(node, on))
-            at(loop::now() + 50 * ms, [this, node, on] { drain(node, on); });
+            schedule(loop::now() + 50 * ms, [this, node, on] { drain(node, on); });
     }
-    // Taken, kept for a while and dropped by an operator with patience; the planner may be down.
-    void snapshot(const std::string &volume, Time length) {
-        auto name = std::to_string(operators.size());
-        operators.emplace_back([this, volume, name, length] {
-            constexpr Time patience = 20 * sec;
+    // Takes a snapshot, keeps it for `length` and drops it, on its own thread. Timeouts are long
+    // and drops are retried, because the planner may be down.
+    void take_and_drop_snapshot(const std::string &volume, Time length) {
+        auto name = std::to_string(operator_threads.size());
+        operator_threads.emplace_back([this, volume, name, length] {
+            constexpr Time take_timeout = 20 * sec;
             using Operation = control::SnapshotOperation;
             auto ask = [&](Operation operation, const std::string &a, const std::string &b,
                            Time wait) {
@@ -179,18 +182,19 @@
                 } catch (const std::exception &e) {
                     result.text = e.what();
                 }
-                log::write(log::info, result.done ? "operator" : "operator: not done",
+                log::write(log::info,
+                           result.done ? "operator" : "operator: request not carried out",
                            {{"answer", result.text}});
                 return result.done;
             };
             auto began = loop::now();
-            bool taken = ask(Operation::take, volume, name, patience);
+            bool taken = ask(Operation::take, volume, name, take_timeout);
             auto took = loop::now() - began;
             {
-                std::lock_guard lock(tally_lock);
-                ++tally.asked, ++(taken ? tally.good : tally.denied);
+                std::lock_guard lock(snapshot_tally_mutex);
+                ++snapshot_tally.asked, ++(taken ? snapshot_tally.good : snapshot_tally.denied);
                 if (taken)
-                    tally.took.push_back(took);
+                    snapshot_tally.took.push_back(took);
             }
             if (!taken)
                 return;
@@ -200,123 +204,129 @@
                 std::this_thread::sleep_for(std::chrono::milliseconds(200));
         });
     }
-    std::vector<std::thread> operators;
-    std::mutex tally_lock;
-    Tally tally;
-    void on_relay(const std::function<void()> &call) { relay_worker.run(call); }
-    void at(Time when, std::function<void()> call) {
-        auto it = std::find_if(later.begin(), later.end(), [&](auto &l) { return l.first > when; });
-        later.insert(it, {when, std::move(call)});
+    std::vector<std::thread> operator_threads;
+    std::mutex snapshot_tally_mutex;
+    Tally snapshot_tally;
+    void run_on_relay(const std::function<void()> &call) { relay_worker.run(call); }
+    void schedule(Time when, std::function<void()> call) {
+        auto it = std::find_if(scheduled_calls.begin(), scheduled_calls.end(),
+                               [&](auto &l) { return l.first > when; });
+        scheduled_calls.insert(it, {when, std::move(call)});
     }
-    // Writes the lists, to one edge or all, and records from then on what each edge was told.
-    void tell(std::size_t edge) {
+    // Writes the endpoint list of one edge or all (~0) and records what each edge was given;
+    // deferred while a late_list fault applies. With a planner, the planner informs the edges
+    // itself.
+    void announce_nodes(std::size_t edge) {
         if (edge == ~std::size_t{0}) {
             for (std::size_t e = 0; e < fleet.edges(); ++e)
-                tell(e);
+                announce_nodes(e);
             return;
         }
-        if (late_until_[edge] > loop::now()) {
-            if (!told_later_[edge]) {
-                told_later_[edge] = true;
-                at(late_until_[edge], [this, edge] { told_later_[edge] = false, tell(edge); });
+        if (list_delayed_until_[edge] > loop::now()) {
+            if (!announcement_pending_[edge]) {
+                announcement_pending_[edge] = true;
+                schedule(list_delayed_until_[edge], [this, edge] {
+                    announcement_pending_[edge] = false, announce_nodes(edge);
+                });
             }
             return;
         }
         if (script.planner)
-            return; // tells its edges itself
+            return; // the planner informs the edges
         fleet.write_endpoint_list(edge);
-        on_relay([&] { told(edge, fleet.list().entries); });
+        run_on_relay([&] { record_endpoint_list(edge, fleet.list().entries); });
     }
-    void begin(const Trouble &t);
+    void start_trouble(const Trouble &t);
 
     std::map<std::pair<std::size_t, NodeId>, std::string> fronts_;
-    std::map<std::size_t, Time> late_until_;
-    std::map<std::size_t, bool> told_later_;
+    std::map<std::size_t, Time> list_delayed_until_;
+    std::map<std::size_t, bool> announcement_pending_;
 };
 
-void Stage::begin(const Trouble &t) {
+void DayRunner::start_trouble(const Trouble &t) {
     Time now = loop::now(), until = now + t.length;
     auto id = fleet.node_id(t.node);
     log::write(log::info, "trouble", {{"kind", t.kind}, {"node", std::to_string(id.value)}});
-    on_relay([&] { relay->put_record(record::Kind::note, id.value, 0, 0, t.kind); });
+    run_on_relay([&] { relay->put_record(record::Kind::note, id.value, 0, 0, t.kind); });
     if (auto fault = node::fault_kind_from_name(t.kind)) {
         fleet.with_node(t.node, [&](node::Server &n) {
             n.storage_node().inject_fault({*fault, now, until, t.count, t.size});
         });
     } else if (t.kind == "restart") {
-        // Its connections end first: no answer of the life before can come after the loss was
-        // noted.
-        on_relay([&] { relay->block(id); });
+        // Closes the node's connections first, so that no reply from before the restart can follow
+        // the record of the data loss.
+        run_on_relay([&] { relay->block(id); });
         fleet.with_node(t.node, [&](node::Server &n) {
             n.listen(false);
             n.storage_node().restart(loop::now(), t.lose);
             n.listen(false);
         });
-        on_relay([&] {
+        run_on_relay([&] {
             if (t.lose)
                 relay->put_record(record::Kind::lost, id.value, 0, 0);
         });
-        at(until, [this, node = t.node, id] {
+        schedule(until, [this, node = t.node, id] {
             Time started = 0;
             fleet.with_node(node, [&](node::Server &n) {
                 n.storage_node().restart(loop::now(), false);
                 n.listen(true);
                 started = n.storage_node().started_at();
             });
-            on_relay([&] {
+            run_on_relay([&] {
                 relay->put_record(record::Kind::started, id.value, 0, 0);
                 relay->unblock(id);
             });
             fleet.set_listed_state(id, NodeState::ready, started);
-            tell(~std::size_t{0});
+            announce_nodes(~std::size_t{0});
         });
     } else if (t.kind == "planner_kill") {
         fleet.kill_planner();
-        at(until, [this] { fleet.start_planner(); });
+        schedule(until, [this] { fleet.start_planner(); });
     } else if (t.kind == "planner_pause") {
         fleet.pause_planner(true);
-        at(until, [this] { fleet.pause_planner(false); });
+        schedule(until, [this] { fleet.pause_planner(false); });
     } else if (t.kind == "snapshot") {
-        snapshot(t.volume, t.length);
+        take_and_drop_snapshot(t.volume, t.length);
     } else if (t.kind == "undrain") {
         drain(id, false);
     } else if (t.kind == "drain" && script.planner) {
         drain(id, true);
         if (t.count == 0)
-            return; // it comes back by an undrain
-        at(until, [this, node = t.node, id] {
-            on_relay([&] { relay->block(id); });
+            return; // ended by an undrain in the script
+        schedule(until, [this, node = t.node, id] {
+            run_on_relay([&] { relay->block(id); });
             fleet.replace_node(node);
-            on_relay(
+            run_on_relay(
                 [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
-            at(loop::now() + 2 * sec, [this, id] {
+            schedule(loop::now() + 2 * sec, [this, id] {
                 fleet.change_settings([&](planner::DesiredState &w) { w.nodes.erase(id); });
             });
         });
     } else if (t.kind == "drain") {
         fleet.set_listed_state(id, NodeState::draining, 0);
-        tell(~std::size_t{0});
-        at(until, [this, node = t.node, id] {
-            on_relay([&] { relay->block(id); });
+        announce_nodes(~std::size_t{0});
+        schedule(until, [this, node = t.node, id] {
+            run_on_relay([&] { relay->block(id); });
             fleet.set_listed_state(id, NodeState::removed, 0);
             fleet.replace_node(node);
-            on_relay(
+            run_on_relay(
                 [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
-            tell(~std::size_t{0});
+            announce_nodes(~std::size_t{0});
         });
     } else if (t.kind == "late_list") {
         for (std::size_t e = 0; e < fleet.edges(); ++e) {
             if (t.edge != ~std::size_t{0} && t.edge != e)
                 continue;
-            late_until_[e] = until;
+            list_delayed_until_[e] = until;
             if (!script.planner)
                 continue;
             fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(true); });
-            at(until,
-               [this, e] { fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(false); }); });
+            schedule(until, [this, e] {
+                fleet.with_edge(e, [](edge::Server &s) { s.pause_planner(false); });
+            });
         }
     } else {
-        on_relay([&] {
+        run_on_relay([&] {
             std::uint64_t edge = t.edge;
             if (t.kind == "hold")
                 relay->hold(edge, id, until);
@@ -334,16 +344,16 @@
 
 std::map<std::string, Tally> play(const Script &script, const std::string &dir,
                                   const std::string &recording, const fleet::MakeScheduler &make) {
-    Stage stage(script, dir, recording, make);
-    stage.fleet.start();
+    DayRunner runner(script, dir, recording, make);
+    runner.fleet.start();
     if (!script.planner)
-        stage.tell(~std::size_t{0});
+        runner.announce_nodes(~std::size_t{0});
     fleet::Worker driver;
     std::vector<std::unique_ptr<load::Stream>> streams;
     std::vector<std::string> fronts(script.edges);
-    stage.on_relay([&] {
+    runner.run_on_relay([&] {
         for (std::size_t e = 0; e < script.edges; ++e)
-            fronts[e] = stage.relay->listen_for_clients(e, stage.fleet.edge_address(e));
+            fronts[e] = runner.relay->listen_for_clients(e, runner.fleet.edge_address(e));
     });
     driver.run([&] {
         for (auto &l : script.loads) {
@@ -354,27 +364,28 @@
     });
     Time began = loop::now();
     for (auto &t : script.troubles)
-        stage.at(began + t.at, [&stage, t] { stage.begin(t); });
+        runner.schedule(began + t.at, [&runner, t] { runner.start_trouble(t); });
     for (;;) {
-        bool over = loop::now() >= began + script.length && stage.later.empty();
+        bool over = loop::now() >= began + script.length && runner.scheduled_calls.empty();
         driver.run([&] {
             for (auto &s : streams)
                 over = over && s->over();
         });
         if (over)
             break;
-        while (!stage.later.empty() && stage.later.front().first <= loop::now()) {
-            auto call = std::move(stage.later.front().second);
-            stage.later.erase(stage.later.begin());
+        while (!runner.scheduled_calls.empty() &&
+               runner.scheduled_calls.front().first <= loop::now()) {
+            auto call = std::move(runner.scheduled_calls.front().second);
+            runner.scheduled_calls.erase(runner.scheduled_calls.begin());
             call();
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
     std::map<std::string, Tally> out;
-    for (auto &t : std::exchange(stage.operators, {}))
+    for (auto &t : std::exchange(runner.operator_threads, {}))
         t.join();
-    if (stage.tally.asked > 0)
-        out[snapshots] = stage.tally;
+    if (runner.snapshot_tally.asked > 0)
+        out[snapshots] = runner.snapshot_tally;
     driver.run([&] {
         for (std::size_t i = 0; i < streams.size(); ++i) {
             auto &l = script.loads[i];
--- a/src/day/unhearing.hpp
+++ b/src/day/no_op_scheduler.hpp
@@ -1,12 +1,11 @@
-// A scheduler that makes nothing of what it is told: what stands in for the decisions overrides
-// what it needs.
+// A scheduler that ignores every event. Base class of schedulers that override only a few calls.
 #pragma once
 
 #include "scheduling/scheduler.hpp"
 
 namespace knotvane::day {
 
-class Unhearing : public Scheduler {
+class NoOpScheduler : public Scheduler {
 public:
     void configure(const SchedulerConfig &) override {}
     void set_workload(WorkloadId, const WorkloadConfig &) override {}
--- a/src/day/outage.hpp
+++ b/src/day/outage.hpp
@@ -1,5 +1,5 @@
-// A day of planner's deaths: it is killed again and again while a node drains, and service in time
-// while it is dead is held against service before.
+// Generates a scripted day in which the planner is killed repeatedly while a node drains, to
+// compare the share of requests served in time during planner outages with the share before them.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,19 @@
 namespace knotvane::day {
 
 struct Outages {
-    std::string script; // the day's text
-    // When the planner lives and nothing drains, and when it is dead; from the day's start.
+    std::string script; // text of the day file
+    // Time spans [from, to) since the day's start: planner running and no node draining (`before`),
+    // and planner dead.
     std::vector<std::pair<Time, Time>> before, dead;
 };
 
-// `times` deaths at points drawn from the seed, before, at and after the drain's arrival at the
-// edges. Loads named "steady" ask for extents that the drained node does not hold, "drained" for
-// those that it does.
+// Schedules `times` planner kills at times drawn from the seed: before, while and after the edges
+// learn of the drain. Loads named "steady-" use extents that the drained node doesn't hold, loads
+// named "drained-" use extents that it holds.
 Outages make_outages(std::uint32_t times, std::uint64_t seed);
 
-// Of the steady loads' requests within the spans, how many came well and in time, and how many
-// there were.
+// Of the steady loads' requests within the spans: how many succeeded in time, and how many there
+// were.
 std::pair<std::uint64_t, std::uint64_t> in_time(const std::map<std::string, Tally> &tallies,
                                                 const std::vector<std::pair<Time, Time>> &spans);
 
--- a/src/day/passthrough.cpp
+++ b/src/day/passthrough.cpp
@@ -4,54 +4,54 @@
 #include <set>
 #include <utility>
 
-#include "day/unhearing.hpp"
+#include "day/no_op_scheduler.hpp"
 
 namespace knotvane::day {
 namespace {
 
-class Passthrough final : public Unhearing {
+class Passthrough final : public NoOpScheduler {
 public:
-    explicit Passthrough(SchedulerActions &actions) : do_(actions) {}
+    explicit Passthrough(SchedulerActions &actions) : actions_(actions) {}
     void configure(const SchedulerConfig &config) override {
         longest_wait_ = config.max_retry_after;
     }
-    void endpoint_list_begin(Time, EndpointListKind) override { holds_.clear(); }
+    void endpoint_list_begin(Time, EndpointListKind) override { node_of_shard_.clear(); }
     void endpoint_listed(const Endpoint &endpoint) override {
         if (endpoint.state == NodeState::ready)
-            holds_[endpoint.shard] = endpoint.node;
+            node_of_shard_[endpoint.shard] = endpoint.node;
     }
     void request_received(Time, const RequestInfo &request) override {
-        RequestId task = request.id;
-        auto it = holds_.find(request.shard);
-        if (it == holds_.end())
-            denied_.insert(task);
+        RequestId id = request.id;
+        auto it = node_of_shard_.find(request.shard);
+        if (it == node_of_shard_.end())
+            rejected_.insert(id);
         else
-            out_.insert(task), do_.start_attempt(task, it->second, 0);
+            in_flight_.insert(id), actions_.start_attempt(id, it->second, 0);
     }
     void attempt_completed(Time, const AttemptResult &result) override {
-        RequestId task = result.request;
-        AttemptOutcome how = result.outcome;
-        if (out_.erase(task) == 0 || result.client_answered)
+        RequestId id = result.request;
+        AttemptOutcome outcome = result.outcome;
+        if (in_flight_.erase(id) == 0 || result.client_answered)
             return;
-        if (how == AttemptOutcome::overloaded || how == AttemptOutcome::unreachable ||
-            how == AttemptOutcome::not_sent)
-            denied_.insert(task);
+        if (outcome == AttemptOutcome::overloaded || outcome == AttemptOutcome::unreachable ||
+            outcome == AttemptOutcome::not_sent)
+            rejected_.insert(id);
         else
-            do_.fail(task);
+            actions_.fail(id);
     }
-    void request_canceled(Time, RequestId task, CancelReason) override {
-        out_.erase(task), denied_.erase(task);
+    void request_canceled(Time, RequestId id, CancelReason) override {
+        in_flight_.erase(id), rejected_.erase(id);
     }
     void settle(Time) override {
-        for (auto task : std::exchange(denied_, {}))
-            do_.reject(task, longest_wait_);
+        for (auto id : std::exchange(rejected_, {}))
+            actions_.reject(id, longest_wait_);
     }
 
 private:
-    SchedulerActions &do_;
+    SchedulerActions &actions_;
     Time longest_wait_ = 0;
-    std::map<ShardId, NodeId> holds_;
-    std::set<RequestId> out_, denied_;
+    std::map<ShardId, NodeId> node_of_shard_;
+    std::set<RequestId> in_flight_, rejected_;
 };
 
 } // namespace
--- a/src/day/passthrough.hpp
+++ b/src/day/passthrough.hpp
@@ -1,5 +1,6 @@
-// A scheduler that schedules nothing: each task goes at once to the node that holds its data, once.
-// Kept as the baseline that the decisions are measured against, and for nothing else.
+// A scheduler that makes no decisions: each request is sent at once, in a single attempt, to the
+// node that holds its data. Serves only as the baseline that the real scheduler is measured
+// against.
 #pragma once
 
 #include <memory>
--- a/tests/gateway/admission_test.cpp
+++ b/tests/gateway/admission_test.cpp
@@ -1,7 +1,7 @@
 // Admission: very many connections and requests keep memory under its bound, and all are answered.
 #include <doctest/doctest.h>
 
-#include "day/unhearing.hpp"
+#include "day/no_op_scheduler.hpp"
 #include "edge/core.hpp"
 #include "load/session.hpp"
 #include "nbd/wire.hpp"
@@ -98,7 +98,7 @@
 // One program with many requests in flight ends. The scheduler learns from disconnects how long
 // clients wait: it must count one client, not nine.
 TEST_CASE("a client that leaves is reported to the scheduler once, however much it had at work") {
-    struct Counting final : day::Unhearing {
+    struct Counting final : day::NoOpScheduler {
         int left = 0, others = 0;
         void request_canceled(Time, RequestId, CancelReason reason) override {
             ++(reason == CancelReason::client_disconnected ? left : others);
