--- a/tests/gateway/helpers.hpp
+++ b/tests/gateway/helpers.hpp
@@ -1,4 +1,4 @@
-// What the gateway's tests share: a fleet on loopback in a folder of its own, and a real client.
+// Shared by the gateway's tests: a fleet on loopback with a temporary folder, and a libnbd client.
 #pragma once
 
 #include <cstdlib>
@@ -33,6 +33,8 @@
     }
 };
 
+// A libnbd handle, connected if it was given a URI. `write` returns 0 or the errno value; `read`
+// returns the data or the text "error ERRNO".
 struct Client {
     nbd_handle *h = nbd_create();
     Client() = default;
