--- a/cmake/program.cmake
+++ b/cmake/program.cmake
@@ -82,7 +82,7 @@
 target_link_libraries(knotvane_edge PUBLIC knotvane_control knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_load src/load/session.cpp)
 target_link_libraries(knotvane_load PUBLIC knotvane_nbd)
-add_library(knotvane_rules src/rules/judge.cpp src/rules/history.cpp)
+add_library(knotvane_rules src/rules/rule_checker.cpp src/rules/history.cpp)
 target_link_libraries(knotvane_rules PUBLIC knotvane_node_protocol knotvane_nbd PRIVATE PkgConfig::xxhash)
 add_library(knotvane_sim src/sim/world.cpp)
 target_link_libraries(knotvane_sim PUBLIC knotvane_edge knotvane_node knotvane_load knotvane_rules)
--- a/src/cli/days.cpp
+++ b/src/cli/days.cpp
@@ -26,17 +26,18 @@
 
 // Judges a recording, prints the verdict and returns the exit code.
 int judge_recording(const std::string &path) {
-    rules::Judge judge(time_tolerance);
-    auto fault = rules::judge_file(path, judge);
+    rules::RuleChecker judge(time_tolerance);
+    auto fault = rules::check_recording(path, judge);
     if (!fault.empty()) {
         std::fprintf(stderr, "%s\n", fault.c_str());
         return 2;
     }
     std::printf("rules, judged from the recorded socket traffic: %llu requests, %llu shots\n%s",
                 static_cast<unsigned long long>(judge.requests()),
-                static_cast<unsigned long long>(judge.shots()), rules::verdict(judge).c_str());
-    std::printf(rules::kept(judge) ? "every rule held\n" : "RULES WERE BROKEN\n");
-    return rules::kept(judge) ? 0 : 1;
+                static_cast<unsigned long long>(judge.attempts()),
+                rules::format_report(judge).c_str());
+    std::printf(rules::passed(judge) ? "every rule held\n" : "RULES WERE BROKEN\n");
+    return rules::passed(judge) ? 0 : 1;
 }
 
 // Plays a script, prints the results of its loads and judges its recording. `on_loads_done`, if
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -125,8 +125,9 @@
         run_on_relay([&] {
             relay = std::make_unique<relay::Relay>(relay_worker.loop(), writer);
             // Extent and span sizes of fleet::edge_settings().
-            relay->put_record(record::Kind::figures, 0, 0, 0,
-                              rules::figures_of(s.scheduling, s.service, 256 << 10, 64 << 10));
+            relay->put_record(
+                record::Kind::rule_settings, 0, 0, 0,
+                rules::rule_settings_json(s.scheduling, s.service, 256 << 10, 64 << 10));
         });
         fleet.on_endpoint_list = [this](std::size_t edge, const edge::EndpointList &list) {
             relay_worker.loop().post(
@@ -158,7 +159,7 @@
     }
     void record_endpoint_list(std::size_t edge, const std::vector<edge::EndpointEntry> &nodes) {
         for (const auto &[endpoint, address] : nodes)
-            relay->put_record(record::Kind::told, edge, endpoint.node.value,
+            relay->put_record(record::Kind::node_state_learned, edge, endpoint.node.value,
                               static_cast<std::uint64_t>(endpoint.state));
     }
     // Retries every 50 ms until the planner accepts, because it may be down.
@@ -263,7 +264,7 @@
         });
         run_on_relay([&] {
             if (t.lose)
-                relay->put_record(record::Kind::lost, id.value, 0, 0);
+                relay->put_record(record::Kind::unflushed_data_lost, id.value, 0, 0);
         });
         schedule(until, [this, node = t.node, id] {
             Time started = 0;
@@ -273,7 +274,7 @@
                 started = n.storage_node().started_at();
             });
             run_on_relay([&] {
-                relay->put_record(record::Kind::started, id.value, 0, 0);
+                relay->put_record(record::Kind::node_started, id.value, 0, 0);
                 relay->unblock(id);
             });
             fleet.set_listed_state(id, NodeState::ready, started);
@@ -296,8 +297,9 @@
         schedule(until, [this, node = t.node, id] {
             run_on_relay([&] { relay->block(id); });
             fleet.replace_node(node);
-            run_on_relay(
-                [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
+            run_on_relay([&] {
+                relay->put_record(record::Kind::node_started, fleet.node_id(node).value, 0, 0);
+            });
             schedule(loop::now() + 2 * sec, [this, id] {
                 fleet.change_settings([&](planner::DesiredState &w) { w.nodes.erase(id); });
             });
@@ -309,8 +311,9 @@
             run_on_relay([&] { relay->block(id); });
             fleet.set_listed_state(id, NodeState::removed, 0);
             fleet.replace_node(node);
-            run_on_relay(
-                [&] { relay->put_record(record::Kind::started, fleet.node_id(node).value, 0, 0); });
+            run_on_relay([&] {
+                relay->put_record(record::Kind::node_started, fleet.node_id(node).value, 0, 0);
+            });
             announce_nodes(~std::size_t{0});
         });
     } else if (t.kind == "late_list") {
--- a/src/day/day.hpp
+++ b/src/day/day.hpp
@@ -8,7 +8,7 @@
 
 #include "fleet/fleet.hpp"
 #include "load/driver.hpp"
-#include "rules/judge.hpp"
+#include "rules/rule_checker.hpp"
 
 namespace knotvane::day {
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -88,12 +88,12 @@
             // after its edge has given up on it.
             closed_side = by;
             if (by == edge_side())
-                relay.put_record(record::Kind::closed, id, 1, 0);
+                relay.put_record(record::Kind::connection_closed, id, 1, 0);
             sockets[by].reset();
             return;
         }
         if (!(closed_side >= 0 && closed_side == edge_side()))
-            relay.put_record(record::Kind::closed, id, by == edge_side(), 0);
+            relay.put_record(record::Kind::connection_closed, id, by == edge_side(), 0);
         relay.connections_.erase(it);
         for (int i = 0; i < 2; ++i)
             if (auto socket = std::exchange(sockets[i], nullptr)) {
@@ -146,9 +146,9 @@
     connection->sockets[0] = socket;
     connection->sockets[1] = std::make_shared<loop::Socket>(loop_);
     if (route.node == NodeId{0})
-        put_record(record::Kind::client_wire, connection->id, route.edge, 0);
+        put_record(record::Kind::client_connected, connection->id, route.edge, 0);
     else
-        put_record(record::Kind::node_wire, connection->id, route.edge, route.node.value);
+        put_record(record::Kind::node_connected, connection->id, route.edge, route.node.value);
     for (int i = 0; i < 2; ++i) {
         auto &side = *connection->sockets[i];
         side.on_received = [connection = connection.get(), i](std::string_view bytes) {
--- a/src/rules/figures.cpp
+++ b/src/rules/figures.cpp
@@ -13,8 +13,8 @@
 
 using json = nlohmann::ordered_json;
 
-std::string figures_of(const std::string &scheduling, const std::string &service,
-                       std::uint64_t read_cut, std::uint64_t write_cut) {
+std::string rule_settings_json(const std::string &scheduling, const std::string &service,
+                               std::uint64_t read_cut, std::uint64_t write_cut) {
     settings::File s("scheduling", scheduling), n("service", service);
     json j;
     j["read_cut"] = read_cut, j["write_cut"] = write_cut;
@@ -54,34 +54,34 @@
     return j.dump();
 }
 
-void set_up(Judge &judge, const std::string &figures) {
+void configure(RuleChecker &rule_checker, const std::string &figures) {
     try {
         auto j = json::parse(figures);
-        judge.set_cut(j.at("read_cut"), j.at("write_cut"));
+        rule_checker.set_split_sizes(j.at("read_cut"), j.at("write_cut"));
         for (auto &w : j.at("workloads"))
-            judge.set_workload(w.at("command"), w.at("client_timeout"),
-                               static_cast<Idempotency>(w.at("repeat").get<int>()), w.at("window"),
-                               w.at("key_rest"));
+            rule_checker.set_workload(w.at("command"), w.at("client_timeout"),
+                                      static_cast<Idempotency>(w.at("repeat").get<int>()),
+                                      w.at("window"), w.at("key_rest"));
         for (auto &v : j.at("volumes")) {
-            judge.set_volume(v.at("name"), VolumeId{v.at("id")});
+            rule_checker.set_volume(v.at("name"), VolumeId{v.at("id")});
             // The slack of a tenth of the burst is the bench's.
             if (double rate = v.at("limit"); rate > 0)
-                judge.set_limit(VolumeId{v.at("id")}, rate, v.at("burst"),
-                                v.at("burst").get<double>() / 10);
+                rule_checker.set_limit(VolumeId{v.at("id")}, rate, v.at("burst"),
+                                       v.at("burst").get<double>() / 10);
         }
-        judge.set_shots(j.at("most_shots"), j.at("parallel"));
+        rule_checker.set_attempts(j.at("most_shots"), j.at("parallel"));
         if (Time span = j.at("further_span"); span > 0)
-            judge.set_further(j.at("further_each"), j.at("further_free"), span);
-        judge.set_drain(j.at("drain_grace"));
-        judge.set_hold(j.at("hold"));
-        judge.set_cold(j.at("capacity"), j.at("start_part"), j.at("warm_after"), j.at("cold_span"),
-                       j.at("cold_multiple"));
+            rule_checker.set_retry_budget(j.at("further_each"), j.at("further_free"), span);
+        rule_checker.set_drain_grace(j.at("drain_grace"));
+        rule_checker.set_connect_timeout(j.at("hold"));
+        rule_checker.set_cold(j.at("capacity"), j.at("start_part"), j.at("warm_after"),
+                              j.at("cold_span"), j.at("cold_multiple"));
     } catch (const json::exception &e) {
         throw std::runtime_error(std::string("the rules' figures can't be read: ") + e.what());
     }
 }
 
-std::string judge_file(const std::string &path, Judge &judge) {
+std::string check_recording(const std::string &path, RuleChecker &rule_checker) {
     Time last = 0;
     bool figures = false;
     auto fault = record::read(path, [&](Time at, record::Kind kind, std::uint64_t a,
@@ -89,33 +89,33 @@
         using record::Kind;
         last = std::max(last, at);
         switch (kind) {
-        case Kind::figures:
-            set_up(judge, std::string(text)), figures = true;
+        case Kind::rule_settings:
+            configure(rule_checker, std::string(text)), figures = true;
             break;
-        case Kind::client_wire:
-            judge.client_wire(at, WireId{a}, EdgeId{b}, VolumeId{});
+        case Kind::client_connected:
+            rule_checker.client_connected(at, ConnectionId{a}, EdgeId{b}, VolumeId{});
             break;
-        case Kind::node_wire:
-            judge.node_wire(at, WireId{a}, EdgeId{b}, NodeId{c});
+        case Kind::node_connected:
+            rule_checker.node_connected(at, ConnectionId{a}, EdgeId{b}, NodeId{c});
             break;
         case Kind::bytes:
-            judge.bytes(at, WireId{a}, b != 0, text);
+            rule_checker.bytes_seen(at, ConnectionId{a}, b != 0, text);
             break;
-        case Kind::closed:
-            judge.closed(at, WireId{a}, b != 0);
+        case Kind::connection_closed:
+            rule_checker.connection_closed(at, ConnectionId{a}, b != 0);
             break;
-        case Kind::told:
-            judge.told(at, EdgeId{a}, NodeId{b},
-                       static_cast<NodeState>(std::min<std::uint64_t>(c, 2)));
+        case Kind::node_state_learned:
+            rule_checker.node_state_learned(at, EdgeId{a}, NodeId{b},
+                                            static_cast<NodeState>(std::min<std::uint64_t>(c, 2)));
             break;
-        case Kind::started:
-            judge.started(at, NodeId{a});
+        case Kind::node_started:
+            rule_checker.node_started(at, NodeId{a});
             break;
-        case Kind::lost:
-            judge.lost(at, NodeId{a});
+        case Kind::unflushed_data_lost:
+            rule_checker.unflushed_data_lost(at, NodeId{a});
             break;
-        case Kind::killed:
-            judge.killed(at, EdgeId{a});
+        case Kind::edge_killed:
+            rule_checker.edge_killed(at, EdgeId{a});
             break;
         case Kind::note:
         case Kind::end:
@@ -124,11 +124,11 @@
     });
     if (fault.empty() && !figures)
         fault = path + ": the recording has no figures to judge by";
-    judge.finish(last);
+    rule_checker.finish(last);
     return fault;
 }
 
-std::string verdict(const Judge &judge) {
+std::string format_report(const RuleChecker &rule_checker) {
     static constexpr const char *names[] = {
         "1 one final answer", "2 no effect twice", "3 drains kept", "4 no cold node pushed over",
         "5 order per key",    "6 further shots",   "7 limits",      "  data as written"};
@@ -138,19 +138,19 @@
         std::string name = names[i];
         name.resize(28, ' ');
         out << "  " << name
-            << (judge.breaches(rule) > 0
-                    ? "BROKEN " + std::to_string(judge.breaches(rule)) + " times of "
-                : judge.judged(rule) > 0 ? "kept, judged "
-                                         : "not judged ")
-            << judge.judged(rule) << "\n";
+            << (rule_checker.breaches(rule) > 0
+                    ? "BROKEN " + std::to_string(rule_checker.breaches(rule)) + " times of "
+                : rule_checker.checks(rule) > 0 ? "kept, judged "
+                                                : "not judged ")
+            << rule_checker.checks(rule) << "\n";
     }
-    for (auto &b : judge.broken())
+    for (auto &b : rule_checker.breach_lines())
         out << "  " << b << "\n";
     return out.str();
 }
 
-bool kept(const Judge &judge) {
-    return judge.broken().empty() && judge.judged(Rule::answers) > 0;
+bool passed(const RuleChecker &rule_checker) {
+    return rule_checker.breach_lines().empty() && rule_checker.checks(Rule::answers) > 0;
 }
 
 } // namespace knotvane::rules
--- a/src/rules/figures.hpp
+++ b/src/rules/figures.hpp
@@ -5,21 +5,21 @@
 #include <string>
 #include <vector>
 
-#include "rules/judge.hpp"
+#include "rules/rule_checker.hpp"
 
 namespace knotvane::rules {
 
 // The figures (JSON) of edges with this scheduling and nodes with this service, both settings' text
 // that was checked; bytes where edges cut reads and writes.
-std::string figures_of(const std::string &scheduling, const std::string &service,
-                       std::uint64_t read_cut, std::uint64_t write_cut);
+std::string rule_settings_json(const std::string &scheduling, const std::string &service,
+                               std::uint64_t read_cut, std::uint64_t write_cut);
 // Sets a judge up. Throws std::runtime_error on what is not such text.
-void set_up(Judge &judge, const std::string &figures);
+void configure(RuleChecker &rule_checker, const std::string &figures);
 // Reads a recording and judges it. An empty answer is good; else why it can't be judged.
-std::string judge_file(const std::string &path, Judge &judge);
+std::string check_recording(const std::string &path, RuleChecker &rule_checker);
 // A table, a line a rule: how often judged, how often broken; then the breaches.
-std::string verdict(const Judge &judge);
+std::string format_report(const RuleChecker &rule_checker);
 // Whether no rule was broken and something was judged at all.
-bool kept(const Judge &judge);
+bool passed(const RuleChecker &rule_checker);
 
 } // namespace knotvane::rules
--- a/src/rules/history.cpp
+++ b/src/rules/history.cpp
@@ -7,38 +7,40 @@
 namespace knotvane::rules {
 namespace {
 constexpr Time never = std::numeric_limits<Time>::max();
-std::string text(WriteNo w) {
+std::string text(WriteNumber w) {
     return w.value == 0 ? "nothing" : "write " + std::to_string(w.value);
 }
 } // namespace
 
-WriteNo History::begins(Time at, std::uint64_t block, std::uint32_t blocks, bool durable) {
+WriteNumber History::write_started(Time at, std::uint64_t block, std::uint32_t blocks,
+                                   bool durable) {
     writes_.push_back({at, never, block, blocks, durable, false});
-    return WriteNo{writes_.size()};
+    return WriteNumber{writes_.size()};
 }
-void History::ends(WriteNo write, Time at, bool well) {
+void History::write_ended(WriteNumber write, Time at, bool well) {
     auto &w = writes_[write.value - 1];
     if (well)
         w.ended = at;
 }
-void History::lost(Time at) {
+void History::unflushed_data_lost(Time at) {
     for (auto &w : writes_)
         if (!w.durable && w.began <= at)
             w.excused = true;
 }
 // Whether what is held was over before the write began, so that the write must have come over it.
-bool History::older(WriteNo x, const Write &than) const {
+bool History::older(WriteNumber x, const Write &than) const {
     return x.value == 0 || at(x).ended < than.began;
 }
 
-std::vector<std::string> History::judge(Time called, Time returned,
-                                        const std::map<std::uint64_t, WriteNo> &held) const {
+std::vector<std::string>
+History::check_snapshot(Time called, Time returned,
+                        const std::map<std::uint64_t, WriteNumber> &held) const {
     std::vector<std::string> out;
     auto holds = [&](std::uint64_t block) {
         auto it = held.find(block);
-        return it == held.end() ? WriteNo{0} : it->second;
+        return it == held.end() ? WriteNumber{0} : it->second;
     };
-    std::set<WriteNo> in;
+    std::set<WriteNumber> in;
     for (auto &[block, w] : held)
         if (w.value > 0)
             in.insert(w);
@@ -50,7 +52,7 @@
         before = std::max(before, at(w).began);
     }
     for (std::size_t i = 0; i < writes_.size(); ++i) {
-        WriteNo no{i + 1};
+        WriteNumber no{i + 1};
         auto &w = writes_[i];
         if (w.excused || w.ended == never)
             continue;
--- a/src/rules/history.hpp
+++ b/src/rules/history.hpp
@@ -12,17 +12,17 @@
 
 namespace knotvane::rules {
 
-using WriteNo = Id<struct WriteKind, std::uint64_t>; // from 1; 0: nothing was written there
+using WriteNumber = Id<struct WriteKind, std::uint64_t>; // from 1; 0: nothing was written there
 
 class History {
 public:
     // A write of whole blocks, from `block` on, was sent.
-    WriteNo begins(Time at, std::uint64_t block, std::uint32_t blocks, bool durable);
+    WriteNumber write_started(Time at, std::uint64_t block, std::uint32_t blocks, bool durable);
     // Its answer came: well, or with an error, after which it may be there or not.
-    void ends(WriteNo write, Time at, bool well);
+    void write_ended(WriteNumber write, Time at, bool well);
     // A store lost what was not made durable: writes that were not asked to be, and began before,
     // prove nothing.
-    void lost(Time at);
+    void unflushed_data_lost(Time at);
 
     // `held`: by block, the write whose bytes the snapshot has there; a block that is left out has
     // nothing. `called`, `returned`: of the take. What does not hold, one line each:
@@ -30,8 +30,8 @@
     // return is not;
     // - a write that is in brings with it every write that was answered before it began;
     // - a write that was answered is in or out with all its blocks.
-    std::vector<std::string> judge(Time called, Time returned,
-                                   const std::map<std::uint64_t, WriteNo> &held) const;
+    std::vector<std::string> check_snapshot(Time called, Time returned,
+                                            const std::map<std::uint64_t, WriteNumber> &held) const;
     std::size_t writes() const { return writes_.size(); }
 
 private:
@@ -41,8 +41,8 @@
         std::uint32_t blocks;
         bool durable, excused;
     };
-    const Write &at(WriteNo w) const { return writes_[w.value - 1]; }
-    bool older(WriteNo x, const Write &than) const;
+    const Write &at(WriteNumber w) const { return writes_[w.value - 1]; }
+    bool older(WriteNumber x, const Write &than) const;
     std::vector<Write> writes_;
 };
 
--- a/src/sim/cutting.cpp
+++ b/src/sim/cutting.cpp
@@ -31,7 +31,7 @@
 constexpr VolumeId volume{7};
 using control::EdgeId;
 using planner::SessionId;
-using rules::WriteNo;
+using rules::WriteNumber;
 
 // A connection with two ends. Bytes arrive in order after a delay. A closed end receives nothing
 // more, but the bytes that it sent before still arrive.
@@ -119,7 +119,7 @@
     std::unique_ptr<load::Session> session;
     ConnectionPtr connection;
     std::uint64_t cookie = 0;
-    std::map<std::uint64_t, std::pair<WriteNo, Time>> outstanding_writes;
+    std::map<std::uint64_t, std::pair<WriteNumber, Time>> outstanding_writes;
     SimulatedClient(Simulation &owner, std::size_t edge) : simulation(owner), edge_index(edge) {}
     void connect();
     void send_requests();
@@ -150,7 +150,7 @@
     struct TakenSnapshot {
         Time called, returned;
         VolumeId id;
-        std::map<std::uint64_t, WriteNo> held;
+        std::map<std::uint64_t, WriteNumber> held;
     };
     std::map<std::string, TakenSnapshot> snapshots;
     bool faults_ended = false;
@@ -440,9 +440,9 @@
                 });
     }
     // Reads the volume from the stores and returns the number of the write in each block.
-    std::map<std::uint64_t, WriteNo> stored_writes(VolumeId id) {
+    std::map<std::uint64_t, WriteNumber> stored_writes(VolumeId id) {
         edge::Layout layout(extent, span, all_shards());
-        std::map<std::uint64_t, WriteNo> got;
+        std::map<std::uint64_t, WriteNumber> got;
         for (std::uint64_t b = 0; b < active_blocks; ++b) {
             auto shard = layout.shard_of(volume, b * block);
             auto &node = *nodes[static_cast<std::size_t>(shard.value)];
@@ -461,13 +461,13 @@
             for (std::size_t i = 0; i < block; i += sizeof no)
                 if (std::memcmp(bytes.data() + i, &no, sizeof no) != 0)
                     report_violation("block " + std::to_string(b) + " contains data of two writes");
-            got[b] = WriteNo{no};
+            got[b] = WriteNumber{no};
         }
         return got;
     }
     void judge(const std::string &full) {
         auto &s = snapshots.at(full);
-        for (auto &what : history.judge(s.called, s.returned, s.held))
+        for (auto &what : history.check_snapshot(s.called, s.returned, s.held))
             report_violation(full + ": " + what);
     }
     std::vector<ShardId> all_shards() const {
@@ -847,7 +847,7 @@
             continue;
         }
         bool fua = simulation.happens(0.5);
-        auto no = simulation.history.begins(simulation.now, first, blocks, fua);
+        auto no = simulation.history.write_started(simulation.now, first, blocks, fua);
         ++simulation.out.writes;
         outstanding_writes[c] = {no, simulation.now};
         std::string data(blocks * block, '\0');
@@ -859,7 +859,7 @@
 }
 void SimulatedClient::ended(std::uint64_t c, std::uint32_t error, std::string_view) {
     if (auto it = outstanding_writes.find(c); it != outstanding_writes.end()) {
-        simulation.history.ends(it->second.first, simulation.now, error == 0);
+        simulation.history.write_ended(it->second.first, simulation.now, error == 0);
         simulation.out.answered += error == 0;
         // Allows 150 ms for both network directions; a paused edge cannot reply in time.
         if (simulation.now - it->second.second > client_timeout + 150 * ms &&
@@ -896,7 +896,7 @@
         ++out.event_counts[lose ? "node restarts with loss" : "node restarts"];
         node.registration->stop(now);
         if (lose)
-            history.lost(now);
+            history.unflushed_data_lost(now);
         node.disk.restart(now, lose);
         node.registration->start(now, static_cast<std::uint64_t>(now), now);
         run_due_work(node);
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -119,7 +119,7 @@
     std::uint64_t sequence = 0, next_connection = 0, next_node_connection = 0, next_client = 0,
                   next_node = 0, version = 0;
     std::map<std::pair<Time, std::uint64_t>, std::function<void()>> queue;
-    rules::Judge judge{20 * ms};
+    rules::RuleChecker rule_checker{20 * ms};
     std::vector<std::string> stored_bytes; // by shard
     std::map<NodeId, std::unique_ptr<SimulatedNode>> nodes;
     std::map<NodeId, std::pair<NodeState, Time>> endpoint_states;
@@ -201,7 +201,7 @@
         for (auto &[id, state] : endpoint_states) {
             edge.core->endpoint_listed({id, shards[id], ZoneId{0}, state.first, state.second},
                                        std::to_string(id.value));
-            judge.told(now, rules::EdgeId{edge.index}, id, state.first);
+            rule_checker.node_state_learned(now, rules::EdgeId{edge.index}, id, state.first);
         }
         edge.core->endpoint_list_end();
         settle(edge);
@@ -288,9 +288,9 @@
                               [&edge, link, link_id](std::string_view b) {
                                   if (!link->connection.open)
                                       return;
-                                  edge.simulation.judge.bytes(edge.simulation.now,
-                                                              rules::WireId{link->connection.id},
-                                                              false, b);
+                                  edge.simulation.rule_checker.bytes_seen(
+                                      edge.simulation.now, rules::ConnectionId{link->connection.id},
+                                      false, b);
                                   edge.core->node_received(edge.simulation.now, link_id, b);
                                   edge.simulation.settle(edge);
                               });
@@ -311,8 +311,8 @@
             return;
         link->connection.open = false;
         edge.links.erase(link_id);
-        edge.simulation.judge.closed(edge.simulation.now, rules::WireId{link->connection.id},
-                                     false);
+        edge.simulation.rule_checker.connection_closed(
+            edge.simulation.now, rules::ConnectionId{link->connection.id}, false);
         edge.core->node_disconnected(edge.simulation.now, link_id);
         edge.simulation.settle(edge);
     };
@@ -342,8 +342,8 @@
         }
         link->node_connection = node::ConnectionId{++simulation.next_node_connection};
         it->second->peers[link->node_connection] = {index, id};
-        simulation.judge.node_wire(simulation.now, rules::WireId{link->connection.id},
-                                   rules::EdgeId{index}, node);
+        simulation.rule_checker.node_connected(
+            simulation.now, rules::ConnectionId{link->connection.id}, rules::EdgeId{index}, node);
         link->up = true;
         core->node_connected(simulation.now, id);
         it->second->disk.connected(simulation.now, link->node_connection);
@@ -355,7 +355,8 @@
     if (it == links.end())
         return;
     auto link = it->second;
-    simulation.judge.bytes(simulation.now, rules::WireId{link->connection.id}, true, bytes);
+    simulation.rule_checker.bytes_seen(simulation.now, rules::ConnectionId{link->connection.id},
+                                       true, bytes);
     auto size = bytes.size();
     simulation.send_in_pieces(link->connection, link->connection.from_edge, std::move(bytes),
                               [this, link](std::string_view b) {
@@ -383,7 +384,8 @@
     auto link = it->second;
     links.erase(it);
     link->connection.open = false;
-    simulation.judge.closed(simulation.now, rules::WireId{link->connection.id}, true);
+    simulation.rule_checker.connection_closed(simulation.now,
+                                              rules::ConnectionId{link->connection.id}, true);
     simulation.schedule(
         std::max(link->connection.from_edge.last, simulation.now + simulation.delay()),
         [this, link] {
@@ -399,7 +401,8 @@
         return;
     auto *c = it->second;
     auto connection = c->connection;
-    simulation.judge.bytes(simulation.now, rules::WireId{connection->id}, true, bytes);
+    simulation.rule_checker.bytes_seen(simulation.now, rules::ConnectionId{connection->id}, true,
+                                       bytes);
     auto size = bytes.size();
     simulation.send_in_pieces(*connection, connection->to_edge, std::move(bytes),
                               [c, connection](std::string_view b) {
@@ -420,7 +423,8 @@
     auto *c = it->second;
     auto connection = c->connection;
     simulation.client_by_id.erase(it);
-    simulation.judge.closed(simulation.now, rules::WireId{connection->id}, true);
+    simulation.rule_checker.connection_closed(simulation.now, rules::ConnectionId{connection->id},
+                                              true);
     connection->open = false;
     if (!simulation.over)
         simulation.schedule(simulation.now + 10 * ms, [c, connection] {
@@ -439,8 +443,8 @@
     session = std::make_unique<load::Session>(*this, "v", structured);
     id = ++simulation.next_client;
     simulation.client_by_id[edge::ClientId{id}] = this;
-    simulation.judge.client_wire(simulation.now, rules::WireId{connection->id},
-                                 rules::EdgeId{edge_index}, VolumeId{edge_index + 1});
+    simulation.rule_checker.client_connected(simulation.now, rules::ConnectionId{connection->id},
+                                             rules::EdgeId{edge_index}, VolumeId{edge_index + 1});
     simulation.edges[edge_index]->core->client_connected(simulation.now, edge::ClientId{id});
     simulation.settle(*simulation.edges[edge_index]);
 }
@@ -451,7 +455,8 @@
     auto old = connection;
     auto gone = edge::ClientId{id};
     simulation.schedule(std::max(old->from_edge.last, simulation.now), [this, gone, old] {
-        simulation.judge.closed(simulation.now, rules::WireId{old->id}, false);
+        simulation.rule_checker.connection_closed(simulation.now, rules::ConnectionId{old->id},
+                                                  false);
         simulation.client_by_id.erase(gone);
         simulation.edges[edge_index]->core->client_disconnected(simulation.now, gone);
         simulation.settle(*simulation.edges[edge_index]);
@@ -515,7 +520,8 @@
         *connection, connection->from_edge, std::move(out), [this, c, from](std::string_view b) {
             if (!simulation.client_by_id.contains(from))
                 return;
-            simulation.judge.bytes(simulation.now, rules::WireId{c->id}, false, b);
+            simulation.rule_checker.bytes_seen(simulation.now, rules::ConnectionId{c->id}, false,
+                                               b);
             simulation.edges[edge_index]->core->client_received(simulation.now, from, b);
             simulation.settle(*simulation.edges[edge_index]);
         });
@@ -557,7 +563,7 @@
             ++result.event_counts["severed"];
             link->connection.open = false;
             edge.links.erase(id);
-            judge.closed(now, rules::WireId{link->connection.id}, false);
+            rule_checker.connection_closed(now, rules::ConnectionId{link->connection.id}, false);
             if (happens(0.5))
                 node.peers.erase(link->node_connection);
             edge.core->node_disconnected(now, id);
@@ -566,9 +572,9 @@
     } else if (pick < kinds[0] + kinds[1] + kinds[2]) {
         bool lose = happens(0.4);
         ++result.event_counts[lose ? "restart with loss" : "restart"];
-        judge.started(now, node.id);
+        rule_checker.node_started(now, node.id);
         if (lose)
-            judge.lost(now, node.id);
+            rule_checker.unflushed_data_lost(now, node.id);
         node.disk.restart(now, lose);
         endpoint_states[node.id].second = now;
         change_endpoint_list();
@@ -587,7 +593,7 @@
                 old->close(old->peers.begin()->first, true);
             old.reset();
             endpoint_states[id].first = NodeState::removed;
-            judge.started(now, add_node(shard).id);
+            rule_checker.node_started(now, add_node(shard).id);
             change_endpoint_list();
         });
     }
@@ -596,23 +602,23 @@
 Result Simulation::run() {
     for (int i = 0; i < 5; ++i) {
         bool writes = i == 1 || i == 2;
-        judge.set_workload(i, client_timeout,
-                           !writes                 ? Idempotency::idempotent
-                           : scenario.at_most_once ? Idempotency::at_most_once
-                                                   : Idempotency::deduplicated,
-                           writes ? window : 0,
-                           writes ? (scenario.at_most_once ? client_timeout + 100 * ms : key_rest)
-                                  : 0);
+        rule_checker.set_workload(
+            i, client_timeout,
+            !writes                 ? Idempotency::idempotent
+            : scenario.at_most_once ? Idempotency::at_most_once
+                                    : Idempotency::deduplicated,
+            writes ? window : 0,
+            writes ? (scenario.at_most_once ? client_timeout + 100 * ms : key_rest) : 0);
     }
-    judge.set_cut(extent, span);
-    judge.set_shots(3, false);
-    judge.set_drain(drain_grace);
-    judge.set_cold(2 / seconds(unit_time), 0.25, 3 * sec, sec, 4);
+    rule_checker.set_split_sizes(extent, span);
+    rule_checker.set_attempts(3, false);
+    rule_checker.set_drain_grace(drain_grace);
+    rule_checker.set_cold(2 / seconds(unit_time), 0.25, 3 * sec, sec, 4);
     // With small buffers, attempts also wait for buffer space, which the recorded traffic does not
     // show; the rule cannot be checked then.
     if (!small_buffers())
-        judge.set_further(0.3, 4, 2 * sec);
-    judge.set_hold(connect_time + 20 * ms);
+        rule_checker.set_retry_budget(0.3, 4, 2 * sec);
+    rule_checker.set_connect_timeout(connect_time + 20 * ms);
     stored_bytes.resize(scenario.nodes);
     for (std::uint32_t i = 0; i < scenario.nodes; ++i)
         add_node(ShardId{static_cast<std::int32_t>(i)});
@@ -628,7 +634,7 @@
             edge::CoreConfig{i, scenario.seed, extent, span, unit, all});
         configure_edge(*edge.core, i);
         if (scenario.limits && !small_buffers())
-            judge.set_limit(
+            rule_checker.set_limit(
                 VolumeId{i + 1}, limit_rate, limit_burst,
                 // Units are charged at the first attempt. If its connection is never established,
                 // the recorded traffic first shows the second attempt, up to connect_time later.
@@ -657,15 +663,15 @@
         f();
         ++result.events;
     }
-    judge.finish(now);
-    result.violations = judge.broken();
-    result.requests = judge.requests(), result.delivered = judge.delivered(),
-    result.shots = judge.shots();
+    rule_checker.finish(now);
+    result.violations = rule_checker.breach_lines();
+    result.requests = rule_checker.requests(), result.delivered = rule_checker.delivered(),
+    result.shots = rule_checker.attempts();
     static constexpr const char *rules[] = {"answers", "effects", "drains", "cold",
                                             "order",   "further", "limits", "data"};
     for (std::size_t i = 0; i < 8; ++i)
         result.event_counts[std::string("judged ") + rules[i]] =
-            judge.judged(static_cast<rules::Rule>(i + 1));
+            rule_checker.checks(static_cast<rules::Rule>(i + 1));
     for (auto &edge : edges)
         if (edge->core->scheduled_requests() > 0)
             result.violations.push_back("edge " + std::to_string(edge->index) + " still holds " +
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "common/time.hpp"
-#include "rules/judge.hpp"
+#include "rules/rule_checker.hpp"
 
 namespace knotvane::sim {
 
--- a/tests/gateway/day_test.cpp
+++ b/tests/gateway/day_test.cpp
@@ -36,7 +36,7 @@
 
 struct PlayedDay {
     std::map<std::string, day::Tally> tallies;
-    rules::Judge judge{60 * ms};
+    rules::RuleChecker rule_checker{60 * ms};
     std::string fault;
     explicit PlayedDay(const std::string &text, bool pass_through = false) {
         std::vector<std::string> faults;
@@ -47,14 +47,14 @@
         tallies = day::play(s, dir, dir + "/r", [&](SchedulerActions &a, std::uint64_t seed) {
             return pass_through ? day::make_passthrough(a) : make_scheduler(a, seed);
         });
-        fault = rules::judge_file(dir + "/r", judge);
+        fault = rules::check_recording(dir + "/r", judge);
         std::filesystem::remove_all(dir);
     }
     void check_rules_kept() {
         CHECK(fault == "");
-        for (auto &b : judge.broken())
+        for (auto &b : rule_checker.breach_lines())
             FAIL_CHECK(b);
-        CHECK(rules::kept(judge));
+        CHECK(rules::passed(judge));
         CHECK(tallies["a"].good > 0);
     }
 };
@@ -93,7 +93,7 @@
         PlayedDay played(
             script(trouble_section("at = 400ms\nkind = drain\nnode = 0\nlength = 600ms\n")));
         played.check_rules_kept();
-        CHECK(played.judge.judged(rules::Rule::drains) > 0);
+        CHECK(played.rule_checker.checks(rules::Rule::drains) > 0);
     }
     TEST_CASE("garbled, cut, swallowed and split replies break no rule") {
         PlayedDay played(
@@ -110,7 +110,7 @@
                    "300\nreads = 0.1\n"
                    "least = 512\nmost = 48KiB\nregion = 64KiB\n"),
             true);
-        CHECK(played.judge.breaches(rules::Rule::order) > 0);
+        CHECK(played.rule_checker.breaches(rules::Rule::order) > 0);
     }
     TEST_CASE("faults of a script are reported with file and line") {
         std::vector<std::string> faults;
@@ -130,7 +130,7 @@
             trouble_section("at = 560ms\nkind = planner_kill\nlength = 700ms", "y") +
             trouble_section("at = 800ms\nkind = undrain\nnode = 0", "z")));
         played.check_rules_kept();
-        CHECK(played.judge.judged(rules::Rule::drains) > 50);
+        CHECK(played.rule_checker.checks(rules::Rule::drains) > 50);
         CHECK(played.tallies["a"].lost == 0);
     }
     TEST_CASE(
@@ -168,7 +168,7 @@
         auto outages = day::make_outages(2, 3);
         PlayedDay played(outages.script);
         CHECK(played.fault == "");
-        for (auto &b : played.judge.broken())
+        for (auto &b : played.rule_checker.breach_lines())
             FAIL_CHECK(b);
         auto [good, all] = day::in_time(played.tallies, outages.before);
         auto [dead_good, dead_all] = day::in_time(played.tallies, outages.dead);
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -1,4 +1,5 @@
-// The judge: for each rule a doctored recording that it must catch, beside the same one undoctored.
+// The rule checker: for each rule, traffic that breaks it and must be reported, and traffic that
+// keeps it.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -24,20 +25,20 @@
 
 // A client's and a node's wire of edge 0, and the frames on them.
 struct Scene {
-    Judge j{ms};
-    WireId client{1}, node{2}, other{3};
+    RuleChecker j{ms};
+    ConnectionId client{1}, node{2}, other{3};
     std::uint64_t tag = 0;
     Scene() {
         j.set_workload(0, sec, Idempotency::idempotent, 0, 0);
         j.set_workload(1, sec, Idempotency::deduplicated, 500 * ms, 600 * ms);
         j.set_workload(3, sec, Idempotency::idempotent, 0, 0);
-        j.set_shots(3, false);
-        j.set_drain(250 * ms);
-        j.client_wire(0, client, EdgeId{0}, VolumeId{5});
-        j.node_wire(0, node, EdgeId{0}, NodeId{1});
-        j.node_wire(0, other, EdgeId{0}, NodeId{2});
-        j.bytes(0, client, false, std::string("\0\0\0\3", 4));
-        j.bytes(0, client, true, std::string(18, 'x'));
+        j.set_attempts(3, false);
+        j.set_drain_grace(250 * ms);
+        j.client_connected(0, client, EdgeId{0}, VolumeId{5});
+        j.node_connected(0, node, EdgeId{0}, NodeId{1});
+        j.node_connected(0, other, EdgeId{0}, NodeId{2});
+        j.bytes_seen(0, client, false, std::string("\0\0\0\3", 4));
+        j.bytes_seen(0, client, true, std::string(18, 'x'));
     }
     void ask(Time at, std::uint16_t command, std::uint64_t cookie, std::uint64_t offset,
              char fill = 'x') {
@@ -46,7 +47,7 @@
         s.take_out();
         s.ask(command, 0, cookie, offset, command == nbd::cmd_flush ? 0 : 512,
               command == nbd::cmd_write ? std::string(512, fill) : "");
-        j.bytes(at, client, false, s.take_out());
+        j.bytes_seen(at, client, false, s.take_out());
     }
     void reply(Time at, std::uint64_t cookie, std::uint32_t error = 0,
                const std::string &data = "") {
@@ -54,35 +55,35 @@
         nbd::put(r, nbd::simple_reply_magic);
         nbd::put(r, error);
         nbd::put(r, cookie);
-        j.bytes(at, client, true, r + data);
+        j.bytes_seen(at, client, true, r + data);
     }
     std::uint64_t shot(Time at, node_protocol::FrameKind kind, std::uint64_t task,
-                       std::uint64_t offset, WireId wire = WireId{2}, int shard = 0,
+                       std::uint64_t offset, ConnectionId wire = ConnectionId{2}, int shard = 0,
                        std::uint32_t units = 1000, char fill = 'x') {
-        j.bytes(at, wire, true,
-                node_protocol::encode({.kind = kind,
-                                       .tag = ++tag,
-                                       .volume = VolumeId{5},
-                                       .offset = offset,
-                                       .length = 512,
-                                       .milliunits = units,
-                                       .incarnation = 1,
-                                       .request_number = task,
-                                       .shard = ShardId{shard},
-                                       .payload = kind == node_protocol::FrameKind::write
-                                                      ? std::string(512, fill)
-                                                      : ""}));
+        j.bytes_seen(at, wire, true,
+                     node_protocol::encode({.kind = kind,
+                                            .tag = ++tag,
+                                            .volume = VolumeId{5},
+                                            .offset = offset,
+                                            .length = 512,
+                                            .milliunits = units,
+                                            .incarnation = 1,
+                                            .request_number = task,
+                                            .shard = ShardId{shard},
+                                            .payload = kind == node_protocol::FrameKind::write
+                                                           ? std::string(512, fill)
+                                                           : ""}));
         return tag;
     }
     void answer(Time at, std::uint64_t t, node_protocol::Status status = node_protocol::Status::ok,
-                WireId wire = WireId{2}) {
-        j.bytes(at, wire, false,
-                node_protocol::encode({.kind = node_protocol::FrameKind::answer,
-                                       .status = status,
-                                       .tag = t,
-                                       .volume = VolumeId{5},
-                                       .length = 512,
-                                       .incarnation = 1}));
+                ConnectionId wire = ConnectionId{2}) {
+        j.bytes_seen(at, wire, false,
+                     node_protocol::encode({.kind = node_protocol::FrameKind::answer,
+                                            .status = status,
+                                            .tag = t,
+                                            .volume = VolumeId{5},
+                                            .length = 512,
+                                            .incarnation = 1}));
     }
     std::uint64_t broken(Rule rule) {
         j.finish(100 * sec);
@@ -91,8 +92,8 @@
     // A write done as it should be.
     void write(Time at, std::uint64_t id, std::uint64_t offset, char fill) {
         ask(at, nbd::cmd_write, id, offset, fill);
-        answer(at + 2,
-               shot(at + 1, node_protocol::FrameKind::write, id, offset, WireId{2}, 0, 1000, fill));
+        answer(at + 2, shot(at + 1, node_protocol::FrameKind::write, id, offset, ConnectionId{2}, 0,
+                            1000, fill));
         reply(at + 3, id);
     }
 };
@@ -101,7 +102,7 @@
 
 } // namespace
 
-TEST_CASE("a day as it should be breaks nothing") {
+TEST_CASE("traffic that keeps every rule is reported as passed") {
     Scene s;
     s.write(sec, 1, 0, 'a');
     s.write(2 * sec, 2, 0, 'b');
@@ -109,8 +110,8 @@
     s.answer(3 * sec + 2, s.shot(3 * sec + 1, FrameKind::read, 3, 0));
     s.reply(3 * sec + 3, 3, 0, std::string(512, 'b'));
     s.j.finish(10 * sec);
-    CHECK(s.j.broken().empty());
-    CHECK(kept(s.j));
+    CHECK(s.j.breach_lines().empty());
+    CHECK(passed(s.j));
 }
 TEST_CASE("rule 1: answered twice, never, too late, or sent for after its answer") {
     Scene twice, never, late, after, dropped;
@@ -129,7 +130,7 @@
     after.shot(sec + 9 * ms, FrameKind::write, 1, 0);
     CHECK(after.broken(Rule::answers) == 1);
     dropped.ask(sec, nbd::cmd_read, 1, 0);
-    dropped.j.closed(sec + 1, dropped.client, true);
+    dropped.j.connection_closed(sec + 1, dropped.client, true);
     CHECK(dropped.broken(Rule::answers) == 1);
 }
 TEST_CASE("rule 2: side by side, past the window, elsewhere, a denial that misleads, too many") {
@@ -143,7 +144,7 @@
     past.shot(sec + 501 * ms, FrameKind::write, 1, 0);
     CHECK(past.broken(Rule::effects) == 1);
     elsewhere.answer(sec + 2, elsewhere.shot(sec + 1, FrameKind::write, 1, 0), Status::error);
-    elsewhere.shot(sec + 3, FrameKind::write, 1, 0, WireId{3}, 1);
+    elsewhere.shot(sec + 3, FrameKind::write, 1, 0, ConnectionId{3}, 1);
     CHECK(elsewhere.broken(Rule::effects) == 1);
     misled.shot(sec + 1, FrameKind::write, 1, 0);
     misled.reply(sec + 2, 1, nbd::e_nomem);
@@ -157,7 +158,7 @@
     Scene s;
     s.ask(sec, nbd::cmd_write, 1, 0, 'a');
     s.ask(sec, nbd::cmd_write, 2, 0, 'b');
-    s.answer(sec + 2, s.shot(sec + 1, FrameKind::write, 2, 0, WireId{2}, 0, 1000, 'b'));
+    s.answer(sec + 2, s.shot(sec + 1, FrameKind::write, 2, 0, ConnectionId{2}, 0, 1000, 'b'));
     s.reply(sec + 3, 2);
     s.reply(sec + 4, 1, nbd::e_nomem); // never sent: the denial is true
     CHECK(s.broken(Rule::effects) == 0);
@@ -165,7 +166,7 @@
 TEST_CASE("rule 3: a shot later than the grace after the edge was told") {
     Scene s, t;
     for (auto *x : {&s, &t})
-        x->j.told(sec, EdgeId{0}, NodeId{1}, NodeState::draining);
+        x->j.node_state_learned(sec, EdgeId{0}, NodeId{1}, NodeState::draining);
     s.shot(sec + 250 * ms, FrameKind::read, 1, 0);
     t.shot(sec + 251 * ms, FrameKind::read, 1, 0);
     CHECK(s.broken(Rule::drains) == 0);
@@ -174,7 +175,7 @@
 TEST_CASE("rule 4: more than a cold node bears") {
     Scene s;
     s.j.set_cold(100, 0.25, 10 * sec, sec, 2);
-    s.j.started(sec, NodeId{1});
+    s.j.node_started(sec, NodeId{1});
     for (std::uint64_t i = 1; i <= 58; ++i)
         s.shot(sec + 1, FrameKind::read, i, 0);
     CHECK(s.j.breaches(Rule::cold) == 0);
@@ -191,9 +192,9 @@
     out.shot(sec + 4 * ms, FrameKind::write, 2, 0);
     CHECK(out.broken(Rule::order) >= 1);
     rests.shot(sec + 3 * ms, FrameKind::write, 1, 0);
-    rests.j.closed(sec + 4 * ms, rests.node, false);
+    rests.j.connection_closed(sec + 4 * ms, rests.node, false);
     rests.reply(sec + 5 * ms, 1, 5);
-    rests.shot(sec + 600 * ms, FrameKind::write, 2, 0, WireId{3});
+    rests.shot(sec + 600 * ms, FrameKind::write, 2, 0, ConnectionId{3});
     CHECK(rests.broken(Rule::order) == 1);
     // The first request's shot is its own; the second's is not, for its piece was begun.
     first.answer(sec + 3 * ms, first.shot(sec + 3 * ms, FrameKind::write, 1, 0), Status::rejected);
@@ -202,7 +203,7 @@
 }
 TEST_CASE("rule 6: more further shots than the budget") {
     Scene s;
-    s.j.set_further(0, 1, sec);
+    s.j.set_retry_budget(0, 1, sec);
     s.ask(sec, nbd::cmd_read, 1, 0);
     for (Time i = 0; i < 3; ++i)
         s.answer(sec + 2 * i + 1, s.shot(sec + 2 * i, FrameKind::read, 1, 0), Status::rejected);
@@ -230,7 +231,7 @@
     CHECK(nobody.broken(Rule::data) == 1);
     for (auto *s : {&flushed, &well}) {
         s->write(sec, 1, 0, 'a');
-        s->j.lost(2 * sec, NodeId{1});
+        s->j.unflushed_data_lost(2 * sec, NodeId{1});
         s->ask(3 * sec, nbd::cmd_flush, 2, 0);
     }
     flushed.reply(3 * sec + 1, 2);
