--- a/bench/plan_bench.cpp
+++ b/bench/plan_bench.cpp
@@ -11,7 +11,7 @@
 #include "../tests/planner/helpers.hpp"
 #include "edge/plan_cache_file.hpp"
 #include "edge/planner_client.hpp"
-#include "sim/planning.hpp"
+#include "sim/planner_simulation.hpp"
 
 namespace {
 
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -147,15 +147,15 @@
   LIBS knotvane_node_protocol)
 package_tests(
   sim
-  SOURCES tests/sim/sim_test.cpp
+  SOURCES tests/sim/gateway_simulation_test.cpp
   LIBS knotvane_sim)
 package_tests(
   planning
-  SOURCES tests/sim/planning_test.cpp
+  SOURCES tests/sim/planner_simulation_test.cpp
   LIBS knotvane_sim_planning)
 package_tests(
   cutting
-  SOURCES tests/sim/cutting_test.cpp
+  SOURCES tests/sim/snapshot_simulation_test.cpp
   LIBS knotvane_sim_cutting)
 package_tests(
   planner
--- a/src/sim/world.cpp
+++ b/src/sim/gateway_simulation.cpp
@@ -1,4 +1,4 @@
-#include "sim/world.hpp"
+#include "sim/gateway_simulation.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/sim/planning.cpp
+++ b/src/sim/planner_simulation.cpp
@@ -1,4 +1,4 @@
-#include "sim/planning.hpp"
+#include "sim/planner_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -12,7 +12,7 @@
 #include "edge/planner_client.hpp"
 #include "node/planner_registration.hpp"
 #include "planner/core.hpp"
-#include "sim/keeper.hpp"
+#include "sim/in_memory_state_store.hpp"
 
 namespace knotvane::sim {
 namespace {
--- a/src/sim/cutting.cpp
+++ b/src/sim/snapshot_simulation.cpp
@@ -1,4 +1,4 @@
-#include "sim/cutting.hpp"
+#include "sim/snapshot_simulation.hpp"
 
 #include <algorithm>
 #include <cstring>
@@ -16,7 +16,7 @@
 #include "node/storage_node.hpp"
 #include "planner/core.hpp"
 #include "rules/history.hpp"
-#include "sim/keeper.hpp"
+#include "sim/in_memory_state_store.hpp"
 
 namespace knotvane::sim {
 namespace {
--- a/tests/sim/sim_test.cpp
+++ b/tests/sim/gateway_simulation_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "sim/world.hpp"
+#include "sim/gateway_simulation.hpp"
 
 using namespace knotvane;
 
--- a/tests/sim/planning_test.cpp
+++ b/tests/sim/planner_simulation_test.cpp
@@ -1,7 +1,7 @@
 // Runs seeded simulations of planner, edges and nodes in virtual time.
 #include <doctest/doctest.h>
 
-#include "sim/planning.hpp"
+#include "sim/planner_simulation.hpp"
 
 using namespace knotvane;
 
--- a/tests/sim/cutting_test.cpp
+++ b/tests/sim/snapshot_simulation_test.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <string>
 
-#include "sim/cutting.hpp"
+#include "sim/snapshot_simulation.hpp"
 
 using namespace knotvane;
 
