--- a/tests/gateway/day_test.cpp
+++ b/tests/gateway/day_test.cpp
@@ -47,14 +47,14 @@
         tallies = day::play(s, dir, dir + "/r", [&](SchedulerActions &a, std::uint64_t seed) {
             return pass_through ? day::make_passthrough(a) : make_scheduler(a, seed);
         });
-        fault = rules::check_recording(dir + "/r", judge);
+        fault = rules::check_recording(dir + "/r", rule_checker);
         std::filesystem::remove_all(dir);
     }
     void check_rules_kept() {
         CHECK(fault == "");
         for (auto &b : rule_checker.breach_lines())
             FAIL_CHECK(b);
-        CHECK(rules::passed(judge));
+        CHECK(rules::passed(rule_checker));
         CHECK(tallies["a"].good > 0);
     }
 };
