--- a/src/rules/rule_checker.cpp
+++ b/src/rules/rule_checker.cpp
@@ -480,9 +480,8 @@
         for (auto &[w, hash] : hist)
             valid = valid || (hash == h && w->start <= now && !overwritten(w->end));
         if (!valid) {
-            // Name the write that was returned and those that replaced it, with their times: the
-            // cause
-            // can't be found without them.
+            // Name the write that was returned and those that replaced it, with their times:
+            // without these the cause can't be found.
 
             std::ostringstream what;
             what << "a read from " << seconds(r.start) << " s of volume " << r.volume.value
@@ -677,8 +676,7 @@
     for (auto it = writing.begin(); it != writing.end();) {
         RequestAttempts &o = tasks_.at({edge, *it});
         // An attempt's timeout inside the edge can't be seen on the connection, so the attempt
-        // counts
-        // as outstanding for the client timeout plus the key rest.
+        // counts as outstanding for the client timeout plus the key rest.
 
         const WorkloadSettings &f =
             workload_settings_[o.kind == node_protocol::FrameKind::write ? 1 : 2];
--- a/src/rules/rule_checker.hpp
+++ b/src/rules/rule_checker.hpp
@@ -32,8 +32,8 @@
 
 class RuleChecker {
 public:
-    // WorkloadSettings of the rules; what is not set is not judged. `slack`: how far apart the
-    // wires' times may be from the edge's own.
+    // A rule whose settings are not set is not checked. `slack`: how far the times seen on the
+    // connections may differ from the edge's own.
     explicit RuleChecker(Time slack);
     ~RuleChecker();
     // `command`: 0 read, 1 write, 2 zero, 3 flush, 4 status, as in the edge's
@@ -165,7 +165,7 @@
     std::vector<RequestPtr> undurable_;
     std::set<std::pair<Time, const Request *>> open_reads_;
     std::deque<std::tuple<Time, RequestPtr, std::string>>
-        pending_order_checks_; // what must have request_answered soon after
+        pending_order_checks_; // requests that must have ended soon after
     std::vector<std::string> breach_lines_;
     std::array<std::uint64_t, 9> breaches_{}, checks_{};
     std::uint64_t requests_ = 0, attempt_count_ = 0, delivered_ = 0;
